--- a/policy/admit.go
+++ b/policy/admit.go
@@ -1,6 +1,6 @@
 package policy
 
-// Requests arriving, their places and waiting, release and refusal, the gate, ticks.
+// Arrival, admission, holding, release and refusal of requests, and the periodic tick.
 
 import (
 	"cmp"
@@ -9,17 +9,18 @@
 	"time"
 )
 
+// handleRequest handles a new request of a client.
 func (g *Gateway) onRequest(r *request) {
 	c := r.c
 	c.asked(r, 1)
-	// Of a customer far above its quota or cap only the part that fits is asked for: its root could not
-	// take in all its asks. Harms for as long as thinSpan when the customer stops asking for more.
+	// A customer far above its quota or cap would flood its root with asks: only the share that fits is asked
+	// for. If the customer's demand falls, too many requests are refused for up to thinSpan.
 	r.asks = min(1, c.part+(g.now-c.partAt).Seconds()/thinSpan.Seconds())
 	switch {
 	case c.plan.HardRate > 0 && c.ceiling < r.units && g.mayBorrow(r):
 		g.borrow(r)
 	case r.deadline-g.now <= 2*g.set.Resolution || g.rng.Float64() > g.gate:
-		g.refuse(r) // with no time left any wait is too long
+		g.refuse(r) // too little time is left for any wait
 	case len(c.ask) == 0:
 		g.admit(r)
 	case g.rng.Float64() > r.asks:
@@ -29,15 +30,16 @@
 	}
 }
 
-// admit lets a request pass, holds it in its customer's queue or refuses it.
+// admit sends a request, holds it in its customer's queue or refuses it.
 func (g *Gateway) admit(r *request) {
 	c := r.c
 	c.fresh = repeatTicks
-	// A client's repeat is often late. It gives way to first tries while requests wait for servers or the
-	// store is low. Guards against retry storms; harms where repeats come soon and aims are long.
-	scarce := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
-	pressed := !r.remote && g.lackAt > 0 && g.now-g.lackAt < pressedFor
-	if r.beyond = !g.within(r); r.beyond && !g.waitsForUnits(r) || r.repeat && (scarce || pressed) {
+	// Retries are often late: they yield to first tries while requests wait for servers or the bucket is low.
+	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
+	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
+	serversBusy := !r.remote && g.lackAt > 0 && g.now-g.lackAt < pressedFor
+	if r.beyond = !g.within(r); r.beyond && !g.waitsForUnits(r) ||
+		r.repeat && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
 	}
@@ -50,7 +52,7 @@
 	}
 }
 
-// within tells whether quota and ceiling have the request's units.
+// hasUnits reports whether the quota and the ceiling have the request's units.
 func (g *Gateway) within(r *request) bool {
 	c := r.c
 	if r.counted {
@@ -62,38 +64,36 @@
 	return c.plan.HardRate == 0 || !r.charged() || c.ceiling >= r.units
 }
 
-// waitsForUnits tells whether a request beyond its customer's units may wait for them: as many as come in
-// while they may wait.
+// mayAwaitUnits reports whether a request may wait for its customer's units: no more than refill in time.
 func (g *Gateway) waitsForUnits(r *request) bool {
 	if g.set.Field == nil || g.wide || g.demand(r.c) > r.c.plan.Rate {
-		return false // where it asks for more than its quota, whoever waits only makes others wait
+		return false // demand exceeds the quota: waiting would only delay later requests
 	}
-	hold := holdAim * r.cl.Aim.Seconds()
-	return float64(len(r.c.held)) < max(1, r.c.plan.Rate*hold*g.share(r.c))
+	holdSeconds := holdAim * r.cl.Aim.Seconds()
+	return float64(len(r.c.held)) < max(1, r.c.plan.Rate*holdSeconds*g.share(r.c))
 }
 
-// others sums the attempts out and held that the peers report. A silent
-// peer's count gives way to its demand-split part of the cap.
-func (g *Gateway) others(c *customer) (out, held float64) {
+// peerCounts sums what peers have in flight and held; a silent peer counts as its part of the cap by demand.
+func (g *Gateway) others(c *customer) (inFlight, held float64) {
 	for _, v := range c.set {
 		if g.silent(v.p) {
-			out += float64(c.plan.Open) * g.weight(c, v) / g.demand(c)
+			inFlight += float64(c.plan.Open) * g.weight(c, v) / g.demand(c)
 			continue
 		}
-		out += v.out
+		inFlight += v.out
 		held += v.held
 	}
-	return out, held
+	return inFlight, held
 }
 
-// room tells whether one more attempt of the customer fits under its cap.
-// An arrival stays under its demand-split part, at least one.
+// underCap reports whether one more attempt of the customer fits under its cap on attempts in flight. A new
+// request is limited to this gateway's part of the free room by demand, at least one place.
 func (g *Gateway) room(c *customer, arrival bool) bool {
 	if c.plan.Open == 0 {
 		return true
 	}
-	out, _ := g.others(c)
-	free := float64(c.plan.Open) - out
+	others, _ := g.others(c)
+	free := float64(c.plan.Open) - others
 	next := float64(c.out + 1)
 	if arrival {
 		return next <= max(free*g.share(c), min(1, free+arriveSlack))
@@ -101,7 +101,7 @@
 	return next <= free+freeSlack
 }
 
-// try sends the request to a server if one has room for it.
+// trySend sends the request to a server, or grants it if another gateway asked; false: no server has room.
 func (g *Gateway) try(r *request) bool {
 	if r.remote {
 		g.grant(r)
@@ -133,7 +133,7 @@
 	return true
 }
 
-// hold puts a request in its customer's queue. What no tick could answer in time is answered now.
+// hold queues a request; one whose deadline comes before any tick can answer it is refused at once.
 func (g *Gateway) hold(r *request) {
 	if g.now+g.tick+2*g.set.Resolution >= r.deadline {
 		g.refuse(r)
@@ -145,27 +145,25 @@
 	}
 }
 
-// stale tells whether a held request can no longer meet its aim. One that came
-// in elsewhere is given up there so long after it came, and a grant has a way to
-// go: a place granted later is lost until its lease runs out.
+// heldTooLong reports whether a held request can no longer meet its latency target. A gateway that asked for
+// it gives it up then: a later grant would arrive too late and take a place until its lease expires.
 func (g *Gateway) stale(r *request) bool {
 	return g.now-r.arrived > g.patience(r)
 }
 
-// patience is how long a request is held.
+// maxHold returns how long a request may be held.
 func (g *Gateway) patience(r *request) time.Duration {
 	limit := time.Duration(holdAim * float64(r.cl.Aim))
 	if r.remote {
 		limit -= 2 * g.reply
 	}
 	if g.set.Field != nil {
-		limit -= holdEarly // its client counts the way here and back
+		limit -= holdEarly // its client counts the network time too
 	}
 	return limit
 }
 
-// ageAll refuses held requests that are stale, while a retry can still help, and in
-// any case before the deadline.
+// refuseOverdue refuses requests held too long, while a retry can still help and before their deadline.
 func (g *Gateway) ageAll() {
 	for _, c := range slices.Clone(g.waiting) {
 		g.advance(c)
@@ -177,7 +175,7 @@
 	}
 }
 
-// drain sends up to n of a customer's held requests, oldest first. It is false when no server had room.
+// sendHeld sends up to n of a customer's held requests, oldest first. It returns false if no server had room.
 func (g *Gateway) drain(c *customer, n int) bool {
 	for ; n > 0 && len(c.held) > 0; n-- {
 		r := c.held[0]
@@ -197,8 +195,8 @@
 	return true
 }
 
-// release lets held requests go at an outcome: the customer's own while its live count and the
-// heard means stay under the cap, then others that waited for a server.
+// releaseHeld sends held requests after an attempt ended: the customer's own while they stay under its cap,
+// then those of other customers that wait for a server, the longest wait first.
 func (g *Gateway) release(c *customer) {
 	if g.set.Field != nil {
 		g.serve()
@@ -207,18 +205,18 @@
 	if !g.drain(c, 1<<30) || len(g.waiting) == 0 {
 		return
 	}
-	rest := slices.Clone(g.waiting)
-	slices.SortStableFunc(rest, func(a, b *customer) int {
+	others := slices.Clone(g.waiting)
+	slices.SortStableFunc(others, func(a, b *customer) int {
 		return cmp.Compare(a.held[0].arrived, b.held[0].arrived)
 	})
-	for _, w := range rest {
+	for _, w := range others {
 		if w != c && !g.drain(w, 1) {
 			return
 		}
 	}
 }
 
-// refuse gives the final answer: a refusal where a retry is harmless.
+// refuse gives the final answer: Refuse if a retry is harmless, else Fail.
 func (g *Gateway) refuse(r *request) {
 	if r.remote {
 		g.answer(r, refused)
@@ -230,9 +228,8 @@
 	g.close(r)
 }
 
-// adapt moves the gate by how near latencies come to their aims: a part of the requests is refused. Guards
-// against load this gateway is not told of, on all servers: peers unheard, slow fleets. Harms where aims are
-// near idle latencies.
+// adaptAdmission lowers the share of requests admitted while latencies are near their targets: an overload
+// may show in no report (silent peers, slow servers). It does harm where targets are near idle latencies.
 func (g *Gateway) adapt(dt time.Duration) {
 	if g.set.Field == nil && g.strain > gateAim || g.tree && g.strain > blindAim {
 		g.gate = max(gateLeast, g.gate*math.Exp(-dt.Seconds()/gateShut.Seconds()))
@@ -250,12 +247,12 @@
 		g.watch()
 		g.forget()
 	}
-	g.sendRate *= math.Exp(-float64(dt) / float64(g.set.FallTime)) // none is counted where nothing falls
+	g.sendRate *= math.Exp(-float64(dt) / float64(g.set.FallTime)) // unused with MultiService (FailTime 0)
 	g.sumLoads()
 	g.adapt(dt)
 	g.intake *= math.Exp(-dt.Seconds() / demandSpan.Seconds())
 	for _, s := range g.fleet {
-		// What is not tried is not learned: an old judgement wears off.
+		// A server that gets no requests yields no new data: old measurements decay.
 		s.wear(min(1, dt.Seconds()/slowSpan.Seconds()))
 		g.silence(s)
 		if slices.Contains(s.watchers[:], g.set.Me) {
@@ -271,14 +268,15 @@
 		}
 		n := 1 << 30
 		if c.plan.Open > 0 {
-			out, held := g.others(c)
-			mine := float64(len(c.held))
-			part := (float64(c.plan.Open) - float64(c.out) - out) * mine / (mine + held)
-			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
+			others, held := g.others(c)
+			ownHeld := float64(len(c.held))
+			room := (float64(c.plan.Open) - float64(c.out) - others) * ownHeld / (ownHeld + held)
+			n = int(math.Floor(max(room, 0) + g.rng.Float64()))
 		}
 		g.drain(c, n)
 	}
-	if g.set.CanTell && (!g.tree || g.ticks%rootTicks == 0) && g.ticks%g.every == 0 && !g.wide {
+	if g.set.CanTell && (!g.tree || g.ticks%rootTicks == 0) &&
+		g.ticks%g.every == 0 && !g.wide {
 		g.report()
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,166 +2,169 @@
 
 import "time"
 
-// RequestID names one try of a client at one gateway. An ID is never reused.
+// RequestID identifies one request that a client sent to one gateway; a client's retry has another ID. An ID
+// is never reused.
 type RequestID uint64
 
-// ServerID names a server; it is the same at every gateway.
+// ServerID identifies a server; every gateway uses the same ID.
 type ServerID uint32
 
-// Effect says what a repeat of a request does.
+// Effect says whether a request may run more than once. Higher values are stricter.
 type Effect int
 
-// The kinds of effect.
+// The values of Effect.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of servers, for a time
+	Keyed                // servers of one DedupScope drop repeats, for DedupWindow
 	Unsafe               // must not run twice
 )
 
-// Group says which servers drop repeats of a keyed request.
+// DedupScope says which servers recognize and drop repeats of a Keyed request.
 type Group int
 
-// The groups.
+// The values of DedupScope.
 const (
 	GroupAll  Group = iota // all servers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
+	GroupZone              // the servers of one zone
+	GroupCell              // the servers of one cell
 )
 
-// Class holds the settings of a class of request.
+// Class holds the settings of a class of requests.
 type Class struct {
 	Name     string
-	Aim      time.Duration // an answer within it earns full worth
-	Deadline time.Duration // a client waits this long, over all its tries
+	Aim      time.Duration // an answer within this latency has its full value
+	Deadline time.Duration // how long a client waits, over all its tries
 	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long repeats are remembered
-	Stream   bool          // the answer is a stream, announced by Started
+	Group    Group         // for Keyed: which servers drop repeats
+	Window   time.Duration // for Keyed: how long servers recognize repeats
+	Stream   bool          // the answer is a stream; a Started event announces it
 }
 
-// Plan holds the quotas of each customer on a plan, over all gateways.
+// Plan holds the limits of each customer on the plan, over all gateways together. The rate quota and the hard
+// ceiling are token buckets of units: gateways may overshoot the quota for a short time, never the ceiling.
 type Plan struct {
 	Name        string
-	Rate        float64 // units a second; 0: no rate quota
-	Burst       float64 // most units the quota's store holds
-	Open        int     // most attempts out at once; 0: no such quota
-	BeyondEarns float64 // share of the worth earned beyond the quota
-	BeyondCosts float64 // share of the worth charged beyond the quota
-	HardRate    float64 // units a second of the hard ceiling; 0: none
-	HardBurst   float64 // most units the ceiling's store holds
-	HardStart   float64 // of them, units that all gateways have together when they start
+	Rate        float64 // units per second; 0: no rate quota
+	Burst       float64 // capacity of the quota's bucket, in units
+	Open        int     // most attempts in flight at once; 0: no limit
+	BeyondEarns float64 // share of its value that a request beyond the quota earns
+	BeyondCosts float64 // share of its value that a request beyond the quota is charged
+	HardRate    float64 // units per second of the hard ceiling; 0: no ceiling
+	HardBurst   float64 // capacity of the ceiling's bucket, in units
+	HardStart   float64 // units in that bucket when all gateways start, all of them together
 }
 
-// Settings is what a gateway is told at its start.
+// Settings configures a gateway at its start.
 type Settings struct {
 	Me       int // number of this gateway, from 0
-	Gateways int // how many gateways there are
+	Gateways int // number of gateways
 	Zone     string
 	Classes  []Class
 	Plans    []Plan
 
-	Resolution    time.Duration // least time between two events in sequence
-	MaxAttempts   int           // attempts allowed for one request; 0: any number
-	CanCancel     bool          // Cancel is permitted
-	CanTell       bool          // Tell is permitted
-	MailPerSecond float64       // peer messages a gateway takes in a second
-	LargestUnits  float64       // most units of one request
-	MaxRetryAfter time.Duration // longest advice clients heed; 0: no advice
-	MustAsk       bool          // server changes come only to those that Watch
-	SizeKnown     bool          // Server.Weight is the size of the machine
-	CrossZoneCost float64       // charge for an attempt that crosses zones
-	ReportNames   []string      // names of the values in Load
-
-	AnswerSlack  time.Duration // final answers are in time this long after a deadline
-	ColdShare    float64       // a starting server has at least this share of its capacity
-	WarmWithin   time.Duration // and all of it this long after its start
-	FallMultiple float64       // a cold server falls when sent this multiple of its capacity
-	FallTime     time.Duration // for this long
-
-	Field *Field // set where gateways serve many services, for customers told with Terms; nil: one service
+	Resolution    time.Duration // resolution of the clock and of timers
+	MaxAttempts   int           // most attempts for one request; 0: no limit
+	CanCancel     bool          // whether Cancel is permitted
+	CanTell       bool          // whether SendPeer is permitted
+	MailPerSecond float64       // peer messages that a gateway can receive per second
+	LargestUnits  float64       // largest number of units of one request
+	MaxRetryAfter time.Duration // longest RetryAfter that clients obey; 0: none is given
+	MustAsk       bool          // server changes are sent only to gateways that use Watch
+	SizeKnown     bool          // whether Server.Weight is the size of the machine
+	CrossZoneCost float64       // charge for an attempt at a server of another zone
+	ReportNames   []string      // names of the values in Outcome.Load
+
+	AnswerSlack  time.Duration // an answer this long after the deadline still counts as in time
+	ColdShare    float64       // a server that just started has at least this share of its capacity
+	WarmWithin   time.Duration // and its whole capacity this long after its start
+	FallMultiple float64       // a cold server fails if it is sent this multiple of its capacity
+	FallTime     time.Duration // for at least this long
+
+	Field *Field // set if gateways serve many services; classes and plans then come with ConfigUpdate; nil: one service
 }
 
-// Field holds what a gateway of many services goes by beside its settings.
+// MultiService holds the further settings of a gateway that serves many services.
 type Field struct {
-	RetryEarn float64                      // of a service's budget of further attempts, earned by each first attempt here
-	RetryCap  func(service string) float64 // most of it that is kept
+	RetryEarn float64                      // what each first attempt here adds to its service's retry budget
+	RetryCap  func(service string) float64 // largest retry budget of a service
 	ColdPart  float64                      // share of its capacity that a cold server has
-	ColdSpan  time.Duration                // a cold server's sends are counted over this
-	Report    time.Duration                // between two reports to a peer
+	ColdSpan  time.Duration                // a cold server's sends are counted over this time
+	Report    time.Duration                // time between two reports to a peer
 }
 
-// Names of load report values the module understands.
+// Names of the load report values that the package uses.
 const (
 	LoadActive  = "active"  // requests in progress
 	LoadWaiting = "waiting" // requests queued
 )
 
-// Code says how an attempt ended.
+// Code says how an attempt at a server ended.
 type Code int
 
-// The ends of an attempt. NeverRan tells which prove that it never ran.
+// The values of Code. NeverRan says which of them prove that the server never ran the request.
 const (
-	OK Code = iota
-	Error
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
+	OK            Code = iota
+	Error              // the server answered with an error
+	Full               // the server rejected it, since its queue is full
+	TimedOut           // no answer came in time
+	ConnectFailed      // no connection to the server was made
+	Reset              // the connection broke before the answer
+	Cancelled          // a Cancel action ended it
+	Moot               // it was not sent, or the server refused it as invalid: another attempt is no use
 )
 
-// NeverRan reports whether the code proves that the attempt never ran.
+// NeverRan reports whether the code proves that the server never ran the request.
 func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == Moot }
 
-// Event is something a gateway is told.
+// Event is an input of Gateway.Handle.
 type Event interface{ event() }
 
-// Request is a client's try. Exactly one final answer is owed for it.
+// Request is a client's request. The gateway gives exactly one final answer to it: that of a server, Refuse
+// or Fail.
 type Request struct {
 	ID        RequestID
 	Customer  string
 	Plan      string
 	Class     string
 	Units     float64
-	Remaining time.Duration // until the client gives up this try
-	First     int           // the customer comes in through Spread gateways, at least
-	Spread    int           // one, counted round from First; this one is among them
-	Retry     bool          // the client marked it as a repeat
-	Effect    Effect        // asks for more care than its class does; less counts for nothing
-	Service   string        // only its servers can run it; empty: all can
-	Homes     []string      // only servers of these regions may run it; empty: all may
-	Tries     int           // servers it may be sent to; 0: Settings.MaxAttempts
-	Prio      int           // its rank among those that wait for a server, 0 the first; where many services are served
-	Spent     time.Duration // how long its client has waited before this try, as far as that is known
+	Remaining time.Duration // time until the client gives up
+	First     int           // number of the first gateway that the customer uses
+	Spread    int           // how many it uses at least, counted up from FirstGateway and round; this one is among them
+	Retry     bool          // the client marked it as a retry
+	Effect    Effect        // counts if it is stricter than the effect of its class
+	Service   string        // only servers of this service can run it; empty: servers without a service
+	Homes     []string      // only servers of these regions may run it; empty: any region
+	Tries     int           // most attempts; 0: Settings.MaxAttempts
+	Prio      int           // among requests that wait for a server, lower values go first; with MultiService only
+	Spent     time.Duration // how long its client waited before this request, if that is known
 }
 
-// Started tells that the answer of a streamed class has begun.
+// Started reports that the answer of a Streaming class has begun.
 type Started struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
 }
 
-// Outcome tells how an attempt ended; there is one for each Send.
+// Outcome reports how an attempt ended; there is one for each Send.
 type Outcome struct {
 	ID      RequestID
-	Attempt int // attempts of a request count from 0
+	Attempt int // number of the attempt within the request, from 0
 	Server  ServerID
 	Code    Code
 	Latency time.Duration
-	Over    bool      // the request has its final answer
-	Actual  float64   // true units, where they are settled afterwards; else 0
-	Load    []float64 // load report, as Settings.ReportNames; or nil
+	Over    bool      // whether the client has its final answer
+	Actual  float64   // true units of the request, if they are known only afterwards; else 0
+	Load    []float64 // load report, in the order of Settings.LoadReportNames; or nil
 }
 
-// Gone tells that the client left; nothing more is owed for the request.
+// ClientGone reports that the client has left; the request needs no answer any more.
 type Gone struct{ ID RequestID }
 
-// Timer tells that a timer set by SetTimer has run out.
+// Timer reports that a timer set by SetTimer has expired.
 type Timer struct{ Token string }
 
-// PeerMessage is what another gateway sent with Tell.
+// PeerMessage is a message that another gateway sent with SendPeer.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -177,135 +180,136 @@
 	Removed
 )
 
-// Server is one line of the server list.
+// Server is one entry of the server list.
 type Server struct {
 	ID       ServerID
 	Zone     string
 	Cell     int
 	State    State
 	HasStart bool
-	Start    time.Duration // time of its last start, where HasStart
-	Weight   float64
+	Start    time.Duration // time of its last start, if HasStartTime
+	Weight   float64       // its size, if Settings.SizeKnown
 
 	Service   string
 	Region    string
-	Slots     int           // requests it works on at a time; 0: not told
-	Far       time.Duration // the latency that sending there is held to cost beside its own
-	ColdUntil time.Duration // until then it bears ColdSends a second, from all gateways
+	Slots     int           // requests that it processes at a time; 0: not known
+	Far       time.Duration // extra latency assumed for sending there, e.g. to another region
+	ColdUntil time.Duration // until then it can take ColdSendRate requests per second, from all gateways together
 	ColdSends float64
 }
 
-// MembersKind says what a Members event holds.
+// ServerListKind says what a ServerList event contains.
 type MembersKind int
 
-// The kinds of Members event.
+// The values of ServerListKind.
 const (
-	Changes    MembersKind = iota // changed servers only
-	Whole                         // the whole list; a server not in it is gone
-	Remembered                    // a whole list, as last held; may be old
-	AskFailed                     // Watch failed; keep the list
+	Changes    MembersKind = iota // only the servers that changed
+	Whole                         // the complete list; a server not in it was removed
+	Remembered                    // a complete list from a cache; it may be outdated
+	AskFailed                     // Watch failed; the gateway keeps its list and will watch again
 )
 
-// Members brings the server list or changes to it.
+// ServerList brings the server list or changes to it.
 type Members struct {
 	Kind    MembersKind
 	Servers []Server
 }
 
-// Terms replaces the classes and plans of the same names, and adds the others.
+// ConfigUpdate replaces the classes and plans of the same names and adds the others.
 type Terms struct {
 	Classes []Class
 	Plans   []Plan
 }
 
-// Peers tells how many gateways there may be from now on, and which number this one has.
+// GatewaySet says how many gateways there are from now on and which number this one has.
 type Peers struct {
 	Me, Gateways int
-	Shares       int      // in how many parts ceilings are divided; 0: as many as there are numbers
-	Regions      []string // where each is, by number; "": none has the number; no list: not known
-	Less         float64  // part of its own parts that this one must leave unused, 1 all; then cold servers are others' too
-	Barren       bool     // it sends nothing to cold servers
+	Shares       int      // number of parts into which ceilings are divided; 0: Gateways
+	Regions      []string // region of each gateway, by number; "": no gateway has the number; nil: not known
+	Less         float64  // share of its own part, 0 to 1, that this one must leave unused; above 0 implies NoColdSends
+	Barren       bool     // this gateway sends nothing to cold servers
 }
 
-// Yield has the gateway stop to use what it holds of ceilings: it answers with a Give for each customer that has
-// units left, but for those that held requests need. It is the last but for what is held and out.
+// Relinquish makes the gateway give up its parts of ceilings: it returns an OfferUnits for each customer that has
+// units left, except for units that held requests need. After it the gateway only finishes the requests that it
+// holds or has in flight.
 type Yield struct{}
 
-// Level is how far a server is trusted, by what all gateways saw.
+// TrustLevel says which requests a server may get, by the outcomes that all gateways saw.
 type Level int
 
-// The levels. A higher one is stricter.
+// The values of TrustLevel. A higher one is stricter.
 const (
 	Trusted  Level = iota
-	Doubted        // what may not run twice goes elsewhere first
-	NoRecord       // nothing that may not run twice, but for trials
-	NoTrust        // nothing, but for trials
+	Doubted        // requests that are not Safe go to other servers first
+	NoRecord       // only Safe requests, and trials
+	NoTrust        // only trials
 )
 
-// Trust is how far one server is trusted.
+// Trust is the trust in one server.
 type Trust struct {
 	Level Level
-	Try   bool // one request is to try it: of those that may not run twice, at NoTrust of the others
+	Try   bool // one trial request may go there: a Safe one at TrialsOnly, else one that is not Safe
 }
 
-// Trusts replaces all that was told of trust before; servers that are not in it are trusted.
+// TrustUpdate replaces the trust in all servers; those not in it are Trusted.
 type Trusts struct{ Servers map[ServerID]Trust }
 
-// Given brings units that another gateway has given up.
+// UnitsReceived brings ceiling units that another gateway gave up. Customer is a key as KeyOf returns it.
 type Given struct {
 	Customer uint64
 	Units    uint16
 }
 
-// Action is something a gateway wants done.
+// Action is an output of Gateway.Handle: something that its caller has to do.
 type Action interface{ action() }
 
-// Send starts an attempt. Timeout 0 means until the client gives up.
+// Send starts an attempt at a server. Timeout 0 means until the client gives up.
 type Send struct {
 	ID      RequestID
 	Server  ServerID
 	Timeout time.Duration
 }
 
-// Cancel stops waiting for an attempt; its Outcome still comes.
+// Cancel ends an attempt; its Outcome still comes.
 type Cancel struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Refuse is the final answer that says a retry is harmless.
+// Refuse is the final answer after which a retry is harmless: the request did not run or may run again.
 type Refuse struct {
 	ID         RequestID
-	RetryAfter time.Duration // advice to the client; 0: none
-	Over       bool          // it is beyond its customer's quota
+	RetryAfter time.Duration // when the client should retry; 0: not said
+	Over       bool          // whether the request exceeds its customer's quota
 }
 
-// Fail is the final answer that promises nothing.
+// Fail is the final answer after which a retry may be harmful: the request may have run.
 type Fail struct{ ID RequestID }
 
-// SetTimer asks for a Timer event after a time.
+// SetTimer requests a Timer event after a time.
 type SetTimer struct {
 	Token string
 	After time.Duration
 }
 
-// Tell sends at most 256 bytes to another gateway; it may be lost.
+// SendPeer sends a message of at most 256 bytes to gateway To, or to all others if To is -1. It may be lost.
 type Tell struct {
 	To   int
 	Data []byte
 }
 
-// Give tells of units that are not used here any more, and who may have them, the best first.
+// OfferUnits offers ceiling units that this gateway gave up to the gateways in Candidates, the best first.
 type Give struct {
 	Customer uint64
 	Units    uint16
 	To       []int
 }
 
-// Watch asks for the server list and its changes from now on.
+// Watch subscribes to the server list and its changes.
 type Watch struct{}
 
-// Log writes a line for the operators.
+// Log writes a line to the log for the operators.
 type Log struct{ Text string }
 
 func (Request) event()     {}
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// An ask that comes twice counts once, and is answered twice: the first answer
-// may be lost.
+// An ask that arrives again counts once but is answered each time: an earlier reply may have been lost.
 func TestRepeatedAskCountsOnce(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
@@ -20,7 +19,7 @@
 	}
 }
 
-// A try without time left is refused at once: it can't wait for its root.
+// A request without time left is refused at once: it can't wait for its root's reply.
 func TestNoTimeLeftIsRefused(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	for i := range 20 {
@@ -31,8 +30,8 @@
 	}
 }
 
-// Times are rounded on their way: a timer that comes a little before its time
-// must not leave a request with no timer at all.
+// Rounding may make a timer fire slightly early. The request must then get another timer, else nothing would
+// ever answer it.
 func TestTimerARoundingEarly(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
@@ -53,8 +52,8 @@
 	}
 }
 
-// The message that an attempt has ended may be lost: its place is free all the same,
-// long before the lease runs out.
+// If one message that an attempt has ended is lost, its place is freed all the same, long before the lease
+// expires, since the message is sent twice.
 func TestLostEndFreesItsPlace(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
@@ -82,12 +81,12 @@
 	}
 }
 
-// A held ask whose answer was lost is answered again: were its gateway to hear
-// nothing it would ask the deputy, which grants places that are taken.
+// A repeated ask for a held request is answered again, since the first reply may be lost. Without a reply the
+// gateway would ask the deputy, which would grant places that are taken.
 func TestHeldAskIsAnsweredAgain(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	_, root, _ := w.member("open")
-	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third ask is held
+	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third request is held
 		m := ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, Left: 2000, Tag: uint32(min(tag, 2)), Thin: 250, Fill: unknownStore}
 		w.do(root, PeerMessage{From: 99, Data: encode(m)})
 		if c := w.gs[root].customers[keyOf("k")]; c.out+len(c.held) != want || w.told != tag+1 {
@@ -99,8 +98,8 @@
 	}
 }
 
-// A gateway that gives up a held try says so: its root neither grants it later nor
-// keeps a place that it has just granted.
+// A gateway that gives up a held request tells its root, which then neither grants it later nor keeps a place
+// that it has just granted.
 func TestGivenUpNeedsNoPlace(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -119,7 +118,7 @@
 				t.Fatalf("%d granted, %d held", k.out, len(k.held))
 			}
 			want := 2
-			if !c.held { // a place is free, and the message about it never comes
+			if !c.held { // a place becomes free, and the root's grant is lost
 				w.lose = func(from, _ int) bool { return from == root }
 				s := w.sends[0]
 				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
@@ -138,8 +137,7 @@
 	}
 }
 
-// An attempt that outlasts its lease keeps its place: its gateway says that it is
-// still out.
+// An attempt that outlasts its lease keeps its place: its gateway renews the lease.
 func TestLeaseIsRenewed(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	w.takes = 4 * time.Second
@@ -157,8 +155,8 @@
 	}
 }
 
-// A root whose answers are lost keeps no place for what its deputy grants then, and
-// one that answers nothing is left alone for a while.
+// A root whose replies are lost keeps no place for a request that its deputy grants, and a root that does not
+// answer is not asked again for a while.
 func TestSilentRootIsLeftAlone(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	i, root, deputy := w.member("open")
@@ -181,8 +179,8 @@
 	}
 }
 
-// Under a cap alone room comes when attempts end: a repeat is advised as soon,
-// though a large fleet's ticks are longer.
+// Without a rate quota room appears when attempts end: clients are told to retry after that time, although the
+// ticks of a large fleet are longer.
 func TestAdviceUnderACapAlone(t *testing.T) {
 	for _, c := range []struct {
 		plan string
@@ -197,14 +195,14 @@
 	}
 }
 
-// An attempt that outlasts its aim still has its place: how long servers take,
-// not the aim, says when one not told of as ended is taken for over.
+// An attempt that takes longer than its latency target keeps its place: the length of a lease depends on the
+// mean latency of servers, not on the target.
 func TestLeaseOutlastsASlowAttempt(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
 	root := w.gs[roots[0]]
-	root.classes["safe"].mean = 0.5 // servers take that long of 800 ms
+	root.classes["safe"].mean = 0.5 // seconds, with a latency target of 800 ms
 	m := encode(ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, Left: 3000, Tag: 9, Thin: 250, Fill: unknownStore})
 	w.do(roots[0], PeerMessage{From: 99, Data: m})
 	w.pass(1200*ms, nil)
@@ -217,7 +215,7 @@
 	}
 }
 
-// A root's own clients count for as much of a cap as those of other gateways.
+// A root counts the requests of its own clients towards a cap like those of other gateways.
 func TestOwnAsksCountLikeOthers(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
@@ -228,6 +226,6 @@
 	other := root.customers[keyOf("k")].places
 	w.do(roots[0], Request{ID: 1, Customer: "k", Plan: "open", Class: "safe", Units: 4, Remaining: 2 * time.Second, Spread: 50})
 	if own := root.customers[keyOf("k")].places - other; own != other || own <= 0 {
-		t.Errorf("an own request counts %v, another gateway's %v", own, other)
+		t.Errorf("a request of its own client counts %v, one of another gateway %v", own, other)
 	}
 }
--- a/policy/asking.go
+++ b/policy/asks.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// onAskTimer asks again, elsewhere, for what was not answered.
+// onAskTimeout handles the requests whose ask has had no reply in time: it asks again or gives up.
 func (g *Gateway) onAskTimer() {
-	list := g.asking
+	timeouts := g.asking
 	g.asking = nil
-	for _, r := range list {
+	for _, r := range timeouts {
 		switch {
 		case r.over || r.granted || g.asks[r.tag] != r:
-		case g.now+g.set.Resolution <= r.until: // a timer may come a rounding early
+		case g.now+g.set.Resolution <= r.until: // rounding may make a timer fire slightly early
 			g.asking = append(g.asking, r)
 		case r.waits:
 			g.refuse(r)
-		case g.set.Field != nil: // there may be fewer gateways since it was asked for
+		case g.set.Field != nil: // the set of gateways may have shrunk since the ask
 			g.unanswered(r)
 		default:
 			g.ask(r)
@@ -21,11 +21,13 @@
 	}
 }
 
+// sendAskEnded tells the root of a request that its attempt has ended or was never made.
 func (g *Gateway) tellEnd(r *request) {
 	g.do(Tell{To: r.root, Data: encode(ended{r.c.key, r.tag, !r.counted})})
 }
 
-// onLent goes on with the request that units were borrowed for. What comes too late for it stays for another.
+// onLoanReply continues the request that units were borrowed for, or asks the next lender if there are none.
+// Units that arrive after the request has ended stay here for other requests.
 func (g *Gateway) onLent(m lent) {
 	if c := g.customers[m.Customer]; c != nil {
 		g.advance(c)
@@ -42,6 +44,7 @@
 	}
 }
 
+// onAskReply takes over a root's decision on a request, and what the root says of the customer and its load.
 func (g *Gateway) onAnswer(from int, m answer) {
 	r := g.asks[m.Tag]
 	if r == nil || r.root != from || r.over {
@@ -69,7 +72,7 @@
 	}
 }
 
-// grant counts a member's request and tells it to go.
+// grant counts a request that another gateway asked for and tells that gateway to send it.
 func (g *Gateway) grant(r *request) {
 	c := r.c
 	c.take(r, g.now)
@@ -79,24 +82,24 @@
 	g.answer(r, granted)
 }
 
-// lease keeps a place for a member's request until more is heard of it.
+// addLease counts a granted request as in flight until its gateway reports its end or the lease expires.
 func (g *Gateway) lease(r *request) {
 	until := g.now + time.Duration(leaseMeans*r.cl.mean*float64(time.Second))
 	r.c.leases[lease{r.root, r.tag}] = leased{until, r}
 }
 
-// onAsk takes a member's request into the customer's counts as if it had come in here.
+// onAsk handles another gateway's ask: it counts the request as if a client had sent it here.
 func (g *Gateway) onAsk(from int, m ask) {
 	c := g.customers[m.Customer]
-	fresh := c == nil
-	if fresh {
+	isNew := c == nil
+	if isNew {
 		c = g.account(m.Customer, g.plans[g.set.Plans[m.Plan].Name], int(m.First), int(m.Spread))
 	}
-	// One that counts for a root it can't hear goes by what the root last told.
-	if m.Fill != unknownStore && (fresh || len(c.ask) > 0) {
+	// A deputy that stands in for an unreachable root uses the bucket fill that the root last reported.
+	if m.Fill != unknownStore && (isNew || len(c.ask) > 0) {
 		c.store = min(c.store, float64(m.Fill)/250*c.plan.Burst)
 	}
-	if r, v := c.pending(from, m.Tag); r != nil { // an answer was lost, or the attempt is still out
+	if r, v := c.pending(from, m.Tag); r != nil { // the reply was lost, or the attempt is still in flight
 		if v == granted {
 			g.lease(r)
 		}
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -5,51 +5,49 @@
 	"time"
 )
 
-// What is lent of a ceiling is on its way for a while. Until it has arrived the
-// lender's part must not fill up again over it: lender, way and borrower
-// together would hold more than the ceiling.
+// Lent units of a ceiling are in transit for a while. Until they have arrived the lender's part must not refill in
+// their place: the lender, the transfer and the borrower together would hold more than the ceiling.
 func TestLentPartDoesNotFillAtOnce(t *testing.T) {
 	s := base()
 	s.Plans = []Plan{{Name: "hard", HardRate: 100, HardBurst: 20}}
 	w := newWorld(t, s, fleet(8))
 	w.now += time.Second
 	w.spend(1, "hard")
-	w.pass(time.Second) // the part, 10, is full again
+	w.pass(time.Second) // the part of 10 units is full again
 	w.hear(1, 1, 1, true)
 	c := w.g.customers[keyOf("c")]
 	if len(c.set) != 1 || c.ceiling < 9.9 {
 		t.Fatalf("%d peers, a part of %.1f: want 1 and 10", len(c.set), c.ceiling)
 	}
-	c.set[0].rate = 400 // what the peer asks, over demandSpan
+	c.set[0].rate = 400 // units that the peer requests, over demandSpan
 	w.g.lend(c, 50*ms)
 	lent := c.lent
 	if lent < 2 {
-		t.Fatalf("%.2f lent: the test asks for too little", lent)
+		t.Fatalf("%.2f lent, want 2 at least: the test's demand is too low", lent)
 	}
 	c.set[0].rate = 0
 	for range 4 {
-		w.g.now += 50 * ms // 2.5 units come in this time
+		w.g.now += 50 * ms // 2.5 units refill in this time
 		w.g.lend(c, 50*ms)
 	}
 	if most := 10 - lent/3; c.ceiling > most {
-		t.Errorf("the part is at %.2f, 0.2 s after %.2f of 10 were lent: %.2f at most", c.ceiling, lent, most)
+		t.Errorf("the part has %.2f units 0.2 s after %.2f of 10 were lent, want %.2f at most", c.ceiling, lent, most)
 	}
 	for range 40 {
 		w.g.now += 50 * ms
 		w.g.lend(c, 50*ms)
 	}
 	if c.ceiling < 9.9 {
-		t.Errorf("the part is at %.2f 2 s later: what has arrived is held back", c.ceiling)
+		t.Errorf("the part has %.2f units 2 s later, want it full: units that have arrived still reduce it", c.ceiling)
 	}
 }
 
-// A root that has just started presumes less than a whole store: it can't know
-// what the one before it has granted.
+// A root that has just started assumes less than a full bucket: it can't know what it granted before a restart.
 func TestFreshRootGrantsLessThanAStore(t *testing.T) {
 	w := newManyGateways(t, 300, fleet(40))
 	g := w.gs[0]
 	if !g.tree {
-		t.Fatal("300 gateways report from all to all")
+		t.Fatal("300 gateways report each to each")
 	}
 	roots, _ := g.roots(g.account(keyOf("k"), g.plans["rate"], 0, 200))
 	root := roots[0]
@@ -57,6 +55,6 @@
 		w.request(root, RequestID(i+1), "k", "rate", "safe", 200)
 	}
 	if n := len(w.sends); n < 1 || n > 9 {
-		t.Errorf("%d of 60 passed at once at a root that has just started, of a store of 10", n)
+		t.Errorf("a root that has just started passed %d of 60 at once, of a bucket of 10, want 1 to 9", n)
 	}
 }
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// The sum of the gateways' parts never passes the ceiling, whatever is asked
-// and however often they restart.
+// All gateways together never pass more than the ceiling, whatever the demand and however often they restart.
 func TestCeilingHoldsOverRestarts(t *testing.T) {
 	s := base()
-	level, worst := 20.0, 20.0
+	level, lowest := 20.0, 20.0
 	var gs [2]*world
 	for i := range gs {
 		s.Me = i
@@ -46,19 +45,19 @@
 				}
 			}
 		}
-		worst = min(worst, level)
+		lowest = min(lowest, level)
 	}
-	if worst < 0 {
-		t.Fatalf("the ceiling's store fell to %.1f", worst)
+	if lowest < 0 {
+		t.Fatalf("the ceiling's bucket fell to %.1f units", lowest)
 	}
-	if worst > 12 {
-		t.Fatalf("the store never fell below %.1f: the test asks for too little", worst)
+	if lowest > 12 {
+		t.Fatalf("the bucket never fell below %.1f units, want 12 at most: the test's demand is too low", lowest)
 	}
 }
 
-// What one gateway does not need of a ceiling another may pass: with even parts
-// a customer that comes in through one gateway would be held to half of it. With
-// reports late or lost, and the demand wandering, the ceiling holds all the same.
+// A gateway lends ceiling units that it does not need: with even parts a customer that uses one of two gateways
+// would get half of the ceiling only. The ceiling holds although reports are late or lost and the demand moves from
+// one gateway to the other.
 func TestCeilingIsLent(t *testing.T) {
 	s := base()
 	var gs [2]*world
@@ -66,21 +65,21 @@
 		s.Me = i
 		gs[i] = newWorld(t, s, fleet(8))
 	}
-	type mail struct {
+	type message struct {
 		at       time.Duration
 		from, to int
 		data     []byte
 	}
-	var post []mail
+	var messages []message
 	rng := rand.New(rand.NewPCG(3, 3))
-	level, worst, passed := 20.0, 20.0, 0
+	level, lowest, passed := 20.0, 20.0, 0
 	const rounds, start = 10000, 2000 // of 4 ms
 	for i := range rounds {
 		level = min(20, level+10*0.004)
 		busy := i / 2500 % 2
-		for len(post) > 0 && post[0].at <= gs[0].now {
-			gs[post[0].to].do(PeerMessage{From: post[0].from, Data: post[0].data})
-			post = post[1:]
+		for len(messages) > 0 && messages[0].at <= gs[0].now {
+			gs[messages[0].to].do(PeerMessage{From: messages[0].from, Data: messages[0].data})
+			messages = messages[1:]
 		}
 		for k, w := range gs {
 			w.now += 4 * ms
@@ -103,18 +102,18 @@
 			if w.now-w.g.lastTick >= w.g.tick {
 				for _, tell := range of[Tell](w.do(Timer{Token: "tick"})) {
 					if rng.IntN(13) > 0 {
-						post = append(post, mail{w.now + 36*ms, k, tell.To, tell.Data})
+						messages = append(messages, message{w.now + 36*ms, k, tell.To, tell.Data})
 					}
 				}
 			}
 		}
-		worst = min(worst, level)
+		lowest = min(lowest, level)
 	}
 	rate := float64(passed) / (float64(rounds-start) * 0.004)
 	if rate < 7.5 {
-		t.Errorf("%.1f units a second passed of a ceiling of 10", rate)
+		t.Errorf("%.1f units per second passed of a ceiling of 10, want 7.5 at least", rate)
 	}
-	if worst < 0 {
-		t.Errorf("the ceiling's store fell to %.1f", worst)
+	if lowest < 0 {
+		t.Errorf("the ceiling's bucket fell to %.1f units", lowest)
 	}
 }
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,75 +6,78 @@
 	"time"
 )
 
+// customer holds a customer's counts and its token buckets as this gateway knows them.
 type customer struct {
 	key    uint64
-	hash   uint32 // in reports
+	hash   uint32 // identifies it in reports
 	plan   *quota
-	first  int // its gateways: spread of them, counted round from first
-	spread int
-	dryAt  time.Duration // when none of those asked had units to lend; 0: never
-	near   []int         // its owners, those near here first, where its ceiling is borrowed of
-	ask    []int         // the gateways that sum its counts, where this one does not
-	part   float64       // of what is asked for fits, as its root said
-	partAt time.Duration
-	sums   bool             // others ask it here, as its root or deputy
-	leases map[lease]leased // granted to others and not told of as ended
-	set    []*peerView      // its other gateways
-	n      float64          // its gateways, this one included
-	held   []*request       // waiting, in arrival order
-	out    int
-	born   time.Duration // when its counts began
-	seen   time.Duration // its last request
-	area   float64       // integral of out over the tick, for its mean
-	areaAt time.Duration
-	mean   float64
-
-	at        time.Duration // time of the stores below
-	store     float64       // estimate of the quota's store
-	known     bool          // the estimate rests on more than a fresh start
-	ceiling   float64       // own hard part of the ceiling
-	lent      float64       // of it, a moment ago: not filled again before it has arrived
-	passed    uint16        // running totals of units, told to peers
-	rate      float64       // own asked units, decayed over demandSpan
-	places    float64       // the same in seconds that the requests need a place for
-	fresh     int           // ticks for which a change is still told
-	told      uint32        // tick of the last report
-	toldUnits uint16        // passed, as last told
-	urgency   float64       // its place in the report
-}
-
-// quota is a plan with its place in the settings.
+	first  int              // number of the first of its gateways
+	spread int              // number of its gateways, counted up from the first and round
+	dryAt  time.Duration    // when none of the gateways asked had units to lend; 0: never
+	near   []int            // the gateways to borrow ceiling units from, those of this region first
+	ask    []int            // root and deputy to ask for each request; empty where this gateway sums the counts itself
+	part   float64          // share of its demand that fits its limits, as its root said
+	partAt time.Duration    // when the root said so
+	sums   bool             // this gateway is its root or deputy and other gateways ask here
+	leases map[lease]leased // requests granted to other gateways and not reported as ended
+	set    []*peerView      // its other gateways that report on it
+	n      float64          // the ceiling is divided into so many parts; this gateway holds one
+	held   []*request       // held requests, in arrival order
+	out    int              // attempts in flight, with those granted to other gateways
+	born   time.Duration    // when its counts began
+	seen   time.Duration    // when it last sent a request
+	area   float64          // integral over time of the attempts in flight since the last measurement, in seconds
+	areaAt time.Duration    // end of that integral
+	mean   float64          // mean number of attempts in flight between the last two measurements
+
+	at        time.Duration // when the buckets were last refilled
+	store     float64       // estimated units in the bucket of the rate quota
+	known     bool          // whether the estimate has any basis but the full bucket of a new customer
+	ceiling   float64       // units in this gateway's part of the hard ceiling's bucket
+	lent      float64       // units lent and in transit: the part is not refilled in their place until they have arrived
+	passed    uint16        // running total of units passed, reported to peers
+	rate      float64       // units requested here, decayed over demandSpan
+	places    float64       // the same in seconds in flight that the requests need
+	fresh     int           // number of reports in which a change is still repeated
+	told      uint32        // tick of the last report on it
+	toldUnits uint16        // units passed, as last reported
+	urgency   float64       // its priority in the next report
+}
+
+// planState is a plan and the units that this gateway passed of it.
 type quota struct {
 	Plan
-	no     byte
-	agreed decaying // units passed here by a root's answer, over thinSpan
-	alone  decaying // and with none, over demandSpan
+	no     byte     // index in Settings.Plans
+	agreed decaying // units passed here that a root granted, decayed over thinSpan
+	alone  decaying // units passed here while no root answered, decayed over demandSpan
 }
 
-// decaying is a sum that falls by 1/e in each span.
+// decayingSum is a sum that falls to 1/e of its value in each span.
 type decaying struct {
 	value float64
 	at    time.Duration
 }
 
+// add brings the sum up to now, adds a value and returns the result.
 func (d *decaying) sum(now, span time.Duration, add float64) float64 {
 	d.value = d.value*math.Exp(-float64(now-d.at)/float64(span)) + add
 	d.at = now
 	return d.value
 }
 
-// lease names a request that another gateway asked for.
+// leaseKey identifies a request that another gateway asked for.
 type lease struct {
 	from int
 	tag  uint32
 }
 
+// leaseEntry is a granted request and when it stops to count as in flight, unless the lease is renewed.
 type leased struct {
 	until time.Duration
 	r     *request
 }
 
-// take takes a request's units from the stores, and records who granted them.
+// chargeUnits takes a request's units from the buckets, and records whether a root granted them.
 func (c *customer) take(r *request, now time.Duration) {
 	if !r.granted && len(c.ask) > 0 && !r.remote {
 		c.plan.alone.sum(now, demandSpan, r.units)
@@ -89,26 +92,27 @@
 	c.passed += uint16(r.units)
 }
 
-func (c *customer) count(now time.Duration, d int) {
+// addInFlight adds delta to the attempts in flight, and their number until now to the integral.
+func (c *customer) count(now time.Duration, delta int) {
 	c.area += float64(c.out) * (now - c.areaAt).Seconds()
 	c.areaAt = now
-	c.out += d
+	c.out += delta
 }
 
-// asked counts a request in what its customer's clients ask for; it was asked for
-// with such a chance, and stands for others that were not.
+// addDemand adds a request to the customer's demand. If gateways ask for only a sample of the requests, chance is
+// the sampling probability, and the request is weighted by 1/chance.
 func (c *customer) asked(r *request, chance float64) {
 	c.rate += r.units / chance
 	c.places += r.cl.mean / chance
 }
 
-// settle takes or gives back units after a guess.
+// adjustUnits charges units, or returns them if negative, once the true units of a request are known.
 func (c *customer) settle(units float64) {
 	c.store -= units
 	c.passed += uint16(int(units))
 }
 
-// expire drops the leases that have run out.
+// expireLeases removes the leases that have expired.
 func (c *customer) expire(now time.Duration) {
 	for l, v := range c.leases {
 		if now > v.until {
@@ -118,8 +122,8 @@
 	}
 }
 
-// pending finds a request that another gateway has asked for before, granted or
-// held here, and which of both it is.
+// pendingAsk finds a request that another gateway has asked for before and that is granted or held here, and
+// returns which of the two it is.
 func (c *customer) pending(from int, tag uint32) (*request, byte) {
 	if l, ok := c.leases[lease{from, tag}]; ok {
 		return l.r, granted
@@ -130,7 +134,7 @@
 	return nil, refused
 }
 
-// view is what one of the others says of a customer; nil: it counts nothing of it.
+// viewOf returns what a peer reported about the customer; nil: the peer does not report on it.
 func (c *customer) view(p *peer) *peerView {
 	for _, v := range c.set {
 		if v.p == p {
@@ -140,7 +144,7 @@
 	return nil
 }
 
-// views makes room for what each of the others says of a customer.
+// addViews creates the entries for what the given gateways report about a customer.
 func (g *Gateway) views(c *customer, others []int) {
 	for _, num := range others {
 		if num != g.set.Me && !(g.set.Field != nil && g.gone(g.peer(num))) {
@@ -150,11 +154,11 @@
 	}
 }
 
-// enter puts a customer in the tables. Two of one short hash can't be told
-// apart in reports: none is taken for either.
+// addCustomer adds a customer to the tables. Reports can't tell apart two customers of the same short hash: their
+// entries are ignored.
 func (g *Gateway) enter(c *customer) {
 	g.customers[c.key] = c
-	if _, twice := g.byHash[c.hash]; twice {
+	if _, shared := g.byHash[c.hash]; shared {
 		g.byHash[c.hash] = nil
 	} else {
 		g.byHash[c.hash] = c
@@ -162,10 +166,10 @@
 	g.ring = append(g.ring, c)
 }
 
-// KeyOf is the name of a customer in Give and Given.
+// KeyOf returns the key of a customer in OfferUnits and UnitsReceived.
 func KeyOf(customer string) uint64 { return keyOf(customer) }
 
-// Ceiling is what is held here of a customer's ceiling.
+// Ceiling returns the units that this gateway holds of a customer's ceiling.
 func (g *Gateway) Ceiling(customer string) float64 {
 	c := g.customers[keyOf(customer)]
 	if c == nil {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,11 +1,18 @@
-// Package policy decides for a gateway that keeps customers' quotas on a shared API. Its interface is
-// in api.go, all tuned values are in values.go, and the decisions are in admit.go (who is let in), line.go
-// (in which order those who wait get servers), store.go (customers' units), wide.go (what is borrowed of
-// them), choose.go (servers), judge.go (what outcomes tell), again.go (further tries) and mail.go (what
-// gateways tell each other); the other files hold the state and the form of the messages.
+// Package policy decides, for one gateway (an edge proxy) of a shared API, which requests to admit, to which server
+// to send them, whether to retry and what to refuse, so that all gateways together keep each customer's limits.
+// It does no I/O: Gateway.Handle takes events and returns actions. The interface is in api.go and all tuning
+// constants are in values.go. The decisions are in admit.go (admission), line.go (the order in which held requests
+// get servers), store.go (the customers' token buckets of units), wide.go (borrowing units of a ceiling), choose.go
+// (selection of servers), judge.go (what outcomes show of servers), retry.go (retries) and mail.go (messages
+// between gateways). The other files hold the state and the encoding of the messages.
 //
-// The mechanism is a distributed waiting room. Requests beyond a customer's cap on attempts out
-// wait in arrival order; gateways report to each other once a tick, sum the attempts out from these
-// reports, and release the free room at ticks and at their own outcomes. A rate companion keeps an
-// estimate of each customer's store of units and lets a gateway pass its part of it.
+// Admission works as a distributed waiting room. Requests beyond a customer's cap on attempts in flight wait in
+// arrival order. Gateways report to each other once per tick, add up the attempts in flight from these reports, and
+// send held requests when a tick or the end of one of their own attempts shows free room. For the rate quota each
+// gateway keeps an estimate of the customer's bucket of units and passes its share of it by demand.
+//
+// In a large fleet reports from each gateway to each other would be too many messages. Then a few gateways, the
+// customer's roots, sum its counts, and the others ask a root before they send a request; a deputy replaces a root
+// that does not answer. Likewise each server has a watcher, a gateway that collects the outcomes seen by all and
+// tells them which servers to avoid.
 package policy
--- a/policy/effect_test.go
+++ b/policy/effect_test.go
@@ -2,14 +2,13 @@
 
 import "testing"
 
-// A request may ask for more care than its class does, and never for less:
-// after an attempt that may have run it is sent again, and refused, by the more
-// careful of the two.
+// The stricter of a request's own effect and that of its class decides whether it is retried, and how it is
+// refused, after an attempt that may have run.
 func TestMoreCarefulThanItsClass(t *testing.T) {
 	for _, c := range []struct {
-		class  string
-		effect Effect
-		again  bool // it is sent again after a break
+		class   string
+		effect  Effect
+		retried bool // whether it is sent again after a broken connection
 	}{
 		{"safe", Safe, true}, {"safe", Unsafe, false}, {"all", Safe, true}, {"all", Unsafe, false},
 		{"cell", Safe, true}, {"cell", Unsafe, false}, {"once", Safe, false}, {"once", Keyed, false},
@@ -22,16 +21,16 @@
 		}
 		w.now += 5 * ms
 		acts = w.do(Outcome{ID: 1, Server: sent[0].Server, Code: Reset, Latency: 5 * ms})
-		if got := len(find[Send](acts)) == 1; got != c.again {
-			t.Errorf("%s with %d: sent again %v, want %v: %v", c.class, c.effect, got, c.again, acts)
+		if got := len(find[Send](acts)) == 1; got != c.retried {
+			t.Errorf("%s with %d: sent again %v, want %v: %v", c.class, c.effect, got, c.retried, acts)
 		}
-		if !c.again && (len(find[Fail](acts)) != 1 || len(find[Refuse](acts)) != 0) {
+		if !c.retried && (len(find[Fail](acts)) != 1 || len(find[Refuse](acts)) != 0) {
 			t.Errorf("%s with %d: %v, want a failure, since it may have run", c.class, c.effect, acts)
 		}
 	}
 }
 
-// find picks the actions of a kind.
+// findActions returns the actions of type A.
 func find[A Action](acts []Action) (list []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
--- a/policy/events.go
+++ b/policy/events.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Handle takes one event at a time and appends what is to be done to out.
+// Handle processes one event at time now, which must not go back, and appends the resulting actions to out.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.acts = now, out
 	if !g.begun {
@@ -57,6 +57,7 @@
 	return out
 }
 
+// onServerList takes over the server list or changes to it.
 func (g *Gateway) onMembers(ev Members) {
 	if ev.Kind == AskFailed {
 		g.asked = false
@@ -95,6 +96,7 @@
 	slices.SortFunc(g.fleet, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
+// onPeerMessage handles a message of another gateway; malformed ones are ignored.
 func (g *Gateway) onPeer(ev PeerMessage) {
 	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.Me {
 		return
@@ -126,6 +128,8 @@
 	}
 }
 
+// finish ends a request: it leaves its queue, and its root is told that it needs no place any more. While an
+// attempt is in flight the rest waits for its outcome.
 func (g *Gateway) close(r *request) {
 	r.over = true
 	if i := slices.Index(r.c.held, r); i >= 0 {
@@ -137,15 +141,15 @@
 	delete(g.reqs, r.id)
 	delete(g.asks, r.tag)
 	if r.granted && (r.c.plan.Open > 0 || !r.counted) {
-		g.tellEnd(r) // twice: a place is worth more than a message, of which some are lost
+		g.tellEnd(r) // sent twice: if the message is lost, the root keeps the place until the lease expires
 		g.tellEnd(r)
 	} else if r.waits {
-		g.tellEnd(r) // it needs no place any more
+		g.tellEnd(r) // so that the root does not grant it later
 	}
 	r.granted, r.waits = false, false
 }
 
-// customer finds the customer of a request.
+// customerOf returns the customer of a request and creates it if it is new.
 func (g *Gateway) customer(r *Request) *customer {
 	key := keyOf(r.Customer)
 	if c := g.customers[key]; c != nil {
@@ -154,12 +158,12 @@
 	plan := g.plans[r.Plan]
 	if plan == nil {
 		plan = &quota{Plan: Plan{Name: r.Plan}}
-		g.plans[r.Plan] = plan // Terms may tell of it yet
+		g.plans[r.Plan] = plan // a later ConfigUpdate may define it
 	}
 	return g.account(key, plan, r.First, r.Spread)
 }
 
-// arrive enters a client's request. One of a class not in the settings is taken for unsafe.
+// newRequest records a client's request. A class that the settings do not have is treated as Unsafe.
 func (g *Gateway) arrive(ev Request) *request {
 	c, cl := g.customer(&ev), g.classes[ev.Class]
 	if cl == nil {
@@ -178,6 +182,7 @@
 	return r
 }
 
+// onServerVerdict applies the verdict of a server's watcher.
 func (g *Gateway) onVerdict(m verdict) {
 	if s := g.servers[ServerID(m.Server)]; s != nil {
 		g.rule(s, m.Pace, func(class int, _ *record) bool { return m.Bad>>class&1 == 1 })
--- a/policy/hold_test.go
+++ b/policy/hold_test.go
@@ -16,27 +16,27 @@
 	w.hear(1, 1, 1, true)
 	sent = append(sent, of[Send](w.pass(60*ms))...)
 	if len(sent) != 2 {
-		t.Fatalf("%d attempts out under a cap of 2", len(sent))
+		t.Fatalf("%d attempts in flight under a cap of 2", len(sent))
 	}
 	w.hear(1, 1, 2, true)
 	next := of[Send](w.end(sent[0], 0, OK))
 	if len(next) != 1 || next[0].ID != 3 {
-		t.Fatalf("the oldest held was not released: %v", next)
+		t.Fatalf("the oldest held request was not sent: %v", next)
 	}
 }
 
-// One that has waited for a quarter of its aim is answered while a client's retry can
-// still help; what starts later is mostly late.
+// A request held for a quarter of its latency target is refused while a client's retry can still help; requests
+// that start later mostly finish late.
 func TestHeldForAQuarterOfItsAim(t *testing.T) {
 	w := newWorld(t, base(), fleet(4))
-	for range 2 { // one has this gateway's part of the cap
+	for range 2 { // one fits this gateway's part of the cap
 		w.ask("safe", "open", "c", 1)
 	}
 	if early := of[Refuse](w.pass(175 * ms)); len(early) > 0 {
 		t.Errorf("refused early: %v", early)
 	}
 	if late := of[Refuse](w.pass(75 * ms)); len(late) != 1 || late[0].ID != 2 {
-		t.Errorf("%v after a quarter of the aim, want the second refused", late)
+		t.Errorf("%v after a quarter of the latency target, want the second refused", late)
 	}
 }
 
@@ -46,11 +46,11 @@
 	w.end(s, 0, OK)
 	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, store: unknownStore})
 	if _, acts := w.ask("safe", "open", "c", 1); len(acts) != 0 {
-		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
+		t.Fatalf("the peer has 2 in flight under a cap of 2, yet got %v", acts)
 	}
 	w.hear(1, 1, 2, true)
 	if got := of[Send](w.pass(100 * ms)); len(got) != 1 {
-		t.Fatalf("the peer has none out, yet %v", got)
+		t.Fatalf("the peer has none in flight, yet got %v", got)
 	}
 }
 
@@ -67,10 +67,9 @@
 	}
 }
 
-// Load no report tells of shows in the latencies; the gateway then lets in a
-// part of the requests.
+// Overload that no report shows appears in the latencies: the gateway then admits only a part of the requests.
 func TestStrainClosesTheGate(t *testing.T) {
-	let := func(latency time.Duration) (n int) {
+	admitted := func(latency time.Duration) (n int) {
 		w := newWorld(t, base(), fleet(20))
 		for i := range 400 {
 			w.pass(25 * ms)
@@ -84,12 +83,12 @@
 		}
 		return n
 	}
-	if calm, strained := let(50*ms), let(700*ms); calm < 200 || strained > 100 {
-		t.Fatalf("%d of 200 let in when calm, %d when strained", calm, strained)
+	if calm, slow := admitted(50*ms), admitted(700*ms); calm < 200 || slow > 100 {
+		t.Fatalf("%d of 200 admitted at low latency, %d at high latency", calm, slow)
 	}
 }
 
-// A server that turns one plan away stays in use for the others.
+// A server that rejects the requests of one plan is still used for other plans.
 func TestTurnedAwayIsForThePlanOnly(t *testing.T) {
 	w := newWorld(t, base(), fleet(2))
 	for range 200 {
@@ -119,11 +118,11 @@
 		}
 	}
 	if first != 1 || others < 3 {
-		t.Fatalf("%d to the server that turns the plan away, %d of another plan", first, others)
+		t.Fatalf("%d to the server that rejects the plan, %d of another plan", first, others)
 	}
 }
 
-// A low store is left to first tries.
+// Retries are refused while the bucket is low, so that first tries get its units.
 func TestRepeatsYieldWhenTheStoreIsLow(t *testing.T) {
 	for spent, want := range map[int]int{0: 1, 8: 0} {
 		w := newWorld(t, base(), fleet(8))
@@ -133,7 +132,7 @@
 		acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
 			Remaining: 2 * time.Second, Spread: 2, Retry: true})
 		if n := len(of[Send](acts)); n != want {
-			t.Errorf("%d repeats passed after %d of 10 units, want %d", n, spent, want)
+			t.Errorf("%d retries passed after %d of 10 units, want %d", n, spent, want)
 		}
 	}
 }
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -52,7 +52,8 @@
 		s.slow += g.own * (min(lat/r.cl.mean, mostPace) - s.slow)
 		g.mean += learnMean * (r.cl.mean - g.mean)
 		r.cl.seen++ // the first outcomes count for more
-		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(lat, mostLatency*r.cl.mean) - r.cl.mean)
+		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) *
+			(min(lat, mostLatency*r.cl.mean) - r.cl.mean)
 	case Full:
 		// It may turn away one plan only: this one goes elsewhere for a while.
 		if s.fullAt[r.c.plan] = g.now + fullFor; g.set.Field != nil {
@@ -126,7 +127,8 @@
 	if s.verdicts < 1 || !news && !change && !again {
 		return
 	}
-	m := verdict{Server: uint32(s.ID), Bad: bits, Pace: small(16 * (4 + math.Log2(max(s.pace, leastPace))))}
+	m := verdict{Server: uint32(s.ID), Bad: bits,
+		Pace: small(16 * (4 + math.Log2(max(s.pace, leastPace))))}
 	g.rule(s, m.Pace, isBad)
 	if g.tree {
 		s.verdicts--
@@ -139,11 +141,13 @@
 // within the budget.
 func (g *Gateway) silence(s *server) {
 	for _, r := range slices.Clone(s.oldest) {
-		if r.granted && r.c.plan.Open > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.cl.mean {
+		if r.granted && r.c.plan.Open > 0 &&
+			(g.now-r.askedAt).Seconds() > leaseMeans/2*r.cl.mean {
 			r.askedAt = g.now // its place is still taken
 			g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.cl), leastLate*r.cl.Aim.Seconds())
+		age := (g.now - r.sentAt).Seconds() /
+			max(g.predict(s, r.cl), leastLate*r.cl.Aim.Seconds())
 		v := g.record(s, r.cl)
 		patient := g.set.Field == nil || r.effect != Safe || age < lostAnswer // if others were since
 		if age < overdue || r.over || r.quit || r.stream || patient && v != nil && v.okAt > r.sentAt {
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -22,23 +22,23 @@
 		PeerMessage{From: 55, Data: (&report{}).encode()}, Members{Kind: AskFailed},
 	} {
 		if acts := w.do(ev); len(acts) != 0 {
-			t.Errorf("%#v led to %v", ev, acts)
+			t.Errorf("%#v returned %v", ev, acts)
 		}
 	}
 	w.end(s, 0, OK)
 	if acts := w.end(s, 0, OK); len(acts) != 0 || w.g.fleet[0].out+w.g.fleet[1].out+w.g.fleet[2].out != 0 {
-		t.Errorf("a second outcome led to %v", acts)
+		t.Errorf("a second outcome returned %v", acts)
 	}
 }
 
 func TestNewNamesTheKey(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"Resolution":     func(s *Settings) { s.Resolution = 0 },
-		"Plans":          func(s *Settings) { s.Plans = nil },
-		"Plans[1].Name":  func(s *Settings) { s.Plans[1].Name = "" },
-		"Plans[1].Rate":  func(s *Settings) { s.Plans[1].Rate = -1 },
-		"Classes[0].Aim": func(s *Settings) { s.Classes[0].Aim = 0 },
-		"Me":             func(s *Settings) { s.Me = 2 },
+		"Resolution":               func(s *Settings) { s.Resolution = 0 },
+		"Plans":                    func(s *Settings) { s.Plans = nil },
+		"Plans[1].Name":            func(s *Settings) { s.Plans[1].Name = "" },
+		"Plans[1].Rate":            func(s *Settings) { s.Plans[1].Rate = -1 },
+		"Classes[0].LatencyTarget": func(s *Settings) { s.Classes[0].Aim = 0 },
+		"Me":                       func(s *Settings) { s.Me = 2 },
 	} {
 		s := base()
 		spoil(&s)
@@ -62,7 +62,7 @@
 		return all
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Fatal("equal events gave other actions")
+		t.Fatal("equal events returned different actions")
 	}
 }
 
@@ -76,16 +76,16 @@
 		w.do(PeerMessage{From: 1, Data: b})
 		if m, ok := decodeReport(b); ok {
 			if len(b) > maxMessage {
-				t.Fatal("too long")
+				t.Fatal("a report above the maximum size was decoded")
 			}
 			if m2, ok := decodeReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
-				t.Fatal("a report does not survive its own encoding")
+				t.Fatal("an encoded report decodes to a different one")
 			}
 		}
 	})
 }
 
-// The decision files are those that the deployment names.
+// The files of the decision logic, listed in deploy/balancer.toml, keep their limits on size and line length.
 func TestModuleKeepsItsLimits(t *testing.T) {
 	var deployed struct{ Policy []string }
 	b, err := os.ReadFile("../deploy/balancer.toml")
@@ -119,7 +119,7 @@
 	}
 }
 
-// Tuned values are in values.go: the other files hold no times and no shares.
+// Tuning constants are in values.go: the other files contain no literal times or fractions.
 func TestOtherFilesHoldNoTunedValue(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -137,7 +137,7 @@
 		for i, l := range strings.Split(string(b), "\n") {
 			code, _, _ := strings.Cut(l, "//")
 			if tuned.MatchString(code) {
-				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(l))
+				t.Errorf("%s:%d contains a literal tuning value: %s", f, i+1, strings.TrimSpace(l))
 			}
 		}
 	}
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -89,5 +89,6 @@
 	if r.c.plan.Rate > 0 && r.c.store < retryReserve*r.c.plan.Burst {
 		part = min(part, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
 	}
-	g.do(Tell{To: r.root, Data: encode(answer{r.tag, v, fill, small(100 * g.strain), small(250 * part)})})
+	g.do(Tell{To: r.root, Data: encode(answer{
+		r.tag, v, fill, small(100 * g.strain), small(250 * part)})})
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// The short messages of a large fleet. On the wire: version, kind, fields.
+// The fixed-size messages between gateways of a large fleet. On the wire: version, kind, fields, big-endian.
 
-// ask asks a customer's root to count a request.
+// askMessage asks a customer's root to admit and count a request.
 type ask struct {
 	Customer      uint64
 	First, Spread uint16
 	Plan, Class   byte
-	Units, Left   uint16 // Left: milliseconds until the client gives up
-	Tag           uint32
-	Thin          byte // with what chance it was asked for, 250 certain
-	Fill          byte // of the store as last heard, 250 full
+	Units, Left   uint16 // RemainingMS: milliseconds until the client gives up
+	Tag           uint32 // identifies the request between the two gateways
+	Thin          byte   // probability with which it was asked for, 250: always
+	Fill          byte   // fill of the bucket as last known, 250: full; unknownStore: not known
 	Flags         byte
 }
 
 const (
-	flagRepeat byte = 1 << iota // a client's repeat
-	flagOwn                     // its units of the ceiling come out of the sender's part
+	flagRepeat byte = 1 << iota // a client's retry
+	flagOwn                     // its ceiling units are taken from the sender's part
 )
 
-// answer is the root's.
+// askReply is the root's reply to an ask.
 type answer struct {
 	Tag           uint32
-	Verdict, Fill byte
-	Strain        byte // the root's latency over aim, 100 alike
-	Part          byte // of what is asked for fits, 250 all
+	Verdict, Fill byte // the decision; fill of the bucket, 250: full
+	Strain        byte // the root's mean latency over the latency target, in percent
+	Part          byte // share of the customer's demand that fits its limits, 250: all
 }
 
+// The decisions of a root.
 const (
 	granted byte = iota
 	refused
-	waits // held at the root, another answer follows
+	waits // the root holds the request and will reply again
 )
 
-// ended tells the root that a granted attempt is over, or was never made.
+// askEnded tells the root that an attempt it granted has ended or was never made (Unused).
 type ended struct {
 	Customer uint64
 	Tag      uint32
 	Unused   bool
 }
 
-// sight tells a server's watcher of an outcome.
+// outcomeReport tells a server's watcher how an attempt ended.
 type sight struct {
 	Server  uint32
 	Class   byte
@@ -55,29 +56,30 @@
 	Latency uint16 // milliseconds
 }
 
-// verdict is the watcher's on a server and class, for all.
+// serverVerdict is a watcher's assessment of a server, sent to all gateways.
 type verdict struct {
 	Server uint32
-	Bad    byte // a bit for each of the first classes
-	Pace   byte // latency against the fleet's: 16 * (4 + its log2)
+	Bad    byte // bit i: the server is ejected for class i; for the first eight classes
+	Pace   byte // 16 * (4 + log2 of the server's latency relative to the fleet's)
 }
 
 const shortVersion = 3
 
-// want asks an owner of a customer's ceiling for units of it.
+// loanRequest asks another gateway to lend units of a customer's ceiling.
 type want struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
 }
 
-// lent brings them; none: they are not there.
+// loanReply transfers the units; 0: the lender does not have them.
 type lent struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
 }
 
+// encode returns the wire form of one of the messages above.
 func encode(m any) []byte {
 	var kind byte
 	switch m.(type) {
@@ -96,12 +98,12 @@
 	}
 	b, err := binary.Append([]byte{shortVersion, kind}, binary.BigEndian, m)
 	if err != nil {
-		panic(err) // not a message of this file
+		panic(err) // m is not one of the messages above
 	}
 	return b
 }
 
-// decode reads a message; it is nil for anything but a whole, well-formed one.
+// decode returns the message or report in b, or nil if b is not exactly one well-formed message.
 func decode(b []byte) any {
 	if len(b) < 2 || b[0] != shortVersion {
 		if m, ok := decodeReport(b); ok {
@@ -128,6 +130,7 @@
 	return nil
 }
 
+// decodeFixed decodes a T of exactly len(b) bytes, or returns nil.
 func fixed[T any](b []byte) any {
 	var m T
 	if n, err := binary.Decode(b, binary.BigEndian, &m); err != nil || n != len(b) {
@@ -136,8 +139,8 @@
 	return m
 }
 
-// onEnded frees what a member's attempt held, and gives back what it never used.
-// One that is held here is given up there: it needs no place any more.
+// onAskEnded releases the lease of another gateway's attempt, and returns its units if it was never made. A
+// request that is still held here leaves the queue.
 func (g *Gateway) onEnded(from int, m ended) {
 	c := g.customers[m.Customer]
 	if c == nil {
@@ -159,6 +162,7 @@
 	g.release(c)
 }
 
+// healthOf returns the health of a server for a class; nil: the class is not in the settings.
 func (g *Gateway) record(s *server, cl *class) *record {
 	if cl.Name == "" {
 		return nil
@@ -172,11 +176,11 @@
 	return &s.by[cl.no]
 }
 
-// askOf makes the message that asks for a request.
+// askFor returns the ask for a request.
 func (g *Gateway) askOf(r *request) ask {
-	c, left := r.c, (r.deadline - g.now).Milliseconds()
+	c, remaining := r.c, (r.deadline - g.now).Milliseconds()
 	m := ask{Customer: c.key, First: uint16(c.first), Spread: uint16(c.spread), Plan: c.plan.no,
-		Class: byte(r.cl.no), Units: uint16(r.units), Left: uint16(min(max(0, left), math.MaxUint16)),
+		Class: byte(r.cl.no), Units: uint16(r.units), Left: uint16(min(max(0, remaining), math.MaxUint16)),
 		Tag: r.tag, Fill: unknownStore, Thin: small(250 * r.asks)}
 	if r.repeat {
 		m.Flags |= flagRepeat
@@ -190,26 +194,26 @@
 	return m
 }
 
-// requestOf makes the request that another gateway asks for.
+// requestFrom returns the request that another gateway asks for.
 func (g *Gateway) requestOf(c *customer, from int, m ask) *request {
 	return &request{c: c, cl: g.classes[g.set.Classes[m.Class].Name], effect: g.set.Classes[m.Class].Effect, units: float64(m.Units), arrived: g.now,
 		deadline: g.now + time.Duration(m.Left)*time.Millisecond, repeat: m.Flags&flagRepeat != 0,
 		own: m.Flags&flagOwn != 0, remote: true, root: from, tag: m.Tag}
 }
 
-// masks gives a bit for each of the first classes that is to be out of use, and tells whether that is news
-// of any class, whether any is out of use now, and until when.
-func (s *server) masks(isBad func(class int, v *record) bool) (bits byte, news, any bool, until time.Duration) {
+// ejectionBits returns a bit for each class to eject the server from, whether this differs from the current
+// state of any class, whether any class is to be ejected, and when the current ejection ends.
+func (s *server) masks(shouldEject func(class int, v *record) bool) (bits byte, changed, anyEjected bool, until time.Duration) {
 	for i := range s.by {
 		v := &s.by[i]
-		bad := isBad(i, v)
+		eject := shouldEject(i, v)
 		if v.bad {
 			until = v.until
 		}
-		if bad {
+		if eject {
 			bits |= 1 << i
 		}
-		news, any = news || bad != v.bad, any || bad
+		changed, anyEjected = changed || eject != v.bad, anyEjected || eject
 	}
-	return bits, news, any, until
+	return bits, changed, anyEjected, until
 }
--- a/policy/split_test.go
+++ b/policy/partition_test.go
@@ -10,24 +10,24 @@
 	"pgregory.net/rapid"
 )
 
-// While no gateway hears another, what passed before by the roots' answers goes on passing, and not
-// much more: neither does a cut stop customers far below their quotas, nor does it lift quotas.
+// While no gateway receives messages of another, about as many requests pass as the roots granted before: a
+// network partition neither stops customers far below their quotas nor lifts the quotas.
 func TestSplitPassesWhatPassedBefore(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		customers   int // that ask 200 times a second together
-		surge       int // so many times as often while cut off
-		least, most float64
+		name               string
+		customers          int // which send 200 requests per second together
+		surge              int // factor on their rate during the partition
+		minShare, maxShare float64
 	}{
-		{"inside the quota", 40, 1, 0.6, 1}, // as a share of what passed in as much time before
+		{"inside the quota", 40, 1, 0.6, 1}, // share of the requests passed in the same time before
 		{"five times the quota", 4, 1, 0.3, 1.6},
 		{"inside the quota, then five times as much", 40, 5, 0.6, 1.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, random := newManyGateways(t, 60, fleet(20)), rand.New(rand.NewPCG(1, 2))
-			asked, before, during, often := 0, 0, 0, 2
+			asked, before, during, perStep := 0, 0, 0, 2
 			ask := func(time.Duration) {
-				for range often {
+				for range perStep {
 					asked++
 					w.request(random.IntN(50), RequestID(asked), fmt.Sprint("k", asked%c.customers), "rate", "safe", 50)
 				}
@@ -36,25 +36,25 @@
 			before = len(w.sends)
 			w.pass(6*time.Second, ask)
 			before, during = len(w.sends)-before, len(w.sends)
-			w.lose, often = func(int, int) bool { return true }, 2*c.surge
-			w.pass(time.Second, ask) // until all have noticed
+			w.lose, perStep = func(int, int) bool { return true }, 2*c.surge
+			w.pass(time.Second, ask) // until all gateways have detected it
 			during = len(w.sends)
 			w.pass(6*time.Second, ask)
 			during = len(w.sends) - during
-			if f := float64(during) / float64(before); f < c.least || f > c.most {
-				t.Errorf("%d passed in 6 s of a cut, %d in as much time before", during, before)
+			if share := float64(during) / float64(before); share < c.minShare || share > c.maxShare {
+				t.Errorf("%d passed in 6 s of a partition, %d in the 6 s before", during, before)
 			}
 			w.lose = func(int, int) bool { return false }
 			w.pass(3*time.Second, ask)
 			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.deaf >= deafAsks }); n >= 0 {
-				t.Errorf("gateway %d still takes itself for cut off 3 s after the heal", n)
+				t.Errorf("gateway %d still assumes that it is partitioned 3 s after the partition ended", n)
 			}
 		})
 	}
 }
 
-// A gateway that is cut off asks for each request once and then answers: asking three times and
-// then the deputy costs a client more time than it has.
+// A partitioned gateway asks a root only once per request and then decides: three asks and one to the deputy would
+// take longer than a client waits.
 func TestSplitAnswersSoon(t *testing.T) {
 	w := newManyGateways(t, 60, fleet(20))
 	i, _, _ := w.member("rate")
@@ -71,11 +71,11 @@
 	w.request(i, 200, "k", "rate", "safe", 50)
 	w.pass(200*ms, nil)
 	if asks := w.told - told; asks > 3 || len(w.sends)+w.final == done {
-		t.Errorf("%d messages, answered %v within 200 ms", asks, len(w.sends)+w.final > done)
+		t.Errorf("%d messages sent, answered %v within 200 ms", asks, len(w.sends)+w.final > done)
 	}
 }
 
-// All parts of a hard ceiling that gateways hold make one whole at most, for each plan and set.
+// The parts of a hard ceiling add up to at most one ceiling, for each plan and number of gateways.
 func TestPartsOfACeilingMakeOneWhole(t *testing.T) {
 	w := newManyGateways(t, 60, fleet(1))
 	for _, g := range w.gs {
@@ -84,7 +84,7 @@
 	for _, plan := range []string{"ceil", "hard"} {
 		for _, spread := range []int{1, 2, 3, 7, 50, 60} {
 			sum := 0.0
-			for i := range w.gs { // also those outside of the set, which a client may come to all the same
+			for i := range w.gs { // also gateways that the customer should not use but may
 				name := fmt.Sprint(plan, spread)
 				c := w.gs[i].account(keyOf(name), w.gs[i].plans[plan], 5, spread)
 				if member := (i-5+60)%60 < spread; member {
@@ -92,22 +92,22 @@
 				}
 			}
 			if sum > 1+1e-9 {
-				t.Errorf("plan %s, %d gateways: parts of %.3f in all", plan, spread, sum)
+				t.Errorf("plan %s, %d gateways: the parts add up to %.3f, want 1 at most", plan, spread, sum)
 			}
 			if plan == "ceil" && sum < 0.9-1e-9 {
-				t.Errorf("plan %s, %d gateways: parts of %.3f in all, the rest is lost", plan, spread, sum)
+				t.Errorf("plan %s, %d gateways: the parts add up to %.3f, want 0.9 at least", plan, spread, sum)
 			}
 		}
 	}
 }
 
-// Whatever is lost, said twice or late, whoever starts anew and whoever asks: all gateways together
-// stay under a hard ceiling, and one that is cut off serves from its own part of it.
+// Whichever messages are lost, duplicated or late, whichever gateways restart and wherever requests arrive, all
+// gateways together stay within a hard ceiling.
 func TestSplitKeepsTheCeiling(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, burst, spread = 20.0, 40.0, 6
 		w := newManyGateways(t, 60, fleet(20))
-		plan := Plan{Name: "rate", Rate: 200, Burst: 400, HardRate: rate, HardBurst: burst} // the ceiling alone binds
+		plan := Plan{Name: "rate", Rate: 200, Burst: 400, HardRate: rate, HardBurst: burst} // only the ceiling limits
 		start := func(i int) {
 			s := base()
 			s.Me, s.Gateways = i, 60
@@ -122,22 +122,22 @@
 		for i := range 60 {
 			start(i)
 		}
-		store, at, n, seen := burst, w.now, 0, 0
-		var lost, twice int
+		bucket, at, n, counted := burst, w.now, 0, 0
+		var lost, duplicated int
 		w.lose = func(from, to int) bool {
 			if rapid.IntRange(0, 99).Draw(rt, "lost") < lost {
 				return true
 			}
-			if rapid.IntRange(0, 99).Draw(rt, "twice") < twice && len(w.mail) > 0 {
-				l := w.mail[len(w.mail)-1]
-				l.at = w.now + 20*ms
-				w.mail = append(w.mail, l)
+			if rapid.IntRange(0, 99).Draw(rt, "twice") < duplicated && len(w.mail) > 0 {
+				duplicate := w.mail[len(w.mail)-1]
+				duplicate.at = w.now + 20*ms
+				w.mail = append(w.mail, duplicate)
 			}
 			return false
 		}
 		for range rapid.IntRange(1, 4).Draw(rt, "phases") {
 			lost = rapid.SampledFrom([]int{0, 20, 100}).Draw(rt, "phase loses")
-			twice = rapid.SampledFrom([]int{0, 30}).Draw(rt, "phase doubles")
+			duplicated = rapid.SampledFrom([]int{0, 30}).Draw(rt, "phase doubles")
 			every := rapid.IntRange(1, 10).Draw(rt, "every")
 			if rapid.Bool().Draw(rt, "kill") {
 				start(rapid.IntRange(0, spread-1).Draw(rt, "killed"))
@@ -148,20 +148,20 @@
 					w.do(rapid.IntRange(0, spread-1).Draw(rt, "at"), Request{ID: RequestID(n), Customer: "k",
 						Plan: "rate", Class: "safe", Units: 2, Remaining: 2 * time.Second, Spread: spread})
 				}
-				store = min(burst, store+rate*(now-at).Seconds())
+				bucket = min(burst, bucket+rate*(now-at).Seconds())
 				at = now
-				for ; seen < len(w.sends); seen++ {
-					store -= 2
+				for ; counted < len(w.sends); counted++ {
+					bucket -= 2
 				}
-				if store < -1e-6 {
-					rt.Fatalf("the ceiling's store stands at %.2f after %d sends", store, seen)
+				if bucket < -1e-6 {
+					rt.Fatalf("the ceiling's bucket has %.2f units after %d sends", bucket, counted)
 				}
 			})
 		}
 	})
 }
 
-// A member that has units of a ceiling left uses its own before its root's.
+// A gateway with units left in its own part of a ceiling uses them before its root's.
 func TestOwnPartOfACeilingIsUsedFirst(t *testing.T) {
 	w := newManyGateways(t, 60, fleet(20))
 	for _, g := range w.gs {
@@ -176,15 +176,14 @@
 	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].n-1e-9 {
 		t.Errorf("%d sent, %.2f of %.2f left here, %.2f at the root", len(w.sends), left(i), own, left(root))
 	}
-	w.request(i, 2, "k", "rate", "safe", 50) // more than is left here
+	w.request(i, 2, "k", "rate", "safe", 50) // needs more units than are left here
 	w.pass(100*ms, nil)
 	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].n-0.5 {
 		t.Errorf("%d sent, %.2f left at the root", len(w.sends), left(root))
 	}
 }
 
-// Cut off from the start of trouble on, a member serves a customer under a hard ceiling from its own
-// part, which roots don't hold.
+// A partitioned gateway serves a customer under a hard ceiling from its own part, which the roots do not hold.
 func TestSplitServesUnderACeiling(t *testing.T) {
 	w := newManyGateways(t, 60, fleet(20))
 	for _, g := range w.gs {
@@ -209,7 +208,7 @@
 	w.lose = func(int, int) bool { return true }
 	before := len(w.sends)
 	w.pass(6*time.Second, ask(50))
-	if n := len(w.sends) - before; n < 7 { // the first ones may still be taken for lost at flooded roots
+	if n := len(w.sends) - before; n < 7 { // it may take the first few for asks lost at overloaded roots
 		t.Errorf("%d of 12 passed while cut off", n)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -43,10 +43,10 @@
 			}
 			if got == again && c.class == "cell" && !c.code.NeverRan() &&
 				(sends[0].Server-1)/2 != (s.Server-1)/2 {
-				t.Fatalf("left the cell: %v then %v", s, sends[0])
+				t.Fatalf("the retry left the cell: %v then %v", s, sends[0])
 			}
 			if got == again && sends[0].Server == s.Server {
-				t.Fatal("sent to the server that just failed")
+				t.Fatal("the retry went to the server that just failed")
 			}
 		})
 	}
@@ -61,43 +61,42 @@
 	w.now += 2100 * ms
 	acts = w.end(s, 0, Error)
 	if len(of[Fail](acts)) != 1 || len(of[Send](acts))+len(of[Refuse](acts)) != 0 {
-		t.Fatalf("a keyed request past its window was not failed: %v", acts)
+		t.Fatalf("a keyed request outside its window did not fail: %v", acts)
 	}
 }
 
-// Every request gets one final answer before its deadline, with servers that
-// answer none, and with no servers at all.
+// Every request gets exactly one final answer before its deadline, although the servers answer none.
 func TestOneFinalAnswerInTime(t *testing.T) {
 	for _, plan := range []string{"free", "rate", "open", "hard", "both"} {
 		for _, remaining := range []time.Duration{10 * ms, 60 * ms, 300 * ms, 2 * time.Second} {
 			w := newWorld(t, base(), fleet(2))
 			w.pass(time.Second)
-			owed := map[RequestID]time.Duration{}
-			out := map[RequestID]Send{}
+			deadlines := map[RequestID]time.Duration{}
+			inFlight := map[RequestID]Send{}
 			tries := map[RequestID]int{}
-			var note func(acts []Action)
-			note = func(acts []Action) {
+			var handle func(acts []Action)
+			handle = func(acts []Action) {
 				for _, a := range acts {
 					switch a := a.(type) {
 					case Send:
-						if _, ok := owed[a.ID]; !ok {
+						if _, ok := deadlines[a.ID]; !ok {
 							t.Fatalf("%v after its final answer", a)
 						}
-						if _, two := out[a.ID]; two {
-							t.Fatalf("two attempts out: %v", a)
+						if _, second := inFlight[a.ID]; second {
+							t.Fatalf("two attempts in flight: %v", a)
 						}
-						out[a.ID] = a
+						inFlight[a.ID] = a
 						tries[a.ID]++
 					case Cancel:
-						s := out[a.ID]
-						delete(out, a.ID)
-						note(w.do(Outcome{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
+						s := inFlight[a.ID]
+						delete(inFlight, a.ID)
+						handle(w.do(Outcome{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
 					case Refuse, Fail:
 						id := RequestID(reflect.ValueOf(a).FieldByName("ID").Uint())
-						if _, ok := owed[id]; !ok {
-							t.Fatalf("second answer: %v", a)
+						if _, ok := deadlines[id]; !ok {
+							t.Fatalf("second final answer: %v", a)
 						}
-						delete(owed, id)
+						delete(deadlines, id)
 					}
 				}
 			}
@@ -105,27 +104,27 @@
 				w.now += 2 * ms
 				if i < 200 && i%4 == 0 {
 					w.ids++
-					owed[w.ids] = w.now + remaining
-					note(w.do(Request{ID: w.ids, Customer: "c", Plan: plan, Class: "safe", Units: 1,
+					deadlines[w.ids] = w.now + remaining
+					handle(w.do(Request{ID: w.ids, Customer: "c", Plan: plan, Class: "safe", Units: 1,
 						Remaining: remaining, Spread: 2}))
 				}
 				if w.now-w.g.lastTick >= w.g.tick {
-					note(w.do(Timer{Token: "tick"}))
+					handle(w.do(Timer{Token: "tick"}))
 				}
 				for id := RequestID(1); id <= w.ids; id++ {
-					due, owes := owed[id]
-					s, sent := out[id]
-					if owes && sent && w.now >= due {
-						delete(out, id)
-						note(w.do(Outcome{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
+					deadline, pending := deadlines[id]
+					s, sent := inFlight[id]
+					if pending && sent && w.now >= deadline {
+						delete(inFlight, id)
+						handle(w.do(Outcome{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
 					}
-					if _, still := owed[id]; still && w.now > due+8*ms {
-						t.Fatalf("%s, %v: request %d has no answer in its time", plan, remaining, id)
+					if _, unanswered := deadlines[id]; unanswered && w.now > deadline+8*ms {
+						t.Fatalf("%s, %v: request %d has no answer by its deadline", plan, remaining, id)
 					}
 				}
 			}
-			if len(owed) > 0 {
-				t.Fatalf("%d requests never answered", len(owed))
+			if len(deadlines) > 0 {
+				t.Fatalf("%d requests never answered", len(deadlines))
 			}
 		}
 	}
@@ -136,6 +135,6 @@
 	s := w.send("stream", "free")
 	w.do(Started{ID: s.ID, Server: s.Server})
 	if acts := w.pass(10 * time.Second); len(of[Cancel](acts))+len(of[Fail](acts))+len(of[Refuse](acts)) > 0 {
-		t.Fatal("a begun stream was ended")
+		t.Fatal("a stream that had begun was ended")
 	}
 }
--- a/policy/yield_test.go
+++ b/policy/relinquish_test.go
@@ -9,7 +9,7 @@
 	"pepperfall.example/pepperfall/internal/dataplane/handover"
 )
 
-// gives are what a gateway gives up when it is told to.
+// relinquish makes a gateway give up its ceiling units and returns its offers.
 func gives(g *Gateway, now time.Duration) (all []Give) {
 	for _, a := range g.Handle(now, Yield{}, nil) {
 		if v, ok := a.(Give); ok {
@@ -19,6 +19,7 @@
 	return all
 }
 
+// sumCeilings returns the ceiling units that all gateways hold together.
 func allCeilings(m *serviceGateways) (sum float64) {
 	for _, g := range m.gs {
 		if c := g.customers[keyOf("t")]; c != nil {
@@ -29,8 +30,8 @@
 	return sum
 }
 
-// What one that leaves gives up is off there before it is on elsewhere, it passes nothing more of it, and all parts
-// stay under the ceiling; those left have the whole again.
+// A leaving gateway no longer has the units that it offers before another one receives them, sends hardly any more
+// requests, and all parts together stay within the ceiling.
 func TestYieldedUnitsAreInOneHand(t *testing.T) {
 	for _, n := range []int{4, 30} {
 		m := newServiceGateways(n, 1, fieldServers(3, "a"), limited(40, 40))
@@ -56,12 +57,12 @@
 				served++
 			}
 		}
-		assert.Assert(t, served <= 1, "%d gateways: %d passed at one that has stopped", n, served)
+		assert.Assert(t, served <= 1, "%d gateways: %d requests sent by the one that relinquished its units", n, served)
 		assert.Equal(t, len(g.budgets), 0)
 	}
 }
 
-// Units for requests that are held here stay: each has its place to the end.
+// A gateway that relinquishes its units keeps those that its held requests need.
 func TestHeldKeepTheirUnits(t *testing.T) {
 	m := newServiceGateways(2, 1, fieldServers(1, "a"), limited(40, 40))
 	m.spread([]string{"r", "r"})
@@ -86,7 +87,7 @@
 	assert.Assert(t, free > 0 && c.ceiling >= float64(free), "%v units for %d", c.ceiling, free)
 }
 
-// One that leaves sends nothing to cold servers; one that joins while others are silent takes less than its part.
+// A leaving gateway sends nothing to cold servers; one that joins while others are silent uses less than its part.
 func TestPartsLeftUnused(t *testing.T) {
 	cold := fieldServers(1, "a")
 	cold[0].ColdUntil, cold[0].ColdSends = time.Hour, 20
@@ -107,8 +108,8 @@
 	assert.Equal(t, g.customers[keyOf("t")].n, 6.0)
 }
 
-// Two gateways join, and none of six others hears of it: what the joiners use at first stays under what the rule leaves
-// beside the parts given out, and after that they use nothing.
+// Two gateways join, and none of the six others learns of it. All together stay within the limit that the rule
+// allows: the joiners use only a little at first and nothing after that.
 func TestJoinersThatNobodyHearsOf(t *testing.T) {
 	const rate, burst = 400.0, 100.0
 	m := newServiceGateways(8, 3, fieldServers(4, "s"), limited(rate, burst))
@@ -129,7 +130,7 @@
 	}
 	m.pass(5*time.Second, flood)
 	m.sends = nil
-	joined := func(less float64, d time.Duration) (n int) {
+	joinerSends := func(less float64, d time.Duration) (n int) {
 		for i := 6; i < 8; i++ {
 			m.do(i, Peers{Me: i, Gateways: 8, Shares: 8, Less: less})
 		}
@@ -142,8 +143,8 @@
 		}
 		return n
 	}
-	assert.Assert(t, joined(1-handover.Early(8, 2), handover.EarlyFor) > 0)
-	assert.Assert(t, joined(handover.Less(8, 2, 6), 10*time.Second) <= 30) // what they had in store
-	in := m.most(5*time.Second, func(sending) bool { return true })
-	assert.Assert(t, float64(in) <= (5*rate+burst)*1.1+20, "%d", in)
+	assert.Assert(t, joinerSends(1-handover.Early(8, 2), handover.EarlyFor) > 0)
+	assert.Assert(t, joinerSends(handover.Less(8, 2, 6), 10*time.Second) <= 30) // the units that they had left
+	busiest := m.most(5*time.Second, func(sending) bool { return true })
+	assert.Assert(t, float64(busiest) <= (5*rate+burst)*1.1+20, "%d", busiest)
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// charged tells whether a request's units of the ceiling come out of the part that is held here.
+// usesOwnCeiling reports whether a request's ceiling units are taken from the part held by this gateway.
 func (r *request) charged() bool { return r.own != r.remote || !r.remote && !r.granted }
 
+// request is a request without a final answer: a client's, or one that another gateway asks for (remote).
 type request struct {
 	id       RequestID
 	c        *customer
 	cl       *class
-	effect   Effect // the more careful of its class's and its own
+	effect   Effect // the stricter of its class's and its own
 	units    float64
 	arrived  time.Duration
 	deadline time.Duration
 	attempts int
-	srv      *server // of the attempt out; nil when none is
+	srv      *server // server of the attempt in flight; nil: none
 	sentAt   time.Duration
-	load     float64 // the server's when sent to
-	counted  bool    // has taken its units
-	ran      bool    // an attempt may have run
-	ranZone  string  // where and since when, for keyed classes
+	load     float64 // load of the server when the attempt was sent
+	counted  bool    // whether its units were taken
+	ran      bool    // whether an attempt may have run
+	ranZone  string  // where and when the first such attempt ran, for Keyed classes
 	ranCell  int
 	ranAt    time.Duration
-	over     bool
-	stream   bool
-	quit     bool    // its attempt was cancelled
-	asks     float64 // with what chance it was asked for
-	repeat   bool    // the client marked it as one
-	remote   bool    // came in at the gateway root, which asks for it
-	root     int     // the gateway asked for it
-	tag      uint32  // by this name
-	asked    int     // how often
+	over     bool    // it needs no answer any more
+	stream   bool    // its answer has begun as a stream
+	quit     bool    // its attempt was found overdue, and cancelled if possible
+	asks     float64 // probability with which its root is asked for it
+	repeat   bool    // the client marked it as a retry
+	remote   bool    // gateway root received it from a client and asks for it here
+	root     int     // the gateway that is asked for it; if remote, the one that asks
+	tag      uint32  // identifies it between the two gateways
+	asked    int     // number of asks sent for it
 	askedAt  time.Duration
-	until    time.Duration // an answer is waited for until then
-	waits    bool          // held there
-	granted  bool
-	own      bool // its units of the ceiling come out of the asking gateway's part
+	until    time.Duration // when the wait for the reply ends
+	waits    bool          // the root holds it and will reply again
+	granted  bool          // its root granted it
+	own      bool          // its ceiling units are taken from the part of the gateway that asks
 	service  string
 	homes    []string
-	needs    string        // the servers that can run it, by service and homes
-	prio     int           // rank among those that wait for these
-	spent    time.Duration // its client had waited so long before
-	tries    int           // attempts it may have
-	beyond   bool          // its customer's quota has no units for it
-	last     *server       // of the attempt before
+	needs    string        // identifies the servers that can run it: service and regions
+	prio     int           // rank among requests that wait for the same servers, 0 first
+	spent    time.Duration // how long its client waited before this request
+	tries    int           // most attempts; 0: no limit
+	beyond   bool          // its customer's quota or ceiling has no units for it
+	last     *server       // server of the latest attempt
 }
 
+// class is a Class with what outcomes show of it.
 type class struct {
 	Class
-	no   int     // place in the settings
-	mean float64 // seconds an idle server of the fleet takes
-	seen float64 // outcomes it rests on
+	no   int     // index in Settings.Classes
+	mean float64 // mean latency of an idle server of the fleet, in seconds
+	seen float64 // number of outcomes in the mean
 }
 
-// sent and ended keep the lists of attempts out.
+// startAttempt records that an attempt of a request goes to a server.
 func (g *Gateway) sent(r *request, s *server) {
 	r.c.count(g.now, 1)
 	r.srv, r.last, r.sentAt, r.load, r.quit = s, s, g.now, g.load(s), false
@@ -65,6 +67,7 @@
 	s.oldest = append(s.oldest, r)
 }
 
+// endAttempt records that the attempt of a request in flight has ended.
 func (g *Gateway) ended(r *request, code Code) {
 	s := r.srv
 	if !code.NeverRan() && !r.ran {
@@ -78,15 +81,15 @@
 	}
 }
 
-// sameGroup tells whether a server drops repeats of what may have run.
+// inDedupScope reports whether a server recognizes a repeat of the attempt that may have run.
 func (r *request) sameGroup(s *server) bool {
 	return (r.cl.Group != GroupZone || s.Zone == r.ranZone) && (r.cl.Group != GroupCell || s.Cell == r.ranCell)
 }
 
-// from tells whether it is what another gateway asks for by this name.
+// isAskFrom reports whether gateway num asks for the request, with this tag.
 func (r *request) from(num int, tag uint32) bool { return r.remote && r.root == num && r.tag == tag }
 
-// queue puts a request in its customer's queue, one with units taken first.
+// enqueue puts a request at the end of its customer's queue, or at the front if its units were taken already.
 func (g *Gateway) queue(r *request) {
 	if len(r.c.held) == 0 {
 		g.waiting = append(g.waiting, r.c)
@@ -98,7 +101,7 @@
 	}
 }
 
-// unhold takes the i-th request out of its customer's queue.
+// dequeue removes the i-th request from its customer's queue.
 func (g *Gateway) unhold(c *customer, i int) {
 	c.held = slices.Delete(c.held, i, i+1)
 	c.fresh = repeatTicks
--- a/policy/again.go
+++ b/policy/retry.go
@@ -1,11 +1,11 @@
 package policy
 
-// Further tries, their budgets, and when a client may try again.
+// Retries at other servers, their budget, and when to advise clients to retry.
 
 import "time"
 
-// again decides whether a request may have a further attempt. Where it may go
-// is usable's to say. The budget keeps retries from feeding an overload.
+// mayRetry decides whether a request gets another attempt and charges the service's retry budget, which keeps
+// retries from adding to an overload. usable decides at which servers.
 func (g *Gateway) again(r *request, code Code) bool {
 	if r.tries > 0 && r.attempts >= r.tries ||
 		r.ran && (r.effect == Unsafe || r.effect == Keyed && g.now-r.ranAt >= r.cl.Window) ||
@@ -14,29 +14,28 @@
 	}
 	if !code.NeverRan() || code == Full {
 		if g.set.Field != nil && g.budgets[r.service] < 1 {
-			return false // nothing is owed for a try that is not made
+			return false // an attempt that is not made costs no budget
 		}
 		g.budgets[r.service]--
 	}
 	return g.budgets[r.service] >= 0
 }
 
-// earn adds a first attempt to its service's budget of further ones.
+// earnRetryBudget adds to a service's retry budget what a first attempt earns.
 func (g *Gateway) earn(service string) {
-	each, most := retryEarn, retryCap
+	perAttempt, maxBudget := retryEarn, retryCap
 	if f := g.set.Field; f != nil {
-		each, most = f.RetryEarn, f.RetryCap(service)
+		perAttempt, maxBudget = f.RetryEarn, f.RetryCap(service)
 	}
-	b, known := g.budgets[service]
+	budget, known := g.budgets[service]
 	if !known && g.set.Field == nil {
-		b = most
+		budget = maxBudget
 	}
-	g.budgets[service] = min(most, b+each)
+	g.budgets[service] = min(maxBudget, budget+perAttempt)
 }
 
-// advice is when a retry may find room: once the store will have filled up to
-// what a repeat needs, and no sooner than the next ticks. Under a cap alone that
-// is when attempts end; a large fleet's ticks are far longer.
+// retryAfter returns when a retry may find room: after two ticks, and once the bucket holds what it needs.
+// Without a rate quota room appears when attempts end, which is sooner than the long ticks of a large fleet.
 func (g *Gateway) advice(r *request) time.Duration {
 	c, wait := r.c, 2*g.tick.Seconds()
 	if g.set.Field != nil && !r.beyond {
--- a/policy/server.go
+++ b/policy/server.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// record is what the fleet knows of a server for one class.
+// classHealth is the health of a server for one class of requests.
 type record struct {
-	errs  float64       // the watcher's average
-	okAt  time.Duration // its last answer here
-	bad   bool          // out of use for the class, until a time
+	errs  float64       // moving average of failures, as its watcher computes it
+	okAt  time.Duration // when it last answered a request of this gateway
+	bad   bool          // not to be used for the class, until ejectedUntil
 	until time.Duration
-	wait  time.Duration // after its last trial
-	trial time.Duration // when the watcher may next try it
+	wait  time.Duration // time to wait after its last trial
+	trial time.Duration // when its watcher may next send it a trial request
 }
 
+// server is a back-end server and what this gateway knows of its load and health.
 type server struct {
 	Server
-	hash       uint16
-	out        int
-	slow       float64                  // latency against the fleet's, at equal load
-	heard      float64                  // attempts out there, as the peers last said
-	oldest     []*request               // attempts out, oldest first
-	goneAt     time.Duration            // when it left the list; 0: it is there
-	fullAt     map[*quota]time.Duration // until then it is taken to turn this plan away
-	fullTill   time.Duration            // until then it takes nobody
-	lackedTill time.Duration            // until then requests that may go to few regions find no room
-	sends      []time.Duration          // while cold: recent sends
-	others     float64                  // out there by others, as it told itself
-	othersAt   time.Duration
-	told       bool    // it has
-	usual      float64 // out there by others at the servers of its service and region
-	colds      int     // of the sends allowed here
+	hash       uint16                   // identifies it in reports
+	out        int                      // own attempts in flight there
+	slow       float64                  // its latency relative to the fleet's, at equal load
+	heard      float64                  // attempts in flight there, as peers last reported
+	oldest     []*request               // own attempts in flight, oldest first
+	goneAt     time.Duration            // when it left the server list; 0: still listed
+	fullAt     map[*quota]time.Duration // per plan: until then it is expected to reject the plan's requests
+	fullTill   time.Duration            // until then it is expected to reject every request
+	lackedTill time.Duration            // until then requests limited to certain regions lack room there
+	sends      []time.Duration          // recent sends, counted while it is cold
+	others     float64                  // other gateways' attempts in flight, by its last load report
+	othersAt   time.Duration            // time of that report
+	told       bool                     // whether it has sent any load report
+	usual      float64                  // other gateways' attempts at a typical server of its service and region
+	colds      int                      // sends that this gateway may make within ColdWindow while it is cold
 
-	weight    float64  // in the draw at hand
-	part      float64  // in all draws here, 1 in the mean over the gateways
-	watchers  [2]int   // the gateways that judge it for all; the second only whether it can be reached
-	by        []record // by class
-	verdicts  float64  // its watcher may send now
-	verdictAt time.Duration
-	pace      float64 // latency against the fleet's, as the watcher learns it
+	weight    float64       // weight in the current random draw
+	part      float64       // factor on its weight in this gateway's draws; the mean over all gateways is 1
+	watchers  [2]int        // the gateways that assess its health for all; the second assesses reachability only
+	by        []record      // health by class index
+	verdicts  float64       // token bucket of the verdicts that its watcher may send
+	verdictAt time.Duration // when that bucket was last filled
+	pace      float64       // its latency relative to the fleet's, as its watcher measures it
 
-	trust Trust // by what all gateways saw
+	trust Trust // computed from the outcomes that all gateways saw
 }
 
-// fail counts a failure for all classes.
+// recordFailure counts a failure, with a weight from 0 to 1, in every class.
 func (s *server) fail(weight float64) {
 	for i := range s.by {
 		s.by[i].errs += weight * (1 - s.by[i].errs)
 	}
 }
 
-// wear lets a part of what is known of a server go.
-func (s *server) wear(part float64) {
-	s.slow += (1 - s.slow) * part
+// decay moves the slowdown and the error rates towards their neutral values by a fraction of the difference.
+func (s *server) wear(fraction float64) {
+	s.slow += (1 - s.slow) * fraction
 	for i := range s.by {
-		s.by[i].errs -= s.by[i].errs * part
+		s.by[i].errs -= s.by[i].errs * fraction
 	}
 }
 
-// byWeight draws a server by weight, of a sum of at least so much: none for the rest.
-func (g *Gateway) byWeight(list []*server, least float64) *server {
+// drawByWeight draws a server at random in proportion to its weight. If the weights sum to less than
+// minSum, it returns nil with the probability of the missing part.
+func (g *Gateway) byWeight(list []*server, minSum float64) *server {
 	sum := 0.0
 	for _, s := range list {
 		sum += s.weight
 	}
-	at := g.rng.Float64() * max(sum, least)
+	point := g.rng.Float64() * max(sum, minSum)
 	for _, s := range list {
-		if at -= s.weight; at < 0 {
+		if point -= s.weight; point < 0 {
 			return s
 		}
 	}
 	return nil
 }
 
-// size is a server's size against the fleet's mean, where the list tells it.
+// relativeSize returns a server's size relative to the mean of the fleet, or 1 if sizes are not known.
 func (g *Gateway) sizeOf(s *server) float64 {
 	if g.set.SizeKnown && s.Weight > 0 && g.size > 0 {
 		return s.Weight / g.size
@@ -82,7 +84,7 @@
 	return 1
 }
 
-// leave notes that a server is in the list no longer.
+// markRemoved records that a server has left the server list.
 func (s *server) leave(now time.Duration) {
 	s.State = Removed
 	if s.goneAt == 0 {
@@ -90,7 +92,7 @@
 	}
 }
 
-// count takes the size of the fleet from the servers that are in the list.
+// countServers recomputes the number of running servers and the mean weight of the listed ones.
 func (g *Gateway) count() {
 	listed, sum := 0, 0.0
 	g.live = 0
@@ -106,10 +108,11 @@
 	g.size = sum / float64(max(1, listed))
 }
 
-// rule puts a verdict in force.
-func (g *Gateway) rule(s *server, pace byte, isBad func(class int, v *record) bool) {
+// applyVerdict ejects a server from the classes for which eject holds, for verdictLife, and sets its
+// slowdown from the encoded value of a verdict message.
+func (g *Gateway) rule(s *server, slowdown byte, eject func(class int, v *record) bool) {
 	for i := range s.by {
-		s.by[i].bad, s.by[i].until = isBad(i, &s.by[i]), g.now+verdictLife
+		s.by[i].bad, s.by[i].until = eject(i, &s.by[i]), g.now+verdictLife
 	}
-	s.slow = math.Exp2(float64(pace)/16 - 4)
+	s.slow = math.Exp2(float64(slowdown)/16 - 4)
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// check refuses settings that cannot be meant, and names the key.
+// validate returns an error that names the first invalid setting, or nil.
 func (s *Settings) check() error {
 	var err error
-	need := func(ok bool, key string, args ...any) {
+	require := func(ok bool, key string, args ...any) {
 		if !ok && err == nil {
 			err = fmt.Errorf("policy: setting "+key, args...)
 		}
 	}
-	need(s.Resolution > 0, "Resolution: not above 0")
-	need(s.Gateways >= 1, "Gateways: below 1")
-	need(s.Me >= 0 && s.Me < max(s.Gateways, 1), "Me: outside 0 to Gateways-1")
-	need(s.MailPerSecond >= 0, "MailPerSecond: negative")
-	need(len(s.Plans) > 0 || s.Field != nil, "Plans: none")
-	need(len(s.Classes) > 0 || s.Field != nil, "Classes: none")
+	require(s.Resolution > 0, "Resolution: not above 0")
+	require(s.Gateways >= 1, "Gateways: below 1")
+	require(s.Me >= 0 && s.Me < max(s.Gateways, 1), "Me: outside 0 to Gateways-1")
+	require(s.MailPerSecond >= 0, "MessagesPerSecond: negative")
+	require(len(s.Plans) > 0 || s.Field != nil, "Plans: none")
+	require(len(s.Classes) > 0 || s.Field != nil, "Classes: none")
 	for i, p := range s.Plans {
-		need(p.Name != "", "Plans[%d].Name: empty", i)
-		need(p.Rate >= 0, "Plans[%d].Rate: negative", i)
-		need(p.Burst >= 0, "Plans[%d].Burst: negative", i)
-		need(p.Open >= 0, "Plans[%d].Open: negative", i)
-		need(p.HardRate >= 0, "Plans[%d].HardRate: negative", i)
-		need(p.HardBurst >= 0, "Plans[%d].HardBurst: negative", i)
+		require(p.Name != "", "Plans[%d].Name: empty", i)
+		require(p.Rate >= 0, "Plans[%d].Rate: negative", i)
+		require(p.Burst >= 0, "Plans[%d].Burst: negative", i)
+		require(p.Open >= 0, "Plans[%d].MaxInFlight: negative", i)
+		require(p.HardRate >= 0, "Plans[%d].HardRate: negative", i)
+		require(p.HardBurst >= 0, "Plans[%d].HardBurst: negative", i)
 	}
 	for i, c := range s.Classes {
-		need(c.Name != "", "Classes[%d].Name: empty", i)
-		need(c.Aim > 0, "Classes[%d].Aim: not above 0", i)
-		need(c.Deadline > 0, "Classes[%d].Deadline: not above 0", i)
+		require(c.Name != "", "Classes[%d].Name: empty", i)
+		require(c.Aim > 0, "Classes[%d].LatencyTarget: not above 0", i)
+		require(c.Deadline > 0, "Classes[%d].Deadline: not above 0", i)
 	}
 	return err
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,90 +6,92 @@
 	"time"
 )
 
-// peerView is what one other gateway last said of one customer.
+// peerView is what one peer gateway last reported about one customer.
 type peerView struct {
 	p      *peer
-	at     time.Duration
-	heard  bool
-	inc    uint32
-	out    float64
-	held   float64
-	passed byte
-	gave   byte    // running totals of what was lent of the ceiling, to it
-	got    byte    // and by it
-	want   float64 // what it may be lent now
-	rate   float64 // asked units, decayed
+	at     time.Duration // time of its last report
+	heard  bool          // whether it has reported on the customer
+	inc    uint32        // incarnation of the peer that reported
+	out    float64       // mean attempts in flight
+	held   float64       // requests held
+	passed byte          // running total of units passed, as last reported
+	gave   byte          // running total of ceiling units lent to the peer
+	got    byte          // running total of ceiling units lent by the peer
+	want   float64       // units that it may be lent now
+	rate   float64       // units requested there, decayed over demandSpan
 }
 
+// peer is another gateway and what it last reported.
 type peer struct {
-	num      int
-	inc      uint32
-	seq      uint32
-	at       time.Duration
-	heard    bool
-	complete bool               // its last report named all customers with news
-	outs     map[uint16]float64 // attempts out by server
-	views    []*peerView        // what it said of each customer
-	missed   int                // asks that it did not answer since it was last heard
-	missedAt time.Duration      // the last of them
+	num      int                // its gateway number
+	inc      uint32             // its incarnation
+	seq      uint32             // sequence number of its last report
+	at       time.Duration      // time of its last report
+	heard    bool               // whether it has sent any report
+	complete bool               // its last report listed every customer that had changes
+	outs     map[uint16]float64 // attempts in flight by hash of the server
+	views    []*peerView        // what it reported, by customer
+	missed   int                // asks left unanswered since its last message
+	missedAt time.Duration      // when the last of those asks timed out
 }
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	set       Settings
 	rng       *rand.Rand
-	inc       uint32
-	seq       uint32
-	tick      time.Duration
-	ticks     uint32
-	begun     bool
-	start     time.Duration
-	now       time.Duration
+	inc       uint32        // random number that identifies this start of the gateway
+	seq       uint32        // sequence number of the last report
+	tick      time.Duration // time between two ticks
+	ticks     uint32        // ticks since the start
+	begun     bool          // whether the first event has come
+	start     time.Duration // time of the first event
+	now       time.Duration // time of the current event
 	lastTick  time.Duration
-	classes   map[string]*class
-	plans     map[string]*quota
-	customers map[uint64]*customer
-	byHash    map[uint32]*customer
-	ring      []*customer
-	waiting   []*customer
-	reqs      map[RequestID]*request
+	classes   map[string]*class      // by name
+	plans     map[string]*quota      // by name
+	customers map[uint64]*customer   // by key
+	byHash    map[uint32]*customer   // by short hash; nil where two share it
+	ring      []*customer            // all customers
+	waiting   []*customer            // those with held requests
+	reqs      map[RequestID]*request // clients' requests without a final answer
 	servers   map[ServerID]*server
-	fleet     []*server
-	peers     []*peer
-	budgets   map[string]float64 // of further attempts, by service
-	wide      bool               // reports from all to all are too many: parts of ceilings are borrowed
-	regions   []string           // there are
-	regionOf  []string           // each gateway, by number
-	parts     int                // in which ceilings are divided; 0: one each
-	less      float64            // part of its own parts that is left unused
-	barren    bool               // nothing is sent to cold servers from here
-	every     uint32             // ticks from one report to the next
-	out       int                // own attempts out, at all servers
-	strain    float64            // average of latency over aim
-	lackAt    time.Duration      // when a request last found no server with room
-	sendRate  float64            // own sends to warm servers, decayed over FallTime
-	acts      []Action
-	asked     bool
-	size      float64 // mean weight in the list
-	live      int     // servers in the list that run
-	mean      float64 // seconds an idle server takes, over all classes
-	minAim    float64 // the shortest aim, in seconds
-	intake    float64 // messages taken in, decayed over demandSpan
-	heard     float64 // share of asks that are answered
-	deaf      int     // asks that went unanswered since a peer was last heard
-	own       float64 // weight of an outcome in a server's pace here
-	gate      float64 // part of the requests let in
-	tree      bool    // reports from all to all would be too many
-	asks      map[uint32]*request
-	asking    []*request // in the order asked, answered ones too
-	nextTag   uint32
-	reply     time.Duration // mean time to an answer
+	fleet     []*server           // all servers, ordered by ID
+	peers     []*peer             // by gateway number; nil: not created yet
+	budgets   map[string]float64  // retry budget by service
+	wide      bool                // too many gateways for reports from each to each: units of ceilings are borrowed
+	regions   []string            // all regions with gateways
+	regionOf  []string            // region of each gateway, by number
+	parts     int                 // parts into which ceilings are divided; 0: one per gateway
+	less      float64             // share of its own part that this gateway leaves unused
+	barren    bool                // this gateway sends nothing to cold servers
+	every     uint32              // ticks from one report to the next
+	out       int                 // own attempts in flight, at all servers
+	strain    float64             // moving average of latency over the class's LatencyTarget
+	lackAt    time.Duration       // when a request last found no server with room
+	sendRate  float64             // own sends to warm servers, decayed over FailTime
+	acts      []Action            // actions of the current event
+	asked     bool                // whether the server list was asked for
+	size      float64             // mean weight of the listed servers
+	live      int                 // listed servers that are running
+	mean      float64             // latency of an idle server in seconds, over all classes
+	minAim    float64             // the shortest LatencyTarget, in seconds
+	intake    float64             // peer messages received, decayed over demandSpan
+	heard     float64             // share of asks that are answered
+	deaf      int                 // asks left unanswered since the last message of any peer
+	own       float64             // weight of an outcome seen here in a server's slowdown
+	gate      float64             // share of arriving requests that are admitted
+	tree      bool                // too many gateways for reports from each to each: customers' roots sum the counts
+	asks      map[uint32]*request // waiting for a reply of a root or lender, by tag
+	asking    []*request          // requests asked for, in order of the asks; includes answered ones
+	nextTag   uint32              // tag of the last ask
+	reply     time.Duration       // mean time from an ask to its reply
 }
 
+// emit adds an action to those that the current event returns.
 func (g *Gateway) do(a Action) { g.acts = append(g.acts, a) }
 
-// measure takes each customer's mean of attempts out over a tick, and lends what
-// it does not need of its ceiling.
+// measureInFlight computes each customer's mean number of attempts in flight over the last dt, and lends
+// the ceiling units that this gateway does not need.
 func (g *Gateway) measure(dt time.Duration) {
 	for _, c := range g.ring {
 		c.expire(g.now)
@@ -101,9 +103,10 @@
 	}
 }
 
+// toByte rounds v to an integer of at most 255.
 func small(v float64) byte { return byte(min(math.Round(v), 255)) }
 
-// peer returns what is known of a gateway.
+// peerAt returns the state of the gateway with the number num and creates it if need be.
 func (g *Gateway) peer(num int) *peer {
 	if g.peers[num] == nil {
 		g.peers[num] = &peer{num: num}
@@ -111,7 +114,7 @@
 	return g.peers[num]
 }
 
-// watch asks for the server list where it must be asked for, once.
+// watchServers subscribes to the server list, if the settings require it and it has not done so.
 func (g *Gateway) watch() {
 	if g.set.MustAsk && !g.asked {
 		g.asked = true
--- a/policy/store.go
+++ b/policy/store.go
@@ -15,8 +15,8 @@
 		spread = g.set.Gateways // which may have come while the request was on its way here
 	}
 	c := &customer{key: key, hash: shortOf(key), plan: plan, n: float64(spread), store: plan.Burst,
-		part: 1, leases: map[lease]leased{}, first: first, spread: spread, at: g.now, areaAt: g.now,
-		born: g.now}
+		part: 1, leases: map[lease]leased{}, first: first, spread: spread, at: g.now,
+		areaAt: g.now, born: g.now}
 	if g.parts > 0 {
 		c.n = g.ownOf(float64(g.parts))
 	}
--- a/policy/world_test.go
+++ b/policy/testgateway_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// world drives gateways step by step: it keeps the clock and remembers actions.
+// testGateway runs one gateway step by step under a test's clock.
 type world struct {
 	t   *testing.T
 	g   *Gateway
@@ -59,7 +59,7 @@
 
 func (w *world) do(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
 
-// pass lets time go by, with the gateway's ticks, and returns what was done.
+// advance moves the clock by d, with the gateway's ticks, and returns the actions.
 func (w *world) pass(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
 		w.now += min(w.g.tick, end-w.now)
@@ -68,12 +68,14 @@
 	return acts
 }
 
+// request makes a client's request and returns its ID and the resulting actions.
 func (w *world) ask(class, plan, customer string, units float64) (RequestID, []Action) {
 	w.ids++
 	return w.ids, w.do(Request{ID: w.ids, Customer: customer, Plan: plan, Class: class, Units: units,
 		Remaining: 2 * time.Second, Spread: 2})
 }
 
+// actionsOf returns the actions of type T.
 func of[T Action](acts []Action) (l []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
@@ -83,11 +85,13 @@
 	return l
 }
 
+// finish reports the outcome of an attempt to the gateway.
 func (w *world) end(s Send, attempt int, code Code) []Action {
 	return w.do(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
 		Over: code == OK})
 }
 
+// send makes a request that must be sent to a server at once, and returns that Send.
 func (w *world) send(class, plan string) Send {
 	w.t.Helper()
 	_, acts := w.ask(class, plan, "c", 1)
@@ -98,7 +102,7 @@
 	return s[0]
 }
 
-// hear gives a gateway a peer's report.
+// report gives the gateway a peer's report.
 func (w *world) hear(from int, inc, seq uint32, complete bool, entries ...entry) {
 	m := report{inc: inc, seq: seq, complete: complete, customers: entries}
 	w.do(PeerMessage{From: from, Data: m.encode()})
@@ -108,7 +112,7 @@
 	return shortOf(keyOf(name))
 }
 
-// spend asks for n requests of one unit and counts those passed.
+// requestMany makes n requests of one unit and returns how many were sent to a server.
 func (w *world) spend(n int, plan string) int {
 	passed := 0
 	for range n {
