--- a/internal/control/delivery/delivery_test.go
+++ b/internal/control/delivery/delivery_test.go
@@ -12,8 +12,8 @@
 
 func TestBehindSinceTheNextWasLearnt(t *testing.T) {
 	h := &History{}
-	_, is := h.Behind(Version{})
-	assert.Assert(t, !is, "nothing is in force")
+	_, behind := h.Behind(Version{})
+	assert.Assert(t, !behind, "nothing is in force")
 	h.Decide(version(5), 10*time.Second, Confirmation{})
 	h.Decide(version(7), 12*time.Second, Confirmation{Ever: true, At: 11 * time.Second})
 	h.Decide(version(9), 15*time.Second, Confirmation{Ever: true, At: 14 * time.Second})
@@ -25,28 +25,28 @@
 	}{
 		{version(9), 0, newest},
 		{version(11), 0, newest},
-		{version(8), 15 * time.Second, Confirmation{Ever: true, At: 14 * time.Second}}, // learnt elsewhere, never here
+		{version(8), 15 * time.Second, Confirmation{Ever: true, At: 14 * time.Second}}, // decided, but never current on this replica
 		{version(7), 15 * time.Second, Confirmation{Ever: true, At: 14 * time.Second}},
 		{version(6), 12 * time.Second, Confirmation{Ever: true, At: 11 * time.Second}},
 		{version(5), 12 * time.Second, Confirmation{Ever: true, At: 11 * time.Second}},
 		{version(4), 12 * time.Second, Confirmation{}},
 		{Version{}, 12 * time.Second, Confirmation{}},
-		{Version{Gen: 9, Sum: 1}, 15 * time.Second, Confirmation{}}, // another text
+		{Version{Gen: 9, Sum: 1}, 15 * time.Second, Confirmation{}}, // another text under the same number
 		{Version{Gen: 7, Sum: 1}, 15 * time.Second, Confirmation{}},
 	} {
-		since, is := h.Behind(c.held)
-		assert.Assert(t, since == c.since && is == (c.since > 0), "%+v: %v %v", c.held, since, is)
+		since, behind := h.Behind(c.held)
+		assert.Assert(t, since == c.since && behind == (c.since > 0), "%+v: %v %v", c.held, since, behind)
 		assert.Equal(t, h.Confirmed(c.held, newest), c.confirmed, "%+v", c.held)
 	}
 }
 
-// However often the configuration changes, an agent that stays behind is told the newest within the wait.
+// However often the configuration changes, an agent that stays behind is sent the newest one within the grace period.
 func TestChangesPutNothingOff(t *testing.T) {
 	for _, every := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 500 * time.Millisecond, 649 * time.Millisecond, time.Second} {
 		h := &History{}
 		h.Decide(version(1), 0, Confirmation{})
 		a := &Agent{Held: version(1), Every: 250 * time.Millisecond}
-		gen, told := uint64(1), []time.Duration{}
+		gen, sent := uint64(1), []time.Duration{}
 		for now := time.Duration(0); now < 20*time.Second; now += time.Millisecond {
 			if now > 0 && now%every == 0 {
 				gen++
@@ -54,21 +54,22 @@
 			}
 			if h.Due(a, now) {
 				a.Sent = h.Current()
-				told = append(told, now)
+				sent = append(sent, now)
 				a.Held = a.Sent
 			}
 		}
 		last := time.Duration(0)
-		for _, at := range told {
+		for _, at := range sent {
 			assert.Assert(t, at-last <= payWithin+a.Every+every, "every %v: nothing from %v to %v", every, last, at)
 			last = at
 		}
 		assert.Assert(t, 20*time.Second-last <= payWithin+a.Every+every, "every %v: nothing since %v", every, last)
-		assert.Assert(t, len(told) <= int(20*time.Second/(payWithin+a.Every))+1, "every %v: told %d times", every, len(told))
+		assert.Assert(t, len(sent) <= int(20*time.Second/(payWithin+a.Every))+1, "every %v: told %d times", every, len(sent))
 	}
 }
 
-// One that is told by the replica that it follows hears nothing from others, though it is always a little behind.
+// Other replicas send nothing to an agent that receives every configuration from its upstream replica, although it
+// always lags a little.
 func TestOthersLeaveItToTheReplicaFollowed(t *testing.T) {
 	h := &History{}
 	a := &Agent{Every: 250 * time.Millisecond}
@@ -79,25 +80,25 @@
 			a.Held = version(gen - 2)
 		}
 		assert.Assert(t, !h.Due(a, now), "told at %v", now)
-		followed := *a
-		followed.Follows = true
-		assert.Assert(t, h.Due(&followed, now))
-		followed.Sent = h.Current()
-		assert.Assert(t, !h.Due(&followed, now), "twice")
+		upstream := *a
+		upstream.Follows = true
+		assert.Assert(t, h.Due(&upstream, now))
+		upstream.Sent = h.Current()
+		assert.Assert(t, !h.Due(&upstream, now), "twice")
 	}
-	fresh := Agent{Since: 25 * time.Second, Every: 250 * time.Millisecond}
-	assert.Assert(t, !h.Due(&fresh, 25*time.Second) && h.Due(&fresh, 25*time.Second+payWithin+fresh.Every), "one that has just come is left to the replica it will follow")
+	newAgent := Agent{Since: 25 * time.Second, Every: 250 * time.Millisecond}
+	assert.Assert(t, !h.Due(&newAgent, 25*time.Second) && h.Due(&newAgent, 25*time.Second+payWithin+newAgent.Every), "one that has just come is left to the replica it will follow")
 }
 
-// Nothing is forgotten too early, and nothing grows.
+// The history is bounded and still knows since when a holder of the previous configuration is behind.
 func TestHistoryIsBounded(t *testing.T) {
 	h, rnd, now := &History{}, rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 	for gen := uint64(1); gen < 20000; gen++ {
 		now += time.Duration(rnd.Int64N(int64(120 * time.Millisecond)))
 		h.Decide(version(gen), now, Confirmation{Ever: true, At: now})
 		assert.Assert(t, len(h.past) <= keepMost)
-		if since, is := h.Behind(version(gen - 1)); gen > 1 {
-			assert.Assert(t, is && since == now)
+		if since, behind := h.Behind(version(gen - 1)); gen > 1 {
+			assert.Assert(t, behind && since == now)
 		}
 	}
 }
--- a/internal/control/delivery/history.go
+++ b/internal/control/delivery/history.go
@@ -1,45 +1,45 @@
-// Package delivery knows, without I/O, which configurations were in force lately
-// and until when: so a replica can tell for how long an agent has been behind, and
-// up to which moment what a proxy has in force was the newest.
+// Package delivery records, without I/O, which configurations were current recently and until when. From this a
+// replica knows how long an agent has been behind, and up to which moment the configuration that a proxy uses was the
+// newest.
 package delivery
 
 import "time"
 
-// Bounds of what is remembered of configurations that are not in force any more.
+// Bounds of the history of superseded configurations.
 const (
 	keepFor  = 30 * time.Second
 	keepMost = 512
 )
 
-// Version names a configuration.
+// Version identifies a configuration.
 type Version struct {
-	Gen uint64 // its number; 0: none
-	Sum uint32 // of its text
+	Gen uint64 // its number; 0 stands for no configuration
+	Sum uint32 // checksum of its text
 }
 
-// Confirmation is the newest moment at which a majority is known to have held
-// nothing newer than what was decided here. Moments are of one steady clock.
+// Confirmation is the latest moment at which a majority is known to have held nothing newer than the state decided
+// here. All moments are on one monotonic clock.
 type Confirmation struct {
-	Ever bool
+	Ever bool // false if there was no such moment, and At is not set
 	At   time.Duration
 }
 
-// History is the configuration in force and those before it.
+// History holds the current configuration and those that it superseded.
 type History struct {
 	current Version
-	since   time.Duration // when current was learnt
-	past    []superseded  // in the order of their numbers
+	since   time.Duration // when current was learned
+	past    []superseded  // ordered by number, lowest first
 }
 
-// superseded is a configuration that was in force here.
+// supersededVersion is a configuration that was current on this replica.
 type superseded struct {
 	version   Version
-	at        time.Duration // when a newer one was learnt
-	confirmed Confirmation  // as of then
+	at        time.Duration // when a newer configuration was learned
+	confirmed Confirmation  // at that time
 }
 
-// Decide takes in that a configuration is in force from now on. Its number has to
-// be above the one before.
+// SetCurrent makes v the current configuration from now on. Its number must be higher than that of the previous one;
+// confirmed is the confirmation of the previous one.
 func (h *History) Decide(v Version, now time.Duration, confirmed Confirmation) {
 	if h.current.Gen > 0 {
 		h.past = append(h.past, superseded{h.current, now, confirmed})
@@ -54,8 +54,8 @@
 	}
 }
 
-// thin forgets every other configuration. A holder of one that is forgotten counts as
-// holding the one before: as behind for longer, and as confirmed up to an earlier moment.
+// dropEveryOther removes every other superseded configuration. A holder of a removed one is then treated as a holder
+// of the one before: as behind for longer, and as confirmed up to an earlier moment.
 func (h *History) thin() {
 	kept := h.past[:0]
 	for i := 0; i < len(h.past); i += 2 {
@@ -64,13 +64,12 @@
 	h.past = kept
 }
 
-// Current is the configuration in force; the zero Version: none is.
+// Current returns the current configuration, or the zero Version if there is none.
 func (h *History) Current() Version { return h.current }
 
-// Behind tells whether a holder of v lacks the configuration in force, and since
-// when: the moment at which the first one above v was learnt, or the earliest that
-// is remembered.
-func (h *History) Behind(v Version) (since time.Duration, is bool) {
+// BehindSince reports whether a holder of v lacks the current configuration and since when: the moment at which the
+// first configuration above v was learned, or the earliest one in the history.
+func (h *History) Behind(v Version) (since time.Duration, behind bool) {
 	switch i := h.last(v.Gen); {
 	case h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current:
 		return 0, false
@@ -82,9 +81,9 @@
 	return h.since, true
 }
 
-// Confirmed is the newest moment at which nothing above v was decided, given that
-// of the configuration in force: a proxy that has v in force was up to date then. Of
-// another text under a number that was decided there is none.
+// Confirmed returns the latest moment at which nothing above v was decided; a proxy that uses v was up to date then.
+// newest is the confirmation of the current configuration. If v has the number of a decided configuration but a
+// different text, there is no such moment.
 func (h *History) Confirmed(v Version, newest Confirmation) Confirmation {
 	if h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current {
 		return newest
@@ -96,8 +95,8 @@
 	return h.past[i].confirmed
 }
 
-// last is the index of the newest superseded configuration whose number is gen at
-// most; -1: there is none.
+// lastUpTo returns the index of the newest superseded configuration whose number is at most gen, or -1 if there is
+// none.
 func (h *History) last(gen uint64) int {
 	i := len(h.past) - 1
 	for i >= 0 && h.past[i].version.Gen > gen {
--- a/internal/control/lease/example_test.go
+++ b/internal/control/lease/example_test.go
@@ -8,13 +8,14 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Three replicas elect who does a duty; when the holder falls silent, the one that it named follows without a vote.
+// Three replicas elect the holder of a duty. When the holder disappears, the successor that it named takes over
+// without a vote.
 func Example() {
 	names := []string{"north", "south", "west"}
-	all, seats := map[string]*lease.Lease{}, map[string]peerlink.Seat{}
+	leases, seats := map[string]*lease.Lease{}, map[string]peerlink.Seat{}
 	for i, n := range names {
 		seats[n] = peerlink.Seat{Name: n, Life: int64(i + 1)}
-		all[n] = lease.New("list", seats[n], n)
+		leases[n] = lease.New("list", seats[n], n)
 	}
 	gone := ""
 	view := func(self string, now time.Duration) lease.View {
@@ -26,21 +27,21 @@
 		}
 		return v
 	}
-	var told func(from string, now time.Duration, words []lease.Tell)
-	told = func(from string, now time.Duration, words []lease.Tell) { // in order, to those who live
-		for _, w := range words {
+	var deliver func(from string, now time.Duration, messages []lease.Tell)
+	deliver = func(from string, now time.Duration, messages []lease.Tell) { // in order, to running replicas
+		for _, m := range messages {
 			for _, n := range names {
-				if n != from && n != gone && (w.To == "" || w.To == n) {
-					told(n, now, all[n].Hear(view(n, now), seats[from], w.Duty))
+				if n != from && n != gone && (m.To == "" || m.To == n) {
+					deliver(n, now, leases[n].Hear(view(n, now), seats[from], m.Duty))
 				}
 			}
 		}
 	}
-	pass := func(from, to time.Duration) {
+	run := func(from, to time.Duration) {
 		for now := from; now < to; now += 100 * time.Millisecond {
 			for _, n := range names {
 				if n != gone {
-					told(n, now, all[n].Step(view(n, now)))
+					deliver(n, now, leases[n].Step(view(n, now)))
 				}
 			}
 		}
@@ -48,16 +49,16 @@
 	show := func() {
 		for _, n := range names {
 			if n != gone {
-				d := all[n].Known()
+				d := leases[n].Known()
 				fmt.Println(n, "knows", d.Holder.Name, "followed by", d.Next.Name, "step", d.Term.Step)
 			}
 		}
 	}
-	pass(0, time.Second)
+	run(0, time.Second)
 	show()
-	gone = all["north"].Known().Holder.Name
+	gone = leases["north"].Known().Holder.Name
 	fmt.Println(gone, "is gone")
-	pass(time.Second, 3*time.Second)
+	run(time.Second, 3*time.Second)
 	show()
 	// Output:
 	// north knows south followed by west step 0
--- a/internal/control/lease/explore_test.go
+++ b/internal/control/lease/explore_test.go
@@ -20,20 +20,22 @@
 
 const replicas = 3
 
-// model is three replicas, what is on its way between them, and what has befallen them. It can be copied at any point.
+// model is a system of three replicas with the messages in flight between them and the faults that have occurred. It
+// can be copied at any point.
 type model struct {
 	nodes  [replicas]place
 	mail   []letter
-	cut    [replicas][replicas]bool
-	lives  int64
+	cut    [replicas][replicas]bool // pairs of replicas whose connection is down
+	lives  int64                    // number of starts of replicas so far
 	unixMS uint64
-	claims map[peerlink.Term]peerlink.Duty // all ever made
-	left   budget
-	path   []string
-	fault  string
+	claims map[peerlink.Term]peerlink.Duty // all claims ever made, by term
+	left   budget                          // events that may still occur
+	path   []string                        // labels of the actions so far
+	fault  string                          // the first violated invariant; empty: none
 	plant  *planted
 }
 
+// testReplica is a replica of a model.
 type place struct {
 	s      *Lease
 	now    time.Duration
@@ -42,12 +44,13 @@
 	work   Work
 }
 
+// envelope is a message in flight.
 type letter struct {
 	from, to peerlink.Seat
 	duty     peerlink.Duty
 }
 
-// budget is how often something may still befall the replicas.
+// eventBudget is how often each kind of event may still occur.
 type budget struct{ ticks, lost, twice, kills, cuts, leaves int8 }
 
 var usual = budget{ticks: 4, lost: 2, twice: 1, kills: 1, cuts: 1, leaves: 1}
@@ -66,7 +69,7 @@
 	if m.lives < replicas || m.plant == nil || !m.plant.oneLife {
 		m.lives++
 	}
-	m.unixMS += 100 // whoever has come back was away for more than a millisecond
+	m.unixMS += 100 // a restart takes more than a millisecond
 	n := &m.nodes[i]
 	*n = place{s: New("duty", peerlink.Seat{Name: name(i), Life: m.lives}, "z"+name(i%2)), up: true}
 	n.work = Work{Period: 500 * time.Millisecond, Asked: -500 * time.Millisecond}
@@ -77,6 +80,7 @@
 	}
 }
 
+// exchangeGreetings puts the greetings of a new connection in flight.
 func (m *model) greet(i, j int) {
 	a, b := m.nodes[i].s, m.nodes[j].s
 	m.mail = append(m.mail, letter{a.self, b.self, a.Greet()}, letter{b.self, a.self, b.Greet()})
@@ -110,7 +114,7 @@
 	return &c
 }
 
-// say puts what a replica tells on its way and looks at what it claims.
+// send puts the messages of a replica in flight and checks what it claims.
 func (m *model) say(i int, out []Tell) {
 	n := m.nodes[i].s
 	if m.plant != nil && m.plant.after != nil {
@@ -127,43 +131,45 @@
 	m.claimed(n.known)
 }
 
-// claimed holds a claim against all made before it: one holder, and one successor, in a term.
+// checkClaim compares a claim with all earlier ones: a term has one holder and one successor.
 func (m *model) claimed(d peerlink.Duty) {
 	if d.Term == (peerlink.Term{}) {
 		return
 	}
-	c := peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
-	if old, ok := m.claims[d.Term]; ok && old != c && m.fault == "" {
-		m.fault = fmt.Sprintf("two claims of one term: %v and %v", old, c)
+	claim := peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
+	if old, ok := m.claims[d.Term]; ok && old != claim && m.fault == "" {
+		m.fault = fmt.Sprintf("two claims of one term: %v and %v", old, claim)
 	}
-	m.claims[d.Term] = c
+	m.claims[d.Term] = claim
 }
 
+// deliver hands a message to its receiver and checks that no outdated term is accepted.
 func (m *model) deliver(l letter) {
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		from := slices.IndexFunc(m.nodes[:], func(x place) bool { return x.s.self == l.from })
 		if n.s.self != l.to || from < 0 || !m.linked(i, from) {
-			continue // its connection is over
+			continue // the connection is down
 		}
-		was := n.s.known.Term
+		before := n.s.known.Term
 		if m.plant != nil && m.plant.before != nil {
 			m.plant.before(n.s, &l.duty)
 		}
-		takes := l.duty.Holder == l.from && n.s.Takes(l.duty.Term)
+		accepts := l.duty.Holder == l.from && n.s.Takes(l.duty.Term)
 		m.say(i, n.s.Hear(m.view(i), l.from, l.duty))
-		if m.fault == "" && (takes && was.Above(l.duty.Term) && l.duty.Term != peerlink.Term{} || was.Above(n.s.known.Term)) {
-			m.fault = fmt.Sprintf("%s takes a word of %v after %v", name(i), l.duty.Term, was)
+		if m.fault == "" && (accepts && before.Above(l.duty.Term) && l.duty.Term != peerlink.Term{} || before.Above(n.s.known.Term)) {
+			m.fault = fmt.Sprintf("%s accepts a message of term %v after %v", name(i), l.duty.Term, before)
 		}
 	}
 }
 
-// action is one thing that may happen next.
+// action is one event that may occur next.
 type action struct {
 	what string
 	do   func(m *model)
 }
 
+// actions returns all events that may occur next.
 func (m *model) actions() (all []action) {
 	add := func(what string, do func(m *model)) { all = append(all, action{what, do}) }
 	for k, l := range m.mail {
@@ -224,10 +230,10 @@
 	}
 }
 
-// key tells states apart. Spans of time count as far as they make a difference.
+// key identifies a state. Durations are included only as far as they make a difference: rounded, and up to 3 seconds.
 func (m *model) key() string {
 	var b []byte
-	span := func(d time.Duration) {
+	duration := func(d time.Duration) {
 		b = binary.AppendVarint(b, int64(min(max(d, 0), 3*time.Second)/(50*time.Millisecond)))
 	}
 	seat := func(s peerlink.Seat) { b = append(append(b, s.Name...), byte(s.Life)) }
@@ -253,10 +259,10 @@
 		flags(n.up, n.leaves, n.s.left, n.s.asked, m.cut[i][0], m.cut[i][1])
 		seat(n.s.self)
 		duty(n.s.known)
-		span(n.now - n.s.heard)
-		span(n.now - n.s.told)
-		span(n.now - n.s.named)
-		span(n.now - n.s.askedAt)
+		duration(n.now - n.s.heard)
+		duration(n.now - n.s.told)
+		duration(n.now - n.s.named)
+		duration(n.now - n.s.askedAt)
 		b = binary.AppendUvarint(binary.AppendUvarint(b, n.s.voted), n.s.asking)
 		b = binary.AppendUvarint(b, n.s.seen)
 		for k := range m.nodes {
@@ -276,17 +282,18 @@
 	return fmt.Sprint(string(b), m.left, strings.Join(mail, "|"))
 }
 
-// Bounds of what holds once nothing more befalls the replicas.
+// Timing of a run without further faults.
 const (
-	way       = 20 * time.Millisecond
-	calmSlice = 10 * time.Millisecond
+	way       = 20 * time.Millisecond // delay of each message
+	calmSlice = 10 * time.Millisecond // time between two steps
 	calmFor   = 6 * time.Second
-	mostGap   = 1900 * time.Millisecond // between two turns of the work, the first one after the last trouble included
-	lastPart  = 2 * time.Second         // of the calm, by which all has settled
+	mostGap   = 1900 * time.Millisecond // maximum time between two runs of the task, measured from the last fault on
+	lastPart  = 2 * time.Second         // at the end of the run, when the system must have settled
 )
 
-// calm lets time pass without trouble and tells what is wrong: all that runs is to hear of a turn of the work again and
-// again, where a majority is connected; and in the end one does it that all know, where all are.
+// runUndisturbed lets time pass without faults and returns what is wrong, if anything. Where a majority is connected,
+// every running replica must keep learning of runs of the task. If heal is true, all replicas are started and
+// connected first; in the end exactly one then runs the task, and all know it as the holder.
 func (m *model) calm(heal bool) string {
 	m = m.copy()
 	if heal {
@@ -301,13 +308,13 @@
 			}
 		}
 	}
-	type due struct {
-		at time.Duration
-		l  letter
+	type delayed struct {
+		at       time.Duration
+		envelope letter
 	}
-	var later []due
+	var pending []delayed
 	var last, gap [replicas]time.Duration
-	turns := [replicas]int{}
+	runs := [replicas]int{}
 	for t := time.Duration(0); t < calmFor; t += calmSlice {
 		for i := range m.nodes {
 			n := &m.nodes[i]
@@ -318,7 +325,7 @@
 			if n.now >= n.s.Due(m.view(i), n.work) && (n.s.Holds() || m.plant == nil || !m.plant.claimed) {
 				n.work.Asked, n.work.Heard, last[i] = n.now, n.now, t
 				if t >= calmFor-lastPart {
-					turns[i]++
+					runs[i]++
 				}
 				term := peerlink.Term{}
 				if n.s.Holds() {
@@ -335,43 +342,43 @@
 			gap[i] = max(gap[i], t-last[i])
 		}
 		for _, l := range m.mail {
-			later = append(later, due{t + way, l})
+			pending = append(pending, delayed{t + way, l})
 		}
 		m.mail = nil
-		for len(later) > 0 && later[0].at <= t {
-			m.deliver(later[0].l)
-			later = later[1:]
+		for len(pending) > 0 && pending[0].at <= t {
+			m.deliver(pending[0].envelope)
+			pending = pending[1:]
 		}
 	}
 	if m.fault != "" {
 		return m.fault
 	}
-	holders, all := 0, 0
+	holders, running := 0, 0
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		if !n.up || n.leaves {
 			continue
 		}
-		all++
+		running++
 		if gap[i] > mostGap {
-			return fmt.Sprintf("%s hears of no turn for %v", name(i), gap[i])
+			return fmt.Sprintf("%s learns of no run of the task for %v", name(i), gap[i])
 		}
 		if n.s.Holds() {
 			holders++
-		} else if turns[i] > 0 && heal {
-			return fmt.Sprintf("%s still does without a claim what another does", name(i))
+		} else if runs[i] > 0 && heal {
+			return fmt.Sprintf("%s still runs the task without holding the duty", name(i))
 		}
 		if heal && n.s.known != m.nodes[0].s.known {
 			return fmt.Sprintf("%s and %s know different holders", name(i), name(0))
 		}
 	}
-	if whole := heal || all == replicas && !m.cut[1][0] && !m.cut[2][0] && !m.cut[2][1]; whole && holders != 1 {
+	if allConnected := heal || running == replicas && !m.cut[1][0] && !m.cut[2][0] && !m.cut[2][1]; allConnected && holders != 1 {
 		return fmt.Sprintf("%d holders", holders)
 	}
 	return ""
 }
 
-// settled is a farm whose duty is held.
+// settledModel lets the replicas run until one holds the duty.
 func settled(m *model) *model {
 	for range 60 {
 		for i := range m.nodes {
@@ -387,15 +394,17 @@
 	return m
 }
 
-// explore tries all orders of what may happen, and returns how many states it saw, and the first fault with its path.
-func explore(begin *model, deep int, calms int) (states int, fault string) {
+// explore tries all orders of events up to a length. It returns how many states it visited and the first violated
+// invariant with its path. From every state whose number is a multiple of recoveryEvery it also checks that the system
+// recovers without further faults.
+func explore(begin *model, maxDepth int, recoveryEvery int) (states int, violation string) {
 	seen := map[string]bool{begin.key(): true}
-	front := []*model{begin}
-	for d := 0; d <= deep && len(front) > 0; d++ {
+	frontier := []*model{begin}
+	for d := 0; d <= maxDepth && len(frontier) > 0; d++ {
 		var next []*model
-		for _, m := range front {
+		for _, m := range frontier {
 			states++
-			if states%calms == 0 && m.fault == "" {
+			if states%recoveryEvery == 0 && m.fault == "" {
 				if m.fault = m.calm(true); m.fault == "" {
 					m.fault = m.calm(false)
 				}
@@ -403,7 +412,7 @@
 			if m.fault != "" {
 				return states, m.fault + "\n" + strings.Join(m.path, "\n")
 			}
-			if d == deep {
+			if d == maxDepth {
 				continue
 			}
 			for _, a := range m.actions() {
@@ -418,11 +427,12 @@
 				next = append(next, c)
 			}
 		}
-		front = next
+		frontier = next
 	}
 	return states, ""
 }
 
+// All short sequences of events, from the first start and from a settled system.
 func TestAllOrders(t *testing.T) {
 	for what, begin := range map[string]*model{"first start": newModel(usual, nil), "settled": settled(newModel(usual, nil))} {
 		states, fault := explore(begin, *depth, 53)
@@ -433,14 +443,15 @@
 
 var walks = flag.Int("steward.walks", 60, "long random orders that are played")
 
-// walk plays one long order by chance, more of everything, and ends in calm.
-func walk(seed uint64, p *planted) *model {
+// randomWalk plays one long random sequence of events, with more faults than explore, and then lets the system run
+// without faults.
+func walk(seed uint64, fault *planted) *model {
 	m := newModel(budget{}, nil)
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	if rnd.IntN(2) == 0 {
 		m = settled(m)
 	}
-	m.left, m.plant = budget{ticks: 30, lost: 5, twice: 5, kills: 3, cuts: 3, leaves: 2}, p
+	m.left, m.plant = budget{ticks: 30, lost: 5, twice: 5, kills: 3, cuts: 3, leaves: 2}, fault
 	for range 60 {
 		all := m.actions()
 		if len(all) == 0 || m.fault != "" {
@@ -458,6 +469,7 @@
 	return m
 }
 
+// Long random sequences of events keep the invariants, and the system recovers afterwards.
 func TestLongOrders(t *testing.T) {
 	for seed := range uint64(*walks) {
 		m := walk(seed, nil)
--- a/internal/control/lease/planted_test.go
+++ b/internal/control/lease/injected_faults_test.go
@@ -9,16 +9,18 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// planted is a fault: it changes what a replica sees, what it is told, or its state and words after a step.
+// injectedFault is a deliberate fault: it changes what a replica sees, a statement that it receives, or its state and
+// messages after a step.
 type planted struct {
-	oneLife bool // whoever comes back is held for whom it was
-	claimed bool // nobody does the work without a claim
+	oneLife bool // a restarted replica keeps its incarnation, so that others take it for the earlier one
+	claimed bool // only the holder runs the task
 	view    func(v *View)
 	before  func(s *Lease, d *peerlink.Duty)
 	after   func(s *Lease, v View, out []Tell) []Tell
 }
 
-// Each fault breaks what the explorer looks at. Without them it finds nothing (TestLongOrders).
+// Every injected fault violates an invariant that the explorer checks. TestRandomWalks shows that it finds no
+// violation without them.
 func TestPlantedFaults(t *testing.T) {
 	rename := func(s *Lease, out []Tell, change func(d *peerlink.Duty)) []Tell {
 		if s.Holds() {
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -8,85 +8,87 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of a duty.
+// Timeouts and intervals of a duty.
 const (
-	Heartbeat = 600 * time.Millisecond // between two words of a holder at most
-	Silence   = 900 * time.Millisecond // without a word a holder is taken for lost
-	Unlinked  = 500 * time.Millisecond // and one that is not connected either
-	Stagger   = 300 * time.Millisecond // between the attempts of one and the next in rank
-	askEvery  = 400 * time.Millisecond
-	nameless  = time.Second // a successor that is gone for so long is replaced by another
-	never     = time.Duration(1) << 62
+	Heartbeat = 600 * time.Millisecond // maximum time between two messages of a holder
+	Silence   = 900 * time.Millisecond // a holder that is silent for so long is considered lost
+	Unlinked  = 500 * time.Millisecond // the shorter timeout for a holder that is also disconnected
+	Stagger   = 300 * time.Millisecond // delay between the attempts of replicas of successive ranks
+	askEvery  = 400 * time.Millisecond // between two requests for votes, plus the delay by rank
+	nameless  = time.Second            // a successor that is disconnected for so long is replaced
+	never     = time.Duration(1) << 62 // a time that is never reached
 )
 
-// Peer is another replica that is connected and does not leave.
+// Peer is another replica that is connected and is not leaving.
 type Peer struct {
 	peerlink.Seat
 	Zone    string
 	Elector bool // its vote counts
 }
 
-// View is what a replica knows at a moment.
+// View is what a replica knows of itself and of its peers at one moment.
 type View struct {
-	Now      time.Duration // of its steady clock
-	UnixMS   uint64        // its time of day
+	Now      time.Duration // monotonic time
+	UnixMS   uint64        // time of day, in milliseconds of Unix time
 	Peers    []Peer
-	Elector  bool // its own vote counts
-	Electors int  // how many there are, those out of reach included
+	Elector  bool // this replica's own vote counts
+	Electors int  // number of all replicas whose votes count, including unreachable ones
 }
 
-// Tell is a word that is to be told.
+// Message is a statement that is to be sent.
 type Tell struct {
-	To   string // empty: to all peers
+	To   string // name of the receiver; empty: all peers
 	Duty peerlink.Duty
 }
 
-// Lease is one replica's part in a duty. It is not safe for use by several goroutines.
+// Lease is one replica's view of and part in a duty. It is not safe for concurrent use.
 type Lease struct {
 	duty string
 	self peerlink.Seat
 	zone string
 
-	known   peerlink.Duty // the highest term, its holder and the next one
-	heard   time.Duration // when the holder last spoke, or was first told of
-	told    time.Duration // of a holder: when it last spoke
-	named   time.Duration // of a holder: when its successor was last connected
-	left    bool
-	voted   uint64 // the highest epoch that this replica voted for, in this life
-	seen    uint64 // the highest that anybody did, as far as was heard
-	asking  uint64 // the epoch that it wants; 0: none
-	askedAt time.Duration
-	asked   bool
-	votes   map[string]bool
+	known   peerlink.Duty   // the highest known term, its holder and its successor
+	heard   time.Duration   // when the holder last sent a message, or first became known
+	told    time.Duration   // if this replica is the holder: when it last sent a message to all
+	named   time.Duration   // if this replica is the holder: when its successor was last connected
+	left    bool            // this replica has given up its part for good
+	voted   uint64          // the highest epoch that this replica has voted for since its start
+	seen    uint64          // the highest epoch known that any replica has voted for
+	asking  uint64          // the epoch for which this replica requests votes; 0: none
+	askedAt time.Duration   // when this replica last requested votes
+	asked   bool            // whether requestedAt is set
+	votes   map[string]bool // replicas that voted for candidateEpoch
 }
 
-// New makes a replica's part in a duty.
+// New returns the part of the replica self, which is in zone, in a duty.
 func New(duty string, self peerlink.Seat, zone string) *Lease {
 	return &Lease{duty: duty, self: self, zone: zone}
 }
 
-// Holds tells whether this replica has the duty.
+// Holds reports whether this replica holds the duty.
 func (s *Lease) Holds() bool { return !s.left && s.known.Holder == s.self }
 
-// Known is the term that holds as far as this replica knows, with its holder and the next one.
+// Known returns the newest term that this replica knows, with its holder and successor.
 func (s *Lease) Known() peerlink.Duty { return s.known }
 
-// Takes tells whether a word given in a term is to be heeded. The zero term claims nothing, so it is.
+// AcceptsTerm reports whether a message sent in term t is to be processed, that is, whether the term is not outdated.
+// The zero term claims nothing and is always accepted.
 func (s *Lease) Takes(t peerlink.Term) bool { return t == peerlink.Term{} || !s.known.Term.Above(t) }
 
-// Greet is what a replica that has just been connected is told.
+// Greeting returns the statement to send to a replica that has just connected.
 func (s *Lease) Greet() peerlink.Duty { return s.word() }
 
+// statement returns what this replica knows of the duty.
 func (s *Lease) word() peerlink.Duty {
 	d := s.known
 	d.Voted = max(s.seen, s.voted)
 	return d
 }
 
-// Spoke notes that the holder has told its word to all.
+// NoteAnnounced records that the holder has sent a statement to all peers.
 func (s *Lease) Spoke(now time.Duration) { s.told = now }
 
-// Rank is this replica's among all that are connected.
+// Rank returns this replica's rank among all connected replicas.
 func (s *Lease) Rank(v View) int { return s.rank(v, func(Peer) bool { return true }) }
 
 func (s *Lease) rank(v View, counts func(Peer) bool) int {
@@ -99,11 +101,12 @@
 	return Rank(s.duty, s.self.Name, names)
 }
 
+// rankDelay returns the delay that this replica's rank among the connected replicas with a vote causes.
 func (s *Lease) turn(v View) time.Duration {
 	return time.Duration(s.rank(v, func(p Peer) bool { return p.Elector })) * Stagger
 }
 
-// majority tells whether enough electors are connected for a vote.
+// isMajorityConnected reports whether enough replicas with a vote are connected for an election.
 func (s *Lease) majority(v View) bool {
 	n := 0
 	for _, p := range v.Peers {
@@ -117,13 +120,13 @@
 	return enough(n, v.Electors)
 }
 
-func enough(n, of int) bool { return n >= of/2+1 }
+func enough(n, total int) bool { return n >= total/2+1 }
 
 func connected(v View, who peerlink.Seat) bool {
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who })
 }
 
-// follows is when this replica, the next one, takes the duty over.
+// takeoverTime returns when this replica, being the successor, takes over the duty.
 func (s *Lease) follows(v View) time.Duration {
 	if !connected(v, s.known.Holder) {
 		return s.heard + Unlinked
@@ -131,12 +134,12 @@
 	return s.heard + Silence
 }
 
-// wants is when this replica asks for a vote; never: it has no reason to.
+// electionTime returns when this replica requests votes, or never if it has no reason to.
 func (s *Lease) wants(v View) time.Duration {
 	if !v.Elector || !s.majority(v) {
 		return never
 	}
-	at := s.heard + Silence + Stagger + s.turn(v) // the next one has its chance first
+	at := s.heard + Silence + Stagger + s.turn(v) // the successor may take over first
 	switch {
 	case s.Holds():
 		if at = s.named + nameless; s.pick(v) == (peerlink.Seat{}) {
@@ -146,12 +149,12 @@
 		at = s.turn(v)
 	}
 	if s.asked {
-		at = max(at, s.askedAt+askEvery+s.turn(v)) // of those who ask against each other the first in rank does so more often
+		at = max(at, s.askedAt+askEvery+s.turn(v)) // among competing candidates, the first in rank retries most often
 	}
 	return at
 }
 
-// Wake is when Step has something to do, if nothing is heard before.
+// NextStep returns when Step has something to do next, unless a message arrives before.
 func (s *Lease) Wake(v View) time.Duration {
 	switch {
 	case s.left:
@@ -167,7 +170,7 @@
 	return s.wants(v)
 }
 
-// Step does what is due.
+// Step does what is due at v.Now and returns the messages to send.
 func (s *Lease) Step(v View) (out []Tell) {
 	if s.left {
 		return nil
@@ -188,63 +191,66 @@
 	return out
 }
 
-// follow takes over as the successor that was named.
+// takeOver begins the next term as the successor named by the holder, without a vote.
 func (s *Lease) follow(v View) Tell {
 	t := s.known.Term
 	t.Step++
 	return s.take(v, t)
 }
 
-// take begins a term, and names its successor, once for all of it.
+// startTerm makes this replica the holder in a new term. It names the successor, which stays the same for the whole
+// term.
 func (s *Lease) take(v View, t peerlink.Term) Tell {
 	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.pick(v)}
 	s.heard, s.told, s.named, s.asking = v.Now, v.Now, v.Now, 0
 	return Tell{Duty: s.word()}
 }
 
-// pick is who is to follow this replica: an elector, of another zone where there is one.
+// chooseSuccessor returns the replica to name as successor: one that has a vote, preferably in another zone. It is the
+// zero Seat if there is none.
 func (s *Lease) pick(v View) peerlink.Seat {
-	var fit []Peer
+	var candidates []Peer
 	for _, p := range v.Peers {
 		if p.Elector {
-			fit = append(fit, p)
+			candidates = append(candidates, p)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return peerlink.Seat{}
 	}
-	near := func(p Peer) int {
+	sameZone := func(p Peer) int {
 		if p.Zone == s.zone {
 			return 1
 		}
 		return 0
 	}
-	return slices.MinFunc(fit, func(a, b Peer) int {
-		return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(weight(s.duty, b.Name), weight(s.duty, a.Name)), cmp.Compare(a.Name, b.Name))
+	return slices.MinFunc(candidates, func(a, b Peer) int {
+		return cmp.Or(cmp.Compare(sameZone(a), sameZone(b)), cmp.Compare(weight(s.duty, b.Name), weight(s.duty, a.Name)), cmp.Compare(a.Name, b.Name))
 	}).Seat
 }
 
-// ask wants the votes of all. An epoch is the time of day where that is higher than the next number: votes are not on
-// disk, and one who has come back may vote again, but not for the number of a moment before.
+// requestVotes asks all peers for their vote in a new epoch and votes for itself. The epoch is at least the time of
+// day in milliseconds: votes are not stored on disk, so a replica that restarts may vote again, but not for an epoch
+// of the moment before.
 func (s *Lease) ask(v View) []Tell {
 	s.asked, s.askedAt = true, v.Now
 	s.asking = max(max(s.known.Term.Epoch, s.voted, s.seen)+1, v.UnixMS)
 	s.voted, s.votes = s.asking, map[string]bool{s.self.Name: true}
-	word := s.word()
-	word.Ask = s.asking
-	out := []Tell{{Duty: word}}
+	statement := s.word()
+	statement.Ask = s.asking
+	out := []Tell{{Duty: statement}}
 	if enough(len(s.votes), v.Electors) {
 		out = append(out, s.take(v, peerlink.Term{Epoch: s.asking}))
 	}
 	return out
 }
 
-// Hear takes in another replica's word.
+// Receive processes a statement from another replica and returns the messages to send in response.
 func (s *Lease) Hear(v View, from peerlink.Seat, d peerlink.Duty) (out []Tell) {
 	if s.left {
 		return nil
 	}
-	own := d.Holder == from
+	fromHolder := d.Holder == from
 	s.seen = max(s.seen, d.Voted, d.Ask)
 	switch {
 	case s.over(d):
@@ -254,22 +260,22 @@
 			s.asking = 0
 		}
 	case d.Term == s.known.Term && d.Holder == s.known.Holder:
-		if own {
+		if fromHolder {
 			s.heard = v.Now
 		}
-	case own || d.Ask > 0:
-		out = append(out, Tell{To: from.Name, Duty: s.word()}) // it is behind
+	case fromHolder || d.Ask > 0:
+		out = append(out, Tell{To: from.Name, Duty: s.word()}) // the sender's knowledge is outdated
 	}
-	if own && d.Yields && d.Term == s.known.Term && s.known.Next == s.self {
+	if fromHolder && d.Yields && d.Term == s.known.Term && s.known.Next == s.self {
 		out = append(out, s.follow(v))
 	}
 	if s.grants(v, from, d) {
 		s.voted = d.Ask
-		word := s.word()
-		word.Vote = d.Ask
-		out = append(out, Tell{To: from.Name, Duty: word})
+		answer := s.word()
+		answer.Vote = d.Ask
+		out = append(out, Tell{To: from.Name, Duty: answer})
 	} else if d.Ask > 0 && len(out) == 0 {
-		out = append(out, Tell{To: from.Name, Duty: s.word()}) // it learns what is higher
+		out = append(out, Tell{To: from.Name, Duty: s.word()}) // refuses the vote and reports the higher epoch or the holder
 	}
 	if d.Vote > 0 && d.Vote == s.asking && s.asking > s.known.Term.Epoch && s.elector(v, from) {
 		s.votes[from.Name] = true
@@ -280,18 +286,20 @@
 	return out
 }
 
-// over tells whether a word tells of more than is known. Two holders of one term there are only where a voter came
-// back, and voted again, in the same millisecond; or while a clock is ahead. Then all agree on one by name.
+// supersedesKnown reports whether a statement takes precedence over what is known. One term can have two holders only
+// if a voter restarted and voted again in the same millisecond, or while a clock is ahead. All replicas then agree on
+// one holder by comparing names.
 func (s *Lease) over(d peerlink.Duty) bool {
 	return d.Term.Above(s.known.Term) || d.Term == s.known.Term && d.Holder.Name > s.known.Holder.Name
 }
 
+// canVote reports whether a replica is connected and has a vote.
 func (s *Lease) elector(v View, who peerlink.Seat) bool {
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who && p.Elector })
 }
 
-// grants tells whether to vote for one who asks: once in an epoch, and, but for the holder itself, only where the
-// holder is silent here too.
+// grantsVote reports whether to vote for a replica that requests votes. A replica votes once in an epoch and, unless
+// the holder itself asks, only if the holder is silent or disconnected here too.
 func (s *Lease) grants(v View, from peerlink.Seat, d peerlink.Duty) bool {
 	if d.Ask <= s.voted || d.Ask <= s.known.Term.Epoch || !v.Elector || s.Holds() {
 		return false
@@ -299,17 +307,18 @@
 	return from == s.known.Holder || s.known.Term == peerlink.Term{} || v.Now >= s.heard+Unlinked && !connected(v, s.known.Holder) || v.Now >= s.heard+Silence
 }
 
-// Yield tells the next one to take over now; nothing where there is no next one. Until it has, this replica holds on.
+// Yield returns the message that asks the successor to take over now, or nothing if there is no successor. This
+// replica stays the holder until the successor has taken over.
 func (s *Lease) Yield() []Tell {
 	if !s.Holds() || s.known.Next == (peerlink.Seat{}) {
 		return nil
 	}
-	word := s.word()
-	word.Yields = true
-	return []Tell{{Duty: word}}
+	statement := s.word()
+	statement.Yields = true
+	return []Tell{{Duty: statement}}
 }
 
-// Leave gives the duty up for good: this replica ends.
+// Leave gives up the duty for good, because this replica is shutting down, and returns the messages to send.
 func (s *Lease) Leave() []Tell {
 	out := s.Yield()
 	s.left = true
--- a/internal/control/lease/rank.go
+++ b/internal/control/lease/rank.go
@@ -2,12 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank is a replica's place, from 0, among those named: each has a weight drawn from the duty's name and its own, and the
-// highest comes first.
-func Rank(duty, self string, all []string) (rank int) {
-	mine := weight(duty, self)
-	for _, name := range all {
-		if w := weight(duty, name); name != self && (w > mine || w == mine && name < self) {
+// Rank returns the position of self, from 0, among itself and all other named replicas. Each replica has a weight
+// hashed from the name of the duty and its own name; the highest weight comes first.
+func Rank(duty, self string, others []string) (rank int) {
+	own := weight(duty, self)
+	for _, name := range others {
+		if w := weight(duty, name); name != self && (w > own || w == own && name < self) {
 			rank++
 		}
 	}
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,7 +1,6 @@
-// Package membership says which replicas are to be the voters of the next state,
-// without I/O. A replica joins as learner and becomes a voter once it holds all
-// that is decided; a voter that leaves in order, or that is gone for good, makes
-// room for one that has caught up. One voter at most changes in a decision.
+// Package membership decides which replicas are to be the voters of the next state, without I/O. A replica joins as a
+// learner and becomes a voter once it holds everything that is decided. A voter that leaves in order or is gone for
+// good is replaced by a learner that has caught up. One decision adds at most one voter and removes at most one.
 package membership
 
 import (
@@ -12,36 +11,35 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// Bounds of the set of voters, and how long one is waited for.
+// Bounds of the set of voters, and timeouts for changing it.
 const (
-	MostVoters    = 9                       // more make decisions slower and bear no more losses than they need to
-	LeastVoters   = 3                       // a set of so many is not made smaller: two bear the loss of none
-	AliveWithin   = 900 * time.Millisecond  // whoever was heard since is there
-	CalmFor       = time.Second             // all voters have been there for so long before one more joins: else it may replace one
-	ReplacedAfter = 2500 * time.Millisecond // of silence, where one that has caught up waits to be a voter
-	RemovedAfter  = 8 * time.Second         // of silence, where none waits
+	MostVoters    = 9                       // more voters slow decisions down without tolerating more losses than necessary
+	LeastVoters   = 3                       // a set of this size is not reduced further: two voters tolerate no loss
+	AliveWithin   = 900 * time.Millisecond  // a replica that was heard within this time is alive
+	CalmFor       = time.Second             // all voters must be alive for so long before one is added: it may be needed as a replacement
+	ReplacedAfter = 2500 * time.Millisecond // of silence, if a learner that has caught up is available
+	RemovedAfter  = 8 * time.Second         // of silence, if no learner is available
 )
 
-// Member is a replica as another one sees it.
+// Member is a replica as another replica sees it.
 type Member struct {
 	state.Voter
-	Eligible bool          // its disk may count
+	Eligible bool          // it may become a voter: its disk is fit to count in a majority
 	CaughtUp bool          // it knows the newest decided state
-	Leaving  bool          // it has said that it ends
-	Silent   time.Duration // since it was heard last
+	Leaving  bool          // it has announced that it is shutting down
+	Silent   time.Duration // time since its last message
 }
 
 func (m Member) alive() bool { return m.Silent < AliveWithin }
 
-// Change is what the next state is to do with the voters.
+// Change is a change of the voters for the next state.
 type Change struct {
-	Add    *state.Voter // nil: nobody is added
-	Remove string       // the ID of the one that goes; empty: nobody does
+	Add    *state.Voter // nil if no voter is added
+	Remove string       // ID of the voter to remove; empty if none is removed
 	Why    string
 }
 
-// Apply returns the voters after the change; ok is false where it does not fit
-// them any more.
+// Apply returns the voters after the change. ok is false if the change no longer fits the given voters.
 func (c Change) Apply(voters []state.Voter) (after []state.Voter, ok bool) {
 	has := func(id string) bool {
 		return slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == id })
@@ -60,34 +58,33 @@
 	return after, len(after) > 0
 }
 
-// Next is the change that a replica with this view proposes; ok is false where
-// there is none. Members are all replicas that were heard, the one that asks
-// included, and voters that were not, with the time since then. Calm is for how long
-// all voters have been alive.
-func Next(voters []state.Voter, members []Member, calm time.Duration) (c Change, ok bool) {
-	seen := map[string]Member{}
+// NextChange returns the change that a replica with this view proposes; ok is false if there is none. members are all
+// replicas that were heard, including the caller, and all voters that were not, with the time since their last
+// message. stableFor is how long all voters have been alive.
+func Next(voters []state.Voter, members []Member, stableFor time.Duration) (c Change, ok bool) {
+	byID := map[string]Member{}
 	for _, m := range members {
-		seen[m.ID] = m
+		byID[m.ID] = m
 	}
 	candidates := candidatesOf(voters, members)
 	if c, ok := sameMachine(voters, candidates); ok {
 		return c, true
 	}
-	gone, isGone := longestGone(voters, seen)
-	if len(candidates) > 0 && isGone && (gone.Leaving || gone.Silent >= ReplacedAfter) {
-		return Change{Add: &candidates[0], Remove: gone.ID, Why: "replaces " + gone.ID}, true
+	absent, found := longestGone(voters, byID)
+	if len(candidates) > 0 && found && (absent.Leaving || absent.Silent >= ReplacedAfter) {
+		return Change{Add: &candidates[0], Remove: absent.ID, Why: "replaces " + absent.ID}, true
 	}
-	if len(candidates) > 0 && !isGone && len(voters) < MostVoters && calm >= CalmFor {
+	if len(candidates) > 0 && !found && len(voters) < MostVoters && stableFor >= CalmFor {
 		return Change{Add: &candidates[0], Why: "has caught up"}, true
 	}
-	if isGone && len(voters) > LeastVoters && (gone.Leaving || gone.Silent >= RemovedAfter) {
-		return Change{Remove: gone.ID, Why: "has gone"}, true
+	if found && len(voters) > LeastVoters && (absent.Leaving || absent.Silent >= RemovedAfter) {
+		return Change{Remove: absent.ID, Why: "has gone"}, true
 	}
 	return Change{}, false
 }
 
-// Resign is the change that a voter which ends proposes for itself; ok is false
-// where too few others would be left.
+// Resign returns the change that a voter proposes for itself when it shuts down; ok is false if too few other voters
+// would be left.
 func Resign(voters []state.Voter, members []Member, self string) (c Change, ok bool) {
 	if !slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == self }) {
 		return Change{}, false
@@ -98,27 +95,27 @@
 	return Change{Remove: self, Why: "ends"}, len(voters) > LeastVoters
 }
 
-// candidatesOf are the learners that may become voters, in a fixed order: those of zones with the fewest voters first, so
-// that the loss of a zone takes few of them.
+// findCandidates returns the learners that may become voters, in a fixed order: those in zones with the fewest voters
+// first, so that the loss of a zone affects few voters.
 func candidatesOf(voters []state.Voter, members []Member) (all []state.Voter) {
-	in := map[string]int{} // voters by zone
+	votersInZone := map[string]int{}
 	for _, m := range members {
 		isVoter := slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == m.ID })
 		if isVoter {
-			in[m.Zone]++ // the members know it of voters of the first start too
+			votersInZone[m.Zone]++ // the zone is taken from the members, since voters named at the first start have none
 		}
 		if !isVoter && m.ID != "" && m.Eligible && m.CaughtUp && !m.Leaving && m.alive() {
 			all = append(all, m.Voter)
 		}
 	}
 	slices.SortFunc(all, func(a, b state.Voter) int {
-		return cmp.Or(cmp.Compare(in[a.Zone], in[b.Zone]), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(votersInZone[a.Zone], votersInZone[b.Zone]), cmp.Compare(a.ID, b.ID))
 	})
 	return all
 }
 
-// sameMachine replaces a voter whose machine is back with another disk: it can't
-// come again.
+// replaceSameMachine replaces a voter whose machine has come back with another disk, since a voter with the old disk
+// cannot return.
 func sameMachine(voters, candidates []state.Voter) (Change, bool) {
 	for i := range candidates {
 		for _, v := range voters {
@@ -130,30 +127,29 @@
 	return Change{}, false
 }
 
-// longestGone is the voter that leaves, else the one that has been silent for
-// longest.
-func longestGone(voters []state.Voter, seen map[string]Member) (gone Member, is bool) {
+// longestAbsent returns a voter that is leaving or, if there is none, the voter that has been silent for longest.
+func longestGone(voters []state.Voter, byID map[string]Member) (absent Member, found bool) {
 	for _, v := range voters {
-		m, heard := seen[v.ID]
-		if !heard || m.alive() && !m.Leaving {
+		m, known := byID[v.ID]
+		if !known || m.alive() && !m.Leaving {
 			continue
 		}
-		if !is || m.Leaving && !gone.Leaving || m.Leaving == gone.Leaving && m.Silent > gone.Silent {
-			gone, is = m, true
+		if !found || m.Leaving && !absent.Leaving || m.Leaving == absent.Leaving && m.Silent > absent.Silent {
+			absent, found = m, true
 		}
 	}
-	return gone, is
+	return absent, found
 }
 
-// AllAlive tells whether all voters are there.
+// AllAlive reports whether all voters are alive.
 func AllAlive(voters []state.Voter, members []Member) bool {
-	seen := map[string]Member{}
+	byID := map[string]Member{}
 	for _, m := range members {
-		seen[m.ID] = m
+		byID[m.ID] = m
 	}
-	return allAlive(voters, seen)
+	return allAlive(voters, byID)
 }
 
-func allAlive(voters []state.Voter, seen map[string]Member) bool {
-	return !slices.ContainsFunc(voters, func(v state.Voter) bool { m, heard := seen[v.ID]; return !heard || !m.alive() })
+func allAlive(voters []state.Voter, byID map[string]Member) bool {
+	return !slices.ContainsFunc(voters, func(v state.Voter) bool { m, known := byID[v.ID]; return !known || !m.alive() })
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -13,12 +13,12 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// voter is one whose machine is named by the start of its ID.
+// voter returns a voter whose machine is the ID without its trailing digits.
 func voter(id string) state.Voter {
 	return state.Voter{ID: id, Inner: strings.TrimRight(id, "0123456789")}
 }
 
-// machine is the name of one of any number of machines.
+// machineName returns the name of the machine with this number.
 func machine(i int) string { return strings.Repeat("z", i/20) + string(rune('a'+i%20)) }
 
 func voters(ids ...string) (all []state.Voter) {
@@ -28,40 +28,40 @@
 	return all
 }
 
-// at is a member that was heard so long ago; one that has caught up and may be a voter.
+// memberSilentFor returns a member that is eligible and has caught up, and whose last message is so long ago.
 func at(id string, silent time.Duration) Member {
 	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, Silent: silent}
 }
 
 func TestNext(t *testing.T) {
 	const long, calm = ReplacedAfter, CalmFor
-	leaves := at("c", 0)
-	leaves.Leaving = true
+	leaving := at("c", 0)
+	leaving.Leaving = true
 	behind, observer := at("d", 0), at("d", 0)
 	behind.CaughtUp, observer.Eligible = false, false
-	all := func(more ...Member) []Member { return append([]Member{at("a", 0), at("b", 0)}, more...) }
+	withAAndB := func(more ...Member) []Member { return append([]Member{at("a", 0), at("b", 0)}, more...) }
 	for name, x := range map[string]struct {
 		voters  []state.Voter
 		members []Member
 		calm    time.Duration
 		want    string
 	}{
-		"nothing to do":                 {voters("a", "b", "c"), all(at("c", 0)), calm, ""},
-		"one joins":                     {voters("a", "b", "c"), all(at("c", 0), at("d", 0)), calm, "+d"},
-		"not before all are calm":       {voters("a", "b", "c"), all(at("c", 0), at("d", 0)), calm - 1, ""},
-		"not before it has caught up":   {voters("a", "b", "c"), all(at("c", 0), behind), calm, ""},
-		"nor one whose disk is none":    {voters("a", "b", "c"), all(at("c", 0), observer), calm, ""},
-		"not while one is silent":       {voters("a", "b", "c"), all(at("c", AliveWithin), at("d", 0)), 0, ""},
-		"it replaces one that is gone":  {voters("a", "b", "c"), all(at("c", long), at("d", 0)), 0, "+d-c"},
-		"or one that leaves":            {voters("a", "b", "c"), all(leaves, at("d", 0)), calm, "+d-c"},
-		"its own machine's old disk":    {voters("a", "b", "c1"), all(at("c1", 0), at("c2", 0)), 0, "+c2-c1"},
-		"none leaves three":             {voters("a", "b", "c"), all(leaves), calm, ""},
-		"nor is removed from them":      {voters("a", "b", "c"), all(at("c", RemovedAfter)), 0, ""},
-		"one leaves four":               {voters("a", "b", "c", "d"), all(leaves, at("d", 0)), calm, "-c"},
-		"one is gone from four":         {voters("a", "b", "c", "d"), all(at("c", RemovedAfter), at("d", 0)), 0, "-c"},
-		"not before it is for long":     {voters("a", "b", "c", "d"), all(at("c", long), at("d", 0)), 0, ""},
-		"who leaves goes before silent": {voters("a", "b", "c", "d"), all(leaves, at("d", RemovedAfter)), 0, "-c"},
-		"one that was never heard":      {voters("a", "b", "c"), all(at("d", 0)), 0, ""},
+		"nothing to do":                 {voters("a", "b", "c"), withAAndB(at("c", 0)), calm, ""},
+		"one joins":                     {voters("a", "b", "c"), withAAndB(at("c", 0), at("d", 0)), calm, "+d"},
+		"not before all are calm":       {voters("a", "b", "c"), withAAndB(at("c", 0), at("d", 0)), calm - 1, ""},
+		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(at("c", 0), behind), calm, ""},
+		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(at("c", 0), observer), calm, ""},
+		"not while one is silent":       {voters("a", "b", "c"), withAAndB(at("c", AliveWithin), at("d", 0)), 0, ""},
+		"it replaces one that is gone":  {voters("a", "b", "c"), withAAndB(at("c", long), at("d", 0)), 0, "+d-c"},
+		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, at("d", 0)), calm, "+d-c"},
+		"its own machine's old disk":    {voters("a", "b", "c1"), withAAndB(at("c1", 0), at("c2", 0)), 0, "+c2-c1"},
+		"none leaves three":             {voters("a", "b", "c"), withAAndB(leaving), calm, ""},
+		"nor is removed from them":      {voters("a", "b", "c"), withAAndB(at("c", RemovedAfter)), 0, ""},
+		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, at("d", 0)), calm, "-c"},
+		"one is gone from four":         {voters("a", "b", "c", "d"), withAAndB(at("c", RemovedAfter), at("d", 0)), 0, "-c"},
+		"not before it is for long":     {voters("a", "b", "c", "d"), withAAndB(at("c", long), at("d", 0)), 0, ""},
+		"who leaves goes before silent": {voters("a", "b", "c", "d"), withAAndB(leaving, at("d", RemovedAfter)), 0, "-c"},
+		"one that was never heard":      {voters("a", "b", "c"), withAAndB(at("d", 0)), 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, ok := Next(x.voters, x.members, x.calm)
@@ -78,31 +78,31 @@
 }
 
 func TestNoZoneHoldsAMajorityOfTheVoters(t *testing.T) {
-	var now []state.Voter
+	var current []state.Voter
 	var members []Member
-	for i := range 15 { // five in each zone, and the first start's voters all in the first, which they don't tell
+	for i := range 15 { // five per zone; the voters of the first start are all in the first zone, which their records do not name
 		m := at(machine(i), 0)
 		if m.Zone = fmt.Sprint("z", i/5); i < 3 {
-			now = append(now, m.Voter)
-			now[i].Zone = ""
+			current = append(current, m.Voter)
+			current[i].Zone = ""
 		}
 		members = append(members, m)
 	}
-	for c, ok := Next(now, members, CalmFor); ok; c, ok = Next(now, members, CalmFor) {
-		now, _ = c.Apply(now)
+	for c, ok := Next(current, members, CalmFor); ok; c, ok = Next(current, members, CalmFor) {
+		current, _ = c.Apply(current)
 	}
-	in := map[string]int{}
-	for _, v := range now {
-		in[v.Zone]++
+	votersInZone := map[string]int{}
+	for _, v := range current {
+		votersInZone[v.Zone]++
 	}
-	assert.Assert(t, len(now) == MostVoters && in["z1"] == 3 && in["z2"] == 3, "%v", in)
+	assert.Assert(t, len(current) == MostVoters && votersInZone["z1"] == 3 && votersInZone["z2"] == 3, "%v", votersInZone)
 }
 
 func TestResign(t *testing.T) {
 	_, ok := Resign(voters("a", "b", "c"), []Member{at("a", 0), at("b", 0), at("c", 0)}, "c")
-	assert.Assert(t, !ok) // two would bear no loss
+	assert.Assert(t, !ok) // the two voters left would tolerate no loss
 	_, ok = Resign(voters("a", "b", "c"), nil, "d")
-	assert.Assert(t, !ok) // it is none
+	assert.Assert(t, !ok) // d is not a voter
 	c, ok := Resign(voters("a", "b", "c"), []Member{at("d", 0)}, "c")
 	assert.Assert(t, ok && c.Add.ID == "d" && c.Remove == "c")
 	c, ok = Resign(voters("a", "b", "c", "d"), nil, "c")
@@ -112,7 +112,7 @@
 func TestApply(t *testing.T) {
 	d := voter("d")
 	_, ok := Change{Add: &d, Remove: "x"}.Apply(voters("a", "b", "c"))
-	assert.Assert(t, !ok) // another change came before it
+	assert.Assert(t, !ok) // x is no longer a voter
 	_, ok = Change{Add: &d}.Apply(voters("a", "d"))
 	assert.Assert(t, !ok)
 	after, ok := Change{Add: &d, Remove: "c"}.Apply(voters("a", "b", "c"))
@@ -120,26 +120,26 @@
 	assert.DeepEqual(t, after, voters("a", "b", "d"))
 }
 
-// Machines fail, come back with and without their disks, are cut off and replaced, by chance. Whatever the view, a change
-// touches one voter on each side, keeps three, makes no majority of voters that are not there where there was one of those
-// that are, and once all is calm the voters are those who are there.
+// Machines fail, return with or without their disks, are cut off and are replaced, at random. Whatever the view, a
+// change adds and removes at most one voter, keeps at least three, and does not turn a set with a majority alive into
+// one without. Once nothing else happens, all voters are alive.
 func TestRandomViews(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		n := 3 + rnd.IntN(3)
-		var now []state.Voter
+		var current []state.Voter
 		for i := range n {
-			now = append(now, voter(machine(i)+"0"))
+			current = append(current, voter(machine(i)+"0"))
 		}
 		members := map[string]*Member{}
-		for _, v := range now {
+		for _, v := range current {
 			m := at(v.ID, 0)
 			members[v.ID] = &m
 		}
-		born := n
+		machines := n
 		for range 40 {
 			down := 0
-			for _, v := range now {
+			for _, v := range current {
 				if m := members[v.ID]; m == nil || !m.alive() {
 					down++
 				}
@@ -147,20 +147,20 @@
 			if ids := keys(members); down == 0 && rnd.IntN(2) == 0 {
 				id := ids[rnd.IntN(len(ids))]
 				switch rnd.IntN(3) {
-				case 0: // it lost its disk
+				case 0: // the machine lost its disk and returns with another one
 					members[id].Silent = RemovedAfter
-					m := at(fmt.Sprint(members[id].Inner, born), 0)
+					m := at(fmt.Sprint(members[id].Inner, machines), 0)
 					members[m.ID] = &m
-				case 1: // gone for good, another machine comes
+				case 1: // the machine is gone for good and a new one joins
 					members[id].Silent = RemovedAfter
-					m := at(machine(born)+"0", 0)
+					m := at(machine(machines)+"0", 0)
 					members[m.ID] = &m
 				case 2:
 					members[id].Silent = AliveWithin
 				}
-				born++
+				machines++
 			}
-			c, ok := Next(now, list(members), CalmFor)
+			c, ok := Next(current, list(members), CalmFor)
 			for _, m := range members {
 				if m.Silent < ReplacedAfter {
 					m.Silent = 0
@@ -169,28 +169,28 @@
 			if !ok {
 				continue
 			}
-			after, fits := c.Apply(now)
+			after, fits := c.Apply(current)
 			assert.Assert(t, fits)
-			assert.Assert(t, len(after) >= min(len(now), LeastVoters) && len(after) <= MostVoters, "seed %d: %v after %v", seed, after, now)
-			if majority(now, members) {
+			assert.Assert(t, len(after) >= min(len(current), LeastVoters) && len(after) <= MostVoters, "seed %d: %v after %v", seed, after, current)
+			if majority(current, members) {
 				assert.Assert(t, majority(after, members), "seed %d: %+v leaves no majority", seed, c)
 			}
-			now = after
+			current = after
 		}
 		for range 10 {
-			c, ok := Next(now, list(members), CalmFor)
+			c, ok := Next(current, list(members), CalmFor)
 			if !ok {
 				break
 			}
-			now, _ = c.Apply(now)
+			current, _ = c.Apply(current)
 		}
 		alive := 0
-		for _, v := range now {
+		for _, v := range current {
 			if m := members[v.ID]; m != nil && m.alive() {
 				alive++
 			}
 		}
-		assert.Assert(t, alive == len(now) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(now), now, list(members))
+		assert.Assert(t, alive == len(current) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(current), current, list(members))
 	}
 }
 
--- a/internal/control/orderlog/doc.go
+++ b/internal/control/orderlog/doc.go
@@ -1,3 +1,3 @@
-// Package orderlog keeps notches of what was ordered over restarts, where their
-// loss does no harm.
+// Package orderlog keeps a log of operators' orders across restarts of a replica. The log is informational: losing
+// entries does no harm.
 package orderlog
--- a/internal/control/orderlog/orderlog.go
+++ b/internal/control/orderlog/orderlog.go
@@ -15,50 +15,48 @@
 	"pepperfall.example/pepperfall/api"
 )
 
-// Bounds of a tally.
+// Bounds of a log.
 const (
-	mostWaiting = 64   // orders to be written; more are lost
-	mostKept    = 4096 // on disk; older ones are removed at the start
+	mostWaiting = 64   // orders waiting to be written; further ones are dropped
+	mostKept    = 4096 // orders kept on disk; older ones are removed at the start
 	memTable    = 256 << 10
 	cache       = 256 << 10
 	openFiles   = 32
-	syncAfter   = 500 * time.Millisecond // an order's acknowledgement waits for the disk too
+	syncAfter   = 500 * time.Millisecond // delays syncs, as the acknowledgements of orders wait for the same disk
 )
 
-// Tally writes orders down in the background, so that a disk in trouble holds
-// nobody up.
+// Log writes orders to disk in the background, so that a slow or failing disk blocks no caller.
 type Tally struct {
 	log   logr.Logger
 	todo  chan api.Order
 	quit  chan struct{}
 	done  chan struct{}
 	store *pebble.DB
-	next  uint64
+	next  uint64 // key of the next entry
 }
 
-// Open begins to open the tally in a folder after a time, and calls told with
-// the newest orders of before, oldest first, once it is open. A tally that
-// can't be opened keeps nothing.
-func Open(fs vfs.FS, dir string, after time.Duration, most int, log logr.Logger, told func([]api.Order)) *Tally {
+// Open opens the log in the folder dir in the background, after a delay. Once the log is open it calls onOpen with up
+// to maxRead of the newest earlier orders, oldest first. If the log cannot be opened, it keeps nothing.
+func Open(fs vfs.FS, dir string, delay time.Duration, maxRead int, log logr.Logger, onOpen func([]api.Order)) *Tally {
 	t := &Tally{log: log, todo: make(chan api.Order, mostWaiting), quit: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(t.done)
 		select {
-		case <-time.After(after):
+		case <-time.After(delay):
 		case <-t.quit:
 			return
 		}
 		if err := t.open(fs, dir); err != nil {
-			log.Info("no tally of orders", "why", err.Error())
+			log.Info("cannot open the order log", "why", err.Error())
 			return
 		}
-		told(t.read(most))
+		onOpen(t.read(maxRead))
 		t.run()
 	}()
 	return t
 }
 
-// Note writes an order down when the disk gets to it.
+// Append queues an order to be written. It never blocks; the order is dropped if the queue is full.
 func (t *Tally) Note(o api.Order) {
 	select {
 	case t.todo <- o:
@@ -66,7 +64,7 @@
 	}
 }
 
-// Close ends the tally; it waits for the disk at most d.
+// Close ends the log. It waits at most d for pending writes.
 func (t *Tally) Close(d time.Duration) {
 	close(t.quit)
 	select {
@@ -78,47 +76,47 @@
 func (t *Tally) open(fs vfs.FS, dir string) error {
 	blocks := pebble.NewCache(cache)
 	defer blocks.Unref()
-	// With a file system of its own it has no watcher that ticks.
+	// Pebble starts no periodic disk health check for a file system that the caller passes.
 	opts := func() *pebble.Options {
 		return &pebble.Options{FS: fs, Cache: blocks, MemTableSize: memTable, MaxOpenFiles: openFiles, FormatMajorVersion: pebble.FormatNewest, Logger: quiet{t.log}}
 	}
 	var err error
 	if t.store, err = pebble.Open(dir, opts()); pebble.IsCorruptionError(err) {
-		t.log.Info("tally spoilt, begun anew", "why", err.Error())
+		t.log.Info("order log is corrupt, starting a new one", "why", err.Error())
 		if err = fs.RemoveAll(dir); err == nil {
 			t.store, err = pebble.Open(dir, opts())
 		}
 	}
-	return errors.Wrap(err, "tally")
+	return errors.Wrap(err, "order log")
 }
 
-// read is the newest orders, oldest first; it removes those that are too old.
-func (t *Tally) read(most int) []api.Order {
+// read returns up to maxRead of the newest orders, oldest first, and removes all but the newest maxKept from disk.
+func (t *Tally) read(maxRead int) []api.Order {
 	it, err := t.store.NewIter(nil)
 	if err != nil {
-		t.log.Info("tally not read", "why", err.Error())
+		t.log.Info("cannot read the order log", "why", err.Error())
 		return nil
 	}
 	var all []api.Order
-	kept := 0
+	count := 0
 	var last []byte
-	for ok := it.Last(); ok && kept < mostKept; ok = it.Prev() {
-		if kept == 0 && len(it.Key()) == 8 {
+	for ok := it.Last(); ok && count < mostKept; ok = it.Prev() {
+		if count == 0 && len(it.Key()) == 8 {
 			t.next = binary.BigEndian.Uint64(it.Key()) + 1
 		}
 		var o api.Order
-		if kept++; len(all) < most && json.Unmarshal(it.Value(), &o) == nil {
+		if count++; len(all) < maxRead && json.Unmarshal(it.Value(), &o) == nil {
 			all = append(all, o)
 		}
 		last = append(last[:0], it.Key()...)
 	}
 	if it.Valid() {
 		if err := t.store.DeleteRange(make([]byte, 8), last, pebble.NoSync); err != nil {
-			t.log.Info("tally not shortened", "why", err.Error())
+			t.log.Info("cannot remove old entries of the order log", "why", err.Error())
 		}
 	}
 	if err := it.Close(); err != nil {
-		t.log.Info("tally not read", "why", err.Error())
+		t.log.Info("cannot read the order log", "why", err.Error())
 	}
 	slices.Reverse(all)
 	return all
@@ -135,14 +133,14 @@
 		case <-sync:
 			sync = nil
 			if err := t.store.LogData(nil, pebble.Sync); err != nil {
-				t.log.Info("tally not synced", "why", err.Error())
+				t.log.Info("cannot sync the order log", "why", err.Error())
 			}
 		case <-t.quit:
 			open = false
 		}
 	}
 	if err := t.store.Close(); err != nil {
-		t.log.Info("tally not closed", "why", err.Error())
+		t.log.Info("cannot close the order log", "why", err.Error())
 	}
 }
 
@@ -152,22 +150,22 @@
 		err = t.store.Set(binary.BigEndian.AppendUint64(nil, t.next), value, pebble.NoSync)
 	}
 	if t.next++; err != nil {
-		t.log.Info("order not noted", "why", err.Error())
+		t.log.Info("cannot write an order to the order log", "why", err.Error())
 	}
 }
 
-// quiet lets the library's lines go into the ring.
+// pebbleLogger passes error lines of the database to the replica's log.
 type quiet struct{ log logr.Logger }
 
 func (q quiet) Infof(string, ...any) {}
 
 func (q quiet) Errorf(format string, args ...any) {
-	q.log.Info("tally in trouble", "why", fmt.Sprintf(format, args...))
+	q.log.Info("order log database reports an error", "why", fmt.Sprintf(format, args...))
 }
 
-// Fatalf must not return, and a full disk is no reason for a replica to end: the
-// library's goroutine stops here, and nothing is noted any more.
+// Fatalf must not return, but a full disk is no reason to end the replica. It blocks the calling goroutine of the
+// database for good, and nothing is written to the log any more.
 func (q quiet) Fatalf(format string, args ...any) {
-	q.log.Info("tally given up", "why", fmt.Sprintf(format, args...))
+	q.log.Info("order log database failed, no more orders are logged", "why", fmt.Sprintf(format, args...))
 	select {}
 }
--- a/internal/control/quorum/acceptor.go
+++ b/internal/control/quorum/acceptor.go
@@ -2,18 +2,18 @@
 
 import "pepperfall.example/pepperfall/internal/control/state"
 
-// Ballot numbers an attempt to decide a version. A process never uses one ballot
-// twice; the zero one is below all.
+// Ballot numbers an attempt to decide a version. A process never uses the same ballot twice. The zero Ballot is below
+// all others.
 type Ballot struct {
 	Round    uint64
-	Proposer string // one life of one process
+	Proposer string // identifies one run of one process
 }
 
-// FirstRound is the round that needs no promises: nothing below it can have been accepted. Only the proposer of the
-// version before may use it, and for one value only, so a version has one such ballot.
+// FirstRound is the round that needs no promises, because nothing can have been accepted below it. Only the proposer
+// of the previous version may use it, and for one value only, so each version has at most one such ballot.
 const FirstRound = 1
 
-// Above tells whether b goes before o.
+// Above reports whether b takes precedence over o.
 func (b Ballot) Above(o Ballot) bool {
 	if b.Round != o.Round {
 		return b.Round > o.Round
@@ -21,33 +21,33 @@
 	return b.Proposer > o.Proposer
 }
 
-// Record is what a replica keeps on disk. A message of this package that speaks
-// of it leaves the replica only once the record is synced.
+// Record is what a replica keeps on disk. A message of this package that depends on the record must not leave the
+// replica before the record is synced.
 type Record struct {
-	ID       string      // of this disk; no other disk ever has it
-	Decided  state.State // the newest that this replica knows
-	Promised Ballot      // for the version after Decided
-	Accepted Ballot      // for the version after Decided; zero: nothing
-	Value    *state.State
+	ID       string       // identity of the disk, never reused for another one
+	Decided  state.State  // the newest decided state that this replica knows
+	Promised Ballot       // for the version after Decided
+	Accepted Ballot       // for the version after Decided; zero if nothing is accepted
+	Value    *state.State // the value accepted under Accepted
 }
 
-// Prepare asks an acceptor to promise that it accepts nothing below a ballot for a
-// version, and to tell what it has accepted.
+// Prepare asks an acceptor to promise that it will accept nothing below a ballot for a version, and to report what it
+// has accepted.
 type Prepare struct {
 	Version uint64
 	Ballot  Ballot
 }
 
-// Promise answers Prepare.
+// Promise is the answer to Prepare.
 type Promise struct {
-	ID       string // of the acceptor's disk
+	ID       string // identity of the acceptor's disk
 	Granted  bool
-	Promised Ballot         // where it is not granted: the ballot that stands against it
-	Accepted Ballot         // where it is granted: of Value
-	Value    *state.State   // accepted for this version; nil: nothing
-	Decided  *state.State   // where that version is decided already: the newest decided state
+	Promised Ballot         // if not granted: the higher ballot that was promised
+	Accepted Ballot         // if granted: the ballot of Value
+	Value    *state.State   // accepted for this version; nil if nothing is
+	Decided  *state.State   // the newest decided state, if this version is already decided
 	Version  uint64         // the newest decided version that the acceptor knows
-	Holds    []state.Digest // configurations on its disk
+	Holds    []state.Digest // configurations on the acceptor's disk
 }
 
 // Accept asks an acceptor to accept a value for a version.
@@ -57,25 +57,25 @@
 	Value   state.State
 }
 
-// Acceptance answers Accept.
+// Acceptance is the answer to Accept.
 type Acceptance struct {
 	ID       string
 	Granted  bool
-	Promised Ballot       // where it is not granted
-	Decided  *state.State // where that version is decided already: the newest decided state
+	Promised Ballot       // if not granted: the higher ballot that was promised
+	Decided  *state.State // the newest decided state, if this version is already decided
 	Version  uint64       // the newest decided version that the acceptor knows
 }
 
-// Report tells how far a replica is.
+// Report states how up to date a replica is.
 type Report struct {
 	ID       string
-	Version  uint64 // of the newest decided state that it knows
+	Version  uint64 // of the newest decided state that the replica knows
 	Config   state.ConfigID
-	Accepted Ballot       // of Value
-	Value    *state.State // what it has accepted for the next version; nil: nothing
+	Accepted Ballot       // ballot of Value
+	Value    *state.State // accepted for the next version; nil if nothing is
 }
 
-// Prepare answers a proposer's first message.
+// HandlePrepare answers the message of the first phase.
 func (r *Record) Prepare(p Prepare) Promise {
 	m := Promise{ID: r.ID, Version: r.Decided.Version}
 	switch {
@@ -83,7 +83,7 @@
 		decided := r.Decided
 		m.Decided = &decided
 	case p.Version > r.Decided.Version+1:
-		// The voters of that version are not known here: this replica catches up first.
+		// The voters of that version are unknown here: this replica must catch up first.
 	case r.Promised.Above(p.Ballot):
 		m.Promised = r.Promised
 	default:
@@ -93,8 +93,8 @@
 	return m
 }
 
-// Accept answers a proposer's second message. The configuration that the value
-// names has to be on the replica's disk with the record.
+// HandleAccept answers the message of the second phase. The configuration that the value names must be synced to the
+// replica's disk together with the record.
 func (r *Record) Accept(a Accept) Acceptance {
 	m := Acceptance{ID: r.ID, Version: r.Decided.Version}
 	switch {
@@ -102,7 +102,7 @@
 		decided := r.Decided
 		m.Decided = &decided
 	case a.Version > r.Decided.Version+1, a.Value.Version != a.Version:
-		// As above; or no proposer of ours made this.
+		// Either this replica must catch up first, or the message is malformed.
 	case r.Promised.Above(a.Ballot):
 		m.Promised = r.Promised
 	default:
@@ -113,8 +113,8 @@
 	return m
 }
 
-// Learn takes over a decided state and tells whether it is newer than what was
-// known. What was promised and accepted for a version that is decided is over.
+// Learn stores a decided state and reports whether it is newer than the known one. Promises and accepted values of the
+// decided version are dropped.
 func (r *Record) Learn(s state.State) bool {
 	if s.Version <= r.Decided.Version {
 		return false
@@ -124,7 +124,7 @@
 	return true
 }
 
-// Report tells how far this replica is.
+// Report returns how up to date this replica is.
 func (r *Record) Report() Report {
 	return Report{ID: r.ID, Version: r.Decided.Version, Config: r.Decided.Config, Accepted: r.Accepted, Value: r.Value}
 }
--- a/internal/control/quorum/explore_test.go
+++ b/internal/control/quorum/explore_test.go
@@ -19,13 +19,13 @@
 	mostStates = flag.Int("quorum.states", 500, "how many states of each model are visited in order, at most")
 )
 
-// stepsOfWalk is how long a walk is at most.
+// stepsPerWalk is the maximum length of a random walk.
 const stepsOfWalk = 60
 
-// walksForFaults are enough to find each fault that is planted.
+// walksPerInjectedFault is enough to find every injected fault.
 const walksForFaults = 40_000
 
-// rules are the steps of the protocol, each of which a test may break on purpose.
+// rules are the steps of the protocol. A test may replace any of them to inject a fault.
 type rules struct {
 	prepare   func(r *Record, p Prepare) Promise
 	accept    func(r *Record, a Accept) Acceptance
@@ -33,8 +33,8 @@
 	inherited func(p *Proposal) *state.State
 	decided   func(p *Proposal) bool
 	latest    func(base state.State, reports map[string]Report) bool
-	wiped     func(id string) string          // the identity after a disk was lost
-	crashed   func(before, now Record) Record // what is on disk after a crash; before: at the last message but one
+	wiped     func(id string) string            // identity of a replica after the loss of its disk
+	crashed   func(previous, now Record) Record // what is on disk after a crash; previous is the record before the last message
 }
 
 func sound() rules {
@@ -50,42 +50,42 @@
 	}
 }
 
-// attemptPlan is a proposal that a model may make at any moment, once.
+// plannedProposal is a proposal that a replica of a model may make once, at any moment.
 type attemptPlan struct {
-	by     int    // the replica
-	round  uint64 // FirstRound: without promises, by the proposer of what is decided there
+	by     int    // index of the replica that proposes
+	round  uint64 // FirstRound: without promises, only by the proposer of the state decided at that replica
 	change func(s state.State) state.State
 }
 
-// model is a small system: what may happen in it, in any order.
+// model is a small system, and the events that may happen in it in any order.
 type model struct {
 	voters, replicas int
 	plans            []attemptPlan
 	crashes, wipes   int
-	lossless         bool // no answer is lost
-	deaf             bool // nobody learns but by proposing
-	crashed          int  // the only replica that crashes; 0: any
+	lossless         bool // no reply is lost
+	deaf             bool // replicas learn decided states only by proposing
+	crashed          int  // index of the only replica that crashes; 0: any replica may
 }
 
-// running is a proposal under way.
+// runningProposal is a proposal in progress.
 type running struct {
 	p        *Proposal
 	alive    bool
 	chosen   bool
-	prepared map[int]bool // asked
-	accepted map[int]bool // asked
+	prepared map[int]bool // replicas that were sent the message of the first phase
+	accepted map[int]bool // replicas that were sent the message of the second phase
 	message  Accept
 }
 
-// world is one state of a model.
+// systemState is one state of a model.
 type world struct {
 	records []Record
-	before  []Record // at the last message but one
+	before  []Record // each record before the last message that its replica handled
 	running []*running
 	crashes int
 	wipes   int
-	decided map[uint64]state.State
-	broken  string
+	decided map[uint64]state.State // by version
+	broken  string                 // the first violated invariant; empty: none
 }
 
 func (w *world) clone() *world {
@@ -105,6 +105,7 @@
 	return x
 }
 
+// key returns a hash that identifies the state.
 func (w *world) key() uint64 {
 	b := fnv.New64a()
 	for i := range w.records {
@@ -134,6 +135,7 @@
 
 func voterID(i int) string { return string(rune('a' + i)) }
 
+// start returns the initial state.
 func (m *model) start() *world {
 	var voters []state.Voter
 	for i := range m.voters {
@@ -149,7 +151,8 @@
 	return w
 }
 
-// explore visits states in depth first order, and returns how many, whether they are all, and the first broken invariant.
+// explore visits states in depth-first order, at most the given number of them. It returns how many it visited,
+// whether these are all reachable states, and the first violated invariant.
 func explore(m model, r rules, most int) (states int, all bool, broken string) {
 	first := m.start()
 	seen := map[uint64]bool{first.key(): true}
@@ -172,7 +175,7 @@
 	return len(seen), len(seen) < most, ""
 }
 
-// walk takes steps by chance, from a seed, and returns how many states were met and the first broken invariant.
+// walk makes random walks, with one seed each. It returns how many states it visited and the first violated invariant.
 func walk(m model, r rules, walks int) (states int, broken string) {
 	seen := map[uint64]bool{}
 	for seed := range uint64(walks) {
@@ -193,7 +196,9 @@
 	return len(seen), ""
 }
 
-// check tells what is broken; decisions are checked when they are made.
+// check returns the violated invariant, if any. For each set of replicas whose reports a reader may have, IsLatest
+// must not call a state the latest if a newer one, other than a change of voters, is decided. Decisions are checked in
+// recordDecision.
 func (w *world) check(r *rules) string {
 	if w.broken != "" || len(w.decided) == 1 {
 		return w.broken
@@ -221,9 +226,9 @@
 	return ""
 }
 
-// steps are all that may happen next.
+// steps returns all steps that are possible next.
 func (m *model) steps(w *world, r *rules) (all []func(x *world)) {
-	add := func(does func(x *world)) { all = append(all, does) }
+	add := func(step func(x *world)) { all = append(all, step) }
 	for k := range m.plans {
 		m.stepsOf(w, r, k, add)
 	}
@@ -255,7 +260,7 @@
 	return all
 }
 
-// kill ends the proposals of a replica's process.
+// kill ends the proposals of the process of a replica.
 func (m *model) kill(x *world, i int) {
 	for k, run := range x.running {
 		if run != nil && m.plans[k].by == i {
@@ -264,7 +269,7 @@
 	}
 }
 
-// stepsOf are those of one proposal: a question and its answer are one step, and the answer may be lost.
+// proposalSteps adds the steps of one proposal. A request and its reply are one step; the reply may be lost.
 func (m *model) stepsOf(w *world, r *rules, k int, add func(func(x *world))) {
 	plan, run := &m.plans[k], w.running[k]
 	base := w.records[plan.by].Decided
@@ -333,17 +338,17 @@
 	run.chosen = true
 }
 
-// decide notes a decision and checks it.
+// recordDecision records a decision, if there is one, and checks it against the earlier ones.
 func (x *world) decide(run *running, by int, r *rules) {
 	if !r.decided(run.p) {
 		return
 	}
 	s := *run.p.value
 	run.alive = false
-	if was, ok := x.decided[s.Version]; ok && !(was.Same(s) && was.Proposer == s.Proposer) {
-		x.broken = fmt.Sprintf("two values of version %d: %s and %s", s.Version, brief(&was), brief(&s))
+	if previous, ok := x.decided[s.Version]; ok && !(previous.Same(s) && previous.Proposer == s.Proposer) {
+		x.broken = fmt.Sprintf("two values of version %d: %s and %s", s.Version, brief(&previous), brief(&s))
 	}
-	if was := x.decided[s.Version-1]; !was.Same(run.p.base) {
+	if base := x.decided[s.Version-1]; !base.Same(run.p.base) {
 		x.broken = fmt.Sprintf("version %d follows %s, not what was decided", s.Version, brief(&run.p.base))
 	}
 	x.decided[s.Version] = s
@@ -351,7 +356,7 @@
 	r.learn(&x.records[by], s)
 }
 
-// losses are whether an answer may be lost.
+// replyLossOptions returns the possible values of whether a reply is lost.
 func (m *model) losses() []bool {
 	if m.lossless {
 		return []bool{false}
@@ -359,6 +364,7 @@
 	return []bool{false, true}
 }
 
+// setConfig returns a change that sets the configuration.
 func config(gen uint64) func(s state.State) state.State {
 	return func(s state.State) state.State {
 		s.Config = state.ConfigID{Gen: gen}
@@ -366,7 +372,8 @@
 	}
 }
 
-// replace puts one voter in place of another; an empty one adds or removes.
+// replaceVoter returns a change that replaces the voter old by another one. An empty name adds or removes a voter
+// only.
 func replace(old, by string) func(s state.State) state.State {
 	return func(s state.State) state.State {
 		var after []state.Voter
@@ -398,8 +405,9 @@
 	"five voters":            {voters: 5, replicas: 5, plans: []attemptPlan{{0, 2, config(1)}, {4, 3, config(2)}}},
 }
 
-// In no order of steps, with answers lost, processes killed, disks lost and voters changed, are two values decided for
-// one version, does a decision rest on anything but the decision before it, or does a majority call the latest what is not.
+// In every order of steps, with lost replies, crashes, lost disks and changes of voters: no version is decided with
+// two values, every decision is based on the decision before it, and IsLatest does not report a state as the latest if
+// a newer one is decided.
 func TestNoTwoDecisions(t *testing.T) {
 	for name, m := range models {
 		t.Run(name, func(t *testing.T) {
@@ -413,24 +421,24 @@
 	}
 }
 
-// Each part of the mechanism is needed: without it some order of steps breaks an invariant.
+// Each part of the protocol is necessary: without it, some order of steps violates an invariant.
 func TestPlantedFaults(t *testing.T) {
 	for name, plant := range map[string]struct {
 		in    string
 		plant func(r *rules)
 	}{
 		"a promise is not on disk": {"one forgets", func(r *rules) {
-			r.crashed = func(before, now Record) Record {
-				if now.Promised.Above(before.Promised) && now.Accepted == before.Accepted {
-					return before
+			r.crashed = func(previous, now Record) Record {
+				if now.Promised.Above(previous.Promised) && now.Accepted == previous.Accepted {
+					return previous
 				}
 				return now
 			}
 		}},
 		"an accepted value is not on disk": {"two proposers", func(r *rules) {
-			r.crashed = func(before, now Record) Record {
-				if now.Accepted.Above(before.Accepted) {
-					return before
+			r.crashed = func(previous, now Record) Record {
+				if now.Accepted.Above(previous.Accepted) {
+					return previous
 				}
 				return now
 			}
@@ -460,11 +468,11 @@
 		}},
 		"the value of the lowest ballot is taken over": {"three, none lost", func(r *rules) {
 			r.inherited = func(p *Proposal) *state.State {
-				var least Ballot
+				var lowest Ballot
 				var value *state.State
 				for _, m := range p.promises {
-					if m.Value != nil && (value == nil || least.Above(m.Accepted)) {
-						least, value = m.Accepted, m.Value
+					if m.Value != nil && (value == nil || lowest.Above(m.Accepted)) {
+						lowest, value = m.Accepted, m.Value
 					}
 				}
 				return value
@@ -545,15 +553,15 @@
 	}
 }
 
-// The first round belongs to one proposer, and to one value of its.
+// The explorer must find a violation if one proposer uses the first round for two values.
 func TestFirstRoundTwice(t *testing.T) {
 	m := model{voters: 3, replicas: 3, plans: []attemptPlan{{0, FirstRound, config(1)}, {0, FirstRound, config(2)}}}
 	_, broken := walk(m, sound(), walksForFaults)
 	assert.Assert(t, broken != "")
 }
 
-// Voters were about to change: a majority of the old ones that know of nothing more is not enough, as the new ones may
-// have decided one version more.
+// While a change of voters is being accepted, a majority of the old voters that know of nothing newer is not enough
+// for IsLatest, since the new voters may have decided a further version.
 func TestReadersAskTheVotersThatAreToCome(t *testing.T) {
 	base := state.Genesis([]state.Voter{{ID: "a"}, {ID: "b"}, {ID: "c"}})
 	next := replace("c", "d")(base)
@@ -562,7 +570,7 @@
 		"b": {ID: "b", Version: 1, Accepted: Ballot{Round: 2}, Value: &next},
 		"c": {ID: "c", Version: 1},
 	}
-	assert.Assert(t, !IsLatest(base, reports)) // a and d may be further
+	assert.Assert(t, !IsLatest(base, reports)) // a and d may know a newer version
 	reports["d"] = Report{ID: "d", Version: 1}
 	assert.Assert(t, IsLatest(base, reports))
 	reports["d"] = Report{ID: "d", Version: 2}
@@ -570,5 +578,5 @@
 	changed := config(7)(next)
 	reports["b"] = Report{ID: "b", Version: 1, Accepted: Ballot{Round: 2}, Value: &changed}
 	reports["d"] = Report{ID: "d", Version: 1}
-	assert.Assert(t, !IsLatest(base, reports)) // b may be one of a majority that has decided another configuration
+	assert.Assert(t, !IsLatest(base, reports)) // b may belong to a majority that has decided another configuration
 }
--- a/internal/control/quorum/proposal.go
+++ b/internal/control/quorum/proposal.go
@@ -2,10 +2,11 @@
 
 import "pepperfall.example/pepperfall/internal/control/state"
 
-// Majority is how many of n voters decide.
+// Majority returns how many of n voters are needed to decide.
 func Majority(n int) int { return n/2 + 1 }
 
-// IsMajority tells whether those for whom has holds are a majority of the voters.
+// IsMajority reports whether the voters whose ID satisfies has form a majority of all voters. No voters have no
+// majority.
 func IsMajority(voters []state.Voter, has func(id string) bool) bool {
 	if len(voters) == 0 {
 		return false
@@ -19,36 +20,36 @@
 	return n >= Majority(len(voters))
 }
 
-// Proposal is one attempt, under one ballot, to decide the version after a decided
-// state. It is not safe for use by several goroutines.
+// Proposal is one attempt, under one ballot, to decide the version that follows a decided state. It is not safe for
+// concurrent use.
 type Proposal struct {
 	base     state.State
 	ballot   Ballot
 	promises map[string]Promise
-	value    *state.State
+	value    *state.State // the proposed value; nil until one is chosen
 	accepted map[string]bool
-	refused  map[string]bool
-	outbid   Ballot
-	ahead    *state.State
-	behind   map[string]uint64
+	refused  map[string]bool   // voters of base that have promised a higher ballot
+	outbid   Ballot            // the highest ballot that any acceptor reported
+	ahead    *state.State      // the newest decided state above base that any acceptor reported
+	behind   map[string]uint64 // newest decided version of acceptors that lack base
 }
 
-// Propose begins an attempt.
+// NewProposal starts an attempt to decide the version after base.
 func Propose(base state.State, ballot Ballot) *Proposal {
 	return &Proposal{base: base, ballot: ballot, promises: map[string]Promise{}, accepted: map[string]bool{}, refused: map[string]bool{}, behind: map[string]uint64{}}
 }
 
-// ProposeFirst begins an attempt under FirstRound, which starts with Choose. The proposer has to be the one of base,
-// and must not have used that round for the version after it before.
+// NewFirstRoundProposal starts an attempt under FirstRound, which needs no promises and begins with ChooseValue. The
+// caller must be the proposer of base and must not have used this round for the next version before.
 func ProposeFirst(base state.State) *Proposal {
 	return Propose(base, Ballot{Round: FirstRound, Proposer: base.Proposer})
 }
 
-// Prepare is the first message, for all voters of the base.
+// PrepareMessage returns the message of the first phase, to be sent to all voters of base.
 func (p *Proposal) Prepare() Prepare { return Prepare{Version: p.base.Version + 1, Ballot: p.ballot} }
 
-// Promised takes an answer to Prepare in. Answers of others than the base's
-// voters don't count.
+// HandlePromise processes an answer to the message of the first phase. Answers from replicas that are not voters of
+// base do not count.
 func (p *Proposal) Promised(m Promise) {
 	p.hear(m.ID, m.Promised, m.Decided)
 	if m.Granted {
@@ -58,8 +59,9 @@
 	}
 }
 
+// noteReply records a higher ballot or a newer decided state that an acceptor reports.
 func (p *Proposal) hear(id string, promised Ballot, decided *state.State) {
-	if _, is := p.base.Voter(id); is && promised != (Ballot{}) {
+	if _, ok := p.base.Voter(id); ok && promised != (Ballot{}) {
 		p.refused[id] = true
 	}
 	if promised.Above(p.outbid) {
@@ -70,13 +72,13 @@
 	}
 }
 
-// Prepared tells whether a majority of the base's voters has promised.
+// IsPrepared reports whether a majority of the voters of base has promised.
 func (p *Proposal) Prepared() bool {
 	return IsMajority(p.base.Voters, func(id string) bool { _, ok := p.promises[id]; return ok })
 }
 
-// Inherited is the value that has to be proposed, as a majority may have accepted
-// it already; nil: any value may be.
+// InheritedValue returns the value that must be proposed because a majority may already have accepted it, or nil if
+// any value may be proposed.
 func (p *Proposal) Inherited() *state.State {
 	var ballot Ballot
 	var value *state.State
@@ -88,8 +90,8 @@
 	return value
 }
 
-// Choose sets the value and returns the second message, for all voters of the
-// base and of the value. A value that was inherited goes before v.
+// ChooseValue sets the value and returns the message of the second phase, to be sent to all voters of base and of the
+// value. An inherited value takes precedence over v.
 func (p *Proposal) Choose(v state.State) Accept {
 	if inherited := p.Inherited(); inherited != nil {
 		v = *inherited
@@ -99,7 +101,7 @@
 	return Accept{Version: v.Version, Ballot: p.ballot, Value: v}
 }
 
-// Accepted takes an answer to Accept in.
+// HandleAcceptance processes an answer to the message of the second phase.
 func (p *Proposal) Accepted(m Acceptance) {
 	p.hear(m.ID, m.Promised, m.Decided)
 	if m.Granted {
@@ -109,8 +111,8 @@
 	}
 }
 
-// Decided tells whether the value is decided: by a majority of the voters before
-// it and, so that no later loss that they may bear loses it, of those after it.
+// IsDecided reports whether the value is decided. It must be accepted by a majority of the voters of base and also of
+// the voters that the value names, so that the loss of any minority of the new voters cannot lose the decision.
 func (p *Proposal) Decided() bool {
 	if p.value == nil {
 		return false
@@ -119,22 +121,23 @@
 	return IsMajority(p.base.Voters, has) && IsMajority(p.value.Voters, has)
 }
 
-// Value is what was chosen; nil before Choose.
+// Value returns the chosen value, or nil before ChooseValue.
 func (p *Proposal) Value() *state.State { return p.value }
 
-// Outbid is the highest ballot that stands against this one; zero: none.
+// HigherBallot returns the highest competing ballot that an acceptor has promised, or the zero Ballot if there is
+// none.
 func (p *Proposal) Outbid() Ballot { return p.outbid }
 
-// Ahead is a newer decided state that some acceptor told; nil: none did.
+// NewerDecided returns the newest decided state above base that an acceptor reported, or nil if there is none.
 func (p *Proposal) Ahead() *state.State { return p.ahead }
 
-// Hopeless tells whether this attempt can't succeed any more: the version is decided, or so many have promised
-// another ballot that no majority is left.
+// CannotSucceed reports whether this attempt can no longer succeed: the version is already decided, or so many voters
+// have promised another ballot that no majority is left.
 func (p *Proposal) Hopeless() bool {
 	return p.ahead != nil || len(p.refused) > len(p.base.Voters)-Majority(len(p.base.Voters))
 }
 
-// Holds tells whether an acceptor has said that it has a configuration on its disk.
+// HasConfig reports whether an acceptor has said in its promise that it has a configuration on its disk.
 func (p *Proposal) Holds(id string, config state.ConfigID) bool {
 	for _, d := range p.promises[id].Holds {
 		if d == config.Digest {
@@ -144,13 +147,13 @@
 	return false
 }
 
-// Behind tells whether an acceptor has to catch up with the base before it can vote.
-func (p *Proposal) Behind(id string) bool { _, is := p.behind[id]; return is }
+// IsBehind reports whether an acceptor must catch up with base before it can vote.
+func (p *Proposal) Behind(id string) bool { _, ok := p.behind[id]; return ok }
 
-// IsLatest tells whether nothing but other voters had been decided above base when
-// the reports were asked for. A majority of its voters then knew of nothing above it,
-// and had accepted nothing else for the next version; and where voters were about to
-// change, so it was among those after the change: they had not begun a version more.
+// IsLatest reports whether nothing above base, except changes of the voters, had been decided when the reports were
+// requested. It needs reports from a majority of the voters of base that know of nothing above it and have accepted
+// nothing for the next version but a change of voters. If such a change was being accepted, a majority of the new
+// voters must also know of nothing above base, since they could otherwise have decided a further version on their own.
 func IsLatest(base state.State, reports map[string]Report) bool {
 	knows := func(id string) bool {
 		m, ok := reports[id]
@@ -167,7 +170,7 @@
 	return true
 }
 
-// onlyVoters tells whether two states differ in their voters at most.
+// differOnlyInVoters reports whether two states have the same content apart from their voters.
 func onlyVoters(a, b state.State) bool {
 	b.Voters = a.Voters
 	return a.Same(b)
--- a/internal/control/replicate/replicate.go
+++ b/internal/control/replicate/replicate.go
@@ -1,6 +1,6 @@
-// Package replicate transfers a configuration in pieces, without I/O: a replica
-// that missed any number of changes needs the newest state and one configuration,
-// in bounded messages, and keeps it only if its digest is the one decided.
+// Package replicate transfers a configuration in pieces, without I/O. A replica that has missed any number of changes
+// needs only the newest state and one configuration. It receives the configuration in messages of bounded size and
+// keeps it only if its digest is the decided one.
 package replicate
 
 import (
@@ -11,35 +11,35 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// PieceSize is how many bytes one message carries at most.
+// MaxPieceBytes is the maximum number of bytes that one message carries.
 const PieceSize = 128 << 10
 
-// MostBytes is how large a configuration may be.
+// MaxConfigBytes is the maximum size of a configuration.
 const MostBytes = 7 << 20
 
-// Errors of a transfer. Whoever gets one begins anew, with another replica where
-// there is one.
+// Errors of a transfer. After any of them the transfer must be restarted, with another replica if there is one.
 var (
-	ErrPiece  = errors.New("replicate: a piece that was not asked for")
-	ErrLarge  = errors.New("replicate: larger than a configuration may be")
-	ErrSpoilt = errors.New("replicate: the whole has another digest")
+	ErrPiece  = errors.New("replicate: received a piece that was not requested")
+	ErrLarge  = errors.New("replicate: configuration is empty or exceeds the maximum size")
+	ErrSpoilt = errors.New("replicate: digest of the received configuration does not match")
 )
 
-// Request asks for a piece.
+// Request asks for a piece of a configuration.
 type Request struct {
 	Digest state.Digest
 	Offset int // in bytes
 }
 
-// Piece is a part of a configuration's bytes.
+// Piece is a part of the bytes of a configuration.
 type Piece struct {
 	Digest state.Digest
 	Offset int
-	Total  int // bytes of the whole
+	Total  int // size of the whole configuration in bytes
 	Bytes  []byte
 }
 
-// Cut answers a request from the whole; false: there is no such piece.
+// CutPiece answers a request from the bytes of the whole configuration. It returns false if the offset lies outside of
+// them.
 func Cut(r Request, whole []byte) (Piece, bool) {
 	if r.Offset < 0 || r.Offset >= len(whole) {
 		return Piece{}, false
@@ -48,21 +48,21 @@
 	return Piece{Digest: r.Digest, Offset: r.Offset, Total: len(whole), Bytes: whole[r.Offset:end]}, true
 }
 
-// Transfer puts pieces together. It holds at most the whole.
+// Transfer assembles a configuration from its pieces. It buffers at most MaxConfigBytes.
 type Transfer struct {
 	id    state.ConfigID
 	bytes []byte
-	total int
+	total int // size of the whole configuration in bytes; 0 before the first piece
 }
 
-// Begin starts the transfer of a configuration.
+// NewTransfer starts the transfer of a configuration.
 func Begin(id state.ConfigID) *Transfer { return &Transfer{id: id} }
 
-// Next is what to ask for.
+// NextRequest returns the request for the next piece.
 func (t *Transfer) Next() Request { return Request{Digest: t.id.Digest, Offset: len(t.bytes)} }
 
-// Take adds the piece that was asked for last. It returns the whole once it is
-// complete and has the right digest; an error ends the transfer.
+// AddPiece adds the piece that was requested last. It returns the whole configuration once it is complete and its
+// digest matches, and nil before. An error ends the transfer.
 func (t *Transfer) Take(p Piece) (whole []byte, err error) {
 	switch {
 	case p.Total <= 0 || p.Total > MostBytes:
--- a/internal/control/replicate/replicate_test.go
+++ b/internal/control/replicate/replicate_test.go
@@ -37,13 +37,13 @@
 	}
 }
 
-// A piece that is spoilt, of another configuration, doubled, out of order or too large ends the transfer.
+// A piece that is corrupt, of another configuration, repeated, out of order or too large ends the transfer.
 func TestSpoiltTransfer(t *testing.T) {
 	text, id := whole(3 * PieceSize)
 	other, _ := whole(3*PieceSize + 1)
 	for name, x := range map[string]struct {
-		spoil func(p Piece, k int) Piece
-		err   error
+		change func(p Piece, k int) Piece
+		err    error
 	}{
 		"a byte differs":   {func(p Piece, k int) Piece { return spoilt(p, k == 1) }, ErrSpoilt},
 		"another's digest": {func(p Piece, k int) Piece { p.Digest[0]++; return p }, ErrPiece},
@@ -62,7 +62,7 @@
 			for k := range 4 {
 				p, ok := Cut(transfer.Next(), text)
 				assert.Assert(t, ok, name)
-				got, err := transfer.Take(x.spoil(p, k))
+				got, err := transfer.Take(x.change(p, k))
 				if err != nil {
 					assert.Assert(t, err == x.err, "%v", err)
 					return
@@ -77,8 +77,8 @@
 	assert.Assert(t, !ok)
 }
 
-func spoilt(p Piece, is bool) Piece {
-	if !is {
+func spoilt(p Piece, apply bool) Piece {
+	if !apply {
 		return p
 	}
 	p.Bytes = append([]byte{}, p.Bytes...)
--- a/internal/control/state/order.go
+++ b/internal/control/state/order.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// Order is an operator's order about a zone, a node (OfNode) or a server (OfServer).
-// The higher Count holds: it is the version of the state that decided the order.
+// Order is an operator's order about a zone, a node (see NodeSubject) or a server (see ServerSubject). Of two orders
+// about the same subject the one with the higher Count applies; Count is the version of the state that decided the
+// order.
 type Order struct {
 	Zone  string // the subject
 	Count uint64
 	By    string // the replica that proposed the order
-	Drain bool   // nothing is to be sent to the zone's servers; of a node: it rests
-	Word  string `json:",omitempty"` // of a server: how far it is to be trusted; empty: as all proxies saw
-	Until int64  `json:",omitempty"` // of a server: milliseconds of Unix time until which Word holds
+	Drain bool   // of a zone: send nothing to its servers; of a node: take it out of service
+	Word  string `json:",omitempty"` // of a server: the health that the operator assigns; empty: as observed by the proxies
+	Until int64  `json:",omitempty"` // of a server: end of the validity of Word, in milliseconds of Unix time
 }
 
-// Over tells whether z is to hold in place of y of the same subject. No order has
-// the count 0.
+// Supersedes reports whether z applies instead of y, which has the same subject. Count is at least 1 in every order.
 func (z Order) Over(y Order) bool {
 	if z.Count != y.Count {
 		return z.Count > y.Count
@@ -22,20 +22,20 @@
 	return z.By > y.By
 }
 
-// nodeMark begins the subject of an order about a node; no zone is called so.
+// nodePrefix begins the subject of an order about a node. No zone name begins with it.
 const nodeMark = "node/"
 
-// OfNode is the subject of orders about a node: they are kept and compared as those about zones are.
+// NodeSubject returns the subject of orders about a node. They are stored and compared like those about zones.
 func OfNode(name string) string { return nodeMark + name }
 
-// Node is the node that an order is about; false: it is about something else.
-func (z Order) Node() (name string, is bool) { return strings.CutPrefix(z.Zone, nodeMark) }
+// Node returns the node that the order is about, or false if it is about something else.
+func (z Order) Node() (name string, ok bool) { return strings.CutPrefix(z.Zone, nodeMark) }
 
-// serverMark begins the subject of an order about a server; no zone is called so.
+// serverPrefix begins the subject of an order about a server. No zone name begins with it.
 const serverMark = "server/"
 
-// OfServer is the subject of orders about a life of a server.
+// ServerSubject returns the subject of orders about one incarnation of a server.
 func OfServer(id string) string { return serverMark + id }
 
-// Server is the server that an order is about; false: it is about something else.
-func (z Order) Server() (id string, is bool) { return strings.CutPrefix(z.Zone, serverMark) }
+// Server returns the server that the order is about, or false if it is about something else.
+func (z Order) Server() (id string, ok bool) { return strings.CutPrefix(z.Zone, serverMark) }
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -1,5 +1,5 @@
-// Package state defines what the replicas of the control plane agree on: one
-// value, decided version after version, without a log of how it came about.
+// Package state defines what the replicas of the control plane agree on: one value, decided version by version,
+// without a log of its history.
 package state
 
 import (
@@ -15,10 +15,11 @@
 // Digest is the SHA-256 sum of a configuration's bytes.
 type Digest [32]byte
 
-// MarshalText writes a digest in hexadecimal.
+// MarshalText encodes a digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, d[:]), nil }
 
-// UnmarshalText reads what MarshalText wrote; it fails on any other text.
+// UnmarshalText decodes a digest from hexadecimal. It returns an error for text that is not hexadecimal or has the
+// wrong length.
 func (d *Digest) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil {
@@ -31,47 +32,45 @@
 	return nil
 }
 
-// ConfigID names one configuration: its number and its text. The zero one stands
-// for no configuration.
+// ConfigID identifies one configuration by its number and the digest of its text. The zero ConfigID stands for no
+// configuration.
 type ConfigID struct {
 	Gen    uint64
 	Digest Digest
 }
 
-// Voter is a replica whose disk counts in a majority. Its ID belongs to one disk:
-// a machine that comes back without its disk has another one.
+// Voter is a replica whose disk counts in a majority. The ID belongs to one disk: a machine that comes back without
+// its disk gets another ID.
 type Voter struct {
 	ID    string
-	Name  string // of the machine; empty for one named at the first start only
+	Name  string // of the machine; empty if the voter was only named at the first start
 	Zone  string
 	Inner string // address for other replicas and agents, host and port
 }
 
-// Lock keeps operators who give many orders from crossing each other. The zero
-// one is held by nobody.
+// Lock lets one operator issue several orders without interference from others. The zero Lock is not held.
 type Lock struct {
-	Token   string // known to its holder alone
+	Token   string // known only to the holder
 	Who     string
-	Since   int64         // nanoseconds of Unix time, by the holder's clock
-	For     time.Duration // it may be taken over so long after its last grant
-	Granted uint64        // version of the state that granted or renewed it
+	Since   int64         // nanoseconds of Unix time, on the holder's clock
+	For     time.Duration // after this time since the last grant or renewal, others may take the lock over
+	Granted uint64        // version of the state that granted or last renewed it
 }
 
-// State is the whole of what is decided. States are never changed in place once
-// they were proposed.
+// State is everything that the replicas decide on. A State must not be modified once it was proposed.
 type State struct {
-	Version uint64 // rises by one with each decision; 0: nothing is known
+	Version uint64 // incremented by each decision; 0 if nothing is known
 	Voters  []Voter
 	Config  ConfigID
-	Orders  []Order // by subject
+	Orders  []Order // sorted by subject
 	Lock    Lock
 
-	// Proposer is the life of the process that proposed this state. It alone may propose the version after it under
-	// quorum.FirstRound, without asking for promises.
+	// Proposer identifies the run of the process that proposed this state. Only it may propose the next version under
+	// quorum.FirstRound, which needs no promises.
 	Proposer string
 }
 
-// Genesis is the state before the first decision, known to all from their settings.
+// Genesis returns the state before the first decision, which all replicas know from their settings.
 func Genesis(voters []Voter) State {
 	voters = slices.Clone(voters)
 	sortVoters(voters)
@@ -82,19 +81,19 @@
 	slices.SortFunc(all, func(a, b Voter) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Clone returns a copy that shares nothing with s.
+// Clone returns a copy that shares no memory with s.
 func (s State) Clone() State {
 	s.Voters, s.Orders = slices.Clone(s.Voters), slices.Clone(s.Orders)
 	return s
 }
 
-// Same tells whether two states agree in all that is decided about: not in their version and proposer.
+// SameContent reports whether two states are equal except for their versions and proposers.
 func (s State) Same(o State) bool {
 	return s.Config == o.Config && s.Lock == o.Lock && slices.Equal(s.Voters, o.Voters) && slices.Equal(s.Orders, o.Orders)
 }
 
-// Voter returns the voter of an ID.
-func (s State) Voter(id string) (v Voter, is bool) {
+// Voter returns the voter with the given ID.
+func (s State) Voter(id string) (v Voter, ok bool) {
 	i := slices.IndexFunc(s.Voters, func(v Voter) bool { return v.ID == id })
 	if i < 0 {
 		return Voter{}, false
@@ -102,7 +101,7 @@
 	return s.Voters[i], true
 }
 
-// WithVoters returns a copy with other voters.
+// WithVoters returns a copy of s with the given voters.
 func (s State) WithVoters(voters []Voter) State {
 	s = s.Clone()
 	s.Voters = slices.Clone(voters)
@@ -110,7 +109,7 @@
 	return s
 }
 
-// Order returns the order about a subject; its Count is 0 where there is none.
+// Order returns the order about a subject. Its Count is 0 if there is none.
 func (s State) Order(subject string) Order {
 	i, found := slices.BinarySearchFunc(s.Orders, subject, func(o Order, subject string) int { return cmp.Compare(o.Zone, subject) })
 	if !found {
@@ -119,7 +118,7 @@
 	return s.Orders[i]
 }
 
-// SetOrder puts an order in place of the one about the same subject.
+// SetOrder adds an order and replaces any order about the same subject.
 func (s *State) SetOrder(o Order) {
 	i, found := slices.BinarySearchFunc(s.Orders, o.Zone, func(x Order, subject string) int { return cmp.Compare(x.Zone, subject) })
 	if found {
@@ -129,13 +128,13 @@
 	s.Orders = slices.Insert(s.Orders, i, o)
 }
 
-// mostWithdrawn is how many withdrawn orders about nodes are kept, the newest
-// ones: agents that missed them have reconnected since.
+// maxWithdrawn is how many of the newest withdrawn orders about nodes are kept. Agents that missed older ones have
+// reconnected since.
 const mostWithdrawn = 256
 
-// Prune drops orders that have no effect any more, so that the state does not
-// grow with the number of changes: words on servers that ran out before
-// unixMS, and the oldest withdrawn orders about nodes.
+// Prune drops orders that no longer have any effect, so that the state does not grow with the number of changes:
+// orders about servers that expired before unixMS, in milliseconds of Unix time, and the oldest withdrawn orders about
+// nodes.
 func (s *State) Prune(unixMS int64) {
 	s.Orders = slices.DeleteFunc(s.Orders, func(o Order) bool {
 		_, server := o.Server()
@@ -158,8 +157,8 @@
 	})
 }
 
-// Above tells whether the configuration named by c is to be in force in place of o.
-// A decided number has one text, so the digests only order what was never decided.
+// Above reports whether the configuration c takes precedence over o. Each decided number has exactly one text, so the
+// digests only order configurations that were never decided.
 func (c ConfigID) Above(o ConfigID) bool {
 	if c.Gen != o.Gen {
 		return c.Gen > o.Gen
--- a/internal/control/statestore/doc.go
+++ b/internal/control/statestore/doc.go
@@ -1,3 +1,3 @@
-// Package statestore keeps a replica's state as plain files that are written
-// aside, synced and renamed.
+// Package statestore keeps the state of a replica in plain files. Each file is written under a temporary name, synced
+// and then renamed.
 package statestore
--- a/internal/control/statestore/example_test.go
+++ b/internal/control/statestore/example_test.go
@@ -14,7 +14,7 @@
 
 func Example() {
 	disk := sim.NewDisk(1)
-	life := func(does func(s *statestore.Store, c statestore.Contents)) {
+	run := func(use func(s *statestore.Store, c statestore.Contents)) {
 		s, c, found, err := statestore.Open(disk.Mount(), "/data")
 		if err != nil {
 			fmt.Println(err)
@@ -24,23 +24,23 @@
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); s.Run(ctx) }()
-		does(s, c)
+		use(s, c)
 		stop()
 		<-done
 	}
 	body := []byte(`{"gen":"r7"}`)
 	id := state.ConfigID{Gen: 7, Digest: sha256.Sum256(body)}
-	life(func(s *statestore.Store, c statestore.Contents) {
+	run(func(s *statestore.Store, c statestore.Contents) {
 		c.Record = quorum.Record{ID: "core-1", Decided: state.State{Version: 4, Config: id}}
 		c.Configs[id.Digest] = &peerlink.Configuration{Gen: 7, Digest: id.Digest, Body: body}
 		fmt.Println(s.Wait(context.Background(), s.Put(c)))
 		disk.PowerLoss()
 	})
-	life(func(_ *statestore.Store, c statestore.Contents) {
+	run(func(_ *statestore.Store, c statestore.Contents) {
 		fmt.Println(c.Record.ID, c.Record.Decided.Version, string(c.Configs[id.Digest].Body))
 	})
 	disk.Wipe()
-	life(func(_ *statestore.Store, c statestore.Contents) { fmt.Println(len(c.Configs)) })
+	run(func(_ *statestore.Store, c statestore.Contents) { fmt.Println(len(c.Configs)) })
 	// Output:
 	// whole: false empty: true
 	// <nil>
--- a/internal/control/statestore/file.go
+++ b/internal/control/statestore/file.go
@@ -16,72 +16,74 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// The files. Each begins with a line that tells its kind, the format's number,
-// a number of its own, the SHA-256 and length of the rest, and a checksum of the line.
+// The files. Each begins with a header line: the kind of the file, the number of the format, a number that depends on
+// the kind, the SHA-256 and length of the body in bytes, and a checksum of the line.
 const (
 	recordFile   = "record"  // what this replica has decided, promised and accepted
-	configPrefix = "config-" // begins the names of configurations, each as its operator sent it
-	censusFile   = "census"  // nodes ever seen
-	aside        = ".new"    // ends the name of what is being written
+	configPrefix = "config-" // begins the names of configuration files, which hold the text that the operator sent
+	censusFile   = "census"  // names of all nodes ever seen
+	aside        = ".new"    // ends the names of files that are being written
 	format       = 2
 )
 
-// configName is the file of a configuration.
+// configName returns the name of the file of a configuration.
 func configName(d state.Digest) string { return configPrefix + hex.EncodeToString(d[:16]) }
 
-// configKind is what the first line of every configuration's file says.
+// configKind is the kind in the header line of every configuration file.
 const configKind = "config"
 
+// encodeFile returns the contents of a file: a header line and the body.
 func seal(kind string, number uint64, body []byte) []byte {
-	sum := sha256.Sum256(body)
-	head := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, format, number, hex.EncodeToString(sum[:]), len(body))
-	return append(fmt.Appendf(nil, "%s %08x\n", head, crc32.ChecksumIEEE([]byte(head))), body...)
+	digest := sha256.Sum256(body)
+	header := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, format, number, hex.EncodeToString(digest[:]), len(body))
+	return append(fmt.Appendf(nil, "%s %08x\n", header, crc32.ChecksumIEEE([]byte(header))), body...)
 }
 
-// open undoes seal; anything out of place is an error.
-func open(kind string, all []byte) (number uint64, body []byte, err error) {
-	line, body, found := bytes.Cut(all, []byte("\n"))
+// decodeFile checks the contents of a file against its header line and returns the number and the body. Any mismatch
+// is an error.
+func open(kind string, contents []byte) (number uint64, body []byte, err error) {
+	line, body, found := bytes.Cut(contents, []byte("\n"))
 	if !found {
-		return 0, nil, errors.Errorf("%s: no first line", kind)
+		return 0, nil, errors.Errorf("%s: header line is missing", kind)
 	}
-	text := string(line)
-	at := strings.LastIndexByte(text, ' ')
-	if at < 0 || fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(text[:at]))) != text[at+1:] {
-		return 0, nil, errors.Errorf("%s: first line spoilt", kind)
+	header := string(line)
+	checksumAt := strings.LastIndexByte(header, ' ')
+	if checksumAt < 0 || fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(header[:checksumAt]))) != header[checksumAt+1:] {
+		return 0, nil, errors.Errorf("%s: checksum of the header line does not match", kind)
 	}
-	var form, length int
-	var sum, is string
-	if _, err := fmt.Sscanf(text[:at], "pepperfall %s %d %d %s %d", &is, &form, &number, &sum, &length); err != nil || is != kind {
-		return 0, nil, errors.Errorf("%s: first line of another file", kind)
+	var version, length int
+	var digest, gotKind string
+	if _, err := fmt.Sscanf(header[:checksumAt], "pepperfall %s %d %d %s %d", &gotKind, &version, &number, &digest, &length); err != nil || gotKind != kind {
+		return 0, nil, errors.Errorf("%s: header line is malformed or of another kind of file", kind)
 	}
-	if form != format {
-		return 0, nil, errors.Errorf("%s: format %d, not %d", kind, form, format)
+	if version != format {
+		return 0, nil, errors.Errorf("%s: format version %d, want %d", kind, version, format)
 	}
 	if len(body) != length {
-		return 0, nil, errors.Errorf("%s: %d bytes, not %d", kind, len(body), length)
+		return 0, nil, errors.Errorf("%s: body has %d bytes, want %d", kind, len(body), length)
 	}
-	if got := sha256.Sum256(body); hex.EncodeToString(got[:]) != sum {
-		return 0, nil, errors.Errorf("%s: spoilt", kind)
+	if got := sha256.Sum256(body); hex.EncodeToString(got[:]) != digest {
+		return 0, nil, errors.Errorf("%s: digest of the body does not match", kind)
 	}
 	return number, body, nil
 }
 
-// write puts a whole file in place; it lasts when write returns nil.
-func write(d world.Disk, dir, name string, all []byte) error {
-	to := filepath.Join(dir, name)
-	f, err := d.Create(to + aside)
+// writeFile atomically replaces a whole file. The file is durable once writeFile returns nil.
+func write(d world.Disk, dir, name string, contents []byte) error {
+	path := filepath.Join(dir, name)
+	f, err := d.Create(path + aside)
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
-	_, err = f.Write(all)
+	_, err = f.Write(contents)
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = d.Rename(to+aside, to)
+		err = d.Rename(path+aside, path)
 	}
 	if err == nil {
 		err = d.SyncDir(dir)
@@ -89,7 +91,7 @@
 	return errors.Wrap(err, name)
 }
 
-// kindOf is what the first line of a file says that it is.
+// fileKind returns the kind that the header line of a file must have.
 func kindOf(name string) string {
 	if strings.HasPrefix(name, configPrefix) {
 		return configKind
@@ -97,14 +99,14 @@
 	return name
 }
 
-// read returns nil without an error where there is no such file.
+// readFile returns the number and the body of a file, or a nil body without an error if the file does not exist.
 func read(d world.Disk, dir, name string) (uint64, []byte, error) {
-	all, err := d.ReadFile(filepath.Join(dir, name))
+	contents, err := d.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil, nil
 	}
 	if err != nil {
 		return 0, nil, errors.Wrap(err, name)
 	}
-	return open(kindOf(name), all)
+	return open(kindOf(name), contents)
 }
--- a/internal/control/statestore/inspect.go
+++ b/internal/control/statestore/inspect.go
@@ -12,35 +12,35 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Report is what a file of a store holds.
+// FileReport describes a file in the folder of a store.
 type Report struct {
 	Name  string
 	There bool
-	Left  bool  // a leftover of a write that did not end, or a configuration that no record names; a start removes it
-	Alien bool  // no file of a store; a start leaves it
-	Fault error // why it can't be read
-	Says  string
+	Left  bool   // left by an interrupted write, or not referenced by the record; removed at the next start
+	Alien bool   // not a file of a store; kept at the next start
+	Fault error  // why it cannot be read
+	Says  string // what it holds
 }
 
-// Inspection is a store's folder read without being changed.
+// Inspection is what a store's folder holds.
 type Inspection struct {
 	Files    []Report
-	Found    Found // what a replica would find on start
+	Found    Found // what a replica would find at its start
 	Contents Contents
 }
 
-// Inspect reads a folder as a start would, and changes nothing.
+// Inspect reads a folder as a start would, without changing anything.
 func Inspect(disk world.Disk, dir string) (*Inspection, error) {
 	names, err := disk.List(dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "statestore")
 	}
 	in := &Inspection{Contents: Contents{Configs: map[state.Digest]*peerlink.Configuration{}}}
-	var fault error
-	in.Found, fault = load(disk, dir, &in.Contents)
-	keep := map[string]bool{recordFile: true, censusFile: true}
+	var loadErr error
+	in.Found, loadErr = load(disk, dir, &in.Contents)
+	referenced := map[string]bool{recordFile: true, censusFile: true}
 	for _, id := range named(&in.Contents.Record) {
-		keep[configName(id.Digest)] = true
+		referenced[configName(id.Digest)] = true
 	}
 	for _, name := range names {
 		r := Report{Name: name, There: true}
@@ -51,15 +51,15 @@
 			r.Alien, r.Says = true, "no file of a replica"
 		default:
 			in.describe(disk, dir, &r)
-			r.Left = r.Fault == nil && in.Found == Whole && !keep[name]
+			r.Left = r.Fault == nil && in.Found == Whole && !referenced[name]
 		}
 		in.Files = append(in.Files, r)
 	}
-	if _, there := in.file(recordFile); !there {
+	if _, found := in.file(recordFile); !found {
 		in.Files = append(in.Files, Report{Name: recordFile})
 	}
-	if fault != nil && !in.anyFault() {
-		in.Files = append(in.Files, Report{Name: recordFile, Fault: fault})
+	if loadErr != nil && !in.anyFault() {
+		in.Files = append(in.Files, Report{Name: recordFile, Fault: loadErr})
 	}
 	return in, nil
 }
@@ -82,7 +82,7 @@
 	return false
 }
 
-// describe says what a file holds.
+// describe fills in the summary or the error of a file.
 func (in *Inspection) describe(disk world.Disk, dir string, r *Report) {
 	number, body, err := read(disk, dir, r.Name)
 	r.Fault = err
@@ -100,10 +100,10 @@
 	}
 }
 
-// Clear removes a leftover.
+// RemoveLeftover removes a leftover file. It refuses the record, the census and files that are not a store's.
 func Clear(disk world.Disk, dir, name string) error {
 	if !isOurs(name) || name == recordFile || name == censusFile {
-		return errors.Errorf("statestore: %s is no leftover", name)
+		return errors.Errorf("statestore: %s is not a leftover file", name)
 	}
 	if err := disk.Remove(filepath.Join(dir, name)); err != nil {
 		return errors.Wrap(err, name)
--- a/internal/control/statestore/store.go
+++ b/internal/control/statestore/store.go
@@ -18,27 +18,27 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Found says what was on the disk at the start.
+// FolderState is the state of a store's folder at the start.
 type Found int
 
-// What may be found.
+// The states of a folder.
 const (
-	Empty  Found = iota // nothing
-	Whole               // all that was ever synced
-	Spoilt              // files that are missing or can't be read, so something may be lost
+	Empty  Found = iota // there is no record
+	Whole               // everything that was ever synced is there
+	Spoilt              // files are missing or unreadable, so something may be lost
 )
 
-// ErrNoDisk is the error of storing where there is no disk.
+// ErrNoDisk is returned by Store.Wait if there is no disk.
 var ErrNoDisk = errors.New("statestore: no disk")
 
-// Contents is what a replica keeps: its record and the configurations that the
-// record names.
+// Contents is what a replica keeps: its record and the configurations that the record references.
 type Contents struct {
 	Record  quorum.Record
 	Configs map[state.Digest]*peerlink.Configuration
 }
 
-// named are the configurations that a record names.
+// referencedConfigs returns the configurations that a record references: the decided one and, if different, the
+// accepted one.
 func named(r *quorum.Record) (all []state.ConfigID) {
 	if r.Decided.Config.Gen > 0 {
 		all = append(all, r.Decided.Config)
@@ -49,31 +49,30 @@
 	return all
 }
 
-// Keep drops the configurations that the record does not name.
+// DropUnreferenced drops the configurations that the record does not reference.
 func (c *Contents) Keep() {
-	names := named(&c.Record)
+	ids := named(&c.Record)
 	maps.DeleteFunc(c.Configs, func(d state.Digest, _ *peerlink.Configuration) bool {
-		return !slices.ContainsFunc(names, func(id state.ConfigID) bool { return id.Digest == d })
+		return !slices.ContainsFunc(ids, func(id state.ConfigID) bool { return id.Digest == d })
 	})
 }
 
-// Store writes a replica's contents, one file at a time, in one goroutine. What is
-// put while a write is under way is written with the next one, so that nothing
-// queues up behind a slow disk.
+// Store writes a replica's contents, one file at a time, in one goroutine. Contents that are put during a write
+// replace any that are still pending, so that nothing queues up behind a slow disk.
 type Store struct {
-	disk world.Disk // nil: there is none
+	disk world.Disk // nil if there is none
 	dir  string
 
 	mu         sync.Mutex
-	want       *Contents // not on disk yet; nil: all is
-	put        uint64    // number of the last Put
-	synced     uint64    // number of the newest Put that is on disk
-	onDisk     map[string]bool
-	census     []string
-	wantCensus []string
-	trouble    error // of the last write; nil: it succeeded
+	want       *Contents       // not yet on disk; nil if everything is
+	put        uint64          // number of the last Put
+	synced     uint64          // number of the newest Put that is on disk
+	onDisk     map[string]bool // names of the configuration files on disk
+	census     []string        // as last written or read
+	wantCensus []string        // to be written; nil if nothing is
+	trouble    error           // of the last write; nil if it succeeded
 	waiters    []waiter
-	wake       chan struct{}
+	wake       chan struct{} // buffers one signal to the writer
 }
 
 // waiter waits until a Put is on disk.
@@ -82,7 +81,8 @@
 	end    chan error
 }
 
-// Open reads a folder, and removes what no record names. A nil disk is an empty one.
+// Open reads a folder and removes files of a store that the record does not reference. A nil disk is treated as an
+// empty one. The store can be used even if the error is not nil; the error says why the folder could not be read.
 func Open(disk world.Disk, dir string) (*Store, Contents, Found, error) {
 	s := &Store{disk: disk, dir: dir, onDisk: map[string]bool{}, wake: make(chan struct{}, 1)}
 	contents := Contents{Configs: map[state.Digest]*peerlink.Configuration{}}
@@ -97,8 +97,8 @@
 		return s, contents, Spoilt, errors.Wrap(err, "statestore")
 	}
 	found, err := load(disk, dir, &contents)
-	if _, body, e := read(disk, dir, censusFile); e == nil && body != nil {
-		_ = json.Unmarshal(body, &s.census) // it is told again
+	if _, body, censusErr := read(disk, dir, censusFile); censusErr == nil && body != nil {
+		_ = json.Unmarshal(body, &s.census) // if it fails, the agents report the nodes again
 	}
 	for _, id := range named(&contents.Record) {
 		s.onDisk[configName(id.Digest)] = true
@@ -111,14 +111,14 @@
 	return s, contents, found, err
 }
 
-// isOurs tells whether a store may have written a file of this name.
+// isStoreFile reports whether a store may have written a file of this name.
 func isOurs(name string) bool {
 	name = strings.TrimSuffix(name, aside)
 	return name == recordFile || name == censusFile || strings.HasPrefix(name, configPrefix)
 }
 
-// load reads the record and its configurations. Where one of them is spoilt or
-// missing nothing is taken over: the disk may have forgotten a promise.
+// load reads the record and its configurations. If any of them is damaged or missing, nothing is used, as a promise
+// may have been lost.
 func load(disk world.Disk, dir string, c *Contents) (Found, error) {
 	_, body, err := read(disk, dir, recordFile)
 	if err != nil {
@@ -146,21 +146,21 @@
 	return Whole, nil
 }
 
-// Trouble is why the last write failed; nil: it did not.
+// LastError returns why the last write failed, or nil if it succeeded.
 func (s *Store) Trouble() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.trouble
 }
 
-// Census are the names of nodes that were kept last.
+// Census returns the names of nodes that were last read or written.
 func (s *Store) Census() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.census
 }
 
-// KeepCensus has names of nodes written down; nobody waits for it.
+// SaveCensus has the names of all nodes ever seen written in the background.
 func (s *Store) KeepCensus(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +168,8 @@
 	s.rouse()
 }
 
-// Put has contents written and returns the number to Wait for. The maps and
-// states in it must not change afterwards; configurations are shared.
+// Put has contents written in the background and returns the number to pass to Wait. The maps and states in c must not
+// change afterwards; configurations are shared.
 func (s *Store) Put(c Contents) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +180,7 @@
 	return s.put
 }
 
-// Again has contents written that could not be.
+// RetryPending retries to write contents whose last write failed.
 func (s *Store) Again() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,8 +189,8 @@
 	}
 }
 
-// Wait returns nil once the Put of a number, or a later one, is on disk. It
-// returns the disk's error, ErrNoDisk, or that of a context that ended before.
+// Wait returns nil once the Put with this number, or a later one, is on disk. Otherwise it returns the error of the
+// disk, ErrNoDisk, or the error of ctx if that ends first.
 func (s *Store) Wait(ctx context.Context, number uint64) error {
 	s.mu.Lock()
 	if s.disk == nil {
@@ -213,6 +213,7 @@
 	}
 }
 
+// wakeWriter signals the writer that something is pending.
 func (s *Store) rouse() {
 	select {
 	case s.wake <- struct{}{}:
@@ -220,7 +221,7 @@
 	}
 }
 
-// Run writes what is put until ctx ends.
+// Run writes what is pending until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	if s.disk == nil {
 		return
@@ -236,40 +237,40 @@
 	}
 }
 
-// step writes what is wanted now; false: nothing is, or it failed.
+// writeNext writes what is pending and reports whether it succeeded in writing something.
 func (s *Store) step() bool {
 	s.mu.Lock()
-	want, number, names := s.want, s.put, s.wantCensus
+	contents, number, census := s.want, s.put, s.wantCensus
 	s.wantCensus = nil
 	s.mu.Unlock()
 	switch {
-	case want != nil:
-		return s.written(want, number, s.writeContents(want))
-	case names != nil:
-		err := write(s.disk, s.dir, censusFile, seal(censusFile, 0, encode(names)))
+	case contents != nil:
+		return s.written(contents, number, s.writeContents(contents))
+	case census != nil:
+		err := write(s.disk, s.dir, censusFile, seal(censusFile, 0, encode(census)))
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.trouble = err; err == nil {
-			s.census = names
+			s.census = census
 		}
 		return err == nil
 	}
 	return false
 }
 
-// writeContents writes configurations before the record that names them, and
-// removes others after it.
+// writeContents writes configurations before the record that references them, and removes other configurations after
+// it.
 func (s *Store) writeContents(c *Contents) error {
-	keep := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, id := range named(&c.Record) {
 		name := configName(id.Digest)
-		keep[name] = true
+		referenced[name] = true
 		if s.onDisk[name] {
 			continue
 		}
 		config := c.Configs[id.Digest]
 		if config == nil {
-			return errors.Errorf("statestore: %s is not at hand", name)
+			return errors.Errorf("statestore: configuration %s is missing from the contents", name)
 		}
 		if err := write(s.disk, s.dir, name, seal(configKind, id.Gen, config.Body)); err != nil {
 			return err
@@ -280,15 +281,15 @@
 		return err
 	}
 	for name := range s.onDisk {
-		if !keep[name] {
-			_ = s.disk.Remove(filepath.Join(s.dir, name)) // else the next start does
+		if !referenced[name] {
+			_ = s.disk.Remove(filepath.Join(s.dir, name)) // if it fails, the next start removes the file
 			delete(s.onDisk, name)
 		}
 	}
 	return nil
 }
 
-// written tells those who wait how a write ended.
+// finishPut records the result of a write, reports it to waiting callers and returns whether it succeeded.
 func (s *Store) written(c *Contents, number uint64, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -312,7 +313,7 @@
 func encode(v any) []byte {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs
+		panic(err) // cannot happen: the values are plain structs
 	}
 	return append(body, '\n')
 }
--- a/internal/control/statestore/store_test.go
+++ b/internal/control/statestore/store_test.go
@@ -21,7 +21,8 @@
 	return &peerlink.Configuration{Gen: gen, Digest: sha256.Sum256(body), Body: body}
 }
 
-// contents are those of a replica that has decided one configuration and, where next is not 0, accepted another.
+// contents returns the contents of a replica that has decided one configuration and, if next is not 0, has accepted
+// another one.
 func contents(version, gen, next uint64) Contents {
 	c := Contents{Record: quorum.Record{ID: "r1"}, Configs: map[state.Digest]*peerlink.Configuration{}}
 	c.Record.Decided = state.State{Version: version, Config: state.ConfigID{Gen: gen, Digest: config(gen).Digest}, Voters: []state.Voter{{ID: "r1"}}}
@@ -51,8 +52,9 @@
 	return ctx
 }
 
-// Power is lost at any moment of many writes: what was waited for is there, whole, with the configurations that it
-// names, and nothing that was not put. Each write, rename and removal not yet synced is lost or kept by itself.
+// Power is lost at any moment during many writes. Afterwards everything that Wait confirmed is there, together with
+// the configurations it references, and nothing that was never put. The simulated disk keeps or loses each unsynced
+// write, rename and removal independently.
 func TestPowerLost(t *testing.T) {
 	for seed := range uint64(600) {
 		synctest.Test(t, func(t *testing.T) {
@@ -61,12 +63,12 @@
 			assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(1, 3, 0))))
 			d.SetLatency(time.Millisecond)
 			synced, put := uint64(1), uint64(1)
-			going, over := make(chan struct{}), make(chan struct{})
+			stopping, ended := make(chan struct{}), make(chan struct{})
 			go func() {
-				defer close(over)
+				defer close(ended)
 				for v := uint64(2); ; v++ {
 					select {
-					case <-going:
+					case <-stopping:
 						return
 					default:
 					}
@@ -77,10 +79,10 @@
 				}
 			}()
 			time.Sleep(time.Duration(seed) * 173 * time.Microsecond)
-			close(going)
+			close(stopping)
 			d.PowerLoss()
 			stop()
-			<-over
+			<-ended
 			d.SetLatency(0)
 			s, c, stop := start(t, d, Whole)
 			got := c.Record.Decided.Version
@@ -88,19 +90,19 @@
 			assert.Equal(t, len(c.Configs), len(named(&c.Record)))
 			assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(put+1, 1, 0))))
 			names, _ := d.Mount().List("/data")
-			assert.DeepEqual(t, names, []string{configName(config(1).Digest), "record"}) // nothing half written, nothing left over
+			assert.DeepEqual(t, names, []string{configName(config(1).Digest), "record"}) // no partly written file, no leftover
 			stop()
-			time.Sleep(time.Second) // for those who still wait
+			time.Sleep(time.Second) // lets pending Wait calls end
 		})
 	}
 }
 
-// A file that is spoilt or missing leaves nothing to rely on.
+// If a file is damaged or missing, none of the contents is used.
 func TestSpoilt(t *testing.T) {
 	for _, name := range []string{"record", configName(config(3).Digest), configName(config(4).Digest)} {
 		for _, gone := range []bool{false, true} {
 			if gone && name == "record" {
-				continue // that is an empty disk
+				continue // without a record the disk counts as empty
 			}
 			synctest.Test(t, func(t *testing.T) {
 				d := sim.NewDisk(1)
@@ -129,7 +131,7 @@
 		d := sim.NewDisk(1)
 		s, _, stop := start(t, d, Empty)
 		d.Hang()
-		for v := range uint64(5) { // all wait for the same disk, and one write serves them
+		for v := range uint64(5) { // all wait for the blocked disk; one write then completes them all
 			go func() { _ = s.Wait(within(5*time.Second), s.Put(contents(v+1, v+1, 0))) }()
 		}
 		assert.ErrorIs(t, s.Wait(within(time.Second), s.Put(contents(6, 6, 0))), context.Canceled)
@@ -139,7 +141,7 @@
 		assert.Assert(t, s.Wait(within(time.Second), s.Put(contents(8, 8, 0))) != nil)
 		assert.Assert(t, s.Trouble() != nil)
 		d.SetFull(false)
-		s.Again() // what could not be written is, once there is room
+		s.Again() // the failed contents are written once there is space
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, s.Trouble())
 		s.KeepCensus([]string{"proxy-1"})
@@ -155,7 +157,7 @@
 	})
 }
 
-// What is on disk does not grow with the number of changes.
+// Disk usage does not grow with the number of changes.
 func TestDiskStaysFlat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := sim.NewDisk(1)
