--- a/internal/control/delivery/history.go
+++ b/internal/control/delivery/history.go
@@ -7,61 +7,61 @@
 
 // Bounds of the history of superseded configurations.
 const (
-	keepFor  = 30 * time.Second
-	keepMost = 512
+	keepDuration  = 30 * time.Second
+	maxSuperseded = 512
 )
 
 // Version identifies a configuration.
 type Version struct {
-	Gen uint64 // its number; 0 stands for no configuration
-	Sum uint32 // checksum of its text
+	Gen      uint64 // its number; 0 stands for no configuration
+	Checksum uint32 // checksum of its text
 }
 
 // Confirmation is the latest moment at which a majority is known to have held nothing newer than the state decided
 // here. All moments are on one monotonic clock.
 type Confirmation struct {
-	Ever bool // false if there was no such moment, and At is not set
-	At   time.Duration
+	IsKnown bool // false if there was no such moment, and At is not set
+	At      time.Duration
 }
 
 // History holds the current configuration and those that it superseded.
 type History struct {
-	current Version
-	since   time.Duration // when current was learned
-	past    []superseded  // ordered by number, lowest first
+	current      Version
+	currentSince time.Duration       // when current was learned
+	superseded   []supersededVersion // ordered by number, lowest first
 }
 
 // supersededVersion is a configuration that was current on this replica.
-type superseded struct {
-	version   Version
-	at        time.Duration // when a newer configuration was learned
-	confirmed Confirmation  // at that time
+type supersededVersion struct {
+	version      Version
+	supersededAt time.Duration // when a newer configuration was learned
+	confirmed    Confirmation  // at that time
 }
 
 // SetCurrent makes v the current configuration from now on. Its number must be higher than that of the previous one;
 // confirmed is the confirmation of the previous one.
-func (h *History) Decide(v Version, now time.Duration, confirmed Confirmation) {
+func (h *History) SetCurrent(v Version, now time.Duration, confirmed Confirmation) {
 	if h.current.Gen > 0 {
-		h.past = append(h.past, superseded{h.current, now, confirmed})
+		h.superseded = append(h.superseded, supersededVersion{h.current, now, confirmed})
 	}
-	h.current, h.since = v, now
+	h.current, h.currentSince = v, now
 	old := 0
-	for old < len(h.past) && now-h.past[old].at > keepFor {
+	for old < len(h.superseded) && now-h.superseded[old].supersededAt > keepDuration {
 		old++
 	}
-	if h.past = h.past[old:]; len(h.past) > keepMost {
-		h.thin()
+	if h.superseded = h.superseded[old:]; len(h.superseded) > maxSuperseded {
+		h.dropEveryOther()
 	}
 }
 
 // dropEveryOther removes every other superseded configuration. A holder of a removed one is then treated as a holder
 // of the one before: as behind for longer, and as confirmed up to an earlier moment.
-func (h *History) thin() {
-	kept := h.past[:0]
-	for i := 0; i < len(h.past); i += 2 {
-		kept = append(kept, h.past[i])
+func (h *History) dropEveryOther() {
+	kept := h.superseded[:0]
+	for i := 0; i < len(h.superseded); i += 2 {
+		kept = append(kept, h.superseded[i])
 	}
-	h.past = kept
+	h.superseded = kept
 }
 
 // Current returns the current configuration, or the zero Version if there is none.
@@ -69,16 +69,16 @@
 
 // BehindSince reports whether a holder of v lacks the current configuration and since when: the moment at which the
 // first configuration above v was learned, or the earliest one in the history.
-func (h *History) Behind(v Version) (since time.Duration, behind bool) {
-	switch i := h.last(v.Gen); {
+func (h *History) BehindSince(v Version) (since time.Duration, behind bool) {
+	switch i := h.lastUpTo(v.Gen); {
 	case h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current:
 		return 0, false
 	case i >= 0:
-		return h.past[i].at, true
-	case len(h.past) > 0:
-		return h.past[0].at, true
+		return h.superseded[i].supersededAt, true
+	case len(h.superseded) > 0:
+		return h.superseded[0].supersededAt, true
 	}
-	return h.since, true
+	return h.currentSince, true
 }
 
 // Confirmed returns the latest moment at which nothing above v was decided; a proxy that uses v was up to date then.
@@ -88,18 +88,18 @@
 	if h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current {
 		return newest
 	}
-	i := h.last(v.Gen)
-	if i < 0 || v.Gen == h.current.Gen || h.past[i].version.Gen == v.Gen && h.past[i].version != v {
+	i := h.lastUpTo(v.Gen)
+	if i < 0 || v.Gen == h.current.Gen || h.superseded[i].version.Gen == v.Gen && h.superseded[i].version != v {
 		return Confirmation{}
 	}
-	return h.past[i].confirmed
+	return h.superseded[i].confirmed
 }
 
 // lastUpTo returns the index of the newest superseded configuration whose number is at most gen, or -1 if there is
 // none.
-func (h *History) last(gen uint64) int {
-	i := len(h.past) - 1
-	for i >= 0 && h.past[i].version.Gen > gen {
+func (h *History) lastUpTo(gen uint64) int {
+	i := len(h.superseded) - 1
+	for i >= 0 && h.superseded[i].version.Gen > gen {
 		i--
 	}
 	return i
--- a/internal/control/lease/example_test.go
+++ b/internal/control/lease/example_test.go
@@ -19,20 +19,20 @@
 	}
 	gone := ""
 	view := func(self string, now time.Duration) lease.View {
-		v := lease.View{Now: now, UnixMS: 5000 + uint64(now.Milliseconds()), Elector: true, Electors: 3}
+		v := lease.View{Now: now, UnixMS: 5000 + uint64(now.Milliseconds()), CanVote: true, VoterCount: 3}
 		for _, n := range names {
 			if n != self && n != gone {
-				v.Peers = append(v.Peers, lease.Peer{Seat: seats[n], Zone: n, Elector: true})
+				v.Peers = append(v.Peers, lease.Peer{Seat: seats[n], Zone: n, CanVote: true})
 			}
 		}
 		return v
 	}
-	var deliver func(from string, now time.Duration, messages []lease.Tell)
-	deliver = func(from string, now time.Duration, messages []lease.Tell) { // in order, to running replicas
+	var deliver func(from string, now time.Duration, messages []lease.Message)
+	deliver = func(from string, now time.Duration, messages []lease.Message) { // in order, to running replicas
 		for _, m := range messages {
 			for _, n := range names {
 				if n != from && n != gone && (m.To == "" || m.To == n) {
-					deliver(n, now, leases[n].Hear(view(n, now), seats[from], m.Duty))
+					deliver(n, now, leases[n].Receive(view(n, now), seats[from], m.Duty))
 				}
 			}
 		}
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -10,33 +10,33 @@
 
 // Timeouts and intervals of a duty.
 const (
-	Heartbeat = 600 * time.Millisecond // maximum time between two messages of a holder
-	Silence   = 900 * time.Millisecond // a holder that is silent for so long is considered lost
-	Unlinked  = 500 * time.Millisecond // the shorter timeout for a holder that is also disconnected
-	Stagger   = 300 * time.Millisecond // delay between the attempts of replicas of successive ranks
-	askEvery  = 400 * time.Millisecond // between two requests for votes, plus the delay by rank
-	nameless  = time.Second            // a successor that is disconnected for so long is replaced
-	never     = time.Duration(1) << 62 // a time that is never reached
+	HeartbeatInterval = 600 * time.Millisecond // maximum time between two messages of a holder
+	SilenceTimeout    = 900 * time.Millisecond // a holder that is silent for so long is considered lost
+	DisconnectTimeout = 500 * time.Millisecond // the shorter timeout for a holder that is also disconnected
+	RankDelay         = 300 * time.Millisecond // delay between the attempts of replicas of successive ranks
+	voteRetryInterval = 400 * time.Millisecond // between two requests for votes, plus the delay by rank
+	successorTimeout  = time.Second            // a successor that is disconnected for so long is replaced
+	never             = time.Duration(1) << 62 // a time that is never reached
 )
 
 // Peer is another replica that is connected and is not leaving.
 type Peer struct {
 	peerlink.Seat
 	Zone    string
-	Elector bool // its vote counts
+	CanVote bool // its vote counts
 }
 
 // View is what a replica knows of itself and of its peers at one moment.
 type View struct {
-	Now      time.Duration // monotonic time
-	UnixMS   uint64        // time of day, in milliseconds of Unix time
-	Peers    []Peer
-	Elector  bool // this replica's own vote counts
-	Electors int  // number of all replicas whose votes count, including unreachable ones
+	Now        time.Duration // monotonic time
+	UnixMS     uint64        // time of day, in milliseconds of Unix time
+	Peers      []Peer
+	CanVote    bool // this replica's own vote counts
+	VoterCount int  // number of all replicas whose votes count, including unreachable ones
 }
 
 // Message is a statement that is to be sent.
-type Tell struct {
+type Message struct {
 	To   string // name of the receiver; empty: all peers
 	Duty peerlink.Duty
 }
@@ -47,17 +47,17 @@
 	self peerlink.Seat
 	zone string
 
-	known   peerlink.Duty   // the highest known term, its holder and its successor
-	heard   time.Duration   // when the holder last sent a message, or first became known
-	told    time.Duration   // if this replica is the holder: when it last sent a message to all
-	named   time.Duration   // if this replica is the holder: when its successor was last connected
-	left    bool            // this replica has given up its part for good
-	voted   uint64          // the highest epoch that this replica has voted for since its start
-	seen    uint64          // the highest epoch known that any replica has voted for
-	asking  uint64          // the epoch for which this replica requests votes; 0: none
-	askedAt time.Duration   // when this replica last requested votes
-	asked   bool            // whether requestedAt is set
-	votes   map[string]bool // replicas that voted for candidateEpoch
+	known            peerlink.Duty   // the highest known term, its holder and its successor
+	holderHeardAt    time.Duration   // when the holder last sent a message, or first became known
+	announcedAt      time.Duration   // if this replica is the holder: when it last sent a message to all
+	successorSeenAt  time.Duration   // if this replica is the holder: when its successor was last connected
+	hasLeft          bool            // this replica has given up its part for good
+	votedEpoch       uint64          // the highest epoch that this replica has voted for since its start
+	highestSeenEpoch uint64          // the highest epoch known that any replica has voted for
+	candidateEpoch   uint64          // the epoch for which this replica requests votes; 0: none
+	requestedAt      time.Duration   // when this replica last requested votes
+	hasRequested     bool            // whether requestedAt is set
+	votes            map[string]bool // replicas that voted for candidateEpoch
 }
 
 // New returns the part of the replica self, which is in zone, in a duty.
@@ -66,27 +66,29 @@
 }
 
 // Holds reports whether this replica holds the duty.
-func (s *Lease) Holds() bool { return !s.left && s.known.Holder == s.self }
+func (s *Lease) Holds() bool { return !s.hasLeft && s.known.Holder == s.self }
 
 // Known returns the newest term that this replica knows, with its holder and successor.
 func (s *Lease) Known() peerlink.Duty { return s.known }
 
 // AcceptsTerm reports whether a message sent in term t is to be processed, that is, whether the term is not outdated.
 // The zero term claims nothing and is always accepted.
-func (s *Lease) Takes(t peerlink.Term) bool { return t == peerlink.Term{} || !s.known.Term.Above(t) }
+func (s *Lease) AcceptsTerm(t peerlink.Term) bool {
+	return t == peerlink.Term{} || !s.known.Term.Above(t)
+}
 
 // Greeting returns the statement to send to a replica that has just connected.
-func (s *Lease) Greet() peerlink.Duty { return s.word() }
+func (s *Lease) Greeting() peerlink.Duty { return s.statement() }
 
 // statement returns what this replica knows of the duty.
-func (s *Lease) word() peerlink.Duty {
+func (s *Lease) statement() peerlink.Duty {
 	d := s.known
-	d.Voted = max(s.seen, s.voted)
+	d.Voted = max(s.highestSeenEpoch, s.votedEpoch)
 	return d
 }
 
 // NoteAnnounced records that the holder has sent a statement to all peers.
-func (s *Lease) Spoke(now time.Duration) { s.told = now }
+func (s *Lease) NoteAnnounced(now time.Duration) { s.announcedAt = now }
 
 // Rank returns this replica's rank among all connected replicas.
 func (s *Lease) Rank(v View) int { return s.rank(v, func(Peer) bool { return true }) }
@@ -102,116 +104,116 @@
 }
 
 // rankDelay returns the delay that this replica's rank among the connected replicas with a vote causes.
-func (s *Lease) turn(v View) time.Duration {
-	return time.Duration(s.rank(v, func(p Peer) bool { return p.Elector })) * Stagger
+func (s *Lease) rankDelay(v View) time.Duration {
+	return time.Duration(s.rank(v, func(p Peer) bool { return p.CanVote })) * RankDelay
 }
 
 // isMajorityConnected reports whether enough replicas with a vote are connected for an election.
-func (s *Lease) majority(v View) bool {
+func (s *Lease) isMajorityConnected(v View) bool {
 	n := 0
 	for _, p := range v.Peers {
-		if p.Elector {
+		if p.CanVote {
 			n++
 		}
 	}
-	if v.Elector {
+	if v.CanVote {
 		n++
 	}
-	return enough(n, v.Electors)
+	return isMajority(n, v.VoterCount)
 }
 
-func enough(n, total int) bool { return n >= total/2+1 }
+func isMajority(n, total int) bool { return n >= total/2+1 }
 
-func connected(v View, who peerlink.Seat) bool {
+func isConnected(v View, who peerlink.Seat) bool {
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who })
 }
 
 // takeoverTime returns when this replica, being the successor, takes over the duty.
-func (s *Lease) follows(v View) time.Duration {
-	if !connected(v, s.known.Holder) {
-		return s.heard + Unlinked
+func (s *Lease) takeoverTime(v View) time.Duration {
+	if !isConnected(v, s.known.Holder) {
+		return s.holderHeardAt + DisconnectTimeout
 	}
-	return s.heard + Silence
+	return s.holderHeardAt + SilenceTimeout
 }
 
 // electionTime returns when this replica requests votes, or never if it has no reason to.
-func (s *Lease) wants(v View) time.Duration {
-	if !v.Elector || !s.majority(v) {
+func (s *Lease) electionTime(v View) time.Duration {
+	if !v.CanVote || !s.isMajorityConnected(v) {
 		return never
 	}
-	at := s.heard + Silence + Stagger + s.turn(v) // the successor may take over first
+	at := s.holderHeardAt + SilenceTimeout + RankDelay + s.rankDelay(v) // the successor may take over first
 	switch {
 	case s.Holds():
-		if at = s.named + nameless; s.pick(v) == (peerlink.Seat{}) {
+		if at = s.successorSeenAt + successorTimeout; s.chooseSuccessor(v) == (peerlink.Seat{}) {
 			return never
 		}
 	case s.known.Term == peerlink.Term{}:
-		at = s.turn(v)
+		at = s.rankDelay(v)
 	}
-	if s.asked {
-		at = max(at, s.askedAt+askEvery+s.turn(v)) // among competing candidates, the first in rank retries most often
+	if s.hasRequested {
+		at = max(at, s.requestedAt+voteRetryInterval+s.rankDelay(v)) // among competing candidates, the first in rank retries most often
 	}
 	return at
 }
 
 // NextStep returns when Step has something to do next, unless a message arrives before.
-func (s *Lease) Wake(v View) time.Duration {
+func (s *Lease) NextStep(v View) time.Duration {
 	switch {
-	case s.left:
+	case s.hasLeft:
 		return never
 	case s.Holds():
-		if connected(v, s.known.Next) {
-			return s.told + Heartbeat
+		if isConnected(v, s.known.Next) {
+			return s.announcedAt + HeartbeatInterval
 		}
-		return min(s.told+Heartbeat, s.wants(v))
+		return min(s.announcedAt+HeartbeatInterval, s.electionTime(v))
 	case s.known.Next == s.self:
-		return min(s.follows(v), s.wants(v))
+		return min(s.takeoverTime(v), s.electionTime(v))
 	}
-	return s.wants(v)
+	return s.electionTime(v)
 }
 
 // Step does what is due at v.Now and returns the messages to send.
-func (s *Lease) Step(v View) (out []Tell) {
-	if s.left {
+func (s *Lease) Step(v View) (out []Message) {
+	if s.hasLeft {
 		return nil
 	}
-	if s.Holds() && connected(v, s.known.Next) {
-		s.named = v.Now
+	if s.Holds() && isConnected(v, s.known.Next) {
+		s.successorSeenAt = v.Now
 	}
-	if !s.Holds() && s.known.Next == s.self && v.Now >= s.follows(v) {
-		out = append(out, s.follow(v))
+	if !s.Holds() && s.known.Next == s.self && v.Now >= s.takeoverTime(v) {
+		out = append(out, s.takeOver(v))
 	}
-	if v.Now >= s.wants(v) {
-		out = append(out, s.ask(v)...)
+	if v.Now >= s.electionTime(v) {
+		out = append(out, s.requestVotes(v)...)
 	}
-	if s.Holds() && v.Now >= s.told+Heartbeat {
-		s.told = v.Now
-		out = append(out, Tell{Duty: s.word()})
+	if s.Holds() && v.Now >= s.announcedAt+HeartbeatInterval {
+		s.announcedAt = v.Now
+		out = append(out, Message{Duty: s.statement()})
 	}
 	return out
 }
 
 // takeOver begins the next term as the successor named by the holder, without a vote.
-func (s *Lease) follow(v View) Tell {
+func (s *Lease) takeOver(v View) Message {
 	t := s.known.Term
 	t.Step++
-	return s.take(v, t)
+	return s.startTerm(v, t)
 }
 
 // startTerm makes this replica the holder in a new term. It names the successor, which stays the same for the whole
 // term.
-func (s *Lease) take(v View, t peerlink.Term) Tell {
-	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.pick(v)}
-	s.heard, s.told, s.named, s.asking = v.Now, v.Now, v.Now, 0
-	return Tell{Duty: s.word()}
+func (s *Lease) startTerm(v View, t peerlink.Term) Message {
+	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.chooseSuccessor(v)}
+	s.holderHeardAt, s.announcedAt, s.successorSeenAt, s.candidateEpoch = v.Now, v.Now, v.Now, 0
+	return Message{Duty: s.statement()}
 }
 
 // chooseSuccessor returns the replica to name as successor: one that has a vote, preferably in another zone. It is the
 // zero Seat if there is none.
-func (s *Lease) pick(v View) peerlink.Seat {
+func (s *Lease) chooseSuccessor(v View) peerlink.Seat {
 	var candidates []Peer
 	for _, p := range v.Peers {
-		if p.Elector {
+		if p.CanVote {
 			candidates = append(candidates, p)
 		}
 	}
@@ -232,55 +234,55 @@
 // requestVotes asks all peers for their vote in a new epoch and votes for itself. The epoch is at least the time of
 // day in milliseconds: votes are not stored on disk, so a replica that restarts may vote again, but not for an epoch
 // of the moment before.
-func (s *Lease) ask(v View) []Tell {
-	s.asked, s.askedAt = true, v.Now
-	s.asking = max(max(s.known.Term.Epoch, s.voted, s.seen)+1, v.UnixMS)
-	s.voted, s.votes = s.asking, map[string]bool{s.self.Name: true}
-	statement := s.word()
-	statement.Ask = s.asking
-	out := []Tell{{Duty: statement}}
-	if enough(len(s.votes), v.Electors) {
-		out = append(out, s.take(v, peerlink.Term{Epoch: s.asking}))
+func (s *Lease) requestVotes(v View) []Message {
+	s.hasRequested, s.requestedAt = true, v.Now
+	s.candidateEpoch = max(max(s.known.Term.Epoch, s.votedEpoch, s.highestSeenEpoch)+1, v.UnixMS)
+	s.votedEpoch, s.votes = s.candidateEpoch, map[string]bool{s.self.Name: true}
+	statement := s.statement()
+	statement.Ask = s.candidateEpoch
+	out := []Message{{Duty: statement}}
+	if isMajority(len(s.votes), v.VoterCount) {
+		out = append(out, s.startTerm(v, peerlink.Term{Epoch: s.candidateEpoch}))
 	}
 	return out
 }
 
 // Receive processes a statement from another replica and returns the messages to send in response.
-func (s *Lease) Hear(v View, from peerlink.Seat, d peerlink.Duty) (out []Tell) {
-	if s.left {
+func (s *Lease) Receive(v View, from peerlink.Seat, d peerlink.Duty) (out []Message) {
+	if s.hasLeft {
 		return nil
 	}
 	fromHolder := d.Holder == from
-	s.seen = max(s.seen, d.Voted, d.Ask)
+	s.highestSeenEpoch = max(s.highestSeenEpoch, d.Voted, d.Ask)
 	switch {
-	case s.over(d):
+	case s.supersedesKnown(d):
 		s.known = peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
-		s.heard = v.Now
-		if s.asking <= d.Term.Epoch {
-			s.asking = 0
+		s.holderHeardAt = v.Now
+		if s.candidateEpoch <= d.Term.Epoch {
+			s.candidateEpoch = 0
 		}
 	case d.Term == s.known.Term && d.Holder == s.known.Holder:
 		if fromHolder {
-			s.heard = v.Now
+			s.holderHeardAt = v.Now
 		}
 	case fromHolder || d.Ask > 0:
-		out = append(out, Tell{To: from.Name, Duty: s.word()}) // the sender's knowledge is outdated
+		out = append(out, Message{To: from.Name, Duty: s.statement()}) // the sender's knowledge is outdated
 	}
 	if fromHolder && d.Yields && d.Term == s.known.Term && s.known.Next == s.self {
-		out = append(out, s.follow(v))
+		out = append(out, s.takeOver(v))
 	}
-	if s.grants(v, from, d) {
-		s.voted = d.Ask
-		answer := s.word()
+	if s.grantsVote(v, from, d) {
+		s.votedEpoch = d.Ask
+		answer := s.statement()
 		answer.Vote = d.Ask
-		out = append(out, Tell{To: from.Name, Duty: answer})
+		out = append(out, Message{To: from.Name, Duty: answer})
 	} else if d.Ask > 0 && len(out) == 0 {
-		out = append(out, Tell{To: from.Name, Duty: s.word()}) // refuses the vote and reports the higher epoch or the holder
+		out = append(out, Message{To: from.Name, Duty: s.statement()}) // refuses the vote and reports the higher epoch or the holder
 	}
-	if d.Vote > 0 && d.Vote == s.asking && s.asking > s.known.Term.Epoch && s.elector(v, from) {
+	if d.Vote > 0 && d.Vote == s.candidateEpoch && s.candidateEpoch > s.known.Term.Epoch && s.canVote(v, from) {
 		s.votes[from.Name] = true
-		if enough(len(s.votes), v.Electors) {
-			out = append(out, s.take(v, peerlink.Term{Epoch: s.asking}))
+		if isMajority(len(s.votes), v.VoterCount) {
+			out = append(out, s.startTerm(v, peerlink.Term{Epoch: s.candidateEpoch}))
 		}
 	}
 	return out
@@ -289,38 +291,38 @@
 // supersedesKnown reports whether a statement takes precedence over what is known. One term can have two holders only
 // if a voter restarted and voted again in the same millisecond, or while a clock is ahead. All replicas then agree on
 // one holder by comparing names.
-func (s *Lease) over(d peerlink.Duty) bool {
+func (s *Lease) supersedesKnown(d peerlink.Duty) bool {
 	return d.Term.Above(s.known.Term) || d.Term == s.known.Term && d.Holder.Name > s.known.Holder.Name
 }
 
 // canVote reports whether a replica is connected and has a vote.
-func (s *Lease) elector(v View, who peerlink.Seat) bool {
-	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who && p.Elector })
+func (s *Lease) canVote(v View, who peerlink.Seat) bool {
+	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who && p.CanVote })
 }
 
 // grantsVote reports whether to vote for a replica that requests votes. A replica votes once in an epoch and, unless
 // the holder itself asks, only if the holder is silent or disconnected here too.
-func (s *Lease) grants(v View, from peerlink.Seat, d peerlink.Duty) bool {
-	if d.Ask <= s.voted || d.Ask <= s.known.Term.Epoch || !v.Elector || s.Holds() {
+func (s *Lease) grantsVote(v View, from peerlink.Seat, d peerlink.Duty) bool {
+	if d.Ask <= s.votedEpoch || d.Ask <= s.known.Term.Epoch || !v.CanVote || s.Holds() {
 		return false
 	}
-	return from == s.known.Holder || s.known.Term == peerlink.Term{} || v.Now >= s.heard+Unlinked && !connected(v, s.known.Holder) || v.Now >= s.heard+Silence
+	return from == s.known.Holder || s.known.Term == peerlink.Term{} || v.Now >= s.holderHeardAt+DisconnectTimeout && !isConnected(v, s.known.Holder) || v.Now >= s.holderHeardAt+SilenceTimeout
 }
 
 // Yield returns the message that asks the successor to take over now, or nothing if there is no successor. This
 // replica stays the holder until the successor has taken over.
-func (s *Lease) Yield() []Tell {
+func (s *Lease) Yield() []Message {
 	if !s.Holds() || s.known.Next == (peerlink.Seat{}) {
 		return nil
 	}
-	statement := s.word()
+	statement := s.statement()
 	statement.Yields = true
-	return []Tell{{Duty: statement}}
+	return []Message{{Duty: statement}}
 }
 
 // Leave gives up the duty for good, because this replica is shutting down, and returns the messages to send.
-func (s *Lease) Leave() []Tell {
+func (s *Lease) Leave() []Message {
 	out := s.Yield()
-	s.left = true
+	s.hasLeft = true
 	return out
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -19,7 +19,7 @@
 }
 
 // machineName returns the name of the machine with this number.
-func machine(i int) string { return strings.Repeat("z", i/20) + string(rune('a'+i%20)) }
+func machineName(i int) string { return strings.Repeat("z", i/20) + string(rune('a'+i%20)) }
 
 func voters(ids ...string) (all []state.Voter) {
 	for _, id := range ids {
@@ -29,42 +29,44 @@
 }
 
 // memberSilentFor returns a member that is eligible and has caught up, and whose last message is so long ago.
-func at(id string, silent time.Duration) Member {
-	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, Silent: silent}
+func memberSilentFor(id string, silent time.Duration) Member {
+	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, SilentFor: silent}
 }
 
-func TestNext(t *testing.T) {
-	const long, calm = ReplacedAfter, CalmFor
-	leaving := at("c", 0)
+func TestNextChange(t *testing.T) {
+	const long, calm = ReplaceAfter, StableBeforeJoin
+	leaving := memberSilentFor("c", 0)
 	leaving.Leaving = true
-	behind, observer := at("d", 0), at("d", 0)
+	behind, observer := memberSilentFor("d", 0), memberSilentFor("d", 0)
 	behind.CaughtUp, observer.Eligible = false, false
-	withAAndB := func(more ...Member) []Member { return append([]Member{at("a", 0), at("b", 0)}, more...) }
+	withAAndB := func(more ...Member) []Member {
+		return append([]Member{memberSilentFor("a", 0), memberSilentFor("b", 0)}, more...)
+	}
 	for name, x := range map[string]struct {
 		voters  []state.Voter
 		members []Member
 		calm    time.Duration
 		want    string
 	}{
-		"nothing to do":                 {voters("a", "b", "c"), withAAndB(at("c", 0)), calm, ""},
-		"one joins":                     {voters("a", "b", "c"), withAAndB(at("c", 0), at("d", 0)), calm, "+d"},
-		"not before all are calm":       {voters("a", "b", "c"), withAAndB(at("c", 0), at("d", 0)), calm - 1, ""},
-		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(at("c", 0), behind), calm, ""},
-		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(at("c", 0), observer), calm, ""},
-		"not while one is silent":       {voters("a", "b", "c"), withAAndB(at("c", AliveWithin), at("d", 0)), 0, ""},
-		"it replaces one that is gone":  {voters("a", "b", "c"), withAAndB(at("c", long), at("d", 0)), 0, "+d-c"},
-		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, at("d", 0)), calm, "+d-c"},
-		"its own machine's old disk":    {voters("a", "b", "c1"), withAAndB(at("c1", 0), at("c2", 0)), 0, "+c2-c1"},
+		"nothing to do":                 {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0)), calm, ""},
+		"one joins":                     {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm, "+d"},
+		"not before all are calm":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm - 1, ""},
+		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), behind), calm, ""},
+		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), observer), calm, ""},
+		"not while one is silent":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
+		"it replaces one that is gone":  {voters("a", "b", "c"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
+		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, memberSilentFor("d", 0)), calm, "+d-c"},
+		"its own machine's old disk":    {voters("a", "b", "c1"), withAAndB(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
 		"none leaves three":             {voters("a", "b", "c"), withAAndB(leaving), calm, ""},
-		"nor is removed from them":      {voters("a", "b", "c"), withAAndB(at("c", RemovedAfter)), 0, ""},
-		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, at("d", 0)), calm, "-c"},
-		"one is gone from four":         {voters("a", "b", "c", "d"), withAAndB(at("c", RemovedAfter), at("d", 0)), 0, "-c"},
-		"not before it is for long":     {voters("a", "b", "c", "d"), withAAndB(at("c", long), at("d", 0)), 0, ""},
-		"who leaves goes before silent": {voters("a", "b", "c", "d"), withAAndB(leaving, at("d", RemovedAfter)), 0, "-c"},
-		"one that was never heard":      {voters("a", "b", "c"), withAAndB(at("d", 0)), 0, ""},
+		"nor is removed from them":      {voters("a", "b", "c"), withAAndB(memberSilentFor("c", RemoveAfter)), 0, ""},
+		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", 0)), calm, "-c"},
+		"one is gone from four":         {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
+		"not before it is for long":     {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
+		"who leaves goes before silent": {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", RemoveAfter)), 0, "-c"},
+		"one that was never heard":      {voters("a", "b", "c"), withAAndB(memberSilentFor("d", 0)), 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, ok := Next(x.voters, x.members, x.calm)
+			c, ok := NextChange(x.voters, x.members, x.calm)
 			got := ""
 			if c.Add != nil {
 				got += "+" + c.Add.ID
@@ -81,29 +83,29 @@
 	var current []state.Voter
 	var members []Member
 	for i := range 15 { // five per zone; the voters of the first start are all in the first zone, which their records do not name
-		m := at(machine(i), 0)
+		m := memberSilentFor(machineName(i), 0)
 		if m.Zone = fmt.Sprint("z", i/5); i < 3 {
 			current = append(current, m.Voter)
 			current[i].Zone = ""
 		}
 		members = append(members, m)
 	}
-	for c, ok := Next(current, members, CalmFor); ok; c, ok = Next(current, members, CalmFor) {
+	for c, ok := NextChange(current, members, StableBeforeJoin); ok; c, ok = NextChange(current, members, StableBeforeJoin) {
 		current, _ = c.Apply(current)
 	}
 	votersInZone := map[string]int{}
 	for _, v := range current {
 		votersInZone[v.Zone]++
 	}
-	assert.Assert(t, len(current) == MostVoters && votersInZone["z1"] == 3 && votersInZone["z2"] == 3, "%v", votersInZone)
+	assert.Assert(t, len(current) == MaxVoters && votersInZone["z1"] == 3 && votersInZone["z2"] == 3, "%v", votersInZone)
 }
 
 func TestResign(t *testing.T) {
-	_, ok := Resign(voters("a", "b", "c"), []Member{at("a", 0), at("b", 0), at("c", 0)}, "c")
+	_, ok := Resign(voters("a", "b", "c"), []Member{memberSilentFor("a", 0), memberSilentFor("b", 0), memberSilentFor("c", 0)}, "c")
 	assert.Assert(t, !ok) // the two voters left would tolerate no loss
 	_, ok = Resign(voters("a", "b", "c"), nil, "d")
 	assert.Assert(t, !ok) // d is not a voter
-	c, ok := Resign(voters("a", "b", "c"), []Member{at("d", 0)}, "c")
+	c, ok := Resign(voters("a", "b", "c"), []Member{memberSilentFor("d", 0)}, "c")
 	assert.Assert(t, ok && c.Add.ID == "d" && c.Remove == "c")
 	c, ok = Resign(voters("a", "b", "c", "d"), nil, "c")
 	assert.Assert(t, ok && c.Add == nil && c.Remove == "c")
@@ -129,41 +131,41 @@
 		n := 3 + rnd.IntN(3)
 		var current []state.Voter
 		for i := range n {
-			current = append(current, voter(machine(i)+"0"))
+			current = append(current, voter(machineName(i)+"0"))
 		}
 		members := map[string]*Member{}
 		for _, v := range current {
-			m := at(v.ID, 0)
+			m := memberSilentFor(v.ID, 0)
 			members[v.ID] = &m
 		}
 		machines := n
 		for range 40 {
 			down := 0
 			for _, v := range current {
-				if m := members[v.ID]; m == nil || !m.alive() {
+				if m := members[v.ID]; m == nil || !m.isAlive() {
 					down++
 				}
 			}
-			if ids := keys(members); down == 0 && rnd.IntN(2) == 0 {
+			if ids := aliveIDs(members); down == 0 && rnd.IntN(2) == 0 {
 				id := ids[rnd.IntN(len(ids))]
 				switch rnd.IntN(3) {
 				case 0: // the machine lost its disk and returns with another one
-					members[id].Silent = RemovedAfter
-					m := at(fmt.Sprint(members[id].Inner, machines), 0)
+					members[id].SilentFor = RemoveAfter
+					m := memberSilentFor(fmt.Sprint(members[id].Inner, machines), 0)
 					members[m.ID] = &m
 				case 1: // the machine is gone for good and a new one joins
-					members[id].Silent = RemovedAfter
-					m := at(machine(machines)+"0", 0)
+					members[id].SilentFor = RemoveAfter
+					m := memberSilentFor(machineName(machines)+"0", 0)
 					members[m.ID] = &m
 				case 2:
-					members[id].Silent = AliveWithin
+					members[id].SilentFor = AliveTimeout
 				}
 				machines++
 			}
-			c, ok := Next(current, list(members), CalmFor)
+			c, ok := NextChange(current, allMembers(members), StableBeforeJoin)
 			for _, m := range members {
-				if m.Silent < ReplacedAfter {
-					m.Silent = 0
+				if m.SilentFor < ReplaceAfter {
+					m.SilentFor = 0
 				}
 			}
 			if !ok {
@@ -171,14 +173,14 @@
 			}
 			after, fits := c.Apply(current)
 			assert.Assert(t, fits)
-			assert.Assert(t, len(after) >= min(len(current), LeastVoters) && len(after) <= MostVoters, "seed %d: %v after %v", seed, after, current)
-			if majority(current, members) {
-				assert.Assert(t, majority(after, members), "seed %d: %+v leaves no majority", seed, c)
+			assert.Assert(t, len(after) >= min(len(current), MinVoters) && len(after) <= MaxVoters, "seed %d: %v after %v", seed, after, current)
+			if isMajorityAlive(current, members) {
+				assert.Assert(t, isMajorityAlive(after, members), "seed %d: %+v leaves no majority", seed, c)
 			}
 			current = after
 		}
 		for range 10 {
-			c, ok := Next(current, list(members), CalmFor)
+			c, ok := NextChange(current, allMembers(members), StableBeforeJoin)
 			if !ok {
 				break
 			}
@@ -186,17 +188,17 @@
 		}
 		alive := 0
 		for _, v := range current {
-			if m := members[v.ID]; m != nil && m.alive() {
+			if m := members[v.ID]; m != nil && m.isAlive() {
 				alive++
 			}
 		}
-		assert.Assert(t, alive == len(current) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(current), current, list(members))
+		assert.Assert(t, alive == len(current) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(current), current, allMembers(members))
 	}
 }
 
-func keys(m map[string]*Member) (all []string) {
+func aliveIDs(m map[string]*Member) (all []string) {
 	for k, x := range m {
-		if x.alive() {
+		if x.isAlive() {
 			all = append(all, k)
 		}
 	}
@@ -204,17 +206,17 @@
 	return all
 }
 
-func list(m map[string]*Member) (all []Member) {
+func allMembers(m map[string]*Member) (all []Member) {
 	for _, x := range m {
 		all = append(all, *x)
 	}
 	return all
 }
 
-func majority(voters []state.Voter, members map[string]*Member) bool {
+func isMajorityAlive(voters []state.Voter, members map[string]*Member) bool {
 	n := 0
 	for _, v := range voters {
-		if m := members[v.ID]; m != nil && m.alive() {
+		if m := members[v.ID]; m != nil && m.isAlive() {
 			n++
 		}
 	}
--- a/internal/control/orderlog/orderlog.go
+++ b/internal/control/orderlog/orderlog.go
@@ -17,18 +17,18 @@
 
 // Bounds of a log.
 const (
-	mostWaiting = 64   // orders waiting to be written; further ones are dropped
-	mostKept    = 4096 // orders kept on disk; older ones are removed at the start
-	memTable    = 256 << 10
-	cache       = 256 << 10
-	openFiles   = 32
-	syncAfter   = 500 * time.Millisecond // delays syncs, as the acknowledgements of orders wait for the same disk
+	maxQueued     = 64   // orders waiting to be written; further ones are dropped
+	maxKept       = 4096 // orders kept on disk; older ones are removed at the start
+	memTableBytes = 256 << 10
+	cacheBytes    = 256 << 10
+	maxOpenFiles  = 32
+	syncDelay     = 500 * time.Millisecond // delays syncs, as the acknowledgements of orders wait for the same disk
 )
 
 // Log writes orders to disk in the background, so that a slow or failing disk blocks no caller.
-type Tally struct {
+type Log struct {
 	log   logr.Logger
-	todo  chan api.Order
+	queue chan api.Order
 	quit  chan struct{}
 	done  chan struct{}
 	store *pebble.DB
@@ -37,8 +37,8 @@
 
 // Open opens the log in the folder dir in the background, after a delay. Once the log is open it calls onOpen with up
 // to maxRead of the newest earlier orders, oldest first. If the log cannot be opened, it keeps nothing.
-func Open(fs vfs.FS, dir string, delay time.Duration, maxRead int, log logr.Logger, onOpen func([]api.Order)) *Tally {
-	t := &Tally{log: log, todo: make(chan api.Order, mostWaiting), quit: make(chan struct{}), done: make(chan struct{})}
+func Open(fs vfs.FS, dir string, delay time.Duration, maxRead int, log logr.Logger, onOpen func([]api.Order)) *Log {
+	t := &Log{log: log, queue: make(chan api.Order, maxQueued), quit: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(t.done)
 		select {
@@ -57,15 +57,15 @@
 }
 
 // Append queues an order to be written. It never blocks; the order is dropped if the queue is full.
-func (t *Tally) Note(o api.Order) {
+func (t *Log) Append(o api.Order) {
 	select {
-	case t.todo <- o:
+	case t.queue <- o:
 	default:
 	}
 }
 
 // Close ends the log. It waits at most d for pending writes.
-func (t *Tally) Close(d time.Duration) {
+func (t *Log) Close(d time.Duration) {
 	close(t.quit)
 	select {
 	case <-t.done:
@@ -73,12 +73,12 @@
 	}
 }
 
-func (t *Tally) open(fs vfs.FS, dir string) error {
-	blocks := pebble.NewCache(cache)
+func (t *Log) open(fs vfs.FS, dir string) error {
+	blocks := pebble.NewCache(cacheBytes)
 	defer blocks.Unref()
 	// Pebble starts no periodic disk health check for a file system that the caller passes.
 	opts := func() *pebble.Options {
-		return &pebble.Options{FS: fs, Cache: blocks, MemTableSize: memTable, MaxOpenFiles: openFiles, FormatMajorVersion: pebble.FormatNewest, Logger: quiet{t.log}}
+		return &pebble.Options{FS: fs, Cache: blocks, MemTableSize: memTableBytes, MaxOpenFiles: maxOpenFiles, FormatMajorVersion: pebble.FormatNewest, Logger: pebbleLogger{t.log}}
 	}
 	var err error
 	if t.store, err = pebble.Open(dir, opts()); pebble.IsCorruptionError(err) {
@@ -91,7 +91,7 @@
 }
 
 // read returns up to maxRead of the newest orders, oldest first, and removes all but the newest maxKept from disk.
-func (t *Tally) read(maxRead int) []api.Order {
+func (t *Log) read(maxRead int) []api.Order {
 	it, err := t.store.NewIter(nil)
 	if err != nil {
 		t.log.Info("cannot read the order log", "why", err.Error())
@@ -100,7 +100,7 @@
 	var all []api.Order
 	count := 0
 	var last []byte
-	for ok := it.Last(); ok && count < mostKept; ok = it.Prev() {
+	for ok := it.Last(); ok && count < maxKept; ok = it.Prev() {
 		if count == 0 && len(it.Key()) == 8 {
 			t.next = binary.BigEndian.Uint64(it.Key()) + 1
 		}
@@ -122,13 +122,13 @@
 	return all
 }
 
-func (t *Tally) run() {
+func (t *Log) run() {
 	var sync <-chan time.Time
-	for open := true; open || len(t.todo) > 0; {
+	for open := true; open || len(t.queue) > 0; {
 		select {
-		case o := <-t.todo:
+		case o := <-t.queue:
 			if t.write(o); sync == nil {
-				sync = time.After(syncAfter)
+				sync = time.After(syncDelay)
 			}
 		case <-sync:
 			sync = nil
@@ -144,7 +144,7 @@
 	}
 }
 
-func (t *Tally) write(o api.Order) {
+func (t *Log) write(o api.Order) {
 	value, err := json.Marshal(o)
 	if err == nil {
 		err = t.store.Set(binary.BigEndian.AppendUint64(nil, t.next), value, pebble.NoSync)
@@ -155,17 +155,17 @@
 }
 
 // pebbleLogger passes error lines of the database to the replica's log.
-type quiet struct{ log logr.Logger }
+type pebbleLogger struct{ log logr.Logger }
 
-func (q quiet) Infof(string, ...any) {}
+func (q pebbleLogger) Infof(string, ...any) {}
 
-func (q quiet) Errorf(format string, args ...any) {
+func (q pebbleLogger) Errorf(format string, args ...any) {
 	q.log.Info("order log database reports an error", "why", fmt.Sprintf(format, args...))
 }
 
 // Fatalf must not return, but a full disk is no reason to end the replica. It blocks the calling goroutine of the
 // database for good, and nothing is written to the log any more.
-func (q quiet) Fatalf(format string, args ...any) {
+func (q pebbleLogger) Fatalf(format string, args ...any) {
 	q.log.Info("order log database failed, no more orders are logged", "why", fmt.Sprintf(format, args...))
 	select {}
 }
--- a/internal/control/quorum/acceptor.go
+++ b/internal/control/quorum/acceptor.go
@@ -76,7 +76,7 @@
 }
 
 // HandlePrepare answers the message of the first phase.
-func (r *Record) Prepare(p Prepare) Promise {
+func (r *Record) HandlePrepare(p Prepare) Promise {
 	m := Promise{ID: r.ID, Version: r.Decided.Version}
 	switch {
 	case p.Version <= r.Decided.Version:
@@ -95,7 +95,7 @@
 
 // HandleAccept answers the message of the second phase. The configuration that the value names must be synced to the
 // replica's disk together with the record.
-func (r *Record) Accept(a Accept) Acceptance {
+func (r *Record) HandleAccept(a Accept) Acceptance {
 	m := Acceptance{ID: r.ID, Version: r.Decided.Version}
 	switch {
 	case a.Version <= r.Decided.Version:
--- a/internal/control/quorum/proposal.go
+++ b/internal/control/quorum/proposal.go
@@ -23,35 +23,37 @@
 // Proposal is one attempt, under one ballot, to decide the version that follows a decided state. It is not safe for
 // concurrent use.
 type Proposal struct {
-	base     state.State
-	ballot   Ballot
-	promises map[string]Promise
-	value    *state.State // the proposed value; nil until one is chosen
-	accepted map[string]bool
-	refused  map[string]bool   // voters of base that have promised a higher ballot
-	outbid   Ballot            // the highest ballot that any acceptor reported
-	ahead    *state.State      // the newest decided state above base that any acceptor reported
-	behind   map[string]uint64 // newest decided version of acceptors that lack base
+	base         state.State
+	ballot       Ballot
+	promises     map[string]Promise
+	value        *state.State // the proposed value; nil until one is chosen
+	accepted     map[string]bool
+	refused      map[string]bool   // voters of base that have promised a higher ballot
+	higherBallot Ballot            // the highest ballot that any acceptor reported
+	newerDecided *state.State      // the newest decided state above base that any acceptor reported
+	behind       map[string]uint64 // newest decided version of acceptors that lack base
 }
 
 // NewProposal starts an attempt to decide the version after base.
-func Propose(base state.State, ballot Ballot) *Proposal {
+func NewProposal(base state.State, ballot Ballot) *Proposal {
 	return &Proposal{base: base, ballot: ballot, promises: map[string]Promise{}, accepted: map[string]bool{}, refused: map[string]bool{}, behind: map[string]uint64{}}
 }
 
 // NewFirstRoundProposal starts an attempt under FirstRound, which needs no promises and begins with ChooseValue. The
 // caller must be the proposer of base and must not have used this round for the next version before.
-func ProposeFirst(base state.State) *Proposal {
-	return Propose(base, Ballot{Round: FirstRound, Proposer: base.Proposer})
+func NewFirstRoundProposal(base state.State) *Proposal {
+	return NewProposal(base, Ballot{Round: FirstRound, Proposer: base.Proposer})
 }
 
 // PrepareMessage returns the message of the first phase, to be sent to all voters of base.
-func (p *Proposal) Prepare() Prepare { return Prepare{Version: p.base.Version + 1, Ballot: p.ballot} }
+func (p *Proposal) PrepareMessage() Prepare {
+	return Prepare{Version: p.base.Version + 1, Ballot: p.ballot}
+}
 
 // HandlePromise processes an answer to the message of the first phase. Answers from replicas that are not voters of
 // base do not count.
-func (p *Proposal) Promised(m Promise) {
-	p.hear(m.ID, m.Promised, m.Decided)
+func (p *Proposal) HandlePromise(m Promise) {
+	p.noteReply(m.ID, m.Promised, m.Decided)
 	if m.Granted {
 		p.promises[m.ID] = m
 	} else if m.Version < p.base.Version {
@@ -60,26 +62,26 @@
 }
 
 // noteReply records a higher ballot or a newer decided state that an acceptor reports.
-func (p *Proposal) hear(id string, promised Ballot, decided *state.State) {
+func (p *Proposal) noteReply(id string, promised Ballot, decided *state.State) {
 	if _, ok := p.base.Voter(id); ok && promised != (Ballot{}) {
 		p.refused[id] = true
 	}
-	if promised.Above(p.outbid) {
-		p.outbid = promised
+	if promised.Above(p.higherBallot) {
+		p.higherBallot = promised
 	}
-	if decided != nil && (p.ahead == nil || decided.Version > p.ahead.Version) {
-		p.ahead = decided
+	if decided != nil && (p.newerDecided == nil || decided.Version > p.newerDecided.Version) {
+		p.newerDecided = decided
 	}
 }
 
 // IsPrepared reports whether a majority of the voters of base has promised.
-func (p *Proposal) Prepared() bool {
+func (p *Proposal) IsPrepared() bool {
 	return IsMajority(p.base.Voters, func(id string) bool { _, ok := p.promises[id]; return ok })
 }
 
 // InheritedValue returns the value that must be proposed because a majority may already have accepted it, or nil if
 // any value may be proposed.
-func (p *Proposal) Inherited() *state.State {
+func (p *Proposal) InheritedValue() *state.State {
 	var ballot Ballot
 	var value *state.State
 	for _, v := range p.base.Voters {
@@ -92,8 +94,8 @@
 
 // ChooseValue sets the value and returns the message of the second phase, to be sent to all voters of base and of the
 // value. An inherited value takes precedence over v.
-func (p *Proposal) Choose(v state.State) Accept {
-	if inherited := p.Inherited(); inherited != nil {
+func (p *Proposal) ChooseValue(v state.State) Accept {
+	if inherited := p.InheritedValue(); inherited != nil {
 		v = *inherited
 	}
 	v.Version = p.base.Version + 1
@@ -102,8 +104,8 @@
 }
 
 // HandleAcceptance processes an answer to the message of the second phase.
-func (p *Proposal) Accepted(m Acceptance) {
-	p.hear(m.ID, m.Promised, m.Decided)
+func (p *Proposal) HandleAcceptance(m Acceptance) {
+	p.noteReply(m.ID, m.Promised, m.Decided)
 	if m.Granted {
 		p.accepted[m.ID] = true
 	} else if m.Version < p.base.Version {
@@ -113,7 +115,7 @@
 
 // IsDecided reports whether the value is decided. It must be accepted by a majority of the voters of base and also of
 // the voters that the value names, so that the loss of any minority of the new voters cannot lose the decision.
-func (p *Proposal) Decided() bool {
+func (p *Proposal) IsDecided() bool {
 	if p.value == nil {
 		return false
 	}
@@ -126,19 +128,19 @@
 
 // HigherBallot returns the highest competing ballot that an acceptor has promised, or the zero Ballot if there is
 // none.
-func (p *Proposal) Outbid() Ballot { return p.outbid }
+func (p *Proposal) HigherBallot() Ballot { return p.higherBallot }
 
 // NewerDecided returns the newest decided state above base that an acceptor reported, or nil if there is none.
-func (p *Proposal) Ahead() *state.State { return p.ahead }
+func (p *Proposal) NewerDecided() *state.State { return p.newerDecided }
 
 // CannotSucceed reports whether this attempt can no longer succeed: the version is already decided, or so many voters
 // have promised another ballot that no majority is left.
-func (p *Proposal) Hopeless() bool {
-	return p.ahead != nil || len(p.refused) > len(p.base.Voters)-Majority(len(p.base.Voters))
+func (p *Proposal) CannotSucceed() bool {
+	return p.newerDecided != nil || len(p.refused) > len(p.base.Voters)-Majority(len(p.base.Voters))
 }
 
 // HasConfig reports whether an acceptor has said in its promise that it has a configuration on its disk.
-func (p *Proposal) Holds(id string, config state.ConfigID) bool {
+func (p *Proposal) HasConfig(id string, config state.ConfigID) bool {
 	for _, d := range p.promises[id].Holds {
 		if d == config.Digest {
 			return true
@@ -148,7 +150,7 @@
 }
 
 // IsBehind reports whether an acceptor must catch up with base before it can vote.
-func (p *Proposal) Behind(id string) bool { _, ok := p.behind[id]; return ok }
+func (p *Proposal) IsBehind(id string) bool { _, ok := p.behind[id]; return ok }
 
 // IsLatest reports whether nothing above base, except changes of the voters, had been decided when the reports were
 // requested. It needs reports from a majority of the voters of base that know of nothing above it and have accepted
@@ -157,7 +159,7 @@
 func IsLatest(base state.State, reports map[string]Report) bool {
 	knows := func(id string) bool {
 		m, ok := reports[id]
-		return ok && m.Version <= base.Version && (m.Value == nil || m.Value.Version <= base.Version || onlyVoters(base, *m.Value))
+		return ok && m.Version <= base.Version && (m.Value == nil || m.Value.Version <= base.Version || differOnlyInVoters(base, *m.Value))
 	}
 	if !IsMajority(base.Voters, knows) {
 		return false
@@ -171,7 +173,7 @@
 }
 
 // differOnlyInVoters reports whether two states have the same content apart from their voters.
-func onlyVoters(a, b state.State) bool {
+func differOnlyInVoters(a, b state.State) bool {
 	b.Voters = a.Voters
-	return a.Same(b)
+	return a.SameContent(b)
 }
--- a/internal/control/replicate/replicate.go
+++ b/internal/control/replicate/replicate.go
@@ -12,16 +12,16 @@
 )
 
 // MaxPieceBytes is the maximum number of bytes that one message carries.
-const PieceSize = 128 << 10
+const MaxPieceBytes = 128 << 10
 
 // MaxConfigBytes is the maximum size of a configuration.
-const MostBytes = 7 << 20
+const MaxConfigBytes = 7 << 20
 
 // Errors of a transfer. After any of them the transfer must be restarted, with another replica if there is one.
 var (
-	ErrPiece  = errors.New("replicate: received a piece that was not requested")
-	ErrLarge  = errors.New("replicate: configuration is empty or exceeds the maximum size")
-	ErrSpoilt = errors.New("replicate: digest of the received configuration does not match")
+	ErrUnexpectedPiece = errors.New("replicate: received a piece that was not requested")
+	ErrTooLarge        = errors.New("replicate: configuration is empty or exceeds the maximum size")
+	ErrDigestMismatch  = errors.New("replicate: digest of the received configuration does not match")
 )
 
 // Request asks for a piece of a configuration.
@@ -40,45 +40,47 @@
 
 // CutPiece answers a request from the bytes of the whole configuration. It returns false if the offset lies outside of
 // them.
-func Cut(r Request, whole []byte) (Piece, bool) {
+func CutPiece(r Request, whole []byte) (Piece, bool) {
 	if r.Offset < 0 || r.Offset >= len(whole) {
 		return Piece{}, false
 	}
-	end := min(len(whole), r.Offset+PieceSize)
+	end := min(len(whole), r.Offset+MaxPieceBytes)
 	return Piece{Digest: r.Digest, Offset: r.Offset, Total: len(whole), Bytes: whole[r.Offset:end]}, true
 }
 
 // Transfer assembles a configuration from its pieces. It buffers at most MaxConfigBytes.
 type Transfer struct {
-	id    state.ConfigID
-	bytes []byte
-	total int // size of the whole configuration in bytes; 0 before the first piece
+	id       state.ConfigID
+	received []byte
+	total    int // size of the whole configuration in bytes; 0 before the first piece
 }
 
 // NewTransfer starts the transfer of a configuration.
-func Begin(id state.ConfigID) *Transfer { return &Transfer{id: id} }
+func NewTransfer(id state.ConfigID) *Transfer { return &Transfer{id: id} }
 
 // NextRequest returns the request for the next piece.
-func (t *Transfer) Next() Request { return Request{Digest: t.id.Digest, Offset: len(t.bytes)} }
+func (t *Transfer) NextRequest() Request {
+	return Request{Digest: t.id.Digest, Offset: len(t.received)}
+}
 
 // AddPiece adds the piece that was requested last. It returns the whole configuration once it is complete and its
 // digest matches, and nil before. An error ends the transfer.
-func (t *Transfer) Take(p Piece) (whole []byte, err error) {
+func (t *Transfer) AddPiece(p Piece) (whole []byte, err error) {
 	switch {
-	case p.Total <= 0 || p.Total > MostBytes:
-		return nil, ErrLarge
-	case p.Digest != t.id.Digest || p.Offset != len(t.bytes) || len(p.Bytes) == 0 || len(p.Bytes) > PieceSize:
-		return nil, ErrPiece
+	case p.Total <= 0 || p.Total > MaxConfigBytes:
+		return nil, ErrTooLarge
+	case p.Digest != t.id.Digest || p.Offset != len(t.received) || len(p.Bytes) == 0 || len(p.Bytes) > MaxPieceBytes:
+		return nil, ErrUnexpectedPiece
 	case t.total != 0 && p.Total != t.total || p.Offset+len(p.Bytes) > p.Total:
-		return nil, ErrPiece
+		return nil, ErrUnexpectedPiece
 	}
 	t.total = p.Total
-	t.bytes = append(t.bytes, p.Bytes...)
-	if len(t.bytes) < t.total {
+	t.received = append(t.received, p.Bytes...)
+	if len(t.received) < t.total {
 		return nil, nil
 	}
-	if sha256.Sum256(t.bytes) != t.id.Digest {
-		return nil, ErrSpoilt
+	if sha256.Sum256(t.received) != t.id.Digest {
+		return nil, ErrDigestMismatch
 	}
-	return t.bytes, nil
+	return t.received, nil
 }
--- a/internal/control/state/order.go
+++ b/internal/control/state/order.go
@@ -15,7 +15,7 @@
 }
 
 // Supersedes reports whether z applies instead of y, which has the same subject. Count is at least 1 in every order.
-func (z Order) Over(y Order) bool {
+func (z Order) Supersedes(y Order) bool {
 	if z.Count != y.Count {
 		return z.Count > y.Count
 	}
@@ -23,19 +23,19 @@
 }
 
 // nodePrefix begins the subject of an order about a node. No zone name begins with it.
-const nodeMark = "node/"
+const nodePrefix = "node/"
 
 // NodeSubject returns the subject of orders about a node. They are stored and compared like those about zones.
-func OfNode(name string) string { return nodeMark + name }
+func NodeSubject(name string) string { return nodePrefix + name }
 
 // Node returns the node that the order is about, or false if it is about something else.
-func (z Order) Node() (name string, ok bool) { return strings.CutPrefix(z.Zone, nodeMark) }
+func (z Order) Node() (name string, ok bool) { return strings.CutPrefix(z.Zone, nodePrefix) }
 
 // serverPrefix begins the subject of an order about a server. No zone name begins with it.
-const serverMark = "server/"
+const serverPrefix = "server/"
 
 // ServerSubject returns the subject of orders about one incarnation of a server.
-func OfServer(id string) string { return serverMark + id }
+func ServerSubject(id string) string { return serverPrefix + id }
 
 // Server returns the server that the order is about, or false if it is about something else.
-func (z Order) Server() (id string, ok bool) { return strings.CutPrefix(z.Zone, serverMark) }
+func (z Order) Server() (id string, ok bool) { return strings.CutPrefix(z.Zone, serverPrefix) }
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -88,7 +88,7 @@
 }
 
 // SameContent reports whether two states are equal except for their versions and proposers.
-func (s State) Same(o State) bool {
+func (s State) SameContent(o State) bool {
 	return s.Config == o.Config && s.Lock == o.Lock && slices.Equal(s.Voters, o.Voters) && slices.Equal(s.Orders, o.Orders)
 }
 
@@ -130,7 +130,7 @@
 
 // maxWithdrawn is how many of the newest withdrawn orders about nodes are kept. Agents that missed older ones have
 // reconnected since.
-const mostWithdrawn = 256
+const maxWithdrawn = 256
 
 // Prune drops orders that no longer have any effect, so that the state does not grow with the number of changes:
 // orders about servers that expired before unixMS, in milliseconds of Unix time, and the oldest withdrawn orders about
@@ -146,11 +146,11 @@
 			withdrawn = append(withdrawn, o.Count)
 		}
 	}
-	if len(withdrawn) <= mostWithdrawn {
+	if len(withdrawn) <= maxWithdrawn {
 		return
 	}
 	slices.Sort(withdrawn)
-	oldest := withdrawn[len(withdrawn)-mostWithdrawn]
+	oldest := withdrawn[len(withdrawn)-maxWithdrawn]
 	s.Orders = slices.DeleteFunc(s.Orders, func(o Order) bool {
 		_, node := o.Node()
 		return node && !o.Drain && o.Count < oldest
--- a/internal/control/statestore/file.go
+++ b/internal/control/statestore/file.go
@@ -19,11 +19,11 @@
 // The files. Each begins with a header line: the kind of the file, the number of the format, a number that depends on
 // the kind, the SHA-256 and length of the body in bytes, and a checksum of the line.
 const (
-	recordFile   = "record"  // what this replica has decided, promised and accepted
-	configPrefix = "config-" // begins the names of configuration files, which hold the text that the operator sent
-	censusFile   = "census"  // names of all nodes ever seen
-	aside        = ".new"    // ends the names of files that are being written
-	format       = 2
+	recordFile    = "record"  // what this replica has decided, promised and accepted
+	configPrefix  = "config-" // begins the names of configuration files, which hold the text that the operator sent
+	censusFile    = "census"  // names of all nodes ever seen
+	tempSuffix    = ".new"    // ends the names of files that are being written
+	formatVersion = 2
 )
 
 // configName returns the name of the file of a configuration.
@@ -33,15 +33,15 @@
 const configKind = "config"
 
 // encodeFile returns the contents of a file: a header line and the body.
-func seal(kind string, number uint64, body []byte) []byte {
+func encodeFile(kind string, number uint64, body []byte) []byte {
 	digest := sha256.Sum256(body)
-	header := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, format, number, hex.EncodeToString(digest[:]), len(body))
+	header := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, formatVersion, number, hex.EncodeToString(digest[:]), len(body))
 	return append(fmt.Appendf(nil, "%s %08x\n", header, crc32.ChecksumIEEE([]byte(header))), body...)
 }
 
 // decodeFile checks the contents of a file against its header line and returns the number and the body. Any mismatch
 // is an error.
-func open(kind string, contents []byte) (number uint64, body []byte, err error) {
+func decodeFile(kind string, contents []byte) (number uint64, body []byte, err error) {
 	line, body, found := bytes.Cut(contents, []byte("\n"))
 	if !found {
 		return 0, nil, errors.Errorf("%s: header line is missing", kind)
@@ -56,8 +56,8 @@
 	if _, err := fmt.Sscanf(header[:checksumAt], "pepperfall %s %d %d %s %d", &gotKind, &version, &number, &digest, &length); err != nil || gotKind != kind {
 		return 0, nil, errors.Errorf("%s: header line is malformed or of another kind of file", kind)
 	}
-	if version != format {
-		return 0, nil, errors.Errorf("%s: format version %d, want %d", kind, version, format)
+	if version != formatVersion {
+		return 0, nil, errors.Errorf("%s: format version %d, want %d", kind, version, formatVersion)
 	}
 	if len(body) != length {
 		return 0, nil, errors.Errorf("%s: body has %d bytes, want %d", kind, len(body), length)
@@ -69,9 +69,9 @@
 }
 
 // writeFile atomically replaces a whole file. The file is durable once writeFile returns nil.
-func write(d world.Disk, dir, name string, contents []byte) error {
+func writeFile(d world.Disk, dir, name string, contents []byte) error {
 	path := filepath.Join(dir, name)
-	f, err := d.Create(path + aside)
+	f, err := d.Create(path + tempSuffix)
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
@@ -83,7 +83,7 @@
 		err = closeErr
 	}
 	if err == nil {
-		err = d.Rename(path+aside, path)
+		err = d.Rename(path+tempSuffix, path)
 	}
 	if err == nil {
 		err = d.SyncDir(dir)
@@ -92,7 +92,7 @@
 }
 
 // fileKind returns the kind that the header line of a file must have.
-func kindOf(name string) string {
+func fileKind(name string) string {
 	if strings.HasPrefix(name, configPrefix) {
 		return configKind
 	}
@@ -100,7 +100,7 @@
 }
 
 // readFile returns the number and the body of a file, or a nil body without an error if the file does not exist.
-func read(d world.Disk, dir, name string) (uint64, []byte, error) {
+func readFile(d world.Disk, dir, name string) (uint64, []byte, error) {
 	contents, err := d.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil, nil
@@ -108,5 +108,5 @@
 	if err != nil {
 		return 0, nil, errors.Wrap(err, name)
 	}
-	return open(kindOf(name), contents)
+	return decodeFile(fileKind(name), contents)
 }
--- a/internal/control/statestore/store.go
+++ b/internal/control/statestore/store.go
@@ -19,13 +19,13 @@
 )
 
 // FolderState is the state of a store's folder at the start.
-type Found int
+type FolderState int
 
 // The states of a folder.
 const (
-	Empty  Found = iota // there is no record
-	Whole               // everything that was ever synced is there
-	Spoilt              // files are missing or unreadable, so something may be lost
+	Empty   FolderState = iota // there is no record
+	Intact                     // everything that was ever synced is there
+	Damaged                    // files are missing or unreadable, so something may be lost
 )
 
 // ErrNoDisk is returned by Store.Wait if there is no disk.
@@ -39,7 +39,7 @@
 
 // referencedConfigs returns the configurations that a record references: the decided one and, if different, the
 // accepted one.
-func named(r *quorum.Record) (all []state.ConfigID) {
+func referencedConfigs(r *quorum.Record) (all []state.ConfigID) {
 	if r.Decided.Config.Gen > 0 {
 		all = append(all, r.Decided.Config)
 	}
@@ -50,8 +50,8 @@
 }
 
 // DropUnreferenced drops the configurations that the record does not reference.
-func (c *Contents) Keep() {
-	ids := named(&c.Record)
+func (c *Contents) DropUnreferenced() {
+	ids := referencedConfigs(&c.Record)
 	maps.DeleteFunc(c.Configs, func(d state.Digest, _ *peerlink.Configuration) bool {
 		return !slices.ContainsFunc(ids, func(id state.ConfigID) bool { return id.Digest == d })
 	})
@@ -63,48 +63,48 @@
 	disk world.Disk // nil if there is none
 	dir  string
 
-	mu         sync.Mutex
-	want       *Contents       // not yet on disk; nil if everything is
-	put        uint64          // number of the last Put
-	synced     uint64          // number of the newest Put that is on disk
-	onDisk     map[string]bool // names of the configuration files on disk
-	census     []string        // as last written or read
-	wantCensus []string        // to be written; nil if nothing is
-	trouble    error           // of the last write; nil if it succeeded
-	waiters    []waiter
-	wake       chan struct{} // buffers one signal to the writer
+	mu            sync.Mutex
+	pending       *Contents       // not yet on disk; nil if everything is
+	lastPut       uint64          // number of the last Put
+	synced        uint64          // number of the newest Put that is on disk
+	onDisk        map[string]bool // names of the configuration files on disk
+	census        []string        // as last written or read
+	pendingCensus []string        // to be written; nil if nothing is
+	lastError     error           // of the last write; nil if it succeeded
+	waiters       []waiter
+	wake          chan struct{} // buffers one signal to the writer
 }
 
 // waiter waits until a Put is on disk.
 type waiter struct {
-	number uint64
-	end    chan error
+	put  uint64
+	done chan error
 }
 
 // Open reads a folder and removes files of a store that the record does not reference. A nil disk is treated as an
 // empty one. The store can be used even if the error is not nil; the error says why the folder could not be read.
-func Open(disk world.Disk, dir string) (*Store, Contents, Found, error) {
+func Open(disk world.Disk, dir string) (*Store, Contents, FolderState, error) {
 	s := &Store{disk: disk, dir: dir, onDisk: map[string]bool{}, wake: make(chan struct{}, 1)}
 	contents := Contents{Configs: map[state.Digest]*peerlink.Configuration{}}
 	if disk == nil {
 		return s, contents, Empty, nil
 	}
 	if err := disk.MkdirAll(dir); err != nil {
-		return s, contents, Spoilt, errors.Wrap(err, "statestore")
+		return s, contents, Damaged, errors.Wrap(err, "statestore")
 	}
 	names, err := disk.List(dir)
 	if err != nil {
-		return s, contents, Spoilt, errors.Wrap(err, "statestore")
+		return s, contents, Damaged, errors.Wrap(err, "statestore")
 	}
 	found, err := load(disk, dir, &contents)
-	if _, body, censusErr := read(disk, dir, censusFile); censusErr == nil && body != nil {
+	if _, body, censusErr := readFile(disk, dir, censusFile); censusErr == nil && body != nil {
 		_ = json.Unmarshal(body, &s.census) // if it fails, the agents report the nodes again
 	}
-	for _, id := range named(&contents.Record) {
+	for _, id := range referencedConfigs(&contents.Record) {
 		s.onDisk[configName(id.Digest)] = true
 	}
 	for _, name := range names {
-		if isOurs(name) && name != recordFile && name != censusFile && !s.onDisk[name] {
+		if isStoreFile(name) && name != recordFile && name != censusFile && !s.onDisk[name] {
 			_ = disk.Remove(filepath.Join(dir, name))
 		}
 	}
@@ -112,45 +112,45 @@
 }
 
 // isStoreFile reports whether a store may have written a file of this name.
-func isOurs(name string) bool {
-	name = strings.TrimSuffix(name, aside)
+func isStoreFile(name string) bool {
+	name = strings.TrimSuffix(name, tempSuffix)
 	return name == recordFile || name == censusFile || strings.HasPrefix(name, configPrefix)
 }
 
 // load reads the record and its configurations. If any of them is damaged or missing, nothing is used, as a promise
 // may have been lost.
-func load(disk world.Disk, dir string, c *Contents) (Found, error) {
-	_, body, err := read(disk, dir, recordFile)
+func load(disk world.Disk, dir string, c *Contents) (FolderState, error) {
+	_, body, err := readFile(disk, dir, recordFile)
 	if err != nil {
-		return Spoilt, err
+		return Damaged, err
 	}
 	if body == nil {
 		return Empty, nil
 	}
 	var record quorum.Record
 	if err := json.Unmarshal(body, &record); err != nil {
-		return Spoilt, errors.Wrap(err, recordFile)
+		return Damaged, errors.Wrap(err, recordFile)
 	}
 	configs := map[state.Digest]*peerlink.Configuration{}
-	for _, id := range named(&record) {
-		_, body, err := read(disk, dir, configName(id.Digest))
+	for _, id := range referencedConfigs(&record) {
+		_, body, err := readFile(disk, dir, configName(id.Digest))
 		if err == nil && (body == nil || sha256.Sum256(body) != id.Digest) {
 			err = errors.Errorf("%s: not the configuration that the record names", configName(id.Digest))
 		}
 		if err != nil {
-			return Spoilt, err
+			return Damaged, err
 		}
 		configs[id.Digest] = (&peerlink.Configuration{Gen: id.Gen, Digest: id.Digest, Body: body}).Pack()
 	}
 	c.Record, c.Configs = record, configs
-	return Whole, nil
+	return Intact, nil
 }
 
 // LastError returns why the last write failed, or nil if it succeeded.
-func (s *Store) Trouble() error {
+func (s *Store) LastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.trouble
+	return s.lastError
 }
 
 // Census returns the names of nodes that were last read or written.
@@ -161,11 +161,11 @@
 }
 
 // SaveCensus has the names of all nodes ever seen written in the background.
-func (s *Store) KeepCensus(names []string) {
+func (s *Store) SaveCensus(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wantCensus = slices.Clone(names)
-	s.rouse()
+	s.pendingCensus = slices.Clone(names)
+	s.wakeWriter()
 }
 
 // Put has contents written in the background and returns the number to pass to Wait. The maps and states in c must not
@@ -174,18 +174,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.Configs = maps.Clone(c.Configs)
-	s.want = &c
-	s.put++
-	s.rouse()
-	return s.put
+	s.pending = &c
+	s.lastPut++
+	s.wakeWriter()
+	return s.lastPut
 }
 
 // RetryPending retries to write contents whose last write failed.
-func (s *Store) Again() {
+func (s *Store) RetryPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.want != nil {
-		s.rouse()
+	if s.pending != nil {
+		s.wakeWriter()
 	}
 }
 
@@ -203,10 +203,10 @@
 	}
 	w := waiter{number, make(chan error, 1)}
 	s.waiters = append(s.waiters, w)
-	s.rouse()
+	s.wakeWriter()
 	s.mu.Unlock()
 	select {
-	case err := <-w.end:
+	case err := <-w.done:
 		return err
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "statestore")
@@ -214,7 +214,7 @@
 }
 
 // wakeWriter signals the writer that something is pending.
-func (s *Store) rouse() {
+func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -232,25 +232,25 @@
 			return
 		case <-s.wake:
 		}
-		for ctx.Err() == nil && s.step() {
+		for ctx.Err() == nil && s.writeNext() {
 		}
 	}
 }
 
 // writeNext writes what is pending and reports whether it succeeded in writing something.
-func (s *Store) step() bool {
+func (s *Store) writeNext() bool {
 	s.mu.Lock()
-	contents, number, census := s.want, s.put, s.wantCensus
-	s.wantCensus = nil
+	contents, number, census := s.pending, s.lastPut, s.pendingCensus
+	s.pendingCensus = nil
 	s.mu.Unlock()
 	switch {
 	case contents != nil:
-		return s.written(contents, number, s.writeContents(contents))
+		return s.finishPut(contents, number, s.writeContents(contents))
 	case census != nil:
-		err := write(s.disk, s.dir, censusFile, seal(censusFile, 0, encode(census)))
+		err := writeFile(s.disk, s.dir, censusFile, encodeFile(censusFile, 0, encodeJSON(census)))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.trouble = err; err == nil {
+		if s.lastError = err; err == nil {
 			s.census = census
 		}
 		return err == nil
@@ -262,7 +262,7 @@
 // it.
 func (s *Store) writeContents(c *Contents) error {
 	referenced := map[string]bool{}
-	for _, id := range named(&c.Record) {
+	for _, id := range referencedConfigs(&c.Record) {
 		name := configName(id.Digest)
 		referenced[name] = true
 		if s.onDisk[name] {
@@ -272,12 +272,12 @@
 		if config == nil {
 			return errors.Errorf("statestore: configuration %s is missing from the contents", name)
 		}
-		if err := write(s.disk, s.dir, name, seal(configKind, id.Gen, config.Body)); err != nil {
+		if err := writeFile(s.disk, s.dir, name, encodeFile(configKind, id.Gen, config.Body)); err != nil {
 			return err
 		}
 		s.onDisk[name] = true
 	}
-	if err := write(s.disk, s.dir, recordFile, seal(recordFile, c.Record.Decided.Version, encode(c.Record))); err != nil {
+	if err := writeFile(s.disk, s.dir, recordFile, encodeFile(recordFile, c.Record.Decided.Version, encodeJSON(c.Record))); err != nil {
 		return err
 	}
 	for name := range s.onDisk {
@@ -290,27 +290,27 @@
 }
 
 // finishPut records the result of a write, reports it to waiting callers and returns whether it succeeded.
-func (s *Store) written(c *Contents, number uint64, err error) bool {
+func (s *Store) finishPut(c *Contents, number uint64, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = err
+	s.lastError = err
 	if err == nil {
 		s.synced = number
-		if s.want == c {
-			s.want = nil
+		if s.pending == c {
+			s.pending = nil
 		}
 	}
 	s.waiters = slices.DeleteFunc(s.waiters, func(w waiter) bool {
-		if w.number > number {
+		if w.put > number {
 			return false
 		}
-		w.end <- err
+		w.done <- err
 		return true
 	})
 	return err == nil
 }
 
-func encode(v any) []byte {
+func encodeJSON(v any) []byte {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // cannot happen: the values are plain structs
