--- a/internal/control/lease/explore_test.go
+++ b/internal/control/lease/explore_test.go
@@ -20,7 +20,8 @@
 
 const replicas = 3
 
-// model is three replicas, what is on its way between them, and what has befallen them. It can be copied at any point.
+// model is a system of three replicas with the messages in flight between them and the faults that have occurred. It
+// can be copied at any point.
 type model struct {
 	nodes        [replicas]testReplica
 	inFlight     []envelope
@@ -66,7 +67,7 @@
 	if m.incarnations < replicas || m.injected == nil || !m.injected.keepsIncarnation {
 		m.incarnations++
 	}
-	m.unixMS += 100 // whoever has come back was away for more than a millisecond
+	m.unixMS += 100 // a restart takes more than a millisecond
 	n := &m.nodes[i]
 	*n = testReplica{lease: New("duty", peerlink.Seat{Name: name(i), Life: m.incarnations}, "z"+name(i%2)), isUp: true}
 	n.times = TaskTimes{Period: 500 * time.Millisecond, LastOwn: -500 * time.Millisecond}
@@ -136,7 +137,7 @@
 	if old, ok := m.claims[d.Term]; ok && old != c && m.violation == "" {
 		m.violation = fmt.Sprintf("two claims of one term: %v and %v", old, c)
 	}
-	m.claims[d.Term] = c
+	m.claims[d.Term] = claim
 }
 
 func (m *model) deliver(l envelope) {
@@ -158,12 +159,13 @@
 	}
 }
 
-// action is one thing that may happen next.
+// action is one event that may occur next.
 type action struct {
 	label string
 	apply func(m *model)
 }
 
+// actions returns all events that may occur next.
 func (m *model) actions() (all []action) {
 	add := func(what string, do func(m *model)) { all = append(all, action{what, do}) }
 	for k, l := range m.inFlight {
@@ -224,10 +226,10 @@
 	}
 }
 
-// key tells states apart. Spans of time count as far as they make a difference.
+// key identifies a state. Durations are included only as far as they make a difference: rounded, and up to 3 seconds.
 func (m *model) key() string {
 	var b []byte
-	span := func(d time.Duration) {
+	duration := func(d time.Duration) {
 		b = binary.AppendVarint(b, int64(min(max(d, 0), 3*time.Second)/(50*time.Millisecond)))
 	}
 	seat := func(s peerlink.Seat) { b = append(append(b, s.Name...), byte(s.Life)) }
@@ -276,7 +278,7 @@
 	return fmt.Sprint(string(b), m.remaining, strings.Join(mail, "|"))
 }
 
-// Bounds of what holds once nothing more befalls the replicas.
+// Timing of a run without further faults.
 const (
 	linkDelay    = 20 * time.Millisecond
 	calmStep     = 10 * time.Millisecond
@@ -305,7 +307,7 @@
 		at time.Duration
 		l  envelope
 	}
-	var later []due
+	var pending []delayed
 	var last, gap [replicas]time.Duration
 	turns := [replicas]int{}
 	for t := time.Duration(0); t < calmDuration; t += calmStep {
@@ -346,7 +348,7 @@
 	if m.violation != "" {
 		return m.violation
 	}
-	holders, all := 0, 0
+	holders, running := 0, 0
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		if !n.isUp || n.isLeaving {
@@ -358,8 +360,8 @@
 		}
 		if n.lease.Holds() {
 			holders++
-		} else if turns[i] > 0 && heal {
-			return fmt.Sprintf("%s still does without a claim what another does", name(i))
+		} else if runs[i] > 0 && heal {
+			return fmt.Sprintf("%s still runs the task without holding the duty", name(i))
 		}
 		if heal && n.lease.known != m.nodes[0].lease.known {
 			return fmt.Sprintf("%s and %s know different holders", name(i), name(0))
@@ -387,13 +389,15 @@
 	return m
 }
 
-// explore tries all orders of what may happen, and returns how many states it saw, and the first fault with its path.
-func explore(begin *model, deep int, calms int) (states int, fault string) {
+// explore tries all orders of events up to a length. It returns how many states it visited and the first violated
+// invariant with its path. From every state whose number is a multiple of recoveryEvery it also checks that the system
+// recovers without further faults.
+func explore(begin *model, maxDepth int, recoveryEvery int) (states int, violation string) {
 	seen := map[string]bool{begin.key(): true}
-	front := []*model{begin}
-	for d := 0; d <= deep && len(front) > 0; d++ {
+	frontier := []*model{begin}
+	for d := 0; d <= maxDepth && len(frontier) > 0; d++ {
 		var next []*model
-		for _, m := range front {
+		for _, m := range frontier {
 			states++
 			if states%calms == 0 && m.violation == "" {
 				if m.violation = m.runUndisturbed(true); m.violation == "" {
@@ -403,7 +407,7 @@
 			if m.violation != "" {
 				return states, m.violation + "\n" + strings.Join(m.path, "\n")
 			}
-			if d == deep {
+			if d == maxDepth {
 				continue
 			}
 			for _, a := range m.actions() {
@@ -418,7 +422,7 @@
 				next = append(next, c)
 			}
 		}
-		front = next
+		frontier = next
 	}
 	return states, ""
 }
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -8,7 +8,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of a duty.
+// Timeouts and intervals of a duty.
 const (
 	HeartbeatInterval = 600 * time.Millisecond // between two words of a holder at most
 	SilenceTimeout    = 900 * time.Millisecond // without a word a holder is taken for lost
@@ -19,14 +19,14 @@
 	never             = time.Duration(1) << 62
 )
 
-// Peer is another replica that is connected and does not leave.
+// Peer is another replica that is connected and is not leaving.
 type Peer struct {
 	peerlink.Seat
 	Zone    string
 	CanVote bool // its vote counts
 }
 
-// View is what a replica knows at a moment.
+// View is what a replica knows of itself and of its peers at one moment.
 type View struct {
 	Now        time.Duration // of its steady clock
 	UnixMS     uint64        // its time of day
@@ -41,7 +41,7 @@
 	Duty peerlink.Duty
 }
 
-// Lease is one replica's part in a duty. It is not safe for use by several goroutines.
+// Lease is one replica's view of and part in a duty. It is not safe for concurrent use.
 type Lease struct {
 	duty string
 	self peerlink.Seat
@@ -60,7 +60,7 @@
 	votes            map[string]bool
 }
 
-// New makes a replica's part in a duty.
+// New returns the part of the replica self, which is in zone, in a duty.
 func New(duty string, self peerlink.Seat, zone string) *Lease {
 	return &Lease{duty: duty, self: self, zone: zone}
 }
@@ -68,7 +68,7 @@
 // Holds tells whether this replica has the duty.
 func (s *Lease) Holds() bool { return !s.hasLeft && s.known.Holder == s.self }
 
-// Known is the term that holds as far as this replica knows, with its holder and the next one.
+// Known returns the newest term that this replica knows, with its holder and successor.
 func (s *Lease) Known() peerlink.Duty { return s.known }
 
 // AcceptsTerm tells whether a word given in a term is to be heeded. The zero term claims nothing, so it is.
@@ -88,7 +88,7 @@
 // NoteAnnounced notes that the holder has told its word to all.
 func (s *Lease) NoteAnnounced(now time.Duration) { s.announcedAt = now }
 
-// Rank is this replica's among all that are connected.
+// Rank returns this replica's rank among all connected replicas.
 func (s *Lease) Rank(v View) int { return s.rank(v, func(Peer) bool { return true }) }
 
 func (s *Lease) rank(v View, counts func(Peer) bool) int {
@@ -212,17 +212,17 @@
 			fit = append(fit, p)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return peerlink.Seat{}
 	}
-	near := func(p Peer) int {
+	sameZone := func(p Peer) int {
 		if p.Zone == s.zone {
 			return 1
 		}
 		return 0
 	}
-	return slices.MinFunc(fit, func(a, b Peer) int {
-		return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(weight(s.duty, b.Name), weight(s.duty, a.Name)), cmp.Compare(a.Name, b.Name))
+	return slices.MinFunc(candidates, func(a, b Peer) int {
+		return cmp.Or(cmp.Compare(sameZone(a), sameZone(b)), cmp.Compare(weight(s.duty, b.Name), weight(s.duty, a.Name)), cmp.Compare(a.Name, b.Name))
 	}).Seat
 }
 
--- a/internal/control/quorum/proposal.go
+++ b/internal/control/quorum/proposal.go
@@ -2,10 +2,11 @@
 
 import "pepperfall.example/pepperfall/internal/control/state"
 
-// Majority is how many of n voters decide.
+// Majority returns how many of n voters are needed to decide.
 func Majority(n int) int { return n/2 + 1 }
 
-// IsMajority tells whether those for whom has holds are a majority of the voters.
+// IsMajority reports whether the voters whose ID satisfies has form a majority of all voters. No voters have no
+// majority.
 func IsMajority(voters []state.Voter, has func(id string) bool) bool {
 	if len(voters) == 0 {
 		return false
@@ -19,8 +20,8 @@
 	return n >= Majority(len(voters))
 }
 
-// Proposal is one attempt, under one ballot, to decide the version after a decided
-// state. It is not safe for use by several goroutines.
+// Proposal is one attempt, under one ballot, to decide the version that follows a decided state. It is not safe for
+// concurrent use.
 type Proposal struct {
 	base         state.State
 	ballot       Ballot
@@ -121,7 +122,7 @@
 	return IsMajority(p.base.Voters, has) && IsMajority(p.value.Voters, has)
 }
 
-// Value is what was chosen; nil before Choose.
+// Value returns the chosen value, or nil before ChooseValue.
 func (p *Proposal) Value() *state.State { return p.value }
 
 // HigherBallot is the highest ballot that stands against this one; zero: none.
@@ -149,10 +150,10 @@
 // IsBehind tells whether an acceptor has to catch up with the base before it can vote.
 func (p *Proposal) IsBehind(id string) bool { _, is := p.behind[id]; return is }
 
-// IsLatest tells whether nothing but other voters had been decided above base when
-// the reports were asked for. A majority of its voters then knew of nothing above it,
-// and had accepted nothing else for the next version; and where voters were about to
-// change, so it was among those after the change: they had not begun a version more.
+// IsLatest reports whether nothing above base, except changes of the voters, had been decided when the reports were
+// requested. It needs reports from a majority of the voters of base that know of nothing above it and have accepted
+// nothing for the next version but a change of voters. If such a change was being accepted, a majority of the new
+// voters must also know of nothing above base, since they could otherwise have decided a further version on their own.
 func IsLatest(base state.State, reports map[string]Report) bool {
 	knows := func(id string) bool {
 		m, ok := reports[id]
--- a/internal/control/replicate/replicate_test.go
+++ b/internal/control/replicate/replicate_test.go
@@ -42,8 +42,8 @@
 	text, id := randomConfig(3 * MaxPieceBytes)
 	other, _ := randomConfig(3*MaxPieceBytes + 1)
 	for name, x := range map[string]struct {
-		spoil func(p Piece, k int) Piece
-		err   error
+		change func(p Piece, k int) Piece
+		err    error
 	}{
 		"a byte differs":   {func(p Piece, k int) Piece { return flipBit(p, k == 1) }, ErrDigestMismatch},
 		"another's digest": {func(p Piece, k int) Piece { p.Digest[0]++; return p }, ErrUnexpectedPiece},
--- a/internal/control/statestore/inspect.go
+++ b/internal/control/statestore/inspect.go
@@ -22,14 +22,14 @@
 	Summary    string
 }
 
-// Inspection is a store's folder read without being changed.
+// Inspection is what a store's folder holds.
 type Inspection struct {
 	Files       []FileReport
 	FolderState FolderState // what a replica would find on start
 	Contents    Contents
 }
 
-// Inspect reads a folder as a start would, and changes nothing.
+// Inspect reads a folder as a start would, without changing anything.
 func Inspect(disk world.Disk, dir string) (*Inspection, error) {
 	names, err := disk.List(dir)
 	if err != nil {
--- a/internal/control/statestore/store.go
+++ b/internal/control/statestore/store.go
@@ -21,18 +21,17 @@
 // FolderState says what was on the disk at the start.
 type FolderState int
 
-// What may be found.
+// The states of a folder.
 const (
 	Empty   FolderState = iota // nothing
 	Intact                     // all that was ever synced
 	Damaged                    // files that are missing or can't be read, so something may be lost
 )
 
-// ErrNoDisk is the error of storing where there is no disk.
+// ErrNoDisk is returned by Store.Wait if there is no disk.
 var ErrNoDisk = errors.New("statestore: no disk")
 
-// Contents is what a replica keeps: its record and the configurations that the
-// record names.
+// Contents is what a replica keeps: its record and the configurations that the record references.
 type Contents struct {
 	Record  quorum.Record
 	Configs map[state.Digest]*peerlink.Configuration
@@ -53,15 +52,14 @@
 func (c *Contents) DropUnreferenced() {
 	names := referencedConfigs(&c.Record)
 	maps.DeleteFunc(c.Configs, func(d state.Digest, _ *peerlink.Configuration) bool {
-		return !slices.ContainsFunc(names, func(id state.ConfigID) bool { return id.Digest == d })
+		return !slices.ContainsFunc(ids, func(id state.ConfigID) bool { return id.Digest == d })
 	})
 }
 
-// Store writes a replica's contents, one file at a time, in one goroutine. What is
-// put while a write is under way is written with the next one, so that nothing
-// queues up behind a slow disk.
+// Store writes a replica's contents, one file at a time, in one goroutine. Contents that are put during a write
+// replace any that are still pending, so that nothing queues up behind a slow disk.
 type Store struct {
-	disk world.Disk // nil: there is none
+	disk world.Disk // nil if there is none
 	dir  string
 
 	mu            sync.Mutex
@@ -153,7 +151,7 @@
 	return s.lastError
 }
 
-// Census are the names of nodes that were kept last.
+// Census returns the names of nodes that were last read or written.
 func (s *Store) Census() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +166,8 @@
 	s.wakeWriter()
 }
 
-// Put has contents written and returns the number to Wait for. The maps and
-// states in it must not change afterwards; configurations are shared.
+// Put has contents written in the background and returns the number to pass to Wait. The maps and states in c must not
+// change afterwards; configurations are shared.
 func (s *Store) Put(c Contents) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,8 +187,8 @@
 	}
 }
 
-// Wait returns nil once the Put of a number, or a later one, is on disk. It
-// returns the disk's error, ErrNoDisk, or that of a context that ended before.
+// Wait returns nil once the Put with this number, or a later one, is on disk. Otherwise it returns the error of the
+// disk, ErrNoDisk, or the error of ctx if that ends first.
 func (s *Store) Wait(ctx context.Context, number uint64) error {
 	s.mu.Lock()
 	if s.disk == nil {
@@ -220,7 +218,7 @@
 	}
 }
 
-// Run writes what is put until ctx ends.
+// Run writes what is pending until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	if s.disk == nil {
 		return
@@ -257,19 +255,19 @@
 	return false
 }
 
-// writeContents writes configurations before the record that names them, and
-// removes others after it.
+// writeContents writes configurations before the record that references them, and removes other configurations after
+// it.
 func (s *Store) writeContents(c *Contents) error {
 	keep := map[string]bool{}
 	for _, id := range referencedConfigs(&c.Record) {
 		name := configName(id.Digest)
-		keep[name] = true
+		referenced[name] = true
 		if s.onDisk[name] {
 			continue
 		}
 		config := c.Configs[id.Digest]
 		if config == nil {
-			return errors.Errorf("statestore: %s is not at hand", name)
+			return errors.Errorf("statestore: configuration %s is missing from the contents", name)
 		}
 		if err := writeFile(s.disk, s.dir, name, encodeFile(configKind, id.Gen, config.Body)); err != nil {
 			return err
@@ -280,8 +278,8 @@
 		return err
 	}
 	for name := range s.onDisk {
-		if !keep[name] {
-			_ = s.disk.Remove(filepath.Join(s.dir, name)) // else the next start does
+		if !referenced[name] {
+			_ = s.disk.Remove(filepath.Join(s.dir, name)) // if it fails, the next start removes the file
 			delete(s.onDisk, name)
 		}
 	}
@@ -312,7 +310,7 @@
 func encodeJSON(v any) []byte {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs
+		panic(err) // cannot happen: the values are plain structs
 	}
 	return append(body, '\n')
 }
--- a/internal/control/statestore/store_test.go
+++ b/internal/control/statestore/store_test.go
@@ -21,7 +21,8 @@
 	return &peerlink.Configuration{Gen: gen, Digest: sha256.Sum256(body), Body: body}
 }
 
-// contents are those of a replica that has decided one configuration and, where next is not 0, accepted another.
+// contents returns the contents of a replica that has decided one configuration and, if next is not 0, has accepted
+// another one.
 func contents(version, gen, next uint64) Contents {
 	c := Contents{Record: quorum.Record{ID: "r1"}, Configs: map[state.Digest]*peerlink.Configuration{}}
 	c.Record.Decided = state.State{Version: version, Config: state.ConfigID{Gen: gen, Digest: config(gen).Digest}, Voters: []state.Voter{{ID: "r1"}}}
@@ -61,12 +62,12 @@
 			assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(1, 3, 0))))
 			d.SetLatency(time.Millisecond)
 			synced, put := uint64(1), uint64(1)
-			going, over := make(chan struct{}), make(chan struct{})
+			stopping, ended := make(chan struct{}), make(chan struct{})
 			go func() {
-				defer close(over)
+				defer close(ended)
 				for v := uint64(2); ; v++ {
 					select {
-					case <-going:
+					case <-stopping:
 						return
 					default:
 					}
@@ -77,10 +78,10 @@
 				}
 			}()
 			time.Sleep(time.Duration(seed) * 173 * time.Microsecond)
-			close(going)
+			close(stopping)
 			d.PowerLoss()
 			stop()
-			<-over
+			<-ended
 			d.SetLatency(0)
 			s, c, stop := openAndRun(t, d, Intact)
 			got := c.Record.Decided.Version
@@ -88,9 +89,9 @@
 			assert.Equal(t, len(c.Configs), len(referencedConfigs(&c.Record)))
 			assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(put+1, 1, 0))))
 			names, _ := d.Mount().List("/data")
-			assert.DeepEqual(t, names, []string{configName(config(1).Digest), "record"}) // nothing half written, nothing left over
+			assert.DeepEqual(t, names, []string{configName(config(1).Digest), "record"}) // no partly written file, no leftover
 			stop()
-			time.Sleep(time.Second) // for those who still wait
+			time.Sleep(time.Second) // lets pending Wait calls end
 		})
 	}
 }
@@ -100,7 +101,7 @@
 	for _, name := range []string{"record", configName(config(3).Digest), configName(config(4).Digest)} {
 		for _, gone := range []bool{false, true} {
 			if gone && name == "record" {
-				continue // that is an empty disk
+				continue // without a record the disk counts as empty
 			}
 			synctest.Test(t, func(t *testing.T) {
 				d := sim.NewDisk(1)
