--- a/internal/control/register.go
+++ b/internal/control/acceptor.go
@@ -19,16 +19,16 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// genesisMark begins the ID of a disk that the first start names as a voter.
+// genesisPrefix starts the disk ID of a seed, which is a voter from the first start on.
 const genesisMark = "genesis/"
 
-// restore reads the disk. An empty or spoilt one gives this replica a new identity:
-// what it may have promised under the old one is never relied on again.
+// restoreFromDisk reads the stored state. If the disk is empty or corrupt, this replica takes a new disk ID, since
+// promises that it made under the old one may be lost.
 func (b *Replica) restore(disk world.Disk) {
 	s := b.set.Self
 	store, contents, found, err := statestore.Open(disk, s.DataDir)
 	if err != nil {
-		b.log.Error(err, "the disk's files can't be read")
+		b.log.Error(err, "can't read the stored state")
 	}
 	if found != statestore.Whole {
 		contents.Record.ID = s.Name + "/" + strconv.FormatInt(b.self.Life, 36)
@@ -41,21 +41,21 @@
 	b.put()
 }
 
-// enforce puts in force what was decided in earlier lives; nobody else runs yet.
+// applyRestoredState puts the restored decided state in force. It needs no mutex, since no other goroutine runs yet.
 func (b *Replica) enforce() {
-	d := b.contents.Record.Decided
-	if p := b.contents.Configs[d.Config.Digest]; p != nil {
-		b.enter(p)
-		b.parsed, _ = routeconfig.Parse(p.Body)
+	decided := b.contents.Record.Decided
+	if config := b.contents.Configs[decided.Config.Digest]; config != nil {
+		b.enter(config)
+		b.parsed, _ = routeconfig.Parse(config.Body)
 	}
-	for _, o := range d.Orders {
-		b.confirmZone(o)
+	for _, order := range decided.Orders {
+		b.confirmZone(order)
 	}
-	b.noteLock(d.Lock)
+	b.noteLock(decided.Lock)
 }
 
-// begin sets the state of the first start: the seeds, which are the same for all
-// then, are the voters.
+// initializeGenesis sets the state of the first start, at which all replicas have the same seeds: the seeds are the
+// voters.
 func (b *Replica) begin(r *quorum.Record) {
 	var voters []state.Voter
 	for _, seed := range b.set.Network.Seeds {
@@ -74,43 +74,43 @@
 	}
 }
 
-// put has the record written down as it is now; the mutex is held.
+// persist queues the current contents for writing and returns the number to wait for. The caller holds the mutex.
 func (b *Replica) put() uint64 { return b.store.Put(b.contents) }
 
-// decided is the newest decided state that this replica knows.
+// decidedState returns the newest decided state that this replica knows.
 func (b *Replica) decided() state.State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Record.Decided
 }
 
-// isVoter tells whether this replica's disk counts; the mutex is held.
+// isVoter reports whether this replica's disk is one of the voters'. The caller holds the mutex.
 func (b *Replica) isVoter() bool {
 	_, is := b.contents.Record.Decided.Voter(b.self.ID)
 	return is
 }
 
-// answer answers another replica's question.
-func (b *Replica) answer(ctx context.Context, l *link, a *peerlink.Ask) {
-	reply := &peerlink.Reply{ID: a.ID}
+// answerQuestion answers another replica's question; it answers those that wait for the disk in the background.
+func (b *Replica) answer(ctx context.Context, l *link, question *peerlink.Ask) {
+	reply := &peerlink.Reply{ID: question.ID}
 	switch {
-	case a.Report:
+	case question.Report:
 		b.mu.Lock()
-		m := b.contents.Record.Report()
+		report := b.contents.Record.Report()
 		b.mu.Unlock()
-		reply.Report = &m
-	case a.Piece != nil:
-		reply.Piece = b.cut(*a.Piece)
-	case a.Prepare != nil || a.Accept != nil || a.Command != nil:
+		reply.Report = &report
+	case question.Piece != nil:
+		reply.Piece = b.cut(*question.Piece)
+	case question.Prepare != nil || question.Accept != nil || question.Command != nil:
 		b.jobs.Go(func() {
 			ctx, cancel := b.within(ctx, callWithin)
 			defer cancel()
-			if reply := reply; a.Command != nil {
-				reply.Outcome = b.carryOut(ctx, a.Command)
+			if reply := reply; question.Command != nil {
+				reply.Outcome = b.carryOut(ctx, question.Command)
 			} else {
-				*reply = *b.vote(ctx, a)
+				*reply = *b.vote(ctx, question)
 			}
-			reply.ID = a.ID
+			reply.ID = question.ID
 			_ = l.conn.Send(&peerlink.Frame{Reply: reply})
 		})
 		return
@@ -118,22 +118,21 @@
 	_ = l.conn.Send(&peerlink.Frame{Reply: reply})
 }
 
-// vote is this replica's answer to a proposer. What it promises or accepts is on
-// disk when vote returns.
-func (b *Replica) vote(ctx context.Context, a *peerlink.Ask) *peerlink.Reply {
+// vote answers a proposer's question for a promise or an acceptance. If it is granted, it is on disk when vote returns.
+func (b *Replica) vote(ctx context.Context, question *peerlink.Ask) *peerlink.Reply {
 	reply := &peerlink.Reply{}
 	granted := false
 	b.mu.Lock()
-	if a.Prepare != nil {
-		m := b.contents.Record.Prepare(*a.Prepare)
-		for d := range b.contents.Configs {
-			m.Holds = append(m.Holds, d)
+	if question.Prepare != nil {
+		promise := b.contents.Record.Prepare(*question.Prepare)
+		for digest := range b.contents.Configs {
+			promise.Holds = append(promise.Holds, digest)
 		}
-		reply.Promise, granted = &m, m.Granted
-	} else if m, err := b.acceptValue(a); err != nil {
+		reply.Promise, granted = &promise, promise.Granted
+	} else if acceptance, err := b.acceptValue(question); err != nil {
 		reply.Err = err.Error()
 	} else {
-		reply.Accepted, granted = &m, m.Granted
+		reply.Accepted, granted = &acceptance, acceptance.Granted
 	}
 	if !granted {
 		b.mu.Unlock()
@@ -148,28 +147,30 @@
 	return reply
 }
 
-var errNoConfig = errors.New("the configuration of the value is not here")
+var errNoConfig = errors.New("the configuration of the proposed value is missing")
 
-// acceptValue takes a proposer's value with its configuration; the mutex is held.
-func (b *Replica) acceptValue(a *peerlink.Ask) (quorum.Acceptance, error) {
-	id := a.Accept.Value.Config
+// acceptValue puts a proposer's value to the record, which grants or refuses it, and stores its configuration. It
+// returns errConfigurationMissing if that was neither sent nor stored. The caller holds the mutex.
+func (b *Replica) acceptValue(question *peerlink.Ask) (quorum.Acceptance, error) {
+	id := question.Accept.Value.Config
 	if id.Gen > 0 && b.contents.Configs[id.Digest] == nil {
-		if a.Config == nil || !isConfig(a.Config, id) {
+		if question.Config == nil || !isConfig(question.Config, id) {
 			return quorum.Acceptance{}, errNoConfig
 		}
-		b.contents.Configs[id.Digest] = a.Config.Pack()
+		b.contents.Configs[id.Digest] = question.Config.Pack()
 	}
-	m := b.contents.Record.Accept(*a.Accept)
+	acceptance := b.contents.Record.Accept(*question.Accept)
 	b.contents.Keep()
-	return m, nil
+	return acceptance, nil
 }
 
-// isConfig tells whether p is the configuration that id names, unspoilt.
-func isConfig(p *peerlink.Configuration, id state.ConfigID) bool {
-	return p.Gen == id.Gen && p.Digest == id.Digest && sha256.Sum256(p.Body) == p.Digest
+// isIntactConfiguration reports whether p is the configuration with an ID and its body matches the digest.
+func isConfig(config *peerlink.Configuration, id state.ConfigID) bool {
+	return config.Gen == id.Gen && config.Digest == id.Digest && sha256.Sum256(config.Body) == config.Digest
 }
 
-// learn takes over a decided state whose configuration is at hand; the mutex is held.
+// learn stores a decided state and puts it in force. It does nothing if the state is not newer than the known one or
+// its configuration is not stored. The caller holds the mutex.
 func (b *Replica) learn(s state.State) {
 	config := b.contents.Configs[s.Config.Digest]
 	if s.Config.Gen > 0 && config == nil || !b.contents.Record.Learn(s) {
@@ -184,7 +185,7 @@
 		b.confirmConfiguration(config)
 	}
 	for subject, held := range b.zones {
-		if s.Order(subject).Count == 0 { // pruned
+		if s.Order(subject).Count == 0 { // it was pruned from the decided state
 			delete(b.zones, subject)
 			b.log.V(1).Info("order dropped", "about", subject, "count", held.Count)
 		}
@@ -200,15 +201,15 @@
 	b.spurred()
 }
 
-// tellDecided tells another replica what is decided; the mutex is held.
+// sendDecided sends the decided state to another replica. The caller holds the mutex.
 func (b *Replica) tellDecided(l *link) {
 	if s := b.contents.Record.Decided; s.Version > 0 {
 		_ = l.conn.Send(&peerlink.Frame{Decided: &s})
 	}
 }
 
-// hearDecided takes in a decided state that another replica tells, at once or after
-// its configuration has been fetched from there; the mutex is held.
+// receiveDecided learns a decided state that another replica has sent, at once or after fetching its configuration from
+// there. The caller holds the mutex.
 func (b *Replica) hearDecided(l *link, s *state.State) {
 	if s.Version <= b.contents.Record.Decided.Version {
 		return
@@ -219,7 +220,7 @@
 		return
 	}
 	if b.catching {
-		return // the next round tells it again
+		return // the state is sent again in the next round
 	}
 	b.catching = true
 	b.background(func(ctx context.Context) {
@@ -228,7 +229,7 @@
 		defer b.mu.Unlock()
 		b.catching = false
 		if err != nil {
-			b.log.Info("not caught up", "version", s.Version, "why", err.Error())
+			b.log.Info("configuration not fetched", "version", s.Version, "why", err.Error())
 			return
 		}
 		b.contents.Configs[s.Config.Digest] = config
@@ -238,40 +239,42 @@
 	})
 }
 
-// fetchWithin bounds the wait for one piece.
+// fetchTimeout bounds the wait for one piece of a configuration.
 const fetchWithin = time.Second
 
-// fetch gets a configuration from another replica in pieces.
+// fetchConfiguration fetches a configuration from another replica in pieces.
 func (b *Replica) fetch(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
-	t := replicate.Begin(id)
+	transfer := replicate.Begin(id)
 	for {
-		piece, err := b.piece(ctx, l, t.Next())
+		piece, err := b.piece(ctx, l, transfer.Next())
 		if err != nil {
 			return nil, err
 		}
-		whole, err := t.Take(*piece)
+		body, err := transfer.Take(*piece)
 		if err != nil {
 			return nil, err
 		}
-		if whole != nil {
-			return (&peerlink.Configuration{Gen: id.Gen, Digest: id.Digest, Body: whole}).Pack(), nil
+		if body != nil {
+			return (&peerlink.Configuration{Gen: id.Gen, Digest: id.Digest, Body: body}).Pack(), nil
 		}
 	}
 }
 
+// fetchPiece fetches one piece of a configuration. It returns ErrNoMajority if no reply comes within fetchTimeout, and
+// replicate.ErrPiece if the reply has no piece.
 func (b *Replica) piece(ctx context.Context, l *link, r replicate.Request) (*replicate.Piece, error) {
 	ctx, cancel := b.within(ctx, fetchWithin)
 	defer cancel()
-	p := b.newPoll()
-	defer p.end()
+	poll := b.newPoll()
+	defer poll.end()
 	b.mu.Lock()
-	asked := p.ask(l, peerlink.Ask{Piece: &r})
+	sent := poll.ask(l, peerlink.Ask{Piece: &r})
 	b.mu.Unlock()
-	if !asked {
+	if !sent {
 		return nil, ErrUnsettled
 	}
 	select {
-	case a := <-p.answers:
+	case a := <-poll.answers:
 		if a.reply == nil || a.reply.Piece == nil {
 			return nil, replicate.ErrPiece
 		}
@@ -281,7 +284,7 @@
 	}
 }
 
-// cut answers a request for a piece; nil: that configuration is not here any more.
+// cutPiece returns the requested piece; nil if the configuration is no longer stored or the request is out of range.
 func (b *Replica) cut(r replicate.Request) *replicate.Piece {
 	b.mu.Lock()
 	config := b.contents.Configs[r.Digest]
--- a/internal/control/alarms.go
+++ b/internal/control/alarms.go
@@ -6,37 +6,38 @@
 	"github.com/pkg/errors"
 )
 
-// Times of the alarms that replicas log.
+// Thresholds of the alarms that replicas log.
 const (
-	lagAfter     = 1500 * time.Millisecond // an agent is behind the decided configuration for so long
-	contactAfter = 1500 * time.Millisecond // no majority has confirmed what is decided for so long
-	alarmAgain   = 5 * time.Second         // between two lines about one trouble that lasts
+	lagAfter     = 1500 * time.Millisecond // an agent has lacked the decided configuration for so long
+	contactAfter = 1500 * time.Millisecond // this replica has had no contact with a majority for so long
+	alarmAgain   = 5 * time.Second         // between two log lines about one lasting condition
 )
 
-// Errors that are logged and go to nobody.
+// Errors that are only logged.
 var (
 	errLag     = errors.New("an agent is behind the decided configuration")
 	errContact = errors.New("no majority confirms what is decided")
 )
 
-// alarm tells whether a trouble that lasts since a moment is to be logged now.
+// isAlarmDue reports whether a condition that holds since a time is to be logged now: it has lasted for at least after,
+// and was not yet logged, or not within alarmRepeatInterval.
 func alarm(since, reported, after, now time.Duration) bool {
 	return now-since >= after && (reported < since || now-reported >= alarmAgain)
 }
 
-// reportLag logs that an agent stays behind; the mutex is held.
-func (b *Replica) reportLag(h *agent) {
+// logAgentLag logs if an agent has lacked the decided configuration for too long. The caller holds the mutex.
+func (b *Replica) reportLag(follower *agent) {
 	now := b.now()
-	since, behind := b.versions.Lag(&h.agent)
-	if !behind || !alarm(since, h.reported, lagAfter, now) {
+	since, behind := b.versions.Lag(&follower.agent)
+	if !behind || !alarm(since, follower.reported, lagAfter, now) {
 		return
 	}
-	h.reported = now
-	b.log.Error(errLag, "agent behind", "agent", h.name, "for", now-since, "held", h.agent.Held.Gen, "decided", b.configuration.Gen,
-		"follows_this_replica", h.agent.Follows, "sent", h.agent.Sent.Gen)
+	follower.reported = now
+	b.log.Error(errLag, "agent behind", "agent", follower.name, "for", now-since, "held", follower.agent.Held.Gen, "decided", b.configuration.Gen,
+		"follows_this_replica", follower.agent.Follows, "sent", follower.agent.Sent.Gen)
 }
 
-// reportContact logs that this replica has lost touch with the majority; the mutex is held.
+// logContactLoss logs if this replica has had no contact with a majority for too long. The caller holds the mutex.
 func (b *Replica) reportContact() {
 	now := b.now()
 	if !b.touched.Ever || !alarm(b.touched.At, b.alarmed, contactAfter, now) {
--- /dev/null
+++ b/internal/control/apply.go
@@ -0,0 +1,84 @@
+package control
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"pepperfall.example/pepperfall/internal/config/routeconfig"
+	"pepperfall.example/pepperfall/internal/control/delivery"
+	"pepperfall.example/pepperfall/internal/platform/peerlink"
+)
+
+// applyConfiguration puts a decided configuration in force unless a newer one is, and sends it to the agents. The
+// caller holds the mutex.
+func (b *Replica) confirmConfiguration(config *peerlink.Configuration) {
+	if b.configuration != nil && config.Gen <= b.configuration.Gen {
+		return
+	}
+	b.enter(config)
+	b.background(func(context.Context) { // parsing a large one takes long
+		parsed, err := routeconfig.Parse(config.Body)
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		if b.configuration == config && err == nil {
+			b.parsed = parsed
+		}
+	})
+	b.log.Info("configuration in force", "gen", config.Gen)
+	for agent := range b.agents {
+		b.deliver(agent)
+	}
+}
+
+// setConfiguration records a decided configuration as the one in force. The caller holds the mutex.
+func (b *Replica) enter(config *peerlink.Configuration) {
+	b.configuration = config
+	b.versions.Decide(delivery.Version{Gen: config.Gen, Sum: config.Sum()}, b.now(), b.fresh)
+}
+
+// applyOrder puts a decided order about a zone, a proxy or a server in force unless a newer one is, and sends it to the
+// agents that it concerns. The caller holds the mutex.
+func (b *Replica) confirmZone(order peerlink.Zone) {
+	if !order.Over(b.zones[order.Zone]) {
+		return
+	}
+	b.zones[order.Zone] = order
+	b.log.Info("order in force", "about", order.Zone, "drain", order.Drain, "count", order.Count)
+	if _, isServer := order.Server(); isServer {
+		return // agents learn of it from the verdicts
+	}
+	node, isNode := order.Node()
+	if isNode {
+		b.proxies.rest(node, order.Drain)
+	}
+	for agent := range b.agents {
+		if !isNode || agent.name == node {
+			agent.change(&peerlink.Change{Zones: b.orders(agent.name)})
+		}
+	}
+}
+
+// ordersFor returns the orders in force that concern a proxy. The caller holds the mutex.
+func (b *Replica) orders(proxy string) (all []peerlink.Zone) {
+	for _, name := range slices.Sorted(maps.Keys(b.zones)) {
+		_, isServer := b.zones[name].Server()
+		if node, isNode := b.zones[name].Node(); !isServer && (!isNode || node == proxy) {
+			all = append(all, b.zones[name])
+		}
+	}
+	return all
+}
+
+// sleep waits for d by the replica's clock. It returns false if ctx ends first.
+func (b *Replica) pause(ctx context.Context, d time.Duration) bool {
+	t := b.w.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C():
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/control/census.go
+++ b/internal/control/census.go
@@ -11,30 +11,30 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of the census.
+// Time limits of the census of proxies.
 const (
-	countsFor = 60 * time.Second       // a silent proxy may be passing requests behind a cut
-	headsFor  = 15 * time.Second       // what a proxy told of its requests counts
-	leavesFor = 500 * time.Millisecond // beyond the grace: one that said that it leaves has ended, or was ended
+	countsFor = 60 * time.Second       // a silent proxy may be cut off and still serve requests
+	headsFor  = 15 * time.Second       // older counts of requests by host are ignored
+	leavesFor = 500 * time.Millisecond // after the grace period, a leaving proxy has ended or was killed
 )
 
-// proxy is a proxy ever seen, as its agent tells of it.
+// proxy is the state of a proxy as its agent reports it.
 type proxy struct {
 	hello peerlink.Hello
 	ready bool
-	up    bool          // its agent's connection is
-	heard time.Duration // last
-	every time.Duration // between two of its agent's words; 0: as is usual
-	left  time.Duration // when it said that it leaves; 0: it did not
-	grace time.Duration // it has ended so long after that
-
-	joined time.Duration // when it began to count; 0: it did from the start
-	risen  time.Duration // when it was first ready after that; 0: it was not yet
-	given  bool          // it has given its parts up
-	known  bool          // all others have said that they go by as many parts as there are with it
-	parts  int           // by which it divides quotas, as it said last; 0: it never did
-
-	rests     bool // it would be ready, but for the order to rest
+	up    bool // its agent is connected
+	heard time.Duration
+	every time.Duration // between two pings of its agent; 0: the default
+	left  time.Duration // when it announced that it leaves; 0: it did not
+	grace time.Duration // after leftAt; then it has ended
+
+	joined time.Duration // when it began to be counted; 0: before this replica started
+	risen  time.Duration // when it was first ready after joinedAt; 0: not yet
+	given  bool          // it has given up its share of the quotas
+	known  bool          // all others have reported that they divide quotas by a number that includes it
+	parts  int           // the number by which it divides quotas, as last reported; 0: never reported
+
+	rests     bool // it would be ready without the order to rest
 	figures   *peerlink.Figures
 	figuresAt time.Duration
 	asked     *peerlink.Asked
@@ -44,10 +44,12 @@
 	headsAt time.Duration
 }
 
+// isAlive reports whether the proxy's agent is connected and has sent something recently.
 func (g *proxy) alive(now time.Duration) bool {
 	return g.up && now-g.heard < peerlink.Patience(g.every)
 }
 
+// isCounted reports whether the proxy may be serving requests and so has a share of the quotas.
 func (g *proxy) counts(now time.Duration) bool {
 	if g.given || g.left > 0 && now-g.left >= g.grace+leavesFor {
 		return false
@@ -55,25 +57,26 @@
 	return now-g.heard < countsFor
 }
 
-// register is all proxies ever seen. Names are kept over restarts: all count as
-// present then until they have been silent for long.
+// proxyRegistry holds all proxies ever seen. Their names are stored on disk: after a restart all of them count as
+// present until they have been silent for maxProxySilence.
 type register struct {
 	proxies map[string]*proxy
-	rests   map[string]bool   // names of those that are to rest
-	sorted  []string          // names; nil: not in order yet
-	last    []peerlink.Member // as counted last; not written to again
-	spare   []peerlink.Member // to count in
+	rests   map[string]bool   // names of proxies that are ordered to rest
+	sorted  []string          // all names in order; nil: to be sorted again
+	last    []peerlink.Member // the result of the last count, which is shared and never modified
+	spare   []peerlink.Member // buffer for the next count
 }
 
+// newProxyRegistry returns a registry of the proxies with these names, all last heard now.
 func newRegister(names []string, now time.Duration) *register {
 	r := &register{proxies: map[string]*proxy{}, rests: map[string]bool{}}
-	for _, n := range names {
-		r.proxies[n] = &proxy{hello: peerlink.Hello{Name: n}, heard: now}
+	for _, name := range names {
+		r.proxies[name] = &proxy{hello: peerlink.Hello{Name: name}, heard: now}
 	}
 	return r
 }
 
-// see notes that a proxy's agent has come, and tells whether its name is new.
+// noteConnected records that a proxy's agent has connected, and reports whether its name is new.
 func (r *register) see(h peerlink.Hello, now time.Duration) (g *proxy, isNew bool) {
 	g = r.proxies[h.Name]
 	if isNew = g == nil; isNew {
@@ -87,7 +90,7 @@
 	return g, isNew
 }
 
-// add notes names that others know.
+// addKnown adds a proxy that another replica knows, and reports whether its name is new.
 func (r *register) add(m peerlink.Member, now time.Duration) (isNew bool) {
 	if r.proxies[m.Hello.Name] != nil {
 		return false
@@ -96,7 +99,7 @@
 	return true
 }
 
-// names are all names in order; they are not to be written to.
+// names returns all names in order; callers must not modify the slice.
 func (r *register) names() []string {
 	if r.sorted == nil {
 		r.sorted = slices.Sorted(maps.Keys(r.proxies))
@@ -104,9 +107,9 @@
 	return r.sorted
 }
 
-// members tells who is there, and whether that is as it was counted last. A
-// proxy's slot is its name's place among all names: the same at every replica that
-// knows the same names.
+// members returns the counted proxies, the number by which they divide quotas, and whether the proxies are the same as
+// in the last count. A proxy's slot is its name's place among all names: the same at every replica that knows the same
+// names.
 func (r *register) members(now time.Duration) (all []peerlink.Member, shares int, same bool) {
 	all = r.spare[:0]
 	for _, g := range r.proxies {
@@ -120,7 +123,7 @@
 			continue
 		}
 		if g.hello.Front == "" && g.hello.Peer == "" {
-			continue // known by its name only
+			continue // only its name is known
 		}
 		alive := g.alive(now)
 		all = append(all, peerlink.Member{Hello: lean(g.hello), Ready: alive && g.ready && g.left == 0, Alive: alive, Slot: slot,
@@ -134,8 +137,9 @@
 	return all, shares, false
 }
 
-// silent is how many others count here that were there before a proxy joined, and may not have heard of it: whose proxies
-// have not said that they divide by as many parts as there are. So it does not matter which replica told them, or when.
+// countUnaware returns how many counted proxies joined before g and may not know of it yet, because they have not
+// reported that they divide quotas by at least shares. Going by their reports, it doesn't matter which replica told
+// them, or when.
 func (r *register) silent(g *proxy, shares int, now time.Duration) (n int) {
 	if g.known || g.joined == 0 || now-g.joined >= countsFor {
 		return 0
@@ -149,8 +153,8 @@
 	return n
 }
 
-// hasHeard tells whether a proxy goes by a join. One that tells no parts, as earlier versions do, is taken to do so
-// where its agent was heard a while after the join.
+// isAwareOf reports whether a proxy divides quotas by a number that includes g. Earlier versions don't report that
+// number: they are taken to be aware once their agent has sent something handover.HeardBy after the join.
 func (o *proxy) hasHeard(g *proxy, shares int) bool {
 	if o.parts == 0 {
 		return o.heard >= g.joined+handover.HeardBy
@@ -158,29 +162,29 @@
 	return o.parts >= shares
 }
 
-// lean is what others need of a proxy's Hello.
+// memberHello returns the part of a proxy's Hello that others need.
 func lean(h peerlink.Hello) peerlink.Hello {
 	return peerlink.Hello{Role: peerlink.Proxy, Name: h.Name, Life: h.Life, IP: h.IP, Zone: h.Zone, Region: h.Region, Front: h.Front, Peer: h.Peer}
 }
 
-// fronts are the addresses in some regions, or all where these have no proxy
-// that is ready. One that has just joined is in a rising part of places' answers. Where no proxy at all is ready, those
-// that leave are better than none for as long as their doors are open.
+// frontAddresses returns the client-facing addresses of the ready proxies in some regions, or of all ready proxies if
+// those regions have none. A proxy that has just joined is in the answers to a growing share of places. If no proxy at
+// all is ready, the answer holds leaving proxies for as long as they accept connections.
 func (r *register) fronts(regions []string, place string, now time.Duration) []string {
-	var all, last []*proxy
+	var all, leaving []*proxy
 	for _, n := range r.names() {
 		switch g := r.proxies[n]; {
 		case g.hello.Front == "" || !g.alive(now):
 		case g.left > 0:
 			if !g.given && handover.Open(g.grace, now-g.left) {
-				last = append(last, g)
+				leaving = append(leaving, g)
 			}
 		case g.ready && !r.rests[n]:
 			all = append(all, g)
 		}
 	}
 	if len(all) == 0 {
-		all = last
+		all = leaving
 	}
 	if near := slices.DeleteFunc(slices.Clone(all), func(g *proxy) bool { return !slices.Contains(regions, g.hello.Region) }); len(near) > 0 {
 		all = near
@@ -201,15 +205,16 @@
 	return fronts
 }
 
-// young tells whether a proxy has joined and been ready for a short time only. One that comes back after a kill has
-// counted all the while, and is not.
+// isNewlyReady reports whether a proxy joined and became ready less than handover.RiseFor ago. One that returns shortly
+// after a kill was counted all the time, so it has not joined again.
 func (g *proxy) young(now time.Duration) bool { return g.joined > 0 && now-g.risen < handover.RiseFor }
 
+// sortedByName returns the Hellos of a map in the order of their names.
 func byName(m map[string]peerlink.Hello) []peerlink.Hello {
 	return slices.SortedFunc(maps.Values(m), func(a, b peerlink.Hello) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// heads are the requests of a host as the proxies told last.
+// sumHostCounts sums the proxies' latest counts of the requests for a host.
 func (r *register) heads(host uint32, now time.Duration) (sum homing.Heads) {
 	for _, g := range r.proxies {
 		if now-g.headsAt >= headsFor {
--- a/internal/control/rig_test.go
+++ b/internal/control/cluster_test.go
@@ -19,23 +19,23 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// farm is some replicas in one process, on a network and disks in memory.
+// clusterFixture runs several replicas in one process, on a simulated network and simulated disks.
 type farm struct {
 	t     *testing.T
 	net   *sim.Net
 	disks []*sim.Disk
 	mu    sync.Mutex
-	runs  []*running // nil: it is down
-	first bool       // the settings say bootstrap
-	seeds []int      // places of the replicas that the settings name
-	cloud string
-	jump  map[int]*jumping // clocks, by replica
+	runs  []*running       // by machine; nil: its replica is down
+	first bool             // Bootstrap in the settings
+	seeds []int            // machines that the settings name as seeds
+	cloud string           // address of the platform; "": none
+	jump  map[int]*jumping // by machine
 	gone  map[int]bool     // machines that never come back
-	drain time.Duration    // that the settings name; 0: none
-	rate  float64          // of calls to the platform that the settings name
+	drain time.Duration    // Drain in the settings; 0: none
+	rate  float64          // platform calls per second in the settings
 }
 
-// jumping is a host whose process stands still while its clock runs on: no timer of its runs out for that.
+// skewedHost is a host whose clock can be moved ahead without its timers firing, as if its process had been suspended.
 type jumping struct {
 	*sim.Host
 	by atomic.Int64
@@ -43,6 +43,7 @@
 
 func (j *jumping) Now() time.Time { return j.Host.Now().Add(time.Duration(j.by.Load())) }
 
+// runningReplica is a replica and what the fixture needs to end it.
 type running struct {
 	*Replica
 	host *sim.Host
@@ -50,24 +51,24 @@
 	done chan error
 }
 
-// play runs a story with n replicas that have started for the first time and settled.
-func play(t *testing.T, n int, story func(f *farm)) {
+// runCluster runs a scenario with n replicas that have started for the first time and become voters.
+func play(t *testing.T, n int, scenario func(f *farm)) {
 	t.Helper()
-	platformed(t, n, nil, story)
+	platformed(t, n, nil, scenario)
 }
 
-// platformed does so beside a platform.
-func platformed(t *testing.T, n int, platform http.Handler, story func(f *farm)) {
+// runClusterWithPlatform does the same with a platform that serves the server list.
+func platformed(t *testing.T, n int, platform http.Handler, scenario func(f *farm)) {
 	t.Helper()
-	play := &farm{t: t, rate: 44}
-	play.run(n, platform, story)
+	options := &farm{t: t, rate: 44}
+	options.run(n, platform, scenario)
 }
 
-// run plays a story under the settings that the farm names.
-func (set *farm) run(n int, platform http.Handler, story func(f *farm)) {
-	set.t.Helper()
-	synctest.Test(set.t, func(t *testing.T) {
-		f := &farm{t: t, net: sim.New(uint64(n)), first: true, jump: map[int]*jumping{}, gone: map[int]bool{}, drain: set.drain, rate: set.rate}
+// run runs a scenario with the drain time and the rate of the options.
+func (options *farm) run(n int, platform http.Handler, scenario func(f *farm)) {
+	options.t.Helper()
+	synctest.Test(options.t, func(t *testing.T) {
+		f := &farm{t: t, net: sim.New(uint64(n)), first: true, jump: map[int]*jumping{}, gone: map[int]bool{}, drain: options.drain, rate: options.rate}
 		f.net.Set(sim.Faults{Least: time.Millisecond, Most: 20 * time.Millisecond})
 		for i := range n {
 			f.place()
@@ -75,7 +76,7 @@
 				f.seeds = append(f.seeds, i)
 			}
 		}
-		defer time.Sleep(2 * time.Second) // whoever still waits ends
+		defer time.Sleep(2 * time.Second) // goroutines that still wait time out
 		if platform != nil {
 			f.cloud = "10.8.0.1:80"
 			ln, err := f.net.Host("10.8.0.1").Listen(context.Background(), "tcp", f.cloud)
@@ -88,12 +89,12 @@
 		f.startAll()
 		f.first = false
 		voters := min(n, membership.MostVoters)
-		f.until(max(5*time.Second, time.Duration(n)*time.Second), "settle", func() bool { return f.voting() == voters && f.fresh() == n })
-		story(f)
+		f.until(max(5*time.Second, time.Duration(n)*time.Second), "all replicas vote and are confirmed", func() bool { return f.voting() == voters && f.fresh() == n })
+		scenario(f)
 	})
 }
 
-// place makes room for a machine with an empty disk, and returns where.
+// addMachine adds a machine with an empty disk, on which nothing runs yet, and returns its index.
 func (f *farm) place() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +103,7 @@
 	return len(f.runs) - 1
 }
 
-// successor starts an empty machine at another address, which is told those that run.
+// startReplacement starts a replica on a new machine with another address; its seeds are up to three running replicas.
 func (f *farm) successor() int {
 	i := f.place()
 	f.seeds = nil
@@ -115,7 +116,7 @@
 	return i
 }
 
-// leave ends a process in order, as SIGTERM does.
+// shutDown ends a process gracefully, as SIGTERM does.
 func (f *farm) leave(i int) {
 	r := f.at(i)
 	r.stop()
@@ -136,7 +137,7 @@
 	return all
 }
 
-// cut cuts replicas off from others, or joins them again.
+// partition sets the barrier between two groups of hosts, in both directions; sim.Open removes it.
 func (f *farm) cut(a, b []string, how sim.Barrier) {
 	f.net.Bar(a, b, how)
 	f.net.Bar(b, a, how)
@@ -166,7 +167,7 @@
 	f.mu.Lock()
 	f.runs[i] = r
 	f.mu.Unlock()
-	time.Sleep(time.Millisecond) // it listens
+	time.Sleep(time.Millisecond) // until it listens
 }
 
 func (f *farm) startAll() {
@@ -177,14 +178,14 @@
 	}
 }
 
-// at is the replica that runs in a place; nil if none does.
+// at returns the replica that runs on a machine; nil if none does.
 func (f *farm) at(i int) *running {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[i]
 }
 
-// end ends a replica's process at once, or with its power.
+// kill kills a replica's process; with power, its machine loses power too.
 func (f *farm) end(i int, power bool) {
 	r := f.at(i)
 	if r == nil {
@@ -208,28 +209,28 @@
 	}
 }
 
-// votes tells whether a replica's disk counts, as far as it knows.
+// isVoting reports whether a replica is a voter as far as it knows.
 func (r *running) votes() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isVoter()
 }
 
-// configured is the configuration in force at a replica; nil: none is.
+// configurationInForce returns the configuration in force at a replica; nil if there is none.
 func (r *running) configured() *peerlink.Configuration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.configuration
 }
 
-// zone is the order about a zone in force at a replica.
+// orderInForce returns the order about a zone in force at a replica.
 func (r *running) zone(name string) peerlink.Zone {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.zones[name]
 }
 
-// fresh is how many have heard a majority confirm what they know.
+// countConfirmed returns how many replicas have heard a majority confirm their state within the last second.
 func (f *farm) fresh() (n int) {
 	for _, r := range f.runs {
 		if r != nil {
@@ -241,6 +242,7 @@
 	return n
 }
 
+// countVoting returns how many replicas are voters as far as they know.
 func (f *farm) voting() (n int) {
 	for _, r := range f.runs {
 		if r != nil && r.votes() {
@@ -250,7 +252,7 @@
 	return n
 }
 
-// until lets time pass until something holds.
+// waitFor waits until a condition holds, and fails the test after d.
 func (f *farm) until(d time.Duration, what string, holds func() bool) {
 	f.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
@@ -258,6 +260,7 @@
 	}
 }
 
+// configurationBody returns a route configuration with a generation number and a note in its one prefix.
 func body(gen int, note string) []byte {
 	return fmt.Appendf(nil, `{"gen":"r%d","routes":[{"name":"a","host":"h","prefix":"/%s/","kind":"mutating","timeout_ms":10,"backend":"s"}],"backends":[{"name":"s"}]}`, gen, note)
 }
@@ -267,17 +270,17 @@
 	return err
 }
 
-// acknowledged sends a configuration until it is taken.
+// replaceUntilAcknowledged sends a configuration again and again until a replica acknowledges it.
 func (f *farm) acknowledged(i int, body []byte) {
 	f.t.Helper()
-	f.until(6*time.Second, "acknowledge", func() bool { return f.replace(i, body) == nil })
+	f.until(6*time.Second, "the configuration is acknowledged", func() bool { return f.replace(i, body) == nil })
 }
 
-// shows tells that a replica shows this configuration within some seconds.
+// assertShows asserts that a replica confirms a configuration within 6 s, and that it is this one.
 func (f *farm) shows(i int, want []byte) {
 	f.t.Helper()
 	var p *peerlink.Configuration
-	f.until(6*time.Second, "show", func() (ok bool) {
+	f.until(6*time.Second, "a configuration is shown", func() (ok bool) {
 		var err error
 		p, err = f.runs[i].Show(context.Background())
 		return err == nil
--- a/internal/control/guard_test.go
+++ b/internal/control/consistency_test.go
@@ -13,31 +13,31 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// A replica back with an empty disk is asked at every moment from its start on, while
-// new versions come or nobody else can be reached: it shows nothing older than
-// what had been acknowledged when it was asked.
+// A replica that is back with an empty disk is read at every moment from its start on, while new versions are decided
+// or while no replica that knows them can be reached. It must show nothing older than what was acknowledged before the
+// read.
 func TestEmptyDiskAskedAtOnce(t *testing.T) {
 	for _, n := range []int{3, 4} {
 		for _, alone := range []bool{false, true} {
 			play(t, n, func(f *farm) {
 				ctx := context.Background()
 				f.acknowledged(1, body(2, "a"))
-				f.disks[n-1].Hang() // it is left behind
+				f.disks[n-1].Hang() // it misses the next version
 				f.acknowledged(1, body(3, "a"))
 				assert.NilError(t, f.runs[1].Drain(ctx, "z0", true))
 				f.end(0, true)
 				f.disks[0].Wipe()
 				if !alone {
-					f.disks[n-1].Release() // two of the voters have to be whole for a third to come back as another one
-				} else { // who is left of those that acknowledged can't be reached
+					f.disks[n-1].Release() // two voters with working disks are needed to replace the third one's identity
+				} else { // the remaining replicas that accepted the acknowledged version can't be reached
 					f.cut(ips(0, n-1), ips(1, 2, 3, 4)[:n-2], sim.Silent)
 				}
 				f.start(0)
 				acked := uint64(3)
 				for began := time.Now(); time.Since(began) < 6*time.Second; {
-					least := acked
+					before := acked
 					if p, err := f.runs[0].Show(ctx); err == nil {
-						assert.Assert(t, p.Gen >= least && !alone, "%d: r%d shown %v after the start", n, p.Gen, time.Since(began))
+						assert.Assert(t, p.Gen >= before && !alone, "%d: r%d shown %v after the start", n, p.Gen, time.Since(began))
 					}
 					if alone {
 						assert.Assert(t, !f.runs[0].votes())
@@ -51,21 +51,21 @@
 				assert.Equal(t, f.runs[0].votes(), !alone)
 				f.disks[n-1].Release()
 				f.cut(ips(0, n-1), ips(1, 2, 3, 4)[:n-2], sim.Open)
-				f.until(4*time.Second, "vote", func() bool { return f.voting() == n })
+				f.until(4*time.Second, "all replicas vote", func() bool { return f.voting() == n })
 				f.shows(0, body(int(f.runs[1].configured().Gen), "a"))
 			})
 		}
 	}
 }
 
-// Of three in two zones the pair is dark: the one that is left promises nothing and
-// calls nothing fresh, and what was acknowledged is there when they are back.
+// Two of three replicas, those in one zone, lose power. The third must acknowledge nothing and report nothing as fresh,
+// and what was acknowledged must be there once the two are back.
 func TestPairDark(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		ctx := context.Background()
 		f.acknowledged(0, body(2, "a"))
 		h := f.agent("1", 1)
-		f.until(3*time.Second, "fresh", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second }))
+		f.until(3*time.Second, "the agent is confirmed", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second }))
 		f.acknowledged(2, body(3, "a")) // on the disks of any two
 		assert.NilError(t, f.runs[2].Drain(ctx, "z1", true))
 		f.end(0, true)
@@ -82,15 +82,14 @@
 		assert.Assert(t, h.sees(func(h *farmhand) bool { return h.age > age-2*time.Second && h.gen <= 3 })(), "%v of %v", h.age, age)
 		f.start(0)
 		f.start(2)
-		f.until(4*time.Second, "show", func() bool { p, err := f.runs[1].Show(ctx); return err == nil && p.Gen >= 3 })
-		f.until(4*time.Second, "drained", func() bool { return f.runs[0].zone("z1").Drain })
+		f.until(4*time.Second, "a configuration is shown", func() bool { p, err := f.runs[1].Show(ctx); return err == nil && p.Gen >= 3 })
+		f.until(4*time.Second, "the zone is drained", func() bool { return f.runs[0].zone("z1").Drain })
 		h.stop()
 	})
 }
 
-// Begin reaches one side of a cut and finish the other. Where neither is a majority
-// neither is acknowledged, where one is its order holds; after the cut all hold the
-// same, and the next order holds whatever either side has kept.
+// Opposite drain orders reach the two sides of a network partition. Only the side with a majority, if there is one, may
+// acknowledge its order. After the partition all replicas agree, and later orders hold whatever either side has stored.
 func TestDrainOrdersOnTwoSides(t *testing.T) {
 	for _, n := range []int{4, 5} {
 		for _, begin := range []bool{true, false} {
@@ -109,7 +108,7 @@
 					time.Sleep(2 * time.Second)
 					assert.Equal(t, f.runs[3].zone("z0").Drain, !begin) // a minority's order is not in force
 				}
-				f.until(6*time.Second, "order", func() bool { return n == 4 || f.runs[2].Drain(ctx, "z0", begin) == nil })
+				f.until(6*time.Second, "the order is acknowledged", func() bool { return n == 4 || f.runs[2].Drain(ctx, "z0", begin) == nil })
 				f.cut(left, right, sim.Open)
 				var holds peerlink.Zone
 				same := func() bool {
@@ -121,10 +120,10 @@
 					}
 					return true
 				}
-				f.until(6*time.Second, "one order", same)
+				f.until(6*time.Second, "all replicas have the same order", same)
 				assert.Assert(t, n == 4 || holds.Drain == begin)
 				for i, drain := range []bool{begin, !begin, begin} {
-					f.until(3*time.Second, "order", func() bool { return f.runs[i].Drain(ctx, "z0", drain) == nil })
+					f.until(3*time.Second, "the order is acknowledged", func() bool { return f.runs[i].Drain(ctx, "z0", drain) == nil })
 					time.Sleep(time.Second)
 					assert.Assert(t, same() && holds.Drain == drain, "%v", holds)
 				}
@@ -133,18 +132,18 @@
 	}
 }
 
-// An older version that comes again is acknowledged by what is decided above it. While a newer one is on one disk
-// only, the older one is still what is decided.
+// A configuration that is sent again after a newer one was decided is acknowledged, and the newer one stays in force.
+// While the newer one is accepted on one disk only, the older one is still the decided one.
 func TestOlderVersionAgain(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
 		f.halfAccepted(0, body(3, "a"))
 		f.cut(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(2 * time.Second)
-		assert.ErrorIs(t, f.replace(0, body(2, "a")), ErrUnsettled) // nobody says that it is still the newest
+		assert.ErrorIs(t, f.replace(0, body(2, "a")), ErrUnsettled) // no majority confirms that it is still the newest
 		f.cut(ips(0), ips(1, 2), sim.Open)
 		f.disks[1].Release()
-		f.until(5*time.Second, "newer", func() bool { return idOf(f.runs[1].configured()).Gen == 3 })
+		f.until(5*time.Second, "the newer configuration is in force", func() bool { return idOf(f.runs[1].configured()).Gen == 3 })
 		assert.NilError(t, f.replace(1, body(2, "a")))
 		f.end(0, true)
 		f.disks[2].Release()
@@ -156,14 +155,14 @@
 	})
 }
 
-// An order in progress counts on a disk that is lost meanwhile. The replica without it
-// vouches for nothing before that order has had its time, so no majority is made up
-// of those who never heard of it.
+// A voter loses its disk, and with it an acceptance that an order in progress counts. If that replica voted again
+// before the order has ended, a majority of replicas that never heard of the order could show an older version than
+// acknowledged.
 func TestOrderInProgressWhenADiskIsLost(t *testing.T) {
 	for late := 50 * time.Millisecond; late < 600*time.Millisecond; late += 50 * time.Millisecond {
 		play(t, 3, func(f *farm) {
 			f.acknowledged(0, body(2, "a"))
-			f.until(time.Second, "all", func() bool { return idOf(f.runs[2].configured()).Gen == 2 })
+			f.until(time.Second, "all replicas have the configuration", func() bool { return idOf(f.runs[2].configured()).Gen == 2 })
 			f.disks[0].Hang()
 			f.disks[2].SetLatency(150 * time.Millisecond)
 			done := make(chan error, 1)
@@ -186,8 +185,8 @@
 	}
 }
 
-// At the first start the seeds are the voters for all, in whatever order they come up: a majority of them decides,
-// one that is cut off decides nothing, and all that come become voters.
+// At the first start the seeds are the voters for all replicas, in whatever order they start. A majority of them
+// decides, a replica that is cut off must decide nothing, and all replicas that connect become voters.
 func TestFirstStart(t *testing.T) {
 	for _, n := range []int{3, 4, 5} {
 		for _, comes := range []bool{true, false} {
@@ -199,7 +198,7 @@
 				f.first = true
 				f.cut(ips(2), ips(0, 1, 3, 4), sim.Silent)
 				for i := range n {
-					f.start(n - 1 - i) // seeds that are not listening yet
+					f.start(n - 1 - i) // some of its seeds are not listening yet
 					time.Sleep(100 * time.Millisecond)
 				}
 				f.acknowledged(0, body(2, "a"))
@@ -210,10 +209,10 @@
 				assert.ErrorIs(t, err, ErrUnsettled)
 				if comes {
 					f.cut(ips(2), ips(0, 1, 3, 4), sim.Open)
-					f.until(5*time.Second, "vote", func() bool { return f.voting() == n })
+					f.until(5*time.Second, "all replicas vote", func() bool { return f.voting() == n })
 					f.shows(2, body(2, "a"))
 				}
-				f.until(2*time.Second, "the same voters", func() bool { // one change may be on its way
+				f.until(2*time.Second, "the same voters", func() bool { // a change of the voters may be in progress
 					want := f.runs[0].decided()
 					for i := range n {
 						if (i != 2 || comes) && !slices.Equal(f.runs[i].decided().Voters, want.Voters) {
@@ -227,8 +226,8 @@
 	}
 }
 
-// A replica that stood still while an order was under way does not acknowledge it: a voter that answered may have lost its
-// disk since, and vouch again.
+// A replica whose process was suspended during an order must not acknowledge it: a voter that accepted it may have lost
+// its disk since and vote again under another identity.
 func TestLateIsNotAcknowledged(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
@@ -249,8 +248,8 @@
 	})
 }
 
-// Eight orders at once, over and over, answers lost on their way: each is acknowledged, orders about zones within a
-// second, and what was acknowledged is so again at any replica, also at one whose settings don't know the zone.
+// Eight orders at once, in many rounds, some repeated because their answers were lost. Each must be acknowledged, those
+// about zones within a second, and a replica whose settings lack a zone must accept orders about it once others did.
 func TestManyOrdersAtOnce(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		ctx := context.Background()
@@ -283,7 +282,7 @@
 						assert.Check(t, errors.Is(err, ErrUnsettled), "%v", err)
 					}
 					d := time.Since(began)
-					if assert.Check(t, d < 2*time.Second && (i < 5 || d < time.Second), "order %d: %v", i, d); round%3 == 0 && i < 6 { // its answer was lost
+					if assert.Check(t, d < 2*time.Second && (i < 5 || d < time.Second), "order %d: %v", i, d); round%3 == 0 && i < 6 { // as if its answer had been lost
 						err := order((i + 3) % 4)
 						assert.Check(t, err == nil || errors.Is(err, ErrUnsettled), "%v", err)
 					}
--- a/internal/control/held_test.go
+++ b/internal/control/dissemination_test.go
@@ -12,6 +12,8 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
+// confirmed returns what is in force at a replica, and the time since a majority confirmed it; the age is the largest
+// duration if none ever did.
 func (r *running) confirmed() (gen uint64, drained bool, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,8 +26,8 @@
 	return gen, r.zones["z0"].Drain, r.now() - r.fresh.At
 }
 
-// What a majority holds is in force at the other replicas without a round of theirs, also where their disk hangs; it
-// makes nobody's word fresher.
+// A decided state must be in force at all replicas as soon as the proposer's message arrives, without waiting for a
+// round of reports, also at a replica whose disk hangs.
 func TestHeldIsTold(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		f.acknowledged(0, body(1, "a"))
@@ -35,7 +37,7 @@
 			began := time.Now()
 			assert.NilError(t, f.replace(0, body(gen, "a")))
 			assert.NilError(t, f.runs[0].Drain(context.Background(), "z0", gen%2 == 0))
-			time.Sleep(2 * 20 * time.Millisecond) // the farm's longest way, and once more for what it carries
+			time.Sleep(2 * 20 * time.Millisecond) // twice the longest delay of the simulated network: for the message and for what it carries
 			took := time.Since(began)
 			for i := range 4 {
 				got, drained, _ := f.runs[i].confirmed()
@@ -47,7 +49,8 @@
 	})
 }
 
-// A replica that hears no majority is told by one that does: its word is the newest, and as old as before.
+// A replica without contact to a majority receives a newer decided state from one that has contact. It must apply the
+// state, but not count it as confirmed by a majority since.
 func TestHeldIsNotFresh(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		f.acknowledged(0, body(1, "a"))
@@ -61,7 +64,7 @@
 		gen, _, now := f.runs[3].confirmed()
 		assert.Equal(t, gen, uint64(2))
 		assert.Assert(t, now > age, "%v after %v", now, age)
-		// Whoever has the version before is confirmed no further than it was then, also once the majority is back.
+		// A proxy with the previous version is confirmed only up to that time, also once the majority is reachable again.
 		before := f.runs[3].upTo(1)
 		assert.Assert(t, before < f.runs[3].now()-time.Second, "%v", before)
 		f.cut(ips(3), ips(1, 2), sim.Open)
@@ -71,7 +74,7 @@
 	})
 }
 
-// upTo is the moment up to which a proxy with a version in force is confirmed.
+// confirmedUpTo returns the time up to which a proxy with a generation in force is confirmed; -1 if it is not stored.
 func (r *running) upTo(gen uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/worst_test.go
+++ b/internal/control/faults_test.go
@@ -20,7 +20,7 @@
 
 var fine = flag.Bool("control.fine", false, "play troubles at four times as many moments")
 
-// moments is the step, in milliseconds or machines, between two moments at which a trouble is played.
+// momentStep returns the step, in milliseconds or machines, between two moments at which a fault is injected.
 func moments(step int) int {
 	if *fine {
 		return step
@@ -28,10 +28,10 @@
 	return 4 * step
 }
 
-// syncs is how long a machine that is new, or back, may take to count again (sync_s).
+// rejoinTimeout is how long a new or returning machine may take to become a voter (sync_s).
 const syncs = 4 * time.Second
 
-// there are the places of the replicas that run.
+// runningIndexes returns the machines on which replicas run.
 func (f *farm) there() (all []int) {
 	for i, r := range f.runs {
 		if r != nil {
@@ -41,10 +41,10 @@
 	return all
 }
 
-// whole waits until all that run, n of them, are the voters.
+// waitForVoters waits until n replicas run and all of them are the voters.
 func (f *farm) whole(n int) {
 	f.t.Helper()
-	f.until(syncs, "the voters are whole again", func() bool {
+	f.until(syncs, "all running replicas are the voters", func() bool {
 		all := f.there()
 		for _, i := range all {
 			if s := f.runs[i].decided(); len(s.Voters) != n || !f.runs[i].votes() {
@@ -55,7 +55,7 @@
 	})
 }
 
-// replaceMachine puts an empty machine in place of one, planned or after it is gone.
+// replaceMachine replaces a machine by an empty one, which joins before a planned shutdown or else after a loss.
 func (f *farm) replaceMachine(i int, planned bool) int {
 	f.gone[i] = true
 	if !planned {
@@ -69,8 +69,8 @@
 	return next
 }
 
-// Three machines are replaced one after the other; then, after a change was acknowledged, one disk is lost and all
-// others lose power. What was acknowledged is there, and more can be: those that are gone for good don't count.
+// Three machines are replaced one after the other; then all machines lose power and one of them its disk. Guards
+// against losing acknowledged changes, and against counting machines that are gone for good.
 func TestThreeReplacementsAndALoss(t *testing.T) {
 	for _, n := range []int{3, 4, 5} {
 		for wiped := 0; wiped < n; wiped += moments(1) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// While a successor joins, a second machine fails at each moment of that, or the successor does: it loses its power, its
-// process is killed, or it is cut off for a while. Nothing that was acknowledged is lost, and all are whole afterwards.
+// While a replacement joins, it or a second machine loses power, is killed or is cut off, at each moment of that. Guards
+// against losing acknowledged changes, and against replicas that never vote again.
 func TestSecondLossDuringARepair(t *testing.T) {
 	for late := 0; late < 3000; late += moments(60) {
 		n := 3 + (late/moments(60))%3
@@ -122,19 +122,19 @@
 				time.Sleep(2 * time.Second)
 				f.cut(ips(second), ips(0, 1, 2, 3, 4, 5), sim.Open)
 			}
-			f.until(3*syncs, fmt.Sprint("whole after ", late, f.voting(), len(f.runs[next].decided().Voters), f.runs[next].decided().Voters), func() bool { return f.voting() == n && len(f.runs[next].decided().Voters) == n })
+			f.until(3*syncs, fmt.Sprint("all replicas vote, after ", late, f.voting(), len(f.runs[next].decided().Voters), f.runs[next].decided().Voters), func() bool { return f.voting() == n && len(f.runs[next].decided().Voters) == n })
 			for _, i := range f.there() {
 				f.shows(i, body(2, "a"))
 			}
 			f.acknowledged(next, body(3, "a"))
-			f.end(1, true) // and one more may be lost
+			f.end(1, true) // the voters tolerate one more loss
 			f.acknowledged(next, body(4, "a"))
 		})
 	}
 }
 
-// A replica that ends in order is killed at each stage of that. The others go on, with what was acknowledged; it comes
-// back with its disk and counts again, or is replaced.
+// A replica that shuts down gracefully is killed at each stage of that, and then comes back with its disk or is
+// replaced. Guards against losing acknowledged changes, and against too few voters meanwhile or afterwards.
 func TestLeavingKilledAtEachStage(t *testing.T) {
 	for late := 0; late < 400; late += moments(10) {
 		n := 3 + (late/moments(10))%3
@@ -152,7 +152,7 @@
 			} else {
 				f.start(1)
 			}
-			f.until(2*syncs, fmt.Sprint("whole after ", late), func() bool { return f.voting() == n && len(f.runs[0].decided().Voters) == n })
+			f.until(2*syncs, fmt.Sprint("all replicas vote, after ", late), func() bool { return f.voting() == n && len(f.runs[0].decided().Voters) == n })
 			f.endAll(true)
 			f.startAll()
 			for _, i := range f.there() {
@@ -162,21 +162,21 @@
 	}
 }
 
-// One that ends in order is out of the voters before it ends, where three are left: the loss of another one is borne at once.
+// A replica that shuts down resigns first if three others remain: losing another one right after leaves a majority.
 func TestLeavesInOrder(t *testing.T) {
 	for _, n := range []int{4, 5} {
 		play(t, n, func(f *farm) {
 			f.acknowledged(0, body(2, "a"))
 			f.leave(n - 1)
-			f.until(100*time.Millisecond, "out", func() bool { return len(f.runs[0].decided().Voters) == n-1 })
+			f.until(100*time.Millisecond, "the replica is removed from the voters", func() bool { return len(f.runs[0].decided().Voters) == n-1 })
 			f.end(n-2, true)
 			f.acknowledged(0, body(3, "a"))
 		})
 	}
 }
 
-// A replica that is cut off is silent: it acknowledges nothing, shows nothing, refuses nothing on the ground of what it
-// knows, and says so at once. What is invalid in itself it refuses.
+// A replica that is cut off answers all requests with ErrNoMajority at once: its state may be outdated, so it must
+// neither acknowledge, show nor refuse anything because of it. It still refuses a configuration that can't be parsed.
 func TestCutOffIsSilent(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		ctx := context.Background()
@@ -184,7 +184,7 @@
 		assert.NilError(t, f.runs[0].LockFor(ctx, state.Lock{Token: "t", Who: "ana", For: 15 * time.Second}))
 		h := f.agent("1", 0)
 		defer h.stop()
-		f.until(2*time.Second, "fresh", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second && h.gen == 5 }))
+		f.until(2*time.Second, "the agent is confirmed", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second && h.gen == 5 }))
 		f.cut(ips(0), ips(1, 2, 3), sim.Silent)
 		time.Sleep(1500 * time.Millisecond)
 		f.acknowledged(2, body(7, "b"))
@@ -214,21 +214,21 @@
 		assert.Assert(t, h.sees(func(h *farmhand) bool { return h.age > 3*time.Second && h.gen == 5 })())
 		f.cut(ips(0), ips(1, 2, 3), sim.Open)
 		f.shows(0, body(7, "b"))
-		f.until(2*time.Second, "told", h.sees(func(h *farmhand) bool { return h.gen == 7 }))
+		f.until(2*time.Second, "the agent has the newer configuration", h.sees(func(h *farmhand) bool { return h.gen == 7 }))
 	})
 }
 
-// One that is cut off for long is out of the voters; back, it finds that, learns, and is one again.
+// A replica that is cut off for long is removed from the voters and decides nothing; it rejoins when it is back.
 func TestCutOffForLongIsFenced(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
 		f.cut(ips(3), ips(0, 1, 2), sim.Silent)
-		f.until(20*time.Second, "out", func() bool { return len(f.runs[0].decided().Voters) == 3 })
+		f.until(20*time.Second, "the replica is removed from the voters", func() bool { return len(f.runs[0].decided().Voters) == 3 })
 		for i := 1; i < 3; i++ {
 			f.end(i, true)
 			f.acknowledged(0, body(2+i, "a"))
 			f.start(i)
-			f.until(syncs, "back", func() bool { return f.fresh() >= 3 })
+			f.until(syncs, "the replica is back", func() bool { return f.fresh() >= 3 })
 		}
 		assert.Assert(t, f.runs[3].votes()) // as far as it knows
 		assert.ErrorIs(t, f.replace(3, body(9, "z")), ErrUnsettled)
@@ -238,7 +238,7 @@
 	})
 }
 
-// A machine that was replaced for good is told to nobody any more, and dialled by none, after a minute.
+// A replaced machine is dropped after forgetAfter: otherwise agents and replicas would dial it forever.
 func TestReplacedIsForgotten(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
@@ -246,8 +246,8 @@
 		f.whole(3)
 		h := f.agent("1", 0)
 		defer h.stop()
-		f.until(2*time.Second, "told", h.sees(func(h *farmhand) bool { return h.who != nil && len(h.who.Replicas) >= 3 }))
-		f.until(2*forgottenAfter, "forgotten", h.sees(func(h *farmhand) bool { return len(h.who.Replicas) == 3 }))
+		f.until(2*time.Second, "the agent has the census", h.sees(func(h *farmhand) bool { return h.who != nil && len(h.who.Replicas) >= 3 }))
+		f.until(2*forgottenAfter, "the replaced replica is forgotten", h.sees(func(h *farmhand) bool { return len(h.who.Replicas) == 3 }))
 		r := f.runs[0]
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -256,8 +256,8 @@
 	})
 }
 
-// Of a thousand changes a replica misses half. It is back within a second or two, by the newest state and one configuration;
-// meanwhile orders are not held up, and it shows nothing old.
+// A replica misses half of a thousand changes and then catches up within a second or two, by fetching only the newest
+// state and configuration. Meanwhile orders take less than a second, and it shows nothing outdated.
 func TestThousandChangesOneAway(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		worst := time.Duration(0)
@@ -279,7 +279,7 @@
 				}
 			}
 			if gen == 790 {
-				f.until(200*time.Millisecond, "caught up", func() bool { return int(idOf(f.runs[2].configured()).Gen) == gen })
+				f.until(200*time.Millisecond, "the replica has caught up", func() bool { return int(idOf(f.runs[2].configured()).Gen) == gen })
 			}
 		}
 		assert.Assert(t, worst < time.Second, "%v", worst)
@@ -294,7 +294,7 @@
 	})
 }
 
-// All power is lost at each moment of an order. What was acknowledged is there; what was not is in force at all or at none.
+// After a power loss of all during an order, an acknowledged order must hold, any other at all replicas or at none.
 func TestPowerLostInAnOrder(t *testing.T) {
 	for late := 0; late < 240; late += moments(5) {
 		n := 3 + (late/moments(5))%3
@@ -325,8 +325,8 @@
 			}
 			f.endAll(true)
 			f.startAll()
-			time.Sleep(2 * time.Second) // what was left behind is decided, or is not
-			f.until(3*time.Second, "show", func() bool { _, err := f.runs[0].Show(ctx); return err == nil })
+			time.Sleep(2 * time.Second) // values accepted before the power loss are decided, or found not to be
+			f.until(3*time.Second, "a configuration is shown", func() bool { _, err := f.runs[0].Show(ctx); return err == nil })
 			first := f.runs[0].decided()
 			assert.Assert(t, !acked || first.Config.Gen == 3, "after %d ms", late)
 			assert.Assert(t, !order || first.Order("z0").Drain, "after %d ms", late)
@@ -339,8 +339,8 @@
 	}
 }
 
-// Who has lost the lock can't order anything more with its token: after its process stood still for longer than the lock
-// holds, at another replica, after all were killed, or when clocks have been set.
+// A client that has lost the lock, as after a suspension longer than its grant, can't give orders with its token any
+// more: at no replica, also after all were killed. Setting a replica's clock ahead must not end the grant.
 func TestOlderHolderIsFenced(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		ctx := context.Background()
@@ -353,16 +353,16 @@
 		assert.NilError(t, lock(0, "ana"))
 		status, _ := f.call("POST", url(1, "ana"), nil)
 		assert.Equal(t, status, http.StatusOK)
-		f.jump[2].by.Store(int64(time.Hour)) // a clock that is set ahead gives nobody's lock away
+		f.jump[2].by.Store(int64(time.Hour)) // a clock that is set ahead must not end the grant
 		assert.Assert(t, lock(1, "ben") != nil)
-		f.until(8*time.Second, "lapse", func() bool { return lock(1, "ben") == nil })
+		f.until(8*time.Second, "the lock has lapsed", func() bool { return lock(1, "ben") == nil })
 		for i := range 3 {
 			status, text := f.call("POST", url(i, "ana"), nil)
 			assert.Equal(t, status, http.StatusLocked, text)
 		}
 		f.endAll(false)
 		f.startAll()
-		f.until(3*time.Second, "settle", func() bool { return f.fresh() == 3 })
+		f.until(3*time.Second, "all replicas are confirmed", func() bool { return f.fresh() == 3 })
 		for i := range 3 {
 			status, text := f.call("POST", url(i, "ana"), nil)
 			assert.Equal(t, status, http.StatusLocked, text)
@@ -375,8 +375,8 @@
 	})
 }
 
-// An order that was on its way for long does not undo one that was decided after its caller last knew; nor does one that
-// takes the lock. With what is decided since, it is carried out.
+// A delayed command for an order or for the lock must not undo one that was decided after the version that its sender
+// knew. With the current version it is executed.
 func TestLateCommand(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		ctx := context.Background()
@@ -398,7 +398,7 @@
 	})
 }
 
-// Replicas come to agree at every size, and each change of the voters is one.
+// Each observed change adds or removes one voter; the first observation may show five voters instead of three seeds.
 func TestVotersChangeOneByOne(t *testing.T) {
 	play(t, 5, func(f *farm) {
 		seen := map[string]bool{}
--- a/internal/control/history_test.go
+++ b/internal/control/linearizability_test.go
@@ -13,46 +13,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// told is what an operator did, and what came of it.
+// operation is a read or a write of an operator.
 type told struct {
 	write bool
 	gen   int
 	text  string
 }
 
+// outcome is the result of an operation.
 type outcome struct {
-	unclear  bool // it may have taken effect, or may yet
+	unclear  bool // the operation may have taken effect, or may yet
 	inForce  bool
 	conflict bool
-	gen      int    // shown; of a write that is not in force: what is
-	text     string // shown
+	gen      int    // of a read: as shown; of a write: of the configuration in force
+	text     string // as shown by a read
 }
 
-// held is the configuration in force.
+// registerState is the configuration in force.
 type held struct {
 	gen  int
 	text string
 }
 
-// oneRegister is one configuration that operators put and read: what a replicated control plane has to look like.
+// registerModel models the control plane as a single register that holds a configuration, which operators write and
+// read.
 var oneRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{held{}} },
-	Step: func(s, in, out any) []any {
-		state, ask, got := s.(held), in.(told), out.(outcome)
-		if !ask.write {
+	Step: func(s, input, output any) []any {
+		state, op, got := s.(held), input.(told), output.(outcome)
+		if !op.write {
 			if got.unclear || got.gen == state.gen && got.text == state.text {
 				return []any{state}
 			}
 			return nil
 		}
-		if !got.unclear && !got.conflict && (got.inForce && got.gen != ask.gen || !got.inForce && got.gen <= ask.gen) {
+		if !got.unclear && !got.conflict && (got.inForce && got.gen != op.gen || !got.inForce && got.gen <= op.gen) {
 			return nil
 		}
 		after := state
-		if ask.gen > state.gen {
-			after = held{ask.gen, ask.text}
+		if op.gen > state.gen {
+			after = held{op.gen, op.text}
 		}
-		conflict := ask.gen == state.gen && ask.text != state.text
+		conflict := op.gen == state.gen && op.text != state.text
 		switch {
 		case got.unclear && after != state:
 			return []any{state, after}
@@ -62,9 +64,9 @@
 			return nil
 		case conflict:
 			return []any{state}
-		case !got.inForce && got.gen > ask.gen && after != state:
-			return []any{after} // it was in force, and was overtaken before its answer
-		case got.inForce == (after.text == ask.text && after.gen == ask.gen):
+		case !got.inForce && got.gen > op.gen && after != state:
+			return []any{after} // it was in force, and a newer one was decided before the answer
+		case got.inForce == (after.text == op.text && after.gen == op.gen):
 			return []any{after}
 		}
 		return nil
@@ -72,8 +74,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Operators at all replicas put and read configurations, with equal numbers now and then, while machines lose power and
-// disks, are cut off and replaced. What they see is what one register would have shown them.
+// Operators write and read configurations at all replicas, some with equal generation numbers, while random faults are
+// injected. The history of operations must be linearizable: as a single register could have answered.
 func TestOperatorsSeeOneRegister(t *testing.T) {
 	model := oneRegister.ToModel()
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
@@ -95,33 +97,33 @@
 							if r == nil {
 								continue
 							}
-							ask := told{write: rnd.IntN(3) > 0, gen: 2 + int(time.Since(began)/(300*time.Millisecond)) + rnd.IntN(2), text: fmt.Sprint(client, "-", rnd.IntN(2))}
+							op := told{write: rnd.IntN(3) > 0, gen: 2 + int(time.Since(began)/(300*time.Millisecond)) + rnd.IntN(2), text: fmt.Sprint(client, "-", rnd.IntN(2))}
 							call := time.Since(began)
-							got := r.told(ask)
+							got := r.told(op)
 							end := time.Since(began)
-							if got.unclear && !ask.write {
+							if got.unclear && !op.write {
 								continue
 							}
 							if got.unclear {
-								end = time.Hour // it may take effect at any time
+								end = time.Hour // it may still take effect at any time
 							}
 							mu.Lock()
-							history = append(history, porcupine.Operation{ClientId: len(history), Input: ask, Output: got, Call: int64(call), Return: int64(end)})
+							history = append(history, porcupine.Operation{ClientId: len(history), Input: op, Output: got, Call: int64(call), Return: int64(end)})
 							mu.Unlock()
 						}
 					})
 				}
-				in := &trouble{replicas: make([]sync.Mutex, n)}
+				faults := &trouble{replicas: make([]sync.Mutex, n)}
 				all.Go(func() {
 					rnd := rand.New(rand.NewPCG(seed, 70))
 					for time.Now().Before(until) {
-						f.befall(rnd, in)
+						f.befall(rnd, faults)
 						time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 					}
 				})
 				all.Wait()
-				in.over.Store(true)
-				f.until(10*time.Second, "settle", func() bool { return f.voting() == n })
+				faults.over.Store(true)
+				f.until(10*time.Second, "all replicas vote", func() bool { return f.voting() == n })
 				result := porcupine.CheckOperationsTimeout(model, history, 0)
 				if result != porcupine.Ok {
 					for _, o := range history {
@@ -135,10 +137,10 @@
 	}
 }
 
-// told carries out what an operator asks a replica for.
-func (r *running) told(ask told) outcome {
+// runOperation performs an operation at a replica.
+func (r *running) told(op told) outcome {
 	ctx := context.Background()
-	if !ask.write {
+	if !op.write {
 		p, err := r.Show(ctx)
 		switch {
 		case err == ErrNothing:
@@ -148,7 +150,7 @@
 		}
 		return outcome{gen: int(p.Gen), text: textOf(p.Body)}
 	}
-	done, err := r.Replace(ctx, body(ask.gen, ask.text))
+	done, err := r.Replace(ctx, body(op.gen, op.text))
 	switch err.(type) {
 	case nil:
 		return outcome{inForce: done.InForce, gen: int(done.Held.Gen)}
@@ -158,7 +160,7 @@
 	return outcome{unclear: true}
 }
 
-// textOf is the note that body put into a configuration.
+// textOf returns the note that configurationBody put into a configuration.
 func textOf(config []byte) string {
 	var client, n, gen int
 	_, _ = fmt.Sscanf(string(config), `{"gen":"r%d","routes":[{"name":"a","host":"h","prefix":"/%d-%d/"`, &gen, &client, &n)
--- a/internal/control/lock.go
+++ b/internal/control/lock.go
@@ -9,21 +9,20 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// The lock of those who give many orders is a part of the decided state, so the
-// token that an order carries is checked in the same decision that takes the order:
-// whoever has lost the lock can't change anything more, however late its word comes.
+// The operators' lock is a part of the decided state, so the fencing token of an order is checked in the same decision
+// that accepts the order: a client that has lost the lock can't change anything more, however late its order arrives.
 
-// driftPart is the part of the lock's time that steady clocks may differ by over it.
+// clockDriftDivisor bounds the drift between replicas' monotonic clocks: over a time t they differ by at most t/50.
 const driftPart = 50
 
-// lockSeen is since when this replica knows the present grant of the lock.
+// lockObservation is a grant of the lock and when this replica first saw it.
 type lockSeen struct {
 	granted uint64
 	at      time.Duration
 }
 
-// Taken is the error of who finds the lock held, or of an order whose token does
-// not hold it.
+// LockTakenError is the error of a request for the lock while another client holds it, or of an order whose token
+// doesn't hold it.
 type Taken struct{ state.Lock }
 
 func (t Taken) Error() string {
@@ -33,45 +32,46 @@
 	return t.Who + " holds the lock since " + time.Unix(0, t.Since).UTC().Format(time.RFC3339)
 }
 
-// takenBy is the error that tells of a holder, without the token that it is known by.
-func takenBy(l state.Lock) Taken {
-	l.Token = ""
-	return Taken{l}
+// lockTakenBy returns the error that names the lock's holder, without the holder's token.
+func takenBy(lock state.Lock) Taken {
+	lock.Token = ""
+	return Taken{lock}
 }
 
-// noteLock notes from when on this replica knows a grant; the mutex is held.
+// noteLock records when this replica first saw the present grant. The caller holds the mutex.
 func (b *Replica) noteLock(l state.Lock) {
 	if l.Granted != b.locks.granted {
 		b.locks = lockSeen{l.Granted, b.now()}
 	}
 }
 
-// lapsed tells whether a grant has run out for sure: it was known here for its whole
-// time, and for what steady clocks may differ by.
+// hasLapsed reports whether a grant has certainly expired: this replica has known it for its whole duration plus the
+// possible clock drift.
 func (b *Replica) lapsed(l state.Lock) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.locks.granted == l.Granted && b.now()-b.locks.at >= l.For+l.For/driftPart
 }
 
-// LockFor takes the lock for a token, or renews it, for want.For or api.LockMost at most.
-// It returns Taken where another has it.
+// AcquireLock takes or renews the lock for a token, for want.For but at most api.LockMost. It returns LockTakenError if
+// another token holds it.
 func (b *Replica) LockFor(ctx context.Context, want state.Lock) error {
 	want.For = min(want.For, api.LockMost)
 	_, err := b.submit(ctx, peerlink.Command{Lock: &want})
 	return err
 }
 
-// Unlock lets the lock go where the token holds it.
+// ReleaseLock releases the lock if the token holds it.
 func (b *Replica) Unlock(ctx context.Context, token string) error {
 	_, err := b.submit(ctx, peerlink.Command{Lock: &state.Lock{Token: token}})
 	return err
 }
 
-func (b *Replica) takeLock(ctx context.Context, c *peerlink.Command) error {
-	want := *c.Lock
+// executeAcquireLock executes the command to take or renew the lock.
+func (b *Replica) takeLock(ctx context.Context, command *peerlink.Command) error {
+	want := *command.Lock
 	return b.change(ctx, nil, func(next *state.State) error {
-		if next.Lock.Granted > c.Since {
+		if next.Lock.Granted > command.Since {
 			return errOutrun
 		}
 		if held := next.Lock; held.Token != "" && held.Token != want.Token && !b.lapsed(held) {
@@ -84,6 +84,7 @@
 	})
 }
 
+// executeReleaseLock executes the command to release the lock.
 func (b *Replica) dropLock(ctx context.Context, token string) error {
 	return b.change(ctx, nil, func(next *state.State) error {
 		if next.Lock.Token == token {
@@ -93,16 +94,16 @@
 	})
 }
 
-// tokenKey is under what a context carries the lock's token.
+// tokenKey is the context key of the lock's token.
 type tokenKey struct{}
 
-// withToken has the orders that are given with a context fenced by the lock's token;
-// without one they pass.
+// withLockToken returns a context whose orders are accepted only while the token holds the lock. Orders with an empty
+// token are not checked.
 func withToken(ctx context.Context, token string) context.Context {
 	return context.WithValue(ctx, tokenKey{}, token)
 }
 
-// fenced lets a change pass only while the context's token holds the lock.
+// withFencing returns apply with a check that the context's token holds the lock.
 func fenced(ctx context.Context, apply func(next *state.State) error) func(next *state.State) error {
 	token, _ := ctx.Value(tokenKey{}).(string)
 	if token == "" {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -14,93 +14,94 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of changing the voters.
+// Intervals and timeouts of changes of the voters.
 const (
-	turnEvery    = 800 * time.Millisecond  // between the first who proposes a change of the voters and the next
-	resignWithin = 1500 * time.Millisecond // of a replica that ends
-	roundMissed  = 4 * roundEvery          // a process that made no round for so long has not listened meanwhile
+	turnEvery    = 800 * time.Millisecond  // between the replicas' turns to propose a change of the voters
+	resignWithin = 1500 * time.Millisecond // for a replica that shuts down
+	roundMissed  = 4 * roundEvery          // a process without a round for so long may have missed reports meanwhile
 )
 
-// joining is the change of the voters that is wanted, and since when.
+// voterChangeState is the wanted change of the voters and what decides when it is proposed.
 type joining struct {
 	change  membership.Change
 	since   time.Duration
-	busy    bool          // it is proposed
-	touched time.Duration // since when a majority has been heard in each round; 0: not now
-	round   time.Duration // when the last one ended
-	calm    time.Duration // since when all voters are there
+	busy    bool          // a proposal of a change is running
+	touched time.Duration // a majority has reported in each round since; the current time while none does
+	round   time.Duration // when the last round ended
+	calm    time.Duration // all voters have been alive since
 }
 
-var errVoters = errors.New("the voters have changed meanwhile")
+var errVoters = errors.New("the set of voters has changed meanwhile")
 
-// voterOf is a replica as a voter.
+// voterOf returns the voter that a replica is or would be.
 func voterOf(h peerlink.Hello) state.Voter {
 	return state.Voter{ID: h.ID, Name: h.Name, Zone: h.Zone, Inner: h.Inner}
 }
 
-// members are the replicas as this one sees them. One that knows less than the
-// version known, which was the newest here before it was asked, has not caught up.
-// The mutex is held.
+// membershipView returns the replicas as this one sees them. A replica counts as caught up if it has reported at least
+// the version known, which was the newest here before it was asked. The caller holds the mutex.
 func (b *Replica) members(known uint64) []membership.Member {
 	now := b.now()
 	all := []membership.Member{{Voter: voterOf(b.self), Eligible: b.self.Voter, CaughtUp: true, Leaving: b.leaving}}
 	for _, links := range b.links {
 		l := links[len(links)-1]
-		h := b.heardOf[l.peer.ID]
-		all = append(all, membership.Member{Voter: voterOf(l.peer), Eligible: l.peer.Voter, CaughtUp: h.report.Version >= known,
-			Leaving: l.leaving, Silent: b.silence(h, now)})
+		last := b.heardOf[l.peer.ID]
+		all = append(all, membership.Member{Voter: voterOf(l.peer), Eligible: l.peer.Voter, CaughtUp: last.report.Version >= known,
+			Leaving: l.leaving, Silent: b.silence(last, now)})
 	}
 	for _, v := range b.contents.Record.Decided.Voters {
 		if v.ID != b.self.ID && b.linkTo(v.ID) == nil {
-			h := b.heardOf[v.ID]
-			all = append(all, membership.Member{Voter: v, Leaving: h.left, Silent: b.silence(h, now)})
+			last := b.heardOf[v.ID]
+			all = append(all, membership.Member{Voter: v, Leaving: last.left, Silent: b.silence(last, now)})
 		}
 	}
 	return all
 }
 
-// silence is for how long a replica has been silent while this one heard a majority:
-// whoever was cut off itself, or stood still, has no word on others.
-func (b *Replica) silence(h lastReport, now time.Duration) time.Duration {
-	return now - max(h.at, b.joining.touched)
+// silentFor returns for how long a replica has not reported while a majority did. Time in which this replica was itself
+// cut off or suspended does not count, since it can't judge others then.
+func (b *Replica) silence(last lastReport, now time.Duration) time.Duration {
+	return now - max(last.at, b.joining.touched)
 }
 
-// tend has the voters changed where they are to be; the mutex is held.
+// maintainVoters proposes a change of the voters where one is due. It is called after each round. The caller holds the
+// mutex.
 func (b *Replica) tend(known uint64) {
-	now, j := b.now(), &b.joining
+	now, wanted := b.now(), &b.joining
 	voters := b.contents.Record.Decided.Voters
-	touches := quorum.IsMajority(voters, func(id string) bool { return id == b.self.ID || now-b.heardOf[id].at < roundEvery })
-	if !touches || now-j.round > roundMissed {
-		j.touched = now
+	inContact := quorum.IsMajority(voters, func(id string) bool { return id == b.self.ID || now-b.heardOf[id].at < roundEvery })
+	if !inContact || now-wanted.round > roundMissed {
+		wanted.touched = now
 	}
-	j.round = now
+	wanted.round = now
 	members := b.members(known)
 	if !membership.AllAlive(voters, members) {
-		j.calm = now
+		wanted.calm = now
 	}
-	c, is := membership.Next(voters, members, now-j.calm)
-	if !is || b.leaving || !touches {
-		j.since = now
+	next, due := membership.Next(voters, members, now-wanted.calm)
+	if !due || b.leaving || !inContact {
+		wanted.since = now
 		return
 	}
-	if !same(c, j.change) {
-		j.change, j.since = c, now
+	if !same(next, wanted.change) {
+		wanted.change, wanted.since = next, now
 	}
-	if j.busy || now-j.since < b.turn(voters)*turnEvery {
+	if wanted.busy || now-wanted.since < b.turn(voters)*turnEvery {
 		return
 	}
-	j.busy = true
+	wanted.busy = true
 	b.background(func(ctx context.Context) {
-		err := b.changeVoters(ctx, c)
+		err := b.changeVoters(ctx, next)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.joining.busy = false
 		if err == nil {
-			b.log.Info("voters changed", "why", c.Why, "added", c.Add, "removed", c.Remove)
+			b.log.Info("voters changed", "why", next.Why, "added", next.Add, "removed", next.Remove)
 		}
 	})
 }
 
+// isSameChange reports whether two changes add and remove the same voters, whatever their reasons.
 func same(c, d membership.Change) bool {
 	if c.Remove != d.Remove || (c.Add == nil) != (d.Add == nil) {
 		return false
@@ -108,8 +109,8 @@
 	return c.Add == nil || *c.Add == *d.Add
 }
 
-// turn is this replica's place among the voters that are heard; the others' place
-// comes after all voters'. The mutex is held.
+// proposalTurn returns this replica's place in the order in which replicas propose a change of the voters: the
+// reachable voters by ID, and then all others. The caller holds the mutex.
 func (b *Replica) turn(voters []state.Voter) time.Duration {
 	place := 0
 	for _, v := range slices.SortedFunc(slices.Values(voters), func(x, y state.Voter) int { return cmp.Compare(x.ID, y.ID) }) {
@@ -123,7 +124,8 @@
 	return time.Duration(place)
 }
 
-// changeVoters has a change of the voters decided. Two never fall into one decision.
+// changeVoters proposes a change of the voters and waits for the decision. It returns errVotersChanged if the voters
+// are not those that the caller knew, so that one decision never contains two changes.
 func (b *Replica) changeVoters(ctx context.Context, c membership.Change) error {
 	base := b.decided().Voters
 	return b.decide(ctx, nil, func(next *state.State) error {
@@ -136,24 +138,24 @@
 	})
 }
 
-// resign has this replica, which ends, taken out of the voters where others are
-// enough without it. Where they are not it stays one, and is back with its disk.
+// resign removes this replica, which is shutting down, from the voters if enough others remain. Otherwise it stays a
+// voter, which counts again once it is back with its disk.
 func (b *Replica) resign() {
 	b.mu.Lock()
-	c, is := membership.Resign(b.contents.Record.Decided.Voters, b.members(b.contents.Record.Decided.Version), b.self.ID)
+	change, possible := membership.Resign(b.contents.Record.Decided.Voters, b.members(b.contents.Record.Decided.Version), b.self.ID)
 	b.mu.Unlock()
-	if !is {
+	if !possible {
 		return
 	}
 	ctx, cancel := b.within(b.ctx, resignWithin)
 	defer cancel()
 	for ctx.Err() == nil {
-		err := b.changeVoters(ctx, c)
+		err := b.changeVoters(ctx, change)
 		b.log.Info("resigned", "error", err)
 		b.mu.Lock()
-		reached := b.reachesMajority()
+		reachable := b.reachesMajority()
 		b.mu.Unlock()
-		if err == nil || errors.Is(err, errVoters) || !reached || !b.pause(ctx, yieldFor) {
+		if err == nil || errors.Is(err, errVoters) || !reachable || !b.pause(ctx, yieldFor) {
 			return
 		}
 	}
--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -19,31 +19,32 @@
 	conn    *peerlink.Conn
 	peer    peerlink.Hello
 	dialled bool
-	no      uint64            // of the last change sent
-	told    *peerlink.Servers // as told to the other last
-	heard   *peerlink.Servers // as the other told last
-	since   time.Duration     // when it came up
-	leaving bool
-	pending map[uint64]*poll
+	no      uint64            // number of the last change sent
+	told    *peerlink.Servers // server list as last sent to the peer
+	heard   *peerlink.Servers // server list as last received from the peer
+	since   time.Duration     // by this replica's clock
+	leaving bool              // the peer has said that it shuts down
+	pending map[uint64]*poll  // by question ID
 
-	verdicts, verdictsHeard *serverhealth.Verdicts // as told to the other last, and by it
+	verdicts, verdictsHeard *serverhealth.Verdicts // as last sent to the peer and received from it
 }
 
-// keep is an address that is dialled, unless the one there has dialled us.
+// dialTarget is the address of a replica that this one dials unless the other has dialled it and is to (see
+// isDialledBy).
 type keep struct {
-	stop context.CancelFunc // of the present dialling; nil: it waits
+	stop context.CancelFunc // stops the current dialling and its session; nil while none is running
 	wake chan struct{}
-	gone bool // it is dialled no more
+	gone bool // it is not to be dialled any more
 }
 
-// SetSettings takes over what a settings file says that may change in service.
+// SetSettings replaces the settings that may change without a restart.
 func (b *Replica) SetSettings(s *settings.Settings) {
 	b.live.Store(s)
 	b.SetSeeds(s.Network.Seeds)
 	b.spurred()
 }
 
-// SetSeeds takes over whom to dial first.
+// SetSeeds replaces the addresses that are dialled first, and dials new ones. It skips addresses that can't be parsed.
 func (b *Replica) SetSeeds(seeds []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,64 +61,67 @@
 	}
 }
 
-// keep holds a connection to the replica at an address; the mutex is held.
-func (b *Replica) keep(addr string) {
-	if addr == "" || addr == b.self.Inner || b.keeps[addr] != nil || b.ctx == nil || b.ctx.Err() != nil {
+// keepConnected starts to maintain a connection to the replica at an address, unless it does already. The caller holds
+// the mutex.
+func (b *Replica) keep(address string) {
+	if address == "" || address == b.self.Inner || b.keeps[address] != nil || b.ctx == nil || b.ctx.Err() != nil {
 		return
 	}
-	k := &keep{wake: make(chan struct{}, 1)}
-	b.keeps[addr] = k
-	b.jobs.Go(func() { b.hold(b.ctx, addr, k) })
+	target := &keep{wake: make(chan struct{}, 1)}
+	b.keeps[address] = target
+	b.jobs.Go(func() { b.hold(b.ctx, address, target) })
 }
 
-func (b *Replica) hold(ctx context.Context, addr string, k *keep) {
-	d := &peerlink.Dialer{Net: b.w, Hello: b.self, Log: b.log}
+// maintainConnection dials an address again and again, and pauses while the replica there has dialled this one. It
+// returns when ctx ends or the target is removed.
+func (b *Replica) hold(ctx context.Context, address string, target *keep) {
+	dialer := &peerlink.Dialer{Net: b.w, Hello: b.self, Log: b.log}
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		if k.gone {
+		if target.gone {
 			b.mu.Unlock()
 			return
 		}
-		if b.calledBy(addr) {
+		if b.calledBy(address) {
 			b.mu.Unlock()
 			select {
-			case <-k.wake:
+			case <-target.wake:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		kctx, stop := context.WithCancel(ctx)
-		k.stop = stop
+		dialCtx, stop := context.WithCancel(ctx)
+		target.stop = stop
 		b.mu.Unlock()
-		d.Keep(kctx, addr, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error { return b.talk(ctx, c, h, true) })
+		dialer.Keep(dialCtx, address, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error { return b.talk(ctx, c, h, true) })
 		stop()
 		b.mu.Lock()
-		k.stop = nil
+		target.stop = nil
 		b.mu.Unlock()
 	}
 }
 
-// forgottenAfter is how long a replica that is no voter may be silent before it is left for good.
+// forgetAfter is how long a replica that is no voter may be silent before it is forgotten.
 const forgottenAfter = time.Minute
 
-// forget leaves replicas that are gone for good, so that neither this one nor agents dial them for ever; the mutex is
-// held.
+// forgetSilentReplicas removes replicas that are no voters, are not connected and have been silent for forgetAfter, so
+// that neither this replica nor agents dial them forever. It goes on dialling seeds. The caller holds the mutex.
 func (b *Replica) forget() {
 	now := b.now()
 	for name, h := range b.replicas {
-		_, votes := b.contents.Record.Decided.Voter(h.ID)
-		at := max(b.heardOf[h.ID].at, b.firstHeard[name])
-		if name == b.self.Name || votes || len(b.links[name]) > 0 || now-at < forgottenAfter {
+		_, isVoter := b.contents.Record.Decided.Voter(h.ID)
+		lastHeard := max(b.heardOf[h.ID].at, b.firstHeard[name])
+		if name == b.self.Name || isVoter || len(b.links[name]) > 0 || now-lastHeard < forgottenAfter {
 			continue
 		}
 		b.log.Info("replica forgotten", "name", name)
 		delete(b.replicas, name)
 		delete(b.heardOf, h.ID)
 		delete(b.firstHeard, name)
-		if k := b.keeps[h.Inner]; k != nil && !slices.Contains(b.seeds, h.Inner) {
-			k.gone = true
-			if k.stop != nil {
-				k.stop()
+		if target := b.keeps[h.Inner]; target != nil && !slices.Contains(b.seeds, h.Inner) {
+			target.gone = true
+			if target.stop != nil {
+				target.stop()
 			}
 			delete(b.keeps, h.Inner)
 		}
@@ -125,12 +129,12 @@
 	}
 }
 
-// calledBy tells whether the replica at an address has dialled this one and is the
-// one of the two that is to: the one whose name is lower. The mutex is held.
-func (b *Replica) calledBy(addr string) bool {
+// isDialledBy reports whether the replica at an address has dialled this one and has the lower name of the two: that
+// one's connection is kept, so that two replicas need only one. The caller holds the mutex.
+func (b *Replica) calledBy(address string) bool {
 	for name, all := range b.links {
 		for _, l := range all {
-			if !l.dialled && l.peer.Inner == addr && name < b.self.Name {
+			if !l.dialled && l.peer.Inner == address && name < b.self.Name {
 				return true
 			}
 		}
@@ -138,21 +142,22 @@
 	return false
 }
 
-// accept runs a session that another process has dialled.
-func (b *Replica) accept(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
-	switch h.Role {
+// acceptSession runs a session that another process has dialled. It rejects peers that are neither replica nor agent.
+func (b *Replica) accept(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
+	switch hello.Role {
 	case peerlink.Replica:
-		return b.talk(ctx, c, h, false)
+		return b.talk(ctx, conn, hello, false)
 	case peerlink.Agent:
-		return b.attend(ctx, c, h)
+		return b.attend(ctx, conn, hello)
 	}
-	return errors.Errorf("replica: a %q has no business here", h.Role)
+	return errors.Errorf("replica: unexpected peer role %q", hello.Role)
 }
 
-// talk runs a session with another replica.
+// runReplicaSession runs a session with another replica until the connection ends. It first sends what this replica
+// knows.
 func (b *Replica) talk(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello, dialled bool) error {
 	if h.Role != peerlink.Replica || h.Name == b.self.Name {
-		return errors.Errorf("replica: %q %s is no other replica", h.Role, h.Name)
+		return errors.Errorf("replica: peer with role %q and name %q is not another replica", h.Role, h.Name)
 	}
 	b.mu.Lock()
 	l := &link{conn: c, peer: *h, dialled: dialled, since: b.now(), pending: map[uint64]*poll{}}
@@ -162,8 +167,8 @@
 	duty := b.duty.Greet()
 	l.news(&peerlink.Change{Census: b.known(), Servers: b.aged(l.told), Lately: b.fit.inForce()}, &duty)
 	b.tellDecided(l)
-	if k := b.keeps[h.Inner]; k != nil && k.stop != nil && b.calledBy(h.Inner) {
-		k.stop()
+	if target := b.keeps[h.Inner]; target != nil && target.stop != nil && b.calledBy(h.Inner) {
+		target.stop()
 	}
 	b.mu.Unlock()
 	b.rouse()
@@ -179,9 +184,9 @@
 		for _, p := range l.pending {
 			p.answers <- answer{from: h.ID}
 		}
-		if k := b.keeps[h.Inner]; k != nil {
+		if target := b.keeps[h.Inner]; target != nil {
 			select {
-			case k.wake <- struct{}{}:
+			case target.wake <- struct{}{}:
 			default:
 			}
 		}
@@ -197,72 +202,73 @@
 	}
 }
 
-// news sends a numbered change with a word on the duty, which may be nil.
+// sendChange numbers a change and sends it, with the state of the duty unless that is nil.
 func (l *link) news(c *peerlink.Change, d *peerlink.Duty) {
 	l.no++
 	c.No = l.no
 	_ = l.conn.Send(&peerlink.Frame{Change: c, Duty: d})
 }
 
-// take takes in what another replica says.
-func (b *Replica) take(ctx context.Context, l *link, f *peerlink.Frame) {
-	if f.Ask != nil {
-		b.answer(ctx, l, f.Ask)
+// handleFrame processes a frame from another replica.
+func (b *Replica) take(ctx context.Context, l *link, frame *peerlink.Frame) {
+	if frame.Ask != nil {
+		b.answer(ctx, l, frame.Ask)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f.Leaving != nil {
+	if frame.Leaving != nil {
 		l.leaving = true
-		h := b.heardOf[l.peer.ID]
-		h.left = true
-		b.heardOf[l.peer.ID] = h
+		last := b.heardOf[l.peer.ID]
+		last.left = true
+		b.heardOf[l.peer.ID] = last
 		b.stirred()
 	}
-	if f.Duty != nil {
-		b.hearDuty(l, f.Duty)
+	if frame.Duty != nil {
+		b.hearDuty(l, frame.Duty)
 	}
-	if f.Decided != nil {
-		b.hearDecided(l, f.Decided)
+	if frame.Decided != nil {
+		b.hearDecided(l, frame.Decided)
 	}
-	if f.Report != nil {
-		b.reaped(f.Report)
+	if frame.Report != nil {
+		b.reaped(frame.Report)
 	}
-	if c := f.Change; c != nil {
-		b.verdictsTold(l, c)
-		if c.Census != nil {
-			for _, h := range c.Census.Replicas {
-				b.noteReplica(h)
+	if change := frame.Change; change != nil {
+		b.verdictsTold(l, change)
+		if change.Census != nil {
+			for _, hello := range change.Census.Replicas {
+				b.noteReplica(hello)
 			}
-			b.meet(c.Census.Proxies)
+			b.meet(change.Census.Proxies)
 		}
-		if c.Servers != nil {
-			b.listTold(l, c.Servers)
+		if change.Servers != nil {
+			b.listTold(l, change.Servers)
 		}
 	}
-	if r := f.Reply; r != nil {
-		if p := l.pending[r.ID]; p != nil {
-			delete(l.pending, r.ID)
-			p.answers <- answer{l.peer.ID, r}
+	if reply := frame.Reply; reply != nil {
+		if poll := l.pending[reply.ID]; poll != nil {
+			delete(l.pending, reply.ID)
+			poll.answers <- answer{l.peer.ID, reply}
 		}
 	}
 }
 
-// noteReplica notes another replica; the mutex is held.
-func (b *Replica) noteReplica(h peerlink.Hello) {
-	old, known := b.replicas[h.Name]
-	if h.Name == b.self.Name || h.Name == "" || known && old.Life >= h.Life {
+// noteReplica registers another replica, or a newer incarnation of a known one, and dials it. The caller holds the
+// mutex.
+func (b *Replica) noteReplica(hello peerlink.Hello) {
+	old, known := b.replicas[hello.Name]
+	if hello.Name == b.self.Name || hello.Name == "" || known && old.Life >= hello.Life {
 		return
 	}
-	b.replicas[h.Name] = h
-	b.firstHeard[h.Name] = b.now()
+	b.replicas[hello.Name] = hello
+	b.firstHeard[hello.Name] = b.now()
 	if !known {
-		b.log.Info("new replica", "name", h.Name, "voter", h.Voter)
+		b.log.Info("new replica", "name", hello.Name, "voter", hello.Voter)
 	}
-	b.keep(h.Inner)
+	b.keep(hello.Inner)
 	b.stirred()
 }
 
-// background runs a job with a bound of time; the mutex may be held.
+// runInBackground runs a job in a goroutine with a timeout of callTimeout. The caller may hold the mutex.
 func (b *Replica) background(job func(ctx context.Context)) {
 	b.jobs.Go(func() {
 		ctx, cancel := b.within(b.ctx, callWithin)
@@ -271,22 +277,23 @@
 	})
 }
 
-// known tells another replica whom this one knows; the mutex is held.
+// knownMembers returns the replicas and proxies that this replica knows, as sent to another one. The caller holds the
+// mutex.
 func (b *Replica) known() *peerlink.Census {
-	c := &peerlink.Census{Replicas: byName(b.replicas)}
-	for _, n := range b.proxies.names() {
-		c.Proxies = append(c.Proxies, peerlink.Member{Hello: lean(b.proxies.proxies[n].hello)})
+	census := &peerlink.Census{Replicas: byName(b.replicas)}
+	for _, name := range b.proxies.names() {
+		census.Proxies = append(census.Proxies, peerlink.Member{Hello: lean(b.proxies.proxies[name].hello)})
 	}
-	return c
+	return census
 }
 
-// answer is what came back on a question; a nil reply is a broken connection.
+// pollAnswer is the reply to a question; reply is nil if the connection broke.
 type answer struct {
-	from  string // the ID of the replier's disk
+	from  string // ID of the replier's disk
 	reply *peerlink.Reply
 }
 
-// poll is a number of questions whose answers are awaited.
+// poll is a set of questions to other replicas whose answers are awaited.
 type poll struct {
 	b       *Replica
 	answers chan answer
@@ -294,28 +301,28 @@
 	asked   map[*link]uint64
 }
 
+// newPoll returns a poll without questions; the caller cancels it in the end.
 func (b *Replica) newPoll() *poll {
 	return &poll{b: b, answers: make(chan answer, 64), asked: map[*link]uint64{}}
 }
 
-// ask puts a question to another replica; it is false where that can't be sent.
-// The mutex is held.
-func (p *poll) ask(l *link, a peerlink.Ask) bool {
+// ask sends a question to another replica. It returns false if that can't be sent. The caller holds the mutex.
+func (p *poll) ask(l *link, question peerlink.Ask) bool {
 	if l == nil || p.out == cap(p.answers) {
 		return false
 	}
 	p.b.asks++
-	a.ID = p.b.asks
-	if l.conn.Send(&peerlink.Frame{Ask: &a}) != nil {
+	question.ID = p.b.asks
+	if l.conn.Send(&peerlink.Frame{Ask: &question}) != nil {
 		return false
 	}
-	l.pending[a.ID] = p
-	p.asked[l] = a.ID
+	l.pending[question.ID] = p
+	p.asked[l] = question.ID
 	p.out++
 	return true
 }
 
-// end forgets the questions that were not answered.
+// cancel drops the unanswered questions; replies to them are ignored from then on.
 func (p *poll) end() {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
@@ -324,8 +331,7 @@
 	}
 }
 
-// linkTo is the connection to the replica with a disk; nil: there is none. The
-// mutex is held.
+// linkTo returns the newest connection to the replica with a disk ID; nil if there is none. The caller holds the mutex.
 func (b *Replica) linkTo(id string) *link {
 	for _, all := range b.links {
 		if l := all[len(all)-1]; l.peer.ID == id {
@@ -335,7 +341,7 @@
 	return nil
 }
 
-// within bounds a time by the replica's clock.
+// withTimeout returns a context that ends after d by the replica's clock.
 func (b *Replica) within(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return world.WithTimeout(ctx, b.w, d)
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -12,11 +12,10 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// callWithin bounds an order from its coming to its acknowledgement.
+// callTimeout bounds the time from an order's arrival to its acknowledgement.
 const callWithin = 900 * time.Millisecond
 
-// Errors of orders. After ErrUnsettled the order may be in force or not; after the
-// others it is not.
+// Errors of orders. After ErrNoMajority the order may be in force or not; after the others it is not.
 var (
 	ErrUnsettled = errors.New("no majority of control answers")
 	ErrNothing   = errors.New("there is no configuration")
@@ -24,39 +23,40 @@
 	ErrNode      = errors.New("no such proxy is known")
 )
 
-// Invalid is the error of a configuration that can't be taken.
+// InvalidError is the error of an order or a configuration that can't be accepted, whatever is in force.
 type Invalid struct{ error }
 
-// Conflict is the error of a configuration whose number another one has.
+// ConflictError is the error of a configuration whose generation number was decided for another one.
 type Conflict struct{ Held state.ConfigID }
 
 func (c Conflict) Error() string {
 	return "another configuration was decided under this number"
 }
 
-// Replaced says what became of a configuration that was acknowledged.
+// ReplaceResult is the outcome of an acknowledged configuration.
 type Replaced struct {
-	InForce bool           // it is the one in force
-	Held    state.ConfigID // that is in force; above the one sent where that is not
+	InForce bool           // the acknowledged configuration is the one in force
+	Held    state.ConfigID // the one in force; newer than the acknowledged one if InForce is false
 }
 
-// Replace takes a configuration. It is decided, or one above it was, when the error
-// is nil. Invalid tells that it can't be, Conflict that its number is another's.
+// Replace puts a configuration in force. If the error is nil, the configuration or a newer one is decided. It returns
+// InvalidError if body can't be parsed, ConflictError if its number was decided for another configuration, and
+// ErrNoMajority if the outcome is unknown.
 func (b *Replica) Replace(ctx context.Context, body []byte) (Replaced, error) {
 	parsed, err := routeconfig.Parse(body)
 	if err != nil {
 		return Replaced{}, Invalid{err}
 	}
-	p := (&peerlink.Configuration{Gen: parsed.Gen, Digest: sha256.Sum256(body), Body: body}).Pack()
-	held, err := b.submit(ctx, peerlink.Command{Config: p})
-	return Replaced{InForce: held == idOf(p), Held: held}, err
+	config := (&peerlink.Configuration{Gen: parsed.Gen, Digest: sha256.Sum256(body), Body: body}).Pack()
+	held, err := b.submit(ctx, peerlink.Command{Config: config})
+	return Replaced{InForce: held == idOf(config), Held: held}, err
 }
 
-// replace carries out the command to put a configuration in force.
-func (b *Replica) replace(ctx context.Context, p *peerlink.Configuration) (state.ConfigID, error) {
-	id := idOf(p)
+// executeReplace executes the command to put a configuration in force, and returns the ID of the one in force then.
+func (b *Replica) replace(ctx context.Context, config *peerlink.Configuration) (state.ConfigID, error) {
+	id := idOf(config)
 	var held state.ConfigID
-	err := b.change(ctx, p, func(next *state.State) error {
+	err := b.change(ctx, config, func(next *state.State) error {
 		switch {
 		case id.Gen > next.Config.Gen:
 			next.Config = id
@@ -67,22 +67,25 @@
 		return nil
 	})
 	if err != nil {
-		return state.ConfigID{}, err // the proposer may still be at it
+		return state.ConfigID{}, err // the proposer may still be running apply, which writes held
 	}
 	return held, nil
 }
 
-// change has a change decided. Where it changes nothing, or is refused, a majority
-// confirms that this is not by something old.
+// changeState proposes a change of the decided state and waits for the decision. If the change has no effect or is
+// refused, it first has a majority confirm that this is not due to an outdated state. It returns ErrNoMajority if the
+// outcome is unknown.
 func (b *Replica) change(ctx context.Context, config *peerlink.Configuration, apply func(next *state.State) error) error {
 	began := b.now()
 	err := b.changed(ctx, config, apply)
-	if err == nil && b.now()-began > callWithin { // this process stood still: whoever asked has gone on
+	if err == nil && b.now()-began > callWithin { // this process was suspended: the caller has timed out, and a voter that accepted may have lost its disk since
 		return ErrUnsettled
 	}
 	return err
 }
 
+// decideOrConfirm proposes a change that has an effect on the decided state, and otherwise returns the error of apply
+// on a state that a majority has confirmed.
 func (b *Replica) changed(ctx context.Context, config *peerlink.Configuration, apply func(next *state.State) error) error {
 	if changes(b.decided(), fenced(ctx, apply)) {
 		return b.decideCommand(ctx, config, apply)
@@ -99,14 +102,15 @@
 	return fenced(ctx, apply)(&next)
 }
 
-// changes tells whether a change would make another state of this one.
+// wouldChange reports whether apply succeeds on a state and changes it.
 func changes(base state.State, apply func(next *state.State) error) bool {
 	next := base.Clone()
 	next.Version++
 	return apply(&next) == nil && !next.Same(base)
 }
 
-// Show is the configuration in force.
+// CurrentConfiguration returns the configuration in force, after a majority has confirmed that it is the latest. It
+// returns ErrNoMajority if none answers, and ErrNoConfiguration if there is none.
 func (b *Replica) Show(ctx context.Context) (*peerlink.Configuration, error) {
 	ctx, cancel := b.within(ctx, callWithin)
 	defer cancel()
@@ -121,25 +125,25 @@
 	return b.configuration, nil
 }
 
-// Drain takes an order about a zone.
+// Drain orders that a zone is drained, or is no longer.
 func (b *Replica) Drain(ctx context.Context, zone string, drain bool) error {
 	_, known := b.live.Load().Network.Zones[zone]
 	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: zone, Drain: drain}, Known: known})
 	return err
 }
 
-// order has an order decided, where the orders held allow it. One that says what is in force already is decided too:
-// its count tells operators that somebody has ordered it again.
-func (b *Replica) order(ctx context.Context, c *peerlink.Command) error {
+// executeOrder executes the command with an order, unless the decided orders forbid it. An order that repeats the one
+// in force is decided too: its new count shows operators that it was given again.
+func (b *Replica) order(ctx context.Context, command *peerlink.Command) error {
 	now := b.w.Now().UnixMilli()
 	return b.change(ctx, nil, func(next *state.State) error {
-		if next.Order(c.Order.Zone).Count > c.Since {
-			return errOutrun // it may have been on its way for long: its caller looks again, if it still waits
+		if next.Order(command.Order.Zone).Count > command.Since {
+			return errOutrun // the command may have been delayed for long: its caller retries it, if it still waits
 		}
-		if err := b.allows(c, *next); err != nil {
+		if err := b.allows(command, *next); err != nil {
 			return err
 		}
-		decided := *c.Order
+		decided := *command.Order
 		decided.Count, decided.By = next.Version, b.self.Name
 		next.Prune(now)
 		next.SetOrder(decided)
@@ -147,16 +151,16 @@
 	})
 }
 
-// allows tells why an order can't be taken by what is decided.
-func (b *Replica) allows(c *peerlink.Command, held state.State) error {
-	if name, is := c.Order.Node(); is {
-		return b.allowsRest(name, c, held)
+// checkOrder returns why an order is refused under the decided state; nil if it is allowed.
+func (b *Replica) allows(command *peerlink.Command, held state.State) error {
+	if name, isNode := command.Order.Node(); isNode {
+		return b.allowsRest(name, command, held)
 	}
-	if id, is := c.Order.Server(); is {
+	if id, isServer := command.Order.Server(); isServer {
 		return b.allowsWord(id, held)
 	}
-	if _, known := b.live.Load().Network.Zones[c.Order.Zone]; !known && !c.Known && held.Order(c.Order.Zone).Count == 0 {
-		return errors.WithMessage(ErrZone, c.Order.Zone)
+	if _, known := b.live.Load().Network.Zones[command.Order.Zone]; !known && !command.Known && held.Order(command.Order.Zone).Count == 0 {
+		return errors.WithMessage(ErrZone, command.Order.Zone)
 	}
-	return nil // another's settings may know it: what was taken there is not refused here
+	return nil // zones differ between replicas' settings: one that the command's sender knows, or that has an order, is allowed
 }
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -13,35 +13,36 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of proposals.
+// Timeouts of proposals.
 const (
 	attemptWithin = 600 * time.Millisecond
-	yieldFor      = 150 * time.Millisecond // to another proposer that has a promise for the same version
-	retryMost     = 40 * time.Millisecond  // beyond that, by chance, so that two who yield to each other part
-	reachedWithin = time.Second            // a voter that was heard since is taken to answer
+	yieldFor      = 150 * time.Millisecond // for another proposer that has a promise for the same version
+	retryMost     = 40 * time.Millisecond  // random addition to yieldTime, so that two proposers don't keep yielding to each other
+	reachedWithin = time.Second            // a voter that reported or connected within it is expected to answer
 )
 
-// change is a change of the state that somebody waits for.
+// stateChange is a change of the decided state whose caller waits for the outcome.
 type change struct {
 	ctx     context.Context
-	apply   func(next *state.State) error // changes a copy of what is decided, whose Version is already the next one
-	config  *peerlink.Configuration       // that it brings; nil: none
-	command bool                          // of an operator: submit sees to it
+	apply   func(next *state.State) error // changes a copy of the decided state whose Version is already the next one
+	config  *peerlink.Configuration       // the new configuration; nil if the change contains none
+	command bool                          // an operator's command: submit retries it, possibly at another replica
 	end     chan error
 }
 
-// decide has a change decided, together with others that wait here. It returns the
-// error of apply, of which a majority has confirmed what it was told, or ErrUnsettled:
-// then the change may be decided or may not.
+// decide proposes a change, together with others that are pending here, and waits for the decision. It returns the
+// error of apply, which was called on a state that a majority has confirmed, or ErrNoMajority: then the change may have
+// been decided or not.
 func (b *Replica) decide(ctx context.Context, config *peerlink.Configuration, apply func(next *state.State) error) error {
 	return b.enqueue(&change{ctx: ctx, apply: fenced(ctx, apply), config: config, end: make(chan error, 1)})
 }
 
-// decideCommand does so for a command, and gives up with errOutrun where another replica is faster.
+// decideCommand does the same for a command, and returns errConcurrentDecision if another replica is faster.
 func (b *Replica) decideCommand(ctx context.Context, config *peerlink.Configuration, apply func(next *state.State) error) error {
 	return b.enqueue(&change{ctx: ctx, apply: fenced(ctx, apply), config: config, command: true, end: make(chan error, 1)})
 }
 
+// enqueue adds a change to the pending ones and waits until it is answered or its context ends.
 func (b *Replica) enqueue(c *change) error {
 	b.mu.Lock()
 	b.pending = append(b.pending, c)
@@ -58,7 +59,7 @@
 	}
 }
 
-// propose carries out what is pending, one batch after the other.
+// runProposer proposes the pending changes, one batch after the other, until ctx ends.
 func (b *Replica) propose(ctx context.Context) {
 	for {
 		select {
@@ -70,20 +71,20 @@
 	}
 }
 
-// settle makes attempts until nothing is pending.
+// proposePending makes attempts until nothing is pending. It fails all changes while no majority is reachable.
 func (b *Replica) settle(ctx context.Context) {
 	var batch []*change
-	for tries := 0; ctx.Err() == nil; tries++ {
+	for failures := 0; ctx.Err() == nil; failures++ {
 		b.mu.Lock()
 		batch = append(batch, b.pending...)
 		b.pending = nil
-		reached := b.reachesMajority()
+		reachable := b.reachesMajority()
 		b.mu.Unlock()
 		batch = slices.DeleteFunc(batch, func(c *change) bool {
-			if c.ctx.Err() != nil || !reached {
+			if c.ctx.Err() != nil || !reachable {
 				c.end <- ErrUnsettled
 			}
-			return c.ctx.Err() != nil || !reached
+			return c.ctx.Err() != nil || !reachable
 		})
 		if len(batch) == 0 {
 			return
@@ -91,23 +92,24 @@
 		if b.yields() && !b.yield(ctx) {
 			return
 		}
-		done, again := b.attempt(ctx, batch, tries)
+		done, retryNow := b.attempt(ctx, batch, failures)
 		if done {
-			batch, tries = nil, 0
+			batch, failures = nil, 0
 			continue
 		}
 		batch = b.agentBack(batch)
-		if !again && !b.yield(ctx) {
+		if !retryNow && !b.yield(ctx) {
 			return
 		}
 	}
 }
 
-// errOutrun tells that a command was not carried out, since another replica has decided something meanwhile: submit
-// looks again.
-var errOutrun = errors.New("another replica has proposed meanwhile")
+// errConcurrentDecision is the error of a command that was not carried out because another replica has decided a newer
+// version meanwhile: submit retries it.
+var errOutrun = errors.New("another replica has decided a newer version meanwhile")
 
-// handBack gives commands back to submit where another replica has become the one that proposed last.
+// returnCommands fails the commands of a batch with errConcurrentDecision where another replica that is reachable has
+// become the last proposer: submit then forwards them there. It returns the rest of the batch.
 func (b *Replica) agentBack(batch []*change) []*change {
 	if b.lastProposer() == nil {
 		return batch
@@ -120,7 +122,7 @@
 	})
 }
 
-// yields tells whether another proposer is likely to decide the next version just now.
+// shouldYield reports whether another proposer is likely to be deciding the next version now.
 func (b *Replica) yields() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,7 +130,8 @@
 	return promised != (quorum.Ballot{}) && promised.Proposer != b.proposer() && b.now()-b.promisedAt < yieldFor
 }
 
-// yield waits until the next version is decided, or for a while; false: ctx has ended.
+// waitForDecision waits until the next version is decided, or for yieldTime plus a random time. It returns false if ctx
+// has ended.
 func (b *Replica) yield(ctx context.Context) bool {
 	t := b.w.NewTimer(yieldFor + rand.N(retryMost))
 	defer t.Stop()
@@ -141,12 +144,13 @@
 	return true
 }
 
-// reachesMajority tells whether a majority of the voters was heard just now; the
-// mutex is held.
+// isMajorityReachable reports whether a majority of the voters is reachable. The caller holds the mutex.
 func (b *Replica) reachesMajority() bool {
 	return quorum.IsMajority(b.contents.Record.Decided.Voters, b.reaches)
 }
 
+// isReachable reports whether the replica with an ID is this one, or is connected and has reported or connected within
+// reachabilityWindow. The caller holds the mutex.
 func (b *Replica) reaches(id string) bool {
 	if id == b.self.ID {
 		return true
@@ -155,42 +159,42 @@
 	return l != nil && b.now()-max(l.since, b.heardOf[id].at) < reachedWithin
 }
 
-// attempt tries once to decide the next version. It has answered all of the batch
-// where done is true; again tells that the next attempt may begin at once. Whoever has
-// tried more often goes before others.
-func (b *Replica) attempt(ctx context.Context, batch []*change, tries int) (done, again bool) {
+// attempt tries once to decide the next version. If done is true, all changes of the batch are answered; retryNow
+// reports that the next attempt may begin at once. Each failure raises the ballot's round, so that a proposer with more
+// failures takes precedence.
+func (b *Replica) attempt(ctx context.Context, batch []*change, failures int) (done, retryNow bool) {
 	ctx, cancel := b.within(ctx, attemptWithin)
 	defer cancel()
 	b.mu.Lock()
 	base := b.contents.Record.Decided
 	select {
-	case <-b.advanced: // that is known here
+	case <-b.advanced: // the versions learned so far are in base
 	default:
 	}
-	first := base.Proposer == b.proposer() && b.firstUsed <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
+	onePhase := base.Proposer == b.proposer() && b.firstUsed <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
 	b.mu.Unlock()
 	next, refused := b.combined(base, batch)
 	if next.Same(base) && b.stillLatest(ctx, base) {
 		answerAll(batch, refused)
 		return true, true
 	}
-	if first && !next.Same(base) {
+	if onePhase && !next.Same(base) {
 		return b.attemptFirst(ctx, base, next, batch, refused)
 	}
 	b.mu.Lock()
-	b.rounds = max(b.rounds, b.contents.Record.Promised.Round, quorum.FirstRound) + 1 + uint64(tries)
-	p := quorum.Propose(base, quorum.Ballot{Round: b.rounds, Proposer: b.proposer()})
+	b.rounds = max(b.rounds, b.contents.Record.Promised.Round, quorum.FirstRound) + 1 + uint64(failures)
+	proposal := quorum.Propose(base, quorum.Ballot{Round: b.rounds, Proposer: b.proposer()})
 	b.mu.Unlock()
-	if !b.prepare(ctx, p, base) {
-		return false, b.lost(p, base)
+	if !b.prepare(ctx, proposal, base) {
+		return false, b.lost(proposal, base)
 	}
-	inherited := p.Inherited() != nil
-	if !inherited && next.Same(base) { // a majority has just promised, so base is the newest
+	inherited := proposal.Inherited() != nil
+	if !inherited && next.Same(base) { // a majority has just promised and reported no newer version: base is the latest
 		answerAll(batch, refused)
 		return true, true
 	}
-	if !b.commit(ctx, p, base, next, batch) {
-		return false, b.lost(p, base)
+	if !b.commit(ctx, proposal, base, next, batch) {
+		return false, b.lost(proposal, base)
 	}
 	if inherited {
 		return false, true
@@ -199,21 +203,21 @@
 	return true, true
 }
 
-// attemptFirst tries once to decide the version after one that this process proposed, in one phase.
-func (b *Replica) attemptFirst(ctx context.Context, base, next state.State, batch []*change, refused map[*change]error) (done, again bool) {
+// attemptOnePhase tries once to decide the version after one that this process proposed, without asking for promises.
+func (b *Replica) attemptFirst(ctx context.Context, base, next state.State, batch []*change, refused map[*change]error) (done, retryNow bool) {
 	b.mu.Lock()
 	b.firstUsed = next.Version
 	b.mu.Unlock()
-	p := quorum.ProposeFirst(base)
-	if !b.commit(ctx, p, base, next, batch) {
-		return false, b.lost(p, base)
+	proposal := quorum.ProposeFirst(base)
+	if !b.commit(ctx, proposal, base, next, batch) {
+		return false, b.lost(proposal, base)
 	}
 	answerAll(batch, refused)
 	return true, true
 }
 
-// announce takes over what an attempt has decided, with its configuration, which a proposer that is no voter has not
-// accepted, and tells all others.
+// announceDecision learns the value that an attempt has decided and sends it to all connected replicas. It stores the
+// value's configuration too, since a proposer that is no voter has not accepted it.
 func (b *Replica) announce(p *quorum.Proposal, config *peerlink.Configuration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -226,38 +230,39 @@
 	}
 }
 
-// proposerMark ends the ID of the disk in a proposer's name.
+// proposerSeparator separates the ID of the disk from the start time in a proposer's ID.
 const proposerMark = "#"
 
-// proposer names this life of this process in ballots.
+// proposerID identifies this process, from its start to its end, in ballots.
 func (b *Replica) proposer() string {
 	return b.self.ID + proposerMark + b.start.UTC().Format(time.RFC3339Nano)
 }
 
-// combined applies all changes to what is decided, one after the other; those that
-// do not fit are left out, with their errors.
+// combine applies all changes of a batch to a copy of the decided state, one after the other. It leaves out those whose
+// apply fails, and returns their errors by change.
 func (b *Replica) combined(base state.State, batch []*change) (next state.State, refused map[*change]error) {
 	next, refused = base.Clone(), map[*change]error{}
 	next.Version++
 	next.Proposer = b.proposer()
 	for _, c := range batch {
-		tried := next.Clone()
-		if err := c.apply(&tried); err != nil {
+		candidate := next.Clone()
+		if err := c.apply(&candidate); err != nil {
 			refused[c] = err
 			continue
 		}
-		next = tried
+		next = candidate
 	}
 	return next, refused
 }
 
+// answerAll ends the wait of all changes' callers, with the errors of refused ones.
 func answerAll(batch []*change, refused map[*change]error) {
 	for _, c := range batch {
 		c.end <- refused[c]
 	}
 }
 
-// prepare asks the voters for promises until a majority has given them.
+// prepare is phase 1: it asks the voters for promises, and reports whether a majority has granted them.
 func (b *Replica) prepare(ctx context.Context, p *quorum.Proposal, base state.State) bool {
 	message := p.Prepare()
 	b.ask(ctx, base.Voters, func(string) peerlink.Ask { return peerlink.Ask{Prepare: &message} }, func(r *peerlink.Reply) {
@@ -268,7 +273,8 @@
 	return p.Prepared()
 }
 
-// commit has a value accepted, with its configuration where an acceptor lacks that, and announces it once it is decided.
+// proposeValue is phase 2: it asks the voters to accept a value, with its configuration for voters that may lack it,
+// and announces the value if it is decided. It reports whether it is.
 func (b *Replica) commit(ctx context.Context, p *quorum.Proposal, base, next state.State, batch []*change) bool {
 	message := p.Choose(next)
 	config := b.configFor(ctx, p, batch)
@@ -298,8 +304,8 @@
 	return p.Decided()
 }
 
-// configFor is the configuration of the value that is proposed: it came with a
-// change, is here, or is fetched from a voter that has accepted the value.
+// configurationFor returns the configuration of the proposed value: from a change of the batch, from this replica's
+// store, or fetched from a voter that holds it. It returns nil if none of them has it.
 func (b *Replica) configFor(ctx context.Context, p *quorum.Proposal, batch []*change) *peerlink.Configuration {
 	id := p.Value().Config
 	for _, c := range batch {
@@ -309,14 +315,14 @@
 	}
 	b.mu.Lock()
 	config := b.contents.Configs[id.Digest]
-	var from []*link
+	var holders []*link
 	for _, v := range p.Value().Voters {
 		if l := b.linkTo(v.ID); l != nil && p.Holds(v.ID, id) {
-			from = append(from, l)
+			holders = append(holders, l)
 		}
 	}
 	b.mu.Unlock()
-	for _, l := range from {
+	for _, l := range holders {
 		if config != nil {
 			break
 		}
@@ -325,26 +331,26 @@
 	return config
 }
 
-// ask puts a question to voters, this replica among them where it is one, until
-// enough is true, all have answered, or ctx ends.
+// askVoters puts a question to voters, to this replica directly if it is one of them. It passes each reply to take, and
+// returns once enough is true, all have answered, or ctx ends.
 func (b *Replica) ask(ctx context.Context, voters []state.Voter, question func(id string) peerlink.Ask, take func(*peerlink.Reply), enough func() bool) {
-	p := b.newPoll()
-	defer p.end()
+	poll := b.newPoll()
+	defer poll.end()
 	b.mu.Lock()
 	for _, v := range voters {
 		if v.ID != b.self.ID {
-			p.ask(b.linkTo(v.ID), question(v.ID))
+			poll.ask(b.linkTo(v.ID), question(v.ID))
 			continue
 		}
-		p.out++
+		poll.out++
 		own := question(v.ID)
-		b.jobs.Go(func() { p.answers <- answer{v.ID, b.vote(ctx, &own)} })
+		b.jobs.Go(func() { poll.answers <- answer{v.ID, b.vote(ctx, &own)} })
 	}
-	left := p.out
+	left := poll.out
 	b.mu.Unlock()
 	for ; left > 0 && !enough(); left-- {
 		select {
-		case a := <-p.answers:
+		case a := <-poll.answers:
 			if a.reply != nil {
 				take(a.reply)
 			}
@@ -354,9 +360,10 @@
 	}
 }
 
-// lost takes in why an attempt failed, helps those that are behind, and tells
-// whether the next one may begin at once.
-func (b *Replica) lost(p *quorum.Proposal, base state.State) (again bool) {
+// handleFailedAttempt learns from the replies to a failed attempt: it notes higher ballots, sends the decided state to
+// voters that are behind, and learns or fetches a newer one. It reports whether a newer version is known now, so that
+// the next attempt may begin at once.
+func (b *Replica) lost(p *quorum.Proposal, base state.State) (retryNow bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rounds = max(b.rounds, p.Outbid().Round)
@@ -375,7 +382,7 @@
 	return b.contents.Record.Decided.Version > base.Version
 }
 
-// linkOfHolder is a connection to a replica that knows a state; the mutex is held.
+// linkToHolder returns a connection to a replica that knows s, or else to one of its voters. The caller holds the mutex.
 func (b *Replica) linkOfHolder(s *state.State) *link {
 	for id, h := range b.heardOf {
 		if l := b.linkTo(id); l != nil && h.report.Version >= s.Version {
--- a/internal/control/random_test.go
+++ b/internal/control/random_test.go
@@ -23,24 +23,25 @@
 	seeds     = flag.Uint64("replica.seeds", 4, "how many random days are played")
 )
 
-// ledger is what operators have seen: nothing may be older than what had been
-// acknowledged before it was asked for.
+// operatorLedger records what operators have sent and seen. A read must not return anything older than what was
+// acknowledged before it began.
 type ledger struct {
 	mu     sync.Mutex
-	gen    int           // the highest acknowledged
-	may    map[bool]bool // what the zone may be: by the last order acknowledged and those after it
+	gen    int           // the highest acknowledged generation number
+	may    map[bool]bool // the zone's possible states, by the last acknowledged drain order and those after it
 	sent   map[string]bool
-	one    map[int]string // the text that was acknowledged as the one in force under a number
+	one    map[int]string // by generation number: the body that was acknowledged as the one in force
 	faults []string
 }
 
+// addViolation records that a guarantee was violated.
 func (l *ledger) fault(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append(l.faults, fmt.Sprintf(format, args...))
 }
 
-// operator changes and reads the configuration at replicas by chance.
+// runOperator writes and reads the configuration at random replicas until a time.
 func (f *farm) operator(l *ledger, rnd *rand.Rand, until time.Time, next func() int) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
@@ -49,7 +50,7 @@
 			continue
 		}
 		l.mu.Lock()
-		least := l.gen
+		acknowledged := l.gen
 		l.mu.Unlock()
 		if rnd.IntN(2) == 0 {
 			gen := next()
@@ -72,20 +73,20 @@
 			continue
 		}
 		l.mu.Lock()
-		ok := l.sent[string(p.Body)]
+		wasSent := l.sent[string(p.Body)]
 		l.mu.Unlock()
 		l.mu.Lock()
-		if one := l.one[int(p.Gen)]; one != "" && one != string(p.Body) {
+		if text := l.one[int(p.Gen)]; text != "" && text != string(p.Body) {
 			l.faults = append(l.faults, fmt.Sprintf("another text than the acknowledged one is shown under r%d", p.Gen))
 		}
 		l.mu.Unlock()
-		if int(p.Gen) < least || !ok {
-			l.fault("%s showed r%d (sent: %v) after r%d had been acknowledged", r.self.Name, p.Gen, ok, least)
+		if int(p.Gen) < acknowledged || !wasSent {
+			l.fault("%s showed r%d (sent: %v) after r%d had been acknowledged", r.self.Name, p.Gen, wasSent, acknowledged)
 		}
 	}
 }
 
-// drainer gives orders about a zone, one after the other.
+// runDrainOperator gives random drain orders about a zone, one after the other, until a time.
 func (f *farm) drainer(l *ledger, rnd *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
@@ -100,83 +101,86 @@
 	}
 }
 
-// trouble is who is in trouble. Any number may be, but only one has lost its disk.
+// faultState records which replicas have a fault. Any number may, but only one at a time may have lost its disk.
 type trouble struct {
 	replicas []sync.Mutex
 	disk     sync.Mutex
-	all      sync.RWMutex // held alone by what befalls all
+	all      sync.RWMutex // locked for writing by a fault of all replicas
 	over     atomic.Bool
 }
 
-// befall does something to one replica, or to all.
-func (f *farm) befall(rnd *rand.Rand, in *trouble) {
+// injectFault injects a random fault at one replica, or kills all, and ends it after up to 1.5 s. It does nothing if
+// the replica has a fault already.
+func (f *farm) befall(rnd *rand.Rand, faults *trouble) {
 	n := len(f.runs)
-	i, what := rnd.IntN(n), rnd.IntN(8)
-	lasts := time.Duration(rnd.IntN(1500)) * time.Millisecond
-	if what == 7 {
-		if !in.all.TryLock() { // a goroutine that waits for a mutex would stop the clock
+	i, kind := rnd.IntN(n), rnd.IntN(8)
+	duration := time.Duration(rnd.IntN(1500)) * time.Millisecond
+	if kind == 7 {
+		if !faults.all.TryLock() { // a goroutine that waits for a mutex would stop the simulated clock
 			return
 		}
-		defer in.all.Unlock()
+		defer faults.all.Unlock()
 		f.endAll(rnd.IntN(2) == 0)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		f.startAll()
 		return
 	}
-	if !in.all.TryRLock() {
+	if !faults.all.TryRLock() {
 		return
 	}
-	defer in.all.RUnlock()
-	if !in.replicas[i].TryLock() {
+	defer faults.all.RUnlock()
+	if !faults.replicas[i].TryLock() {
 		return
 	}
-	defer in.replicas[i].Unlock()
-	switch what {
+	defer faults.replicas[i].Unlock()
+	switch kind {
 	case 0, 1:
-		f.end(i, what == 0)
-		time.Sleep(lasts)
+		f.end(i, kind == 0)
+		time.Sleep(duration)
 		f.start(i)
 	case 2:
-		if !in.disk.TryLock() {
+		if !faults.disk.TryLock() {
 			return
 		}
 		f.end(i, true)
 		f.disks[i].Wipe()
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		f.start(i)
 		go func() {
-			defer in.disk.Unlock()
-			for r := f.at(i); !in.over.Load() && (r == nil || !r.votes()); r = f.at(i) {
+			defer faults.disk.Unlock()
+			for r := f.at(i); !faults.over.Load() && (r == nil || !r.votes()); r = f.at(i) {
 				time.Sleep(50 * time.Millisecond)
 			}
 		}()
 	case 3:
-		var rest []int
+		var others []int
 		for j := range n {
 			if j != i && rnd.IntN(3) > 0 {
-				rest = append(rest, j)
+				others = append(others, j)
 			}
 		}
 		if how := rnd.IntN(4); how == 0 {
-			f.net.Bar(ips(i), ips(rest...), sim.Silent) // one way
+			f.net.Bar(ips(i), ips(others...), sim.Silent) // in one direction only
 		} else if how == 1 {
-			f.cut(ips(i), ips(rest...), sim.Refusing)
+			f.cut(ips(i), ips(others...), sim.Refusing)
 		} else {
-			f.cut(ips(i), ips(rest...), sim.Silent)
+			f.cut(ips(i), ips(others...), sim.Silent)
 		}
-		time.Sleep(lasts)
-		f.cut(ips(i), ips(rest...), sim.Open)
+		time.Sleep(duration)
+		f.cut(ips(i), ips(others...), sim.Open)
 	case 4, 5:
 		f.disks[i].Hang()
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		f.disks[i].Release()
 	case 6:
 		f.disks[i].SetFull(true)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		f.disks[i].SetFull(false)
 	}
 }
 
+// Operators write, read and drain at random replicas while random faults are injected. Guards against reads older than
+// what was acknowledged, two configurations under one number, and replicas that end up with different states.
 func TestRandomDays(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
@@ -193,7 +197,7 @@
 				next := func() int {
 					mu.Lock()
 					defer mu.Unlock()
-					gen += numbers.IntN(3) // two may have one number
+					gen += numbers.IntN(3) // two writes may have the same number
 					return gen
 				}
 				until := time.Now().Add(40 * time.Second)
@@ -202,23 +206,23 @@
 					all.Go(func() { f.operator(l, rand.New(rand.NewPCG(seed, uint64(k+2))), until, next) })
 				}
 				all.Go(func() { f.drainer(l, rand.New(rand.NewPCG(seed, 77)), until) })
-				in := &trouble{replicas: make([]sync.Mutex, n)}
+				faults := &trouble{replicas: make([]sync.Mutex, n)}
 				for k := range n - 1 {
 					all.Go(func() {
 						rnd := rand.New(rand.NewPCG(seed, uint64(k+50)))
 						for time.Now().Before(until) {
-							f.befall(rnd, in)
+							f.befall(rnd, faults)
 							time.Sleep(time.Duration(rnd.IntN(1000)) * time.Millisecond)
 						}
 					})
 				}
 				all.Wait()
-				in.over.Store(true)
-				// The end: all that was acknowledged is there, and alike everywhere.
-				f.until(6*time.Second, "vote", func() bool { return f.voting() == n })
+				faults.over.Store(true)
+				// In the end all replicas agree on a state that contains all that was acknowledged.
+				f.until(6*time.Second, "all replicas vote", func() bool { return f.voting() == n })
 				var p *peerlink.Configuration
-				f.until(6*time.Second, "show", func() bool { // connections cut a moment ago have to come up
-					time.Sleep(time.Second) // what was left behind by an order without a clear answer is decided, or is not
+				f.until(6*time.Second, "a configuration is shown", func() bool { // connections that were cut a moment ago have to be made again
+					time.Sleep(time.Second) // values of orders with an unknown outcome are decided, or found not to be
 					first, err := f.runs[0].Show(context.Background())
 					if p = first; err != nil {
 						return false
--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -14,6 +14,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
+// All replicas are killed at once. Restarted, they must confirm what was acknowledged within a second.
 func TestKilledAllAtOnce(t *testing.T) {
 	for _, n := range []int{1, 3, 4, 5} {
 		play(t, n, func(f *farm) {
@@ -27,8 +28,8 @@
 	}
 }
 
-// After the loss of all power, and of the disk of one that acknowledged, the
-// state is there, also at the one without a disk, which votes again under another identity.
+// All machines lose power, and one of them its disk. What was acknowledged must be there afterwards, also at the
+// replica without a disk, which must become a voter again under another identity.
 func TestPowerAndADiskLost(t *testing.T) {
 	for _, n := range []int{3, 4, 5} {
 		for wiped := range n {
@@ -39,7 +40,7 @@
 				f.disks[wiped].Wipe()
 				f.startAll()
 				f.shows(wiped, body(3, "a"))
-				f.until(6*time.Second, "vote", func() bool { return f.voting() == n })
+				f.until(6*time.Second, "all replicas vote", func() bool { return f.voting() == n })
 				r := f.runs[wiped]
 				assert.Equal(t, string(r.configured().Body), string(body(3, "a")))
 				assert.Assert(t, r.zone("z1").Drain)
@@ -49,12 +50,12 @@
 	}
 }
 
-// A replica that lost its disk and one that was left behind are two of three, but
-// what the third alone has left was acknowledged.
+// Of three replicas one has lost its disk and one has missed the acknowledged version; the third, the only one left
+// with it, is cut off. The two must not form a majority that decides or shows an older version.
 func TestVotesOnlyWhenCaughtUp(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
-		f.until(time.Second, "mend", func() bool { return idOf(f.runs[2].configured()).Gen == 2 })
+		f.until(time.Second, "the replica has caught up", func() bool { return idOf(f.runs[2].configured()).Gen == 2 })
 		f.disks[2].Hang()
 		f.acknowledged(0, body(3, "a"))
 		f.endAll(true)
@@ -70,10 +71,12 @@
 		}
 		f.cut(ips(1), ips(0, 2), sim.Open)
 		f.shows(0, body(3, "a"))
-		f.until(6*time.Second, "vote", func() bool { return f.voting() == 3 })
+		f.until(6*time.Second, "all replicas vote", func() bool { return f.voting() == 3 })
 	})
 }
 
+// A replica that is no voter proposes. It has not accepted the value and its configuration, but must send both to all
+// replicas at once when they are decided.
 func TestWhatALearnerProposesIsToldAtOnce(t *testing.T) {
 	play(t, membership.MostVoters+1, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
@@ -91,6 +94,7 @@
 	})
 }
 
+// Four replicas are split into two halves. Neither is a majority, so neither may acknowledge, show or apply anything.
 func TestMinorityRefuses(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
@@ -103,14 +107,14 @@
 		}
 		time.Sleep(3 * time.Second)
 		assert.ErrorIs(t, f.replace(0, body(9, "a")), ErrUnsettled)
-		assert.Equal(t, f.runs[0].configuration.Gen, uint64(2)) // a minority's word is not in force
+		assert.Equal(t, f.runs[0].configuration.Gen, uint64(2)) // a minority's configuration is not in force
 		f.cut(ips(0, 1), ips(2, 3), sim.Open)
 		f.acknowledged(3, body(12, "a"))
 		f.shows(0, body(12, "a"))
 	})
 }
 
-// halfAccepted leaves a configuration on the disk of one replica only, accepted and not decided.
+// acceptOnOneDisk leaves a configuration accepted on one replica's disk only, and so not decided.
 func (f *farm) halfAccepted(i int, body []byte) {
 	f.t.Helper()
 	done := make(chan error, 1)
@@ -133,12 +137,13 @@
 	assert.ErrorIs(f.t, <-done, ErrUnsettled)
 }
 
-// What was shown once is shown ever after, though it had not been acknowledged.
+// A configuration that a replica has shown must stay in force, even if it was never acknowledged: an acceptance on one
+// disk must not be shown unless a majority has it.
 func TestShownIsKept(t *testing.T) {
 	for late := range 30 {
 		play(t, 3, func(f *farm) {
 			f.acknowledged(0, body(2, "a"))
-			f.until(time.Second, "all", func() bool { return idOf(f.runs[1].configured()).Gen == 2 && idOf(f.runs[2].configured()).Gen == 2 })
+			f.until(time.Second, "all replicas have the configuration", func() bool { return idOf(f.runs[1].configured()).Gen == 2 && idOf(f.runs[2].configured()).Gen == 2 })
 			done := make(chan error, 1)
 			go func() { done <- f.replace(0, body(3, "a")) }()
 			time.Sleep(time.Duration(late) * 4 * time.Millisecond)
@@ -148,7 +153,7 @@
 			f.disks[1].SetFull(false)
 			f.disks[2].SetFull(false)
 			var shown *peerlink.Configuration
-			f.until(3*time.Second, "show", func() bool {
+			f.until(3*time.Second, "a configuration is shown", func() bool {
 				p, no := f.runs[0].Show(context.Background())
 				shown = p
 				return no == nil
@@ -160,11 +165,12 @@
 	}
 }
 
+// One replica's disk hangs, is full or is slow. Orders must still be decided quickly, also at that replica.
 func TestDiskTroubleBlocksNobody(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		for i, trouble := range []func(d *sim.Disk){(*sim.Disk).Hang, func(d *sim.Disk) { d.SetFull(true) }, func(d *sim.Disk) { d.SetLatency(60 * time.Millisecond) }} {
 			trouble(f.disks[0])
-			for at := range 2 { // also at the replica whose disk it is
+			for at := range 2 { // 0 is the replica with the bad disk
 				began := time.Now()
 				assert.NilError(t, f.replace(at, body(10*i+at+2, "a")))
 				assert.NilError(t, f.runs[at].Drain(context.Background(), "z0", at == 0))
@@ -174,12 +180,12 @@
 			f.disks[0].SetFull(false)
 			f.disks[0].SetLatency(0)
 		}
-		f.until(3*time.Second, "mend", func() bool { return idOf(f.runs[0].configured()).Gen == 23 })
+		f.until(3*time.Second, "the replica has caught up", func() bool { return idOf(f.runs[0].configured()).Gen == 23 })
 	})
 }
 
-// Of two texts under one number one is decided, whoever is asked; it is acknowledged
-// again everywhere, also after the loss of all power, and the other is refused.
+// Two configurations with the same generation number are sent at once to two replicas. Exactly one must be decided and
+// the other refused, also when they are sent again to any replica after all have lost power.
 func TestTwoOperatorsOneNumber(t *testing.T) {
 	for late := range 8 {
 		play(t, 4, func(f *farm) {
@@ -206,7 +212,7 @@
 				assert.Assert(t, errors.As(f.replace(i, texts[1-one]), &conflict))
 			}
 			f.acknowledged(2, body(7, "c"))
-			done, err := f.runs[1].Replace(context.Background(), texts[one]) // it was overtaken
+			done, err := f.runs[1].Replace(context.Background(), texts[one]) // a newer one is in force
 			assert.Assert(t, err == nil && !done.InForce && done.Held.Gen == 7, "%+v, %v", done, err)
 			done, err = f.runs[1].Replace(context.Background(), texts[1-one])
 			assert.Assert(t, err == nil && !done.InForce && done.Held.Gen == 7, "%+v, %v", done, err)
@@ -214,7 +220,7 @@
 	}
 }
 
-// An order that only a minority has is no danger to later ones.
+// A drain order that only a minority has accepted must neither take effect nor undo orders that are decided later.
 func TestDrainsOverACut(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		ctx := context.Background()
@@ -230,21 +236,21 @@
 			return true
 		}
 		assert.NilError(t, f.runs[0].Drain(ctx, "z0", true))
-		f.until(2*time.Second, "drained", drained)
+		f.until(2*time.Second, "the zone is drained", drained)
 		for i := range 3 {
 			f.disks[i].Hang()
 		}
-		assert.ErrorIs(t, f.runs[3].Drain(ctx, "z0", false), ErrUnsettled) // on one disk only
+		assert.ErrorIs(t, f.runs[3].Drain(ctx, "z0", false), ErrUnsettled) // accepted on one disk only
 		f.cut(ips(3), ips(0, 1, 2), sim.Silent)
 		time.Sleep(time.Second)
-		assert.Assert(t, drained()) // nor is it in force there
+		assert.Assert(t, drained()) // the order is not in force there either
 		for i := range 3 {
 			f.end(i, true)
 			f.start(i)
 		}
-		f.until(time.Second, "order", func() bool { return f.runs[1].Drain(ctx, "z0", true) == nil })
+		f.until(time.Second, "the order is acknowledged", func() bool { return f.runs[1].Drain(ctx, "z0", true) == nil })
 		f.cut(ips(3), ips(0, 1, 2), sim.Open)
-		f.until(4*time.Second, "drained", drained)
+		f.until(4*time.Second, "the zone is drained", drained)
 		time.Sleep(4 * time.Second)
 		assert.Assert(t, drained())
 		assert.ErrorIs(t, f.runs[0].Drain(ctx, "nowhere", true), ErrZone)
--- a/internal/control/asked.go
+++ b/internal/control/request_counts.go
@@ -8,10 +8,11 @@
 	"pepperfall.example/pepperfall/api"
 )
 
-// askedFor is how long a proxy's counts by route are told on; it tells them every 5 s.
+// maxRequestCountsAge is the age up to which a proxy's request counts are used; proxies report them every 5 s.
 const askedFor = 15 * time.Second
 
-// Asked sums what proxies were asked for in the last minute, and has them tell it.
+// RequestCounts sums the proxies' requests of the last minute by route. Proxies report them only while operators ask
+// for them: each call requests the reports for wantsFor more.
 func (b *Replica) Asked() *api.Asked {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,16 +29,16 @@
 			continue
 		}
 		a.Ready++
-		x := g.asked
-		if x == nil || x.Span <= 0 || g.askedAt < b.ops.since || now-g.askedAt > askedFor || b.configuration == nil || x.Gen != b.configuration.Gen {
+		counts := g.asked
+		if counts == nil || counts.Span <= 0 || g.askedAt < b.ops.since || now-g.askedAt > askedFor || b.configuration == nil || counts.Gen != b.configuration.Gen {
 			continue
 		}
-		if ms := x.Span.Milliseconds(); a.Proxies == 0 || ms < a.SpanMS {
+		if ms := counts.Span.Milliseconds(); a.Proxies == 0 || ms < a.SpanMS {
 			a.SpanMS = ms
 		}
 		a.Proxies++
-		a.Rest += uint64(x.Rest)
-		for _, r := range x.Routes {
+		a.Rest += uint64(counts.Rest)
+		for _, r := range counts.Routes {
 			sums[int(r.Route)] += uint64(r.Requests)
 		}
 	}
--- a/internal/control/judge.go
+++ b/internal/control/server_orders.go
@@ -13,24 +13,26 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// mostWords bounds the orders about servers that are kept.
+// maxServerOrders bounds the number of stored orders about servers.
 const mostWords = 512
 
-// ErrServer is the error of a word on a server that is in no list.
+// ErrUnknownServer is the error of an order about a server that is not in the list.
 var ErrServer = errors.New("no such server is listed")
 
+// orderedLevels maps the word of an operator's order about a server to the verdict that it sets.
 var wordLevels = map[string]serverhealth.Level{api.WordFit: serverhealth.Fit, api.WordUnfit: serverhealth.UnfitRecord, api.WordUnfitAll: serverhealth.UnfitAll}
 
-// Judge takes an operator's word on a server, which holds for a time over what proxies saw; WordWithdrawn takes it back.
+// OrderVerdict sets an operator's verdict on a server, which overrides the evidence of proxies for a time;
+// api.WordWithdrawn withdraws it.
 func (b *Replica) Judge(ctx context.Context, id, word string, holds time.Duration) error {
 	_, known := wordLevels[word]
 	switch {
 	case !nodeName.MatchString(id):
-		return Invalid{errors.Errorf("%q is no id of a server", id)}
+		return Invalid{errors.Errorf("%q is not a valid server ID", id)}
 	case !known && word != api.WordWithdrawn:
-		return Invalid{errors.Errorf("%s: %q is none of fit, unfit, unfit-all, none", api.JudgeWord, word)}
+		return Invalid{errors.Errorf("%s: %q is not one of fit, unfit, unfit-all, none", api.JudgeWord, word)}
 	case holds <= 0 || holds > api.JudgeMost:
-		return Invalid{errors.Errorf("%s: more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
+		return Invalid{errors.Errorf("%s: must be more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
 	}
 	want := peerlink.Zone{Zone: state.OfServer(id)}
 	if known {
@@ -40,24 +42,24 @@
 	return err
 }
 
-// allowsWord tells why a word on a server can't be taken by what is decided.
+// checkServerOrder returns why an order about a server is refused under the decided state; nil if it is allowed.
 func (b *Replica) allowsWord(id string, held state.State) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	words := 0
+	orders := 0
 	for _, z := range held.Orders {
-		if _, is := z.Server(); is {
-			words++
+		if _, isServer := z.Server(); isServer {
+			orders++
 		}
 	}
 	old := held.Order(state.OfServer(id))
 	switch {
 	case b.serviceIn(id) == "" && old.Count == 0:
 		return errors.WithMessage(ErrServer, id)
-	case words >= mostWords && old.Count == 0:
-		return Tight{errors.Errorf("words on %d servers are kept already", words)}
+	case orders >= mostWords && old.Count == 0:
+		return Tight{errors.Errorf("orders about %d servers are stored already", orders)}
 	}
-	for name, h := range b.replicas { // one that does not know such orders would keep half of it
+	for name, h := range b.replicas { // a replica that does not know such orders would store only a part of one
 		if h.Voter && !h.Judges {
 			return Tight{errors.Errorf("%s does not judge servers (judge.records)", name)}
 		}
@@ -65,6 +67,8 @@
 	return nil
 }
 
+// listedServiceOf returns the service of a server in the list; "" if the server or the list is unknown. The caller
+// holds the mutex.
 func (b *Replica) serviceIn(id string) string {
 	if b.list == nil {
 		return ""
@@ -72,19 +76,19 @@
 	return b.serviceOf(id)
 }
 
-// wordOn is the operators' word in force on a server; the mutex is held.
+// serverOrder returns the latest order about a server and whether it holds now. The caller holds the mutex.
 func (b *Replica) wordOn(id string) (z peerlink.Zone, holds bool) {
 	z = b.zones[state.OfServer(id)]
 	_, known := wordLevels[z.Word]
 	return z, known && b.w.Now().UnixMilli() < z.Until
 }
 
-// words are the operators' words in force, by server; the mutex is held.
+// serverOrders returns the operators' verdicts that hold now, by server. The caller holds the mutex.
 func (b *Replica) words() map[string]serverhealth.Word {
 	var all map[string]serverhealth.Word
 	for _, z := range b.zones {
-		id, is := z.Server()
-		if !is {
+		id, isServer := z.Server()
+		if !isServer {
 			continue
 		}
 		if z, holds := b.wordOn(id); holds {
@@ -97,33 +101,34 @@
 	return all
 }
 
-// Explain tells what this replica knows of a server's verdict.
+// ExplainVerdict returns what this replica knows of a server's verdict: its level, the evidence and any operator's
+// order.
 func (b *Replica) Explain(id string) *api.Explained {
 	b.fit.work.Lock()
-	said := b.fit.floor.Testimonies(id)
+	testimonies := b.fit.floor.Testimonies(id)
 	b.fit.work.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	x := &api.Explained{Replica: b.self.Name, At: b.w.Now().UTC(), Server: id, Service: b.serviceIn(id), Said: []api.Testimony{}}
-	if x.Service != "" {
-		x.Keeper = keeperOf(x.Service, b.judgesThere())
+	explained := &api.Explained{Replica: b.self.Name, At: b.w.Now().UTC(), Server: id, Service: b.serviceIn(id), Said: []api.Testimony{}}
+	if explained.Service != "" {
+		explained.Keeper = keeperOf(explained.Service, b.judgesThere())
 	}
 	if b.fit.joined != nil {
-		x.Level = serverhealth.Fit.String()
+		explained.Level = serverhealth.Fit.String()
 	}
 	for _, v := range b.fit.inForce() {
 		if v.Server == id {
-			x.Level, x.Why, x.AgeMS, x.Number, x.Share = v.Level.String(), v.Why, v.Age.Milliseconds(), v.Number, v.Share
-			x.For, x.Against, x.Relapses, x.Trial = v.For, v.Against, v.Relapses, v.Trial
+			explained.Level, explained.Why, explained.AgeMS, explained.Number, explained.Share = v.Level.String(), v.Why, v.Age.Milliseconds(), v.Number, v.Share
+			explained.For, explained.Against, explained.Relapses, explained.Trial = v.For, v.Against, v.Relapses, v.Trial
 		}
 	}
 	if z, holds := b.wordOn(id); holds {
-		x.Word = api.ServerWord{Word: z.Word, Until: time.UnixMilli(z.Until).UTC(), By: z.By}
+		explained.Word = api.ServerWord{Word: z.Word, Until: time.UnixMilli(z.Until).UTC(), By: z.By}
 	}
-	for _, t := range said {
+	for _, t := range testimonies {
 		c := t.Counts
-		x.Said = append(x.Said, api.Testimony{Proxy: t.Witness, Zone: t.Zone, Record: t.Kind == serverhealth.Record, Confirmed: c[serverhealth.Confirmed],
+		explained.Said = append(explained.Said, api.Testimony{Proxy: t.Witness, Zone: t.Zone, Record: t.Kind == serverhealth.Record, Confirmed: c[serverhealth.Confirmed],
 			TurnedAway: c[serverhealth.TurnedAway], Unclear: c[serverhealth.Unclear], Late: c[serverhealth.Late], WrongID: c[serverhealth.WrongID], Worth: t.Worth})
 	}
-	return x
+	return explained
 }
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -11,31 +11,31 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// forwardWithin is how long a replica waits for the one that proposed last before it proposes a command by itself.
+// forwardTimeout is how long a replica waits for the last proposer before it proposes a command by itself.
 const forwardWithin = 450 * time.Millisecond
 
-// submit has a command carried out: by the replica that proposed last, which needs one phase only and has no other
-// proposer against it, or else by this one. A command that both carry out has the same effect twice, within the time
-// of its caller's wait.
-func (b *Replica) submit(ctx context.Context, c peerlink.Command) (held state.ConfigID, err error) {
+// submit executes an operator's command: at the replica that proposed last, which needs one phase only and competes
+// with no other proposer, or else at this one. Both may execute a command: it then has the same effect twice, within
+// the time that its caller waits. It returns ErrNoMajority if the outcome is unknown after callTimeout.
+func (b *Replica) submit(ctx context.Context, command peerlink.Command) (held state.ConfigID, err error) {
 	ctx, cancel := b.within(ctx, callWithin)
 	defer cancel()
-	c.Token, _ = ctx.Value(tokenKey{}).(string)
-	c.Within = callWithin
+	command.Token, _ = ctx.Value(tokenKey{}).(string)
+	command.Within = callWithin
 	for ctx.Err() == nil {
-		c.Since = max(c.Since, b.decided().Version)
-		var o *peerlink.Outcome
-		if l := b.lastProposer(); l != nil {
-			o = b.forward(ctx, l, c)
+		command.Since = max(command.Since, b.decided().Version)
+		var outcome *peerlink.Outcome
+		if proposer := b.lastProposer(); proposer != nil {
+			outcome = b.forward(ctx, proposer, command)
 		}
 		switch {
-		case o != nil && o.Refusal == peerlink.RefusedOutrun:
-			c.Since = max(c.Since, o.Version)
+		case outcome != nil && outcome.Refusal == peerlink.RefusedOutrun:
+			command.Since = max(command.Since, outcome.Version)
 			continue
-		case o != nil && (o.Decided || o.Refusal != peerlink.NotRefused):
-			return o.Held, errorOf(o)
+		case outcome != nil && (outcome.Decided || outcome.Refusal != peerlink.NotRefused):
+			return outcome.Held, errorOf(outcome)
 		}
-		held, err = b.perform(ctx, &c)
+		held, err = b.perform(ctx, &command)
 		if !errors.Is(err, errOutrun) {
 			return held, err
 		}
@@ -43,7 +43,8 @@
 	return held, ErrUnsettled
 }
 
-// lastProposer is the connection to the replica that proposed what is decided; nil: it is this one, or out of reach.
+// linkToLastProposer returns the connection to the replica that proposed the decided state; nil if that is this one,
+// can't be reached or is leaving.
 func (b *Replica) lastProposer() *link {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,20 +59,20 @@
 	return l
 }
 
-// forward has another replica carry a command out; nil: it has not answered.
-func (b *Replica) forward(ctx context.Context, l *link, c peerlink.Command) *peerlink.Outcome {
+// forward asks another replica to execute a command; it returns nil if that has not answered within forwardTimeout.
+func (b *Replica) forward(ctx context.Context, l *link, command peerlink.Command) *peerlink.Outcome {
 	ctx, cancel := b.within(ctx, forwardWithin)
 	defer cancel()
-	p := b.newPoll()
-	defer p.end()
+	poll := b.newPoll()
+	defer poll.end()
 	b.mu.Lock()
-	asked := p.ask(l, peerlink.Ask{Command: &c})
+	sent := poll.ask(l, peerlink.Ask{Command: &command})
 	b.mu.Unlock()
-	if !asked {
+	if !sent {
 		return nil
 	}
 	select {
-	case a := <-p.answers:
+	case a := <-poll.answers:
 		if a.reply == nil {
 			return nil
 		}
@@ -81,83 +82,86 @@
 	}
 }
 
-// carryOut answers a command that another replica has forwarded.
-func (b *Replica) carryOut(ctx context.Context, c *peerlink.Command) *peerlink.Outcome {
-	ctx, cancel := b.within(withToken(ctx, c.Token), min(c.Within, callWithin))
+// executeForwarded executes a command that another replica has forwarded. It returns nil, as if unanswered, if the
+// configuration in it is corrupt.
+func (b *Replica) carryOut(ctx context.Context, command *peerlink.Command) *peerlink.Outcome {
+	ctx, cancel := b.within(withToken(ctx, command.Token), min(command.Within, callWithin))
 	defer cancel()
-	if c.Config != nil {
-		if !isConfig(c.Config, idOf(c.Config)) {
+	if command.Config != nil {
+		if !isConfig(command.Config, idOf(command.Config)) {
 			return nil
 		}
-		c.Config.Pack()
+		command.Config.Pack()
 	}
-	held, err := b.perform(ctx, c)
-	o := outcomeOf(held, err)
-	o.Version = b.decided().Version
-	return o
+	held, err := b.perform(ctx, command)
+	outcome := outcomeOf(held, err)
+	outcome.Version = b.decided().Version
+	return outcome
 }
 
-// perform carries a command out here.
-func (b *Replica) perform(ctx context.Context, c *peerlink.Command) (held state.ConfigID, err error) {
+// execute executes a command at this replica. For a configuration, held is the one in force afterwards.
+func (b *Replica) perform(ctx context.Context, command *peerlink.Command) (held state.ConfigID, err error) {
 	switch {
-	case c.Config != nil:
-		return b.replace(ctx, c.Config)
-	case c.Order != nil:
-		return held, b.order(ctx, c)
-	case c.Lock != nil && c.Lock.For > 0:
-		return held, b.takeLock(ctx, c)
-	case c.Lock != nil:
-		return held, b.dropLock(ctx, c.Lock.Token)
+	case command.Config != nil:
+		return b.replace(ctx, command.Config)
+	case command.Order != nil:
+		return held, b.order(ctx, command)
+	case command.Lock != nil && command.Lock.For > 0:
+		return held, b.takeLock(ctx, command)
+	case command.Lock != nil:
+		return held, b.dropLock(ctx, command.Lock.Token)
 	}
 	return held, ErrUnsettled
 }
 
-// refusals are the errors that say for sure that a command was not carried out and need no more than their text.
+// refusalErrors are the errors that guarantee that a command was not carried out, and that need no data but their text.
 var refusals = map[peerlink.Refusal]error{peerlink.RefusedZone: ErrZone, peerlink.RefusedNode: ErrNode, peerlink.RefusedServer: ErrServer}
 
+// outcomeOf encodes the result of a command for the replica that forwarded it. An error without a refusal code
+// doesn't say whether the command took effect, so that replica executes it by itself.
 func outcomeOf(held state.ConfigID, err error) *peerlink.Outcome {
-	o := &peerlink.Outcome{Decided: err == nil, Held: held}
+	outcome := &peerlink.Outcome{Decided: err == nil, Held: held}
 	if err == nil {
-		return o
+		return outcome
 	}
-	o.Text = err.Error()
+	outcome.Text = err.Error()
 	var conflict Conflict
 	var taken Taken
 	var tight Tight
 	switch {
 	case errors.As(err, &conflict):
-		o.Refusal, o.Held = peerlink.RefusedConflict, conflict.Held
+		outcome.Refusal, outcome.Held = peerlink.RefusedConflict, conflict.Held
 	case errors.As(err, &taken):
-		o.Refusal, o.Lock = peerlink.RefusedLocked, taken.Lock
+		outcome.Refusal, outcome.Lock = peerlink.RefusedLocked, taken.Lock
 	case errors.As(err, &tight):
-		o.Refusal = peerlink.RefusedTight
+		outcome.Refusal = peerlink.RefusedTight
 	case errors.Is(err, errOutrun):
-		o.Refusal = peerlink.RefusedOutrun
+		outcome.Refusal = peerlink.RefusedOutrun
 	}
-	for refusal, is := range refusals {
-		if errors.Is(err, is) {
-			o.Refusal = refusal
+	for refusal, cause := range refusals {
+		if errors.Is(err, cause) {
+			outcome.Refusal = refusal
 		}
 	}
-	return o
+	return outcome
 }
 
-// errorOf undoes outcomeOf.
-func errorOf(o *peerlink.Outcome) error {
-	switch o.Refusal {
+// errorOf decodes an outcome into the error that outcomeOf encoded; nil if there was none.
+func errorOf(outcome *peerlink.Outcome) error {
+	switch outcome.Refusal {
 	case peerlink.NotRefused:
 		return nil
 	case peerlink.RefusedConflict:
-		return Conflict{o.Held}
+		return Conflict{outcome.Held}
 	case peerlink.RefusedLocked:
-		return Taken{o.Lock}
+		return Taken{outcome.Lock}
 	case peerlink.RefusedTight:
-		return Tight{errors.New(o.Text)}
+		return Tight{errors.New(outcome.Text)}
 	}
-	return refusedError{refusals[o.Refusal], o.Text}
+	return refusedError{refusals[outcome.Refusal], outcome.Text}
 }
 
-// refusedError is an error of another replica, with its own text.
+// remoteRefusal is a refusal by another replica, with the text that it sent.
 type refusedError struct {
 	is   error
 	text string
