--- a/internal/control/acceptor.go
+++ b/internal/control/acceptor.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		b.log.Error(err, "can't read the stored state")
 	}
-	if found != statestore.Whole {
+	if found != statestore.Intact {
 		contents.Record.ID = s.Name + "/" + strconv.FormatInt(b.self.Life, 36)
 	}
 	if s.Bootstrap && found == statestore.Empty {
@@ -124,7 +124,7 @@
 	granted := false
 	b.mu.Lock()
 	if question.Prepare != nil {
-		promise := b.contents.Record.Prepare(*question.Prepare)
+		promise := b.contents.Record.HandlePrepare(*question.Prepare)
 		for digest := range b.contents.Configs {
 			promise.Holds = append(promise.Holds, digest)
 		}
@@ -159,8 +159,8 @@
 		}
 		b.contents.Configs[id.Digest] = question.Config.Pack()
 	}
-	acceptance := b.contents.Record.Accept(*question.Accept)
-	b.contents.Keep()
+	acceptance := b.contents.Record.HandleAccept(*question.Accept)
+	b.contents.DropUnreferenced()
 	return acceptance, nil
 }
 
@@ -176,7 +176,7 @@
 	if s.Config.Gen > 0 && config == nil || !b.contents.Record.Learn(s) {
 		return
 	}
-	b.contents.Keep()
+	b.contents.DropUnreferenced()
 	b.put()
 	for _, v := range s.Voters {
 		b.keep(v.Inner)
@@ -234,7 +234,7 @@
 		}
 		b.contents.Configs[s.Config.Digest] = config
 		b.learn(*s)
-		b.contents.Keep()
+		b.contents.DropUnreferenced()
 		b.rouse()
 	})
 }
@@ -244,13 +244,13 @@
 
 // fetchConfiguration fetches a configuration from another replica in pieces.
 func (b *Replica) fetch(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
-	transfer := replicate.Begin(id)
+	transfer := replicate.NewTransfer(id)
 	for {
-		piece, err := b.piece(ctx, l, transfer.Next())
+		piece, err := b.piece(ctx, l, transfer.NextRequest())
 		if err != nil {
 			return nil, err
 		}
-		body, err := transfer.Take(*piece)
+		body, err := transfer.AddPiece(*piece)
 		if err != nil {
 			return nil, err
 		}
@@ -261,7 +261,7 @@
 }
 
 // fetchPiece fetches one piece of a configuration. It returns ErrNoMajority if no reply comes within fetchTimeout, and
-// replicate.ErrPiece if the reply has no piece.
+// replicate.ErrUnexpectedPiece if the reply has no piece.
 func (b *Replica) piece(ctx context.Context, l *link, r replicate.Request) (*replicate.Piece, error) {
 	ctx, cancel := b.within(ctx, fetchWithin)
 	defer cancel()
@@ -276,7 +276,7 @@
 	select {
 	case a := <-poll.answers:
 		if a.reply == nil || a.reply.Piece == nil {
-			return nil, replicate.ErrPiece
+			return nil, replicate.ErrUnexpectedPiece
 		}
 		return a.reply.Piece, nil
 	case <-ctx.Done():
@@ -292,7 +292,7 @@
 	if config == nil {
 		return nil
 	}
-	piece, ok := replicate.Cut(r, config.Body)
+	piece, ok := replicate.CutPiece(r, config.Body)
 	if !ok {
 		return nil
 	}
--- a/internal/control/alarms.go
+++ b/internal/control/alarms.go
@@ -28,19 +28,19 @@
 // logAgentLag logs if an agent has lacked the decided configuration for too long. The caller holds the mutex.
 func (b *Replica) reportLag(follower *agent) {
 	now := b.now()
-	since, behind := b.versions.Lag(&follower.agent)
+	since, behind := b.versions.BehindSinceConnected(&follower.agent)
 	if !behind || !alarm(since, follower.reported, lagAfter, now) {
 		return
 	}
 	follower.reported = now
 	b.log.Error(errLag, "agent behind", "agent", follower.name, "for", now-since, "held", follower.agent.Held.Gen, "decided", b.configuration.Gen,
-		"follows_this_replica", follower.agent.Follows, "sent", follower.agent.Sent.Gen)
+		"follows_this_replica", follower.agent.IsUpstream, "sent", follower.agent.Sent.Gen)
 }
 
 // logContactLoss logs if this replica has had no contact with a majority for too long. The caller holds the mutex.
 func (b *Replica) reportContact() {
 	now := b.now()
-	if !b.touched.Ever || !alarm(b.touched.At, b.alarmed, contactAfter, now) {
+	if !b.touched.IsKnown || !alarm(b.touched.At, b.alarmed, contactAfter, now) {
 		return
 	}
 	b.alarmed = now
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -35,13 +35,13 @@
 // setConfiguration records a decided configuration as the one in force. The caller holds the mutex.
 func (b *Replica) enter(config *peerlink.Configuration) {
 	b.configuration = config
-	b.versions.Decide(delivery.Version{Gen: config.Gen, Sum: config.Sum()}, b.now(), b.fresh)
+	b.versions.SetCurrent(delivery.Version{Gen: config.Gen, Checksum: config.Sum()}, b.now(), b.fresh)
 }
 
 // applyOrder puts a decided order about a zone, a proxy or a server in force unless a newer one is, and sends it to the
 // agents that it concerns. The caller holds the mutex.
 func (b *Replica) confirmZone(order peerlink.Zone) {
-	if !order.Over(b.zones[order.Zone]) {
+	if !order.Supersedes(b.zones[order.Zone]) {
 		return
 	}
 	b.zones[order.Zone] = order
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -88,7 +88,7 @@
 		defer f.endAll(false)
 		f.startAll()
 		f.first = false
-		voters := min(n, membership.MostVoters)
+		voters := min(n, membership.MaxVoters)
 		f.until(max(5*time.Second, time.Duration(n)*time.Second), "all replicas vote and are confirmed", func() bool { return f.voting() == voters && f.fresh() == n })
 		scenario(f)
 	})
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -47,12 +47,12 @@
 		l := links[len(links)-1]
 		last := b.heardOf[l.peer.ID]
 		all = append(all, membership.Member{Voter: voterOf(l.peer), Eligible: l.peer.Voter, CaughtUp: last.report.Version >= known,
-			Leaving: l.leaving, Silent: b.silence(last, now)})
+			Leaving: l.leaving, SilentFor: b.silence(last, now)})
 	}
 	for _, v := range b.contents.Record.Decided.Voters {
 		if v.ID != b.self.ID && b.linkTo(v.ID) == nil {
 			last := b.heardOf[v.ID]
-			all = append(all, membership.Member{Voter: v, Leaving: last.left, Silent: b.silence(last, now)})
+			all = append(all, membership.Member{Voter: v, Leaving: last.left, SilentFor: b.silence(last, now)})
 		}
 	}
 	return all
@@ -78,7 +78,7 @@
 	if !membership.AllAlive(voters, members) {
 		wanted.calm = now
 	}
-	next, due := membership.Next(voters, members, now-wanted.calm)
+	next, due := membership.NextChange(voters, members, now-wanted.calm)
 	if !due || b.leaving || !inContact {
 		wanted.since = now
 		return
@@ -96,7 +96,7 @@
 		defer b.mu.Unlock()
 		b.joining.busy = false
 		if err == nil {
-			b.log.Info("voters changed", "why", next.Why, "added", next.Add, "removed", next.Remove)
+			b.log.Info("voters changed", "why", next.Reason, "added", next.Add, "removed", next.Remove)
 		}
 	})
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -106,7 +106,7 @@
 func changes(base state.State, apply func(next *state.State) error) bool {
 	next := base.Clone()
 	next.Version++
-	return apply(&next) == nil && !next.Same(base)
+	return apply(&next) == nil && !next.SameContent(base)
 }
 
 // CurrentConfiguration returns the configuration in force, after a majority has confirmed that it is the latest. It
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -174,22 +174,22 @@
 	onePhase := base.Proposer == b.proposer() && b.firstUsed <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
 	b.mu.Unlock()
 	next, refused := b.combined(base, batch)
-	if next.Same(base) && b.stillLatest(ctx, base) {
+	if next.SameContent(base) && b.stillLatest(ctx, base) {
 		answerAll(batch, refused)
 		return true, true
 	}
-	if onePhase && !next.Same(base) {
+	if onePhase && !next.SameContent(base) {
 		return b.attemptFirst(ctx, base, next, batch, refused)
 	}
 	b.mu.Lock()
 	b.rounds = max(b.rounds, b.contents.Record.Promised.Round, quorum.FirstRound) + 1 + uint64(failures)
-	proposal := quorum.Propose(base, quorum.Ballot{Round: b.rounds, Proposer: b.proposer()})
+	proposal := quorum.NewProposal(base, quorum.Ballot{Round: b.rounds, Proposer: b.proposer()})
 	b.mu.Unlock()
 	if !b.prepare(ctx, proposal, base) {
 		return false, b.lost(proposal, base)
 	}
-	inherited := proposal.Inherited() != nil
-	if !inherited && next.Same(base) { // a majority has just promised and reported no newer version: base is the latest
+	inherited := proposal.InheritedValue() != nil
+	if !inherited && next.SameContent(base) { // a majority has just promised and reported no newer version: base is the latest
 		answerAll(batch, refused)
 		return true, true
 	}
@@ -208,7 +208,7 @@
 	b.mu.Lock()
 	b.firstUsed = next.Version
 	b.mu.Unlock()
-	proposal := quorum.ProposeFirst(base)
+	proposal := quorum.NewFirstRoundProposal(base)
 	if !b.commit(ctx, proposal, base, next, batch) {
 		return false, b.lost(proposal, base)
 	}
@@ -264,19 +264,19 @@
 
 // prepare is phase 1: it asks the voters for promises, and reports whether a majority has granted them.
 func (b *Replica) prepare(ctx context.Context, p *quorum.Proposal, base state.State) bool {
-	message := p.Prepare()
+	message := p.PrepareMessage()
 	b.ask(ctx, base.Voters, func(string) peerlink.Ask { return peerlink.Ask{Prepare: &message} }, func(r *peerlink.Reply) {
 		if r.Promise != nil {
-			p.Promised(*r.Promise)
+			p.HandlePromise(*r.Promise)
 		}
-	}, func() bool { return p.Prepared() || p.Hopeless() })
-	return p.Prepared()
+	}, func() bool { return p.IsPrepared() || p.CannotSucceed() })
+	return p.IsPrepared()
 }
 
 // proposeValue is phase 2: it asks the voters to accept a value, with its configuration for voters that may lack it,
 // and announces the value if it is decided. It reports whether it is.
 func (b *Replica) commit(ctx context.Context, p *quorum.Proposal, base, next state.State, batch []*change) bool {
-	message := p.Choose(next)
+	message := p.ChooseValue(next)
 	config := b.configFor(ctx, p, batch)
 	if config == nil && message.Value.Config.Gen > 0 {
 		return false
@@ -289,19 +289,19 @@
 	}
 	b.ask(ctx, voters, func(id string) peerlink.Ask {
 		a := peerlink.Ask{Accept: &message}
-		if config != nil && !p.Holds(id, message.Value.Config) {
+		if config != nil && !p.HasConfig(id, message.Value.Config) {
 			a.Config = config
 		}
 		return a
 	}, func(r *peerlink.Reply) {
 		if r.Accepted != nil {
-			p.Accepted(*r.Accepted)
+			p.HandleAcceptance(*r.Accepted)
 		}
-	}, func() bool { return p.Decided() || p.Hopeless() })
-	if p.Decided() {
+	}, func() bool { return p.IsDecided() || p.CannotSucceed() })
+	if p.IsDecided() {
 		b.announce(p, config)
 	}
-	return p.Decided()
+	return p.IsDecided()
 }
 
 // configurationFor returns the configuration of the proposed value: from a change of the batch, from this replica's
@@ -317,7 +317,7 @@
 	config := b.contents.Configs[id.Digest]
 	var holders []*link
 	for _, v := range p.Value().Voters {
-		if l := b.linkTo(v.ID); l != nil && p.Holds(v.ID, id) {
+		if l := b.linkTo(v.ID); l != nil && p.HasConfig(v.ID, id) {
 			holders = append(holders, l)
 		}
 	}
@@ -366,13 +366,13 @@
 func (b *Replica) lost(p *quorum.Proposal, base state.State) (retryNow bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rounds = max(b.rounds, p.Outbid().Round)
+	b.rounds = max(b.rounds, p.HigherBallot().Round)
 	for _, v := range base.Voters {
-		if l := b.linkTo(v.ID); l != nil && p.Behind(v.ID) {
+		if l := b.linkTo(v.ID); l != nil && p.IsBehind(v.ID) {
 			b.tellDecided(l)
 		}
 	}
-	if s := p.Ahead(); s != nil {
+	if s := p.NewerDecided(); s != nil {
 		if s.Config.Gen == 0 || b.contents.Configs[s.Config.Digest] != nil {
 			b.learn(*s)
 		} else if l := b.linkOfHolder(s); l != nil {
--- a/internal/control/server_orders.go
+++ b/internal/control/server_orders.go
@@ -34,7 +34,7 @@
 	case holds <= 0 || holds > api.JudgeMost:
 		return Invalid{errors.Errorf("%s: must be more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
 	}
-	want := peerlink.Zone{Zone: state.OfServer(id)}
+	want := peerlink.Zone{Zone: state.ServerSubject(id)}
 	if known {
 		want.Word, want.Until = word, b.w.Now().Add(holds).UnixMilli()
 	}
@@ -52,7 +52,7 @@
 			orders++
 		}
 	}
-	old := held.Order(state.OfServer(id))
+	old := held.Order(state.ServerSubject(id))
 	switch {
 	case b.serviceIn(id) == "" && old.Count == 0:
 		return errors.WithMessage(ErrServer, id)
@@ -78,7 +78,7 @@
 
 // serverOrder returns the latest order about a server and whether it holds now. The caller holds the mutex.
 func (b *Replica) wordOn(id string) (z peerlink.Zone, holds bool) {
-	z = b.zones[state.OfServer(id)]
+	z = b.zones[state.ServerSubject(id)]
 	_, known := wordLevels[z.Word]
 	return z, known && b.w.Now().UnixMilli() < z.Until
 }
