--- a/internal/control/lease/planted_test.go
+++ b/internal/control/lease/injected_faults_test.go
@@ -9,16 +9,18 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// injectedFault is a fault: it changes what a replica sees, what it is told, or its state and words after a step.
+// injectedFault is a deliberate fault: it changes what a replica sees, a statement that it receives, or its state and
+// messages after a step.
 type injectedFault struct {
-	keepsIncarnation bool // whoever comes back is held for whom it was
-	onlyHolderRuns   bool // nobody does the work without a claim
+	keepsIncarnation bool // a restarted replica keeps its incarnation, so that others take it for the earlier one
+	onlyHolderRuns   bool // only the holder runs the task
 	changeView       func(v *View)
 	beforeReceive    func(s *Lease, d *peerlink.Duty)
 	afterStep        func(s *Lease, v View, out []Message) []Message
 }
 
-// Each fault breaks what the explorer looks at. Without them it finds nothing (TestRandomWalks).
+// Every injected fault violates an invariant that the explorer checks. TestRandomWalks shows that it finds no
+// violation without them.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	rename := func(s *Lease, out []Message, change func(d *peerlink.Duty)) []Message {
 		if s.Holds() {
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,7 +1,6 @@
-// Package membership says which replicas are to be the voters of the next state,
-// without I/O. A replica joins as learner and becomes a voter once it holds all
-// that is decided; a voter that leaves in order, or that is gone for good, makes
-// room for one that has caught up. One voter at most changes in a decision.
+// Package membership decides which replicas are to be the voters of the next state, without I/O. A replica joins as a
+// learner and becomes a voter once it holds everything that is decided. A voter that leaves in order or is gone for
+// good is replaced by a learner that has caught up. One decision adds at most one voter and removes at most one.
 package membership
 
 import (
@@ -12,7 +11,7 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// Bounds of the set of voters, and how long one is waited for.
+// Bounds of the set of voters, and timeouts for changing it.
 const (
 	MaxVoters        = 9                       // more make decisions slower and bear no more losses than they need to
 	MinVoters        = 3                       // a set of so many is not made smaller: two bear the loss of none
@@ -22,7 +21,7 @@
 	RemoveAfter      = 8 * time.Second         // of silence, where none waits
 )
 
-// Member is a replica as another one sees it.
+// Member is a replica as another replica sees it.
 type Member struct {
 	state.Voter
 	Eligible  bool          // its disk may count
@@ -33,15 +32,14 @@
 
 func (m Member) isAlive() bool { return m.SilentFor < AliveTimeout }
 
-// Change is what the next state is to do with the voters.
+// Change is a change of the voters for the next state.
 type Change struct {
 	Add    *state.Voter // nil: nobody is added
 	Remove string       // the ID of the one that goes; empty: nobody does
 	Reason string
 }
 
-// Apply returns the voters after the change; ok is false where it does not fit
-// them any more.
+// Apply returns the voters after the change. ok is false if the change no longer fits the given voters.
 func (c Change) Apply(voters []state.Voter) (after []state.Voter, ok bool) {
 	has := func(id string) bool {
 		return slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == id })
@@ -67,7 +65,7 @@
 func NextChange(voters []state.Voter, members []Member, calm time.Duration) (c Change, ok bool) {
 	seen := map[string]Member{}
 	for _, m := range members {
-		seen[m.ID] = m
+		byID[m.ID] = m
 	}
 	candidates := findCandidates(voters, members)
 	if c, ok := replaceSameMachine(voters, candidates); ok {
@@ -86,8 +84,8 @@
 	return Change{}, false
 }
 
-// Resign is the change that a voter which ends proposes for itself; ok is false
-// where too few others would be left.
+// Resign returns the change that a voter proposes for itself when it shuts down; ok is false if too few other voters
+// would be left.
 func Resign(voters []state.Voter, members []Member, self string) (c Change, ok bool) {
 	if !slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == self }) {
 		return Change{}, false
@@ -105,14 +103,14 @@
 	for _, m := range members {
 		isVoter := slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == m.ID })
 		if isVoter {
-			in[m.Zone]++ // the members know it of voters of the first start too
+			votersInZone[m.Zone]++ // the zone is taken from the members, since voters named at the first start have none
 		}
 		if !isVoter && m.ID != "" && m.Eligible && m.CaughtUp && !m.Leaving && m.isAlive() {
 			all = append(all, m.Voter)
 		}
 	}
 	slices.SortFunc(all, func(a, b state.Voter) int {
-		return cmp.Or(cmp.Compare(in[a.Zone], in[b.Zone]), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(votersInZone[a.Zone], votersInZone[b.Zone]), cmp.Compare(a.ID, b.ID))
 	})
 	return all
 }
@@ -142,16 +140,16 @@
 			gone, is = m, true
 		}
 	}
-	return gone, is
+	return absent, found
 }
 
-// AllAlive tells whether all voters are there.
+// AllAlive reports whether all voters are alive.
 func AllAlive(voters []state.Voter, members []Member) bool {
-	seen := map[string]Member{}
+	byID := map[string]Member{}
 	for _, m := range members {
-		seen[m.ID] = m
+		byID[m.ID] = m
 	}
-	return allAlive(voters, seen)
+	return allAlive(voters, byID)
 }
 
 func allAlive(voters []state.Voter, seen map[string]Member) bool {
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -13,7 +13,7 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// voter is one whose machine is named by the start of its ID.
+// voter returns a voter whose machine is the ID without its trailing digits.
 func voter(id string) state.Voter {
 	return state.Voter{ID: id, Inner: strings.TrimRight(id, "0123456789")}
 }
@@ -80,22 +80,22 @@
 }
 
 func TestNoZoneHoldsAMajorityOfTheVoters(t *testing.T) {
-	var now []state.Voter
+	var current []state.Voter
 	var members []Member
 	for i := range 15 { // five in each zone, and the first start's voters all in the first, which they don't tell
 		m := memberSilentFor(machineName(i), 0)
 		if m.Zone = fmt.Sprint("z", i/5); i < 3 {
-			now = append(now, m.Voter)
-			now[i].Zone = ""
+			current = append(current, m.Voter)
+			current[i].Zone = ""
 		}
 		members = append(members, m)
 	}
 	for c, ok := NextChange(now, members, StableBeforeJoin); ok; c, ok = NextChange(now, members, StableBeforeJoin) {
 		now, _ = c.Apply(now)
 	}
-	in := map[string]int{}
-	for _, v := range now {
-		in[v.Zone]++
+	votersInZone := map[string]int{}
+	for _, v := range current {
+		votersInZone[v.Zone]++
 	}
 	assert.Assert(t, len(now) == MaxVoters && in["z1"] == 3 && in["z2"] == 3, "%v", in)
 }
@@ -114,7 +114,7 @@
 func TestApply(t *testing.T) {
 	d := voter("d")
 	_, ok := Change{Add: &d, Remove: "x"}.Apply(voters("a", "b", "c"))
-	assert.Assert(t, !ok) // another change came before it
+	assert.Assert(t, !ok) // x is no longer a voter
 	_, ok = Change{Add: &d}.Apply(voters("a", "d"))
 	assert.Assert(t, !ok)
 	after, ok := Change{Add: &d, Remove: "c"}.Apply(voters("a", "b", "c"))
@@ -122,14 +122,14 @@
 	assert.DeepEqual(t, after, voters("a", "b", "d"))
 }
 
-// Machines fail, come back with and without their disks, are cut off and replaced, by chance. Whatever the view, a change
-// touches one voter on each side, keeps three, makes no majority of voters that are not there where there was one of those
-// that are, and once all is calm the voters are those who are there.
+// Machines fail, return with or without their disks, are cut off and are replaced, at random. Whatever the view, a
+// change adds and removes at most one voter, keeps at least three, and does not turn a set with a majority alive into
+// one without. Once nothing else happens, all voters are alive.
 func TestRandomViews(t *testing.T) {
 	for seed := range uint64(2000) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		n := 3 + rnd.IntN(3)
-		var now []state.Voter
+		var current []state.Voter
 		for i := range n {
 			now = append(now, voter(machineName(i)+"0"))
 		}
@@ -138,7 +138,7 @@
 			m := memberSilentFor(v.ID, 0)
 			members[v.ID] = &m
 		}
-		born := n
+		machines := n
 		for range 40 {
 			down := 0
 			for _, v := range now {
@@ -160,7 +160,7 @@
 				case 2:
 					members[id].SilentFor = AliveTimeout
 				}
-				born++
+				machines++
 			}
 			c, ok := NextChange(now, allMembers(members), StableBeforeJoin)
 			for _, m := range members {
@@ -171,20 +171,20 @@
 			if !ok {
 				continue
 			}
-			after, fits := c.Apply(now)
+			after, fits := c.Apply(current)
 			assert.Assert(t, fits)
 			assert.Assert(t, len(after) >= min(len(now), MinVoters) && len(after) <= MaxVoters, "seed %d: %v after %v", seed, after, now)
 			if isMajorityAlive(now, members) {
 				assert.Assert(t, isMajorityAlive(after, members), "seed %d: %+v leaves no majority", seed, c)
 			}
-			now = after
+			current = after
 		}
 		for range 10 {
 			c, ok := NextChange(now, allMembers(members), StableBeforeJoin)
 			if !ok {
 				break
 			}
-			now, _ = c.Apply(now)
+			current, _ = c.Apply(current)
 		}
 		alive := 0
 		for _, v := range now {
--- a/internal/control/replicate/replicate.go
+++ b/internal/control/replicate/replicate.go
@@ -1,6 +1,6 @@
-// Package replicate transfers a configuration in pieces, without I/O: a replica
-// that missed any number of changes needs the newest state and one configuration,
-// in bounded messages, and keeps it only if its digest is the one decided.
+// Package replicate transfers a configuration in pieces, without I/O. A replica that has missed any number of changes
+// needs only the newest state and one configuration. It receives the configuration in messages of bounded size and
+// keeps it only if its digest is the decided one.
 package replicate
 
 import (
@@ -17,25 +17,24 @@
 // MaxConfigBytes is how large a configuration may be.
 const MaxConfigBytes = 7 << 20
 
-// Errors of a transfer. Whoever gets one begins anew, with another replica where
-// there is one.
+// Errors of a transfer. After any of them the transfer must be restarted, with another replica if there is one.
 var (
 	ErrUnexpectedPiece = errors.New("replicate: a piece that was not asked for")
 	ErrTooLarge        = errors.New("replicate: larger than a configuration may be")
 	ErrDigestMismatch  = errors.New("replicate: the whole has another digest")
 )
 
-// Request asks for a piece.
+// Request asks for a piece of a configuration.
 type Request struct {
 	Digest state.Digest
 	Offset int // in bytes
 }
 
-// Piece is a part of a configuration's bytes.
+// Piece is a part of the bytes of a configuration.
 type Piece struct {
 	Digest state.Digest
 	Offset int
-	Total  int // bytes of the whole
+	Total  int // size of the whole configuration in bytes
 	Bytes  []byte
 }
 
@@ -48,7 +47,7 @@
 	return Piece{Digest: r.Digest, Offset: r.Offset, Total: len(whole), Bytes: whole[r.Offset:end]}, true
 }
 
-// Transfer puts pieces together. It holds at most the whole.
+// Transfer assembles a configuration from its pieces. It buffers at most MaxConfigBytes.
 type Transfer struct {
 	id       state.ConfigID
 	received []byte
--- a/internal/control/statestore/file.go
+++ b/internal/control/statestore/file.go
@@ -16,8 +16,8 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// The files. Each begins with a line that tells its kind, the format's number,
-// a number of its own, the SHA-256 and length of the rest, and a checksum of the line.
+// The files. Each begins with a header line: the kind of the file, the number of the format, a number that depends on
+// the kind, the SHA-256 and length of the body in bytes, and a checksum of the line.
 const (
 	recordFile    = "record"  // what this replica has decided, promised and accepted
 	configPrefix  = "config-" // begins the names of configurations, each as its operator sent it
@@ -26,10 +26,10 @@
 	formatVersion = 2
 )
 
-// configName is the file of a configuration.
+// configName returns the name of the file of a configuration.
 func configName(d state.Digest) string { return configPrefix + hex.EncodeToString(d[:16]) }
 
-// configKind is what the first line of every configuration's file says.
+// configKind is the kind in the header line of every configuration file.
 const configKind = "config"
 
 func encodeFile(kind string, number uint64, body []byte) []byte {
@@ -42,26 +42,26 @@
 func decodeFile(kind string, all []byte) (number uint64, body []byte, err error) {
 	line, body, found := bytes.Cut(all, []byte("\n"))
 	if !found {
-		return 0, nil, errors.Errorf("%s: no first line", kind)
+		return 0, nil, errors.Errorf("%s: header line is missing", kind)
 	}
-	text := string(line)
-	at := strings.LastIndexByte(text, ' ')
-	if at < 0 || fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(text[:at]))) != text[at+1:] {
-		return 0, nil, errors.Errorf("%s: first line spoilt", kind)
+	header := string(line)
+	checksumAt := strings.LastIndexByte(header, ' ')
+	if checksumAt < 0 || fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(header[:checksumAt]))) != header[checksumAt+1:] {
+		return 0, nil, errors.Errorf("%s: checksum of the header line does not match", kind)
 	}
-	var form, length int
-	var sum, is string
-	if _, err := fmt.Sscanf(text[:at], "pepperfall %s %d %d %s %d", &is, &form, &number, &sum, &length); err != nil || is != kind {
-		return 0, nil, errors.Errorf("%s: first line of another file", kind)
+	var version, length int
+	var digest, gotKind string
+	if _, err := fmt.Sscanf(header[:checksumAt], "pepperfall %s %d %d %s %d", &gotKind, &version, &number, &digest, &length); err != nil || gotKind != kind {
+		return 0, nil, errors.Errorf("%s: header line is malformed or of another kind of file", kind)
 	}
 	if form != formatVersion {
 		return 0, nil, errors.Errorf("%s: format %d, not %d", kind, form, formatVersion)
 	}
 	if len(body) != length {
-		return 0, nil, errors.Errorf("%s: %d bytes, not %d", kind, len(body), length)
+		return 0, nil, errors.Errorf("%s: body has %d bytes, want %d", kind, len(body), length)
 	}
-	if got := sha256.Sum256(body); hex.EncodeToString(got[:]) != sum {
-		return 0, nil, errors.Errorf("%s: spoilt", kind)
+	if got := sha256.Sum256(body); hex.EncodeToString(got[:]) != digest {
+		return 0, nil, errors.Errorf("%s: digest of the body does not match", kind)
 	}
 	return number, body, nil
 }
@@ -73,12 +73,12 @@
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
-	_, err = f.Write(all)
+	_, err = f.Write(contents)
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = d.Rename(to+tempSuffix, to)
