--- a/internal/control/lease/explore_test.go
+++ b/internal/control/lease/explore_test.go
@@ -435,8 +435,8 @@
 // All short sequences of events, from the first start and from a settled system.
 func TestAllEventOrders(t *testing.T) {
 	for what, begin := range map[string]*model{"first start": newModel(defaultBudget, nil), "settled": settledModel(newModel(defaultBudget, nil))} {
-		states, fault := explore(begin, *exploreDepth, 53)
-		assert.Equal(t, fault, "", what)
+		states, violation := explore(begin, *exploreDepth, 53)
+		assert.Equal(t, violation, "", what)
 		t.Logf("%s: %d states, %d steps deep", what, states, *exploreDepth)
 	}
 }
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -41,7 +41,7 @@
 	Duty peerlink.Duty
 }
 
-// Lease is one replica's view of and part in a duty. It is not safe for concurrent use.
+// Lease is the state of one replica in the elections for a duty. It is not safe for concurrent use.
 type Lease struct {
 	duty string
 	self peerlink.Seat
@@ -60,7 +60,7 @@
 	votes            map[string]bool // replicas that voted for candidateEpoch
 }
 
-// New returns the part of the replica self, which is in zone, in a duty.
+// New returns the Lease of the replica self, located in zone, for a duty.
 func New(duty string, self peerlink.Seat, zone string) *Lease {
 	return &Lease{duty: duty, self: self, zone: zone}
 }
@@ -103,7 +103,7 @@
 	return Rank(s.duty, s.self.Name, names)
 }
 
-// rankDelay returns the delay that this replica's rank among the connected replicas with a vote causes.
+// rankDelay returns how long this replica waits because of its rank among the connected replicas with a vote.
 func (s *Lease) rankDelay(v View) time.Duration {
 	return time.Duration(s.rank(v, func(p Peer) bool { return p.CanVote })) * RankDelay
 }
@@ -200,8 +200,7 @@
 	return s.startTerm(v, t)
 }
 
-// startTerm makes this replica the holder in a new term. It names the successor, which stays the same for the whole
-// term.
+// startTerm makes this replica the holder in a new term and names the successor, which is fixed for the whole term.
 func (s *Lease) startTerm(v View, t peerlink.Term) Message {
 	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.chooseSuccessor(v)}
 	s.holderHeardAt, s.announcedAt, s.successorSeenAt, s.candidateEpoch = v.Now, v.Now, v.Now, 0
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestNextChange(t *testing.T) {
-	const long, calm = ReplaceAfter, StableBeforeJoin
+	const long, stable = ReplaceAfter, StableBeforeJoin
 	leaving := memberSilentFor("c", 0)
 	leaving.Leaving = true
 	behind, observer := memberSilentFor("d", 0), memberSilentFor("d", 0)
@@ -42,31 +42,31 @@
 	withAAndB := func(more ...Member) []Member {
 		return append([]Member{memberSilentFor("a", 0), memberSilentFor("b", 0)}, more...)
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		voters  []state.Voter
 		members []Member
-		calm    time.Duration
+		stable  time.Duration
 		want    string
 	}{
-		"nothing to do":                 {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0)), calm, ""},
-		"one joins":                     {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm, "+d"},
-		"not before all are calm":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm - 1, ""},
-		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), behind), calm, ""},
-		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), observer), calm, ""},
+		"nothing to do":                 {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0)), stable, ""},
+		"one joins":                     {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), stable, "+d"},
+		"not before all are calm":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), stable - 1, ""},
+		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), behind), stable, ""},
+		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), observer), stable, ""},
 		"not while one is silent":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
 		"it replaces one that is gone":  {voters("a", "b", "c"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
-		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, memberSilentFor("d", 0)), calm, "+d-c"},
+		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, memberSilentFor("d", 0)), stable, "+d-c"},
 		"its own machine's old disk":    {voters("a", "b", "c1"), withAAndB(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
-		"none leaves three":             {voters("a", "b", "c"), withAAndB(leaving), calm, ""},
+		"none leaves three":             {voters("a", "b", "c"), withAAndB(leaving), stable, ""},
 		"nor is removed from them":      {voters("a", "b", "c"), withAAndB(memberSilentFor("c", RemoveAfter)), 0, ""},
-		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", 0)), calm, "-c"},
+		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", 0)), stable, "-c"},
 		"one is gone from four":         {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
 		"not before it is for long":     {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
 		"who leaves goes before silent": {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", RemoveAfter)), 0, "-c"},
 		"one that was never heard":      {voters("a", "b", "c"), withAAndB(memberSilentFor("d", 0)), 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, ok := NextChange(x.voters, x.members, x.calm)
+			c, ok := NextChange(test.voters, test.members, test.stable)
 			got := ""
 			if c.Add != nil {
 				got += "+" + c.Add.ID
@@ -74,7 +74,7 @@
 			if c.Remove != "" {
 				got += "-" + c.Remove
 			}
-			assert.Assert(t, got == x.want && ok == (got != ""), "%+v", c)
+			assert.Assert(t, got == test.want && ok == (got != ""), "%+v", c)
 		})
 	}
 }
--- a/internal/control/orderlog/orderlog.go
+++ b/internal/control/orderlog/orderlog.go
@@ -22,7 +22,7 @@
 	memTableBytes = 256 << 10
 	cacheBytes    = 256 << 10
 	maxOpenFiles  = 32
-	syncDelay     = 500 * time.Millisecond // delays syncs, as the acknowledgements of orders wait for the same disk
+	syncDelay     = 500 * time.Millisecond // between a write and its sync, as acknowledgements of orders need the same disk
 )
 
 // Log writes orders to disk in the background, so that a slow or failing disk blocks no caller.
--- a/internal/control/quorum/explore_test.go
+++ b/internal/control/quorum/explore_test.go
@@ -151,9 +151,9 @@
 	return w
 }
 
-// explore visits states in depth-first order, at most the given number of them. It returns how many it visited,
-// whether these are all reachable states, and the first violated invariant.
-func explore(m model, r rules, most int) (states int, all bool, broken string) {
+// explore visits at most limit states, in depth-first order. It returns how many it visited, whether these are all
+// reachable states, and the first violated invariant.
+func explore(m model, r rules, limit int) (states int, all bool, violation string) {
 	first := m.start()
 	seen := map[uint64]bool{first.key(): true}
 	stack := []*systemState{first}
@@ -163,20 +163,20 @@
 		for _, step := range m.steps(w, &r) {
 			next := w.clone()
 			step(next)
-			if broken := next.check(&r); broken != "" {
-				return len(seen), false, broken
+			if violation := next.check(&r); violation != "" {
+				return len(seen), false, violation
 			}
-			if k := next.key(); !seen[k] && len(seen) < most {
+			if k := next.key(); !seen[k] && len(seen) < limit {
 				seen[k] = true
 				stack = append(stack, next)
 			}
 		}
 	}
-	return len(seen), len(seen) < most, ""
+	return len(seen), len(seen) < limit, ""
 }
 
 // walk makes random walks, with one seed each. It returns how many states it visited and the first violated invariant.
-func walk(m model, r rules, walks int) (states int, broken string) {
+func walk(m model, r rules, walks int) (states int, violation string) {
 	seen := map[uint64]bool{}
 	for seed := range uint64(walks) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -188,8 +188,8 @@
 			}
 			steps[rnd.IntN(len(steps))](w)
 			seen[w.key()] = true
-			if broken := w.check(&r); broken != "" {
-				return len(seen), fmt.Sprintf("walk %d: %s", seed, broken)
+			if violation := w.check(&r); violation != "" {
+				return len(seen), fmt.Sprintf("walk %d: %s", seed, violation)
 			}
 		}
 	}
@@ -412,10 +412,10 @@
 	for name, m := range models {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, all, broken := explore(m, correctRules(), *maxStates)
-			assert.Equal(t, broken, "")
-			walked, broken := walk(m, correctRules(), *walkCount)
-			assert.Equal(t, broken, "")
+			states, all, violation := explore(m, correctRules(), *maxStates)
+			assert.Equal(t, violation, "")
+			walked, violation := walk(m, correctRules(), *walkCount)
+			assert.Equal(t, violation, "")
 			t.Logf("%d states in order (all: %v), %d on %d walks", states, all, walked, *walkCount)
 		})
 	}
@@ -423,9 +423,9 @@
 
 // Each part of the protocol is necessary: without it, some order of steps violates an invariant.
 func TestInjectedFaultsAreFound(t *testing.T) {
-	for name, plant := range map[string]struct {
-		in    string
-		plant func(r *rules)
+	for name, fault := range map[string]struct {
+		model  string
+		inject func(r *rules)
 	}{
 		"a promise is not on disk": {"one forgets", func(r *rules) {
 			r.recordAfterCrash = func(previous, now Record) Record {
@@ -545,10 +545,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := correctRules()
-			plant.plant(&r)
-			states, broken := walk(models[plant.in], r, walksPerInjectedFault)
-			assert.Assert(t, broken != "", "not found in %d states", states)
-			t.Logf("%s, after %d states", broken, states)
+			fault.inject(&r)
+			states, violation := walk(models[fault.model], r, walksPerInjectedFault)
+			assert.Assert(t, violation != "", "not found in %d states", states)
+			t.Logf("%s, after %d states", violation, states)
 		})
 	}
 }
@@ -556,8 +556,8 @@
 // The explorer must find a violation if one proposer uses the first round for two values.
 func TestFirstRoundTwice(t *testing.T) {
 	m := model{voters: 3, replicas: 3, plans: []plannedProposal{{0, FirstRound, setConfig(1)}, {0, FirstRound, setConfig(2)}}}
-	_, broken := walk(m, correctRules(), walksPerInjectedFault)
-	assert.Assert(t, broken != "")
+	_, violation := walk(m, correctRules(), walksPerInjectedFault)
+	assert.Assert(t, violation != "")
 }
 
 // While a change of voters is being accepted, a majority of the old voters that know of nothing newer is not enough
--- a/internal/control/statestore/store_test.go
+++ b/internal/control/statestore/store_test.go
@@ -100,8 +100,8 @@
 // If a file is damaged or missing, none of the contents is used.
 func TestDamagedFile(t *testing.T) {
 	for _, name := range []string{"record", configName(config(3).Digest), configName(config(4).Digest)} {
-		for _, gone := range []bool{false, true} {
-			if gone && name == "record" {
+		for _, missing := range []bool{false, true} {
+			if missing && name == "record" {
 				continue // without a record the disk counts as empty
 			}
 			synctest.Test(t, func(t *testing.T) {
@@ -109,7 +109,7 @@
 				s, _, stop := openAndRun(t, d, Empty)
 				assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(1, 3, 4))))
 				stop()
-				if gone {
+				if missing {
 					assert.NilError(t, d.Mount().Remove("/data/"+name))
 				} else {
 					d.Spoil("/data/" + name)
