--- a/internal/control/acceptor.go
+++ b/internal/control/acceptor.go
@@ -20,12 +20,12 @@
 )
 
 // genesisPrefix starts the disk ID of a seed, which is a voter from the first start on.
-const genesisMark = "genesis/"
+const genesisPrefix = "genesis/"
 
 // restoreFromDisk reads the stored state. If the disk is empty or corrupt, this replica takes a new disk ID, since
 // promises that it made under the old one may be lost.
-func (b *Replica) restore(disk world.Disk) {
-	s := b.set.Self
+func (b *Replica) restoreFromDisk(disk world.Disk) {
+	s := b.settings.Self
 	store, contents, found, err := statestore.Open(disk, s.DataDir)
 	if err != nil {
 		b.log.Error(err, "can't read the stored state")
@@ -34,39 +34,39 @@
 		contents.Record.ID = s.Name + "/" + strconv.FormatInt(b.self.Life, 36)
 	}
 	if s.Bootstrap && found == statestore.Empty {
-		b.begin(&contents.Record)
+		b.initializeGenesis(&contents.Record)
 	}
 	b.store, b.contents = store, contents
 	b.self.ID = contents.Record.ID
-	b.put()
+	b.persist()
 }
 
 // applyRestoredState puts the restored decided state in force. It needs no mutex, since no other goroutine runs yet.
-func (b *Replica) enforce() {
+func (b *Replica) applyRestoredState() {
 	decided := b.contents.Record.Decided
 	if config := b.contents.Configs[decided.Config.Digest]; config != nil {
-		b.enter(config)
-		b.parsed, _ = routeconfig.Parse(config.Body)
+		b.setConfiguration(config)
+		b.parsedConfiguration, _ = routeconfig.Parse(config.Body)
 	}
 	for _, order := range decided.Orders {
-		b.confirmZone(order)
+		b.applyOrder(order)
 	}
 	b.noteLock(decided.Lock)
 }
 
 // initializeGenesis sets the state of the first start, at which all replicas have the same seeds: the seeds are the
 // voters.
-func (b *Replica) begin(r *quorum.Record) {
+func (b *Replica) initializeGenesis(r *quorum.Record) {
 	var voters []state.Voter
-	for _, seed := range b.set.Network.Seeds {
+	for _, seed := range b.settings.Network.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			continue
 		}
-		inner := b.set.Inner(host)
-		voters = append(voters, state.Voter{ID: genesisMark + inner, Inner: inner})
+		inner := b.settings.Inner(host)
+		voters = append(voters, state.Voter{ID: genesisPrefix + inner, Inner: inner})
 		if inner == b.self.Inner {
-			r.ID = genesisMark + inner
+			r.ID = genesisPrefix + inner
 		}
 	}
 	if len(voters) > 0 {
@@ -75,10 +75,10 @@
 }
 
 // persist queues the current contents for writing and returns the number to wait for. The caller holds the mutex.
-func (b *Replica) put() uint64 { return b.store.Put(b.contents) }
+func (b *Replica) persist() uint64 { return b.store.Put(b.contents) }
 
 // decidedState returns the newest decided state that this replica knows.
-func (b *Replica) decided() state.State {
+func (b *Replica) decidedState() state.State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Record.Decided
@@ -91,7 +91,7 @@
 }
 
 // answerQuestion answers another replica's question; it answers those that wait for the disk in the background.
-func (b *Replica) answer(ctx context.Context, l *link, question *peerlink.Ask) {
+func (b *Replica) answerQuestion(ctx context.Context, l *link, question *peerlink.Ask) {
 	reply := &peerlink.Reply{ID: question.ID}
 	switch {
 	case question.Report:
@@ -100,13 +100,13 @@
 		b.mu.Unlock()
 		reply.Report = &report
 	case question.Piece != nil:
-		reply.Piece = b.cut(*question.Piece)
+		reply.Piece = b.cutPiece(*question.Piece)
 	case question.Prepare != nil || question.Accept != nil || question.Command != nil:
 		b.jobs.Go(func() {
-			ctx, cancel := b.within(ctx, callWithin)
+			ctx, cancel := b.withTimeout(ctx, callTimeout)
 			defer cancel()
 			if reply := reply; question.Command != nil {
-				reply.Outcome = b.carryOut(ctx, question.Command)
+				reply.Outcome = b.executeForwarded(ctx, question.Command)
 			} else {
 				*reply = *b.vote(ctx, question)
 			}
@@ -139,7 +139,7 @@
 		return reply
 	}
 	b.promisedAt = b.now()
-	number := b.put()
+	number := b.persist()
 	b.mu.Unlock()
 	if err := b.store.Wait(ctx, number); err != nil {
 		return &peerlink.Reply{Err: err.Error()}
@@ -147,15 +147,15 @@
 	return reply
 }
 
-var errNoConfig = errors.New("the configuration of the proposed value is missing")
+var errConfigurationMissing = errors.New("the configuration of the proposed value is missing")
 
 // acceptValue puts a proposer's value to the record, which grants or refuses it, and stores its configuration. It
 // returns errConfigurationMissing if that was neither sent nor stored. The caller holds the mutex.
 func (b *Replica) acceptValue(question *peerlink.Ask) (quorum.Acceptance, error) {
 	id := question.Accept.Value.Config
 	if id.Gen > 0 && b.contents.Configs[id.Digest] == nil {
-		if question.Config == nil || !isConfig(question.Config, id) {
-			return quorum.Acceptance{}, errNoConfig
+		if question.Config == nil || !isIntactConfiguration(question.Config, id) {
+			return quorum.Acceptance{}, errConfigurationMissing
 		}
 		b.contents.Configs[id.Digest] = question.Config.Pack()
 	}
@@ -165,7 +165,7 @@
 }
 
 // isIntactConfiguration reports whether p is the configuration with an ID and its body matches the digest.
-func isConfig(config *peerlink.Configuration, id state.ConfigID) bool {
+func isIntactConfiguration(config *peerlink.Configuration, id state.ConfigID) bool {
 	return config.Gen == id.Gen && config.Digest == id.Digest && sha256.Sum256(config.Body) == config.Digest
 }
 
@@ -177,32 +177,32 @@
 		return
 	}
 	b.contents.DropUnreferenced()
-	b.put()
+	b.persist()
 	for _, v := range s.Voters {
-		b.keep(v.Inner)
+		b.keepConnected(v.Inner)
 	}
 	if config != nil {
-		b.confirmConfiguration(config)
+		b.applyConfiguration(config)
 	}
-	for subject, held := range b.zones {
+	for subject, held := range b.ordersInForce {
 		if s.Order(subject).Count == 0 { // it was pruned from the decided state
-			delete(b.zones, subject)
+			delete(b.ordersInForce, subject)
 			b.log.V(1).Info("order dropped", "about", subject, "count", held.Count)
 		}
 	}
 	for _, o := range s.Orders {
-		b.confirmZone(o)
+		b.applyOrder(o)
 	}
 	b.noteLock(s.Lock)
 	select {
-	case b.advanced <- struct{}{}:
+	case b.versionLearned <- struct{}{}:
 	default:
 	}
 	b.spurred()
 }
 
 // sendDecided sends the decided state to another replica. The caller holds the mutex.
-func (b *Replica) tellDecided(l *link) {
+func (b *Replica) sendDecided(l *link) {
 	if s := b.contents.Record.Decided; s.Version > 0 {
 		_ = l.conn.Send(&peerlink.Frame{Decided: &s})
 	}
@@ -210,24 +210,24 @@
 
 // receiveDecided learns a decided state that another replica has sent, at once or after fetching its configuration from
 // there. The caller holds the mutex.
-func (b *Replica) hearDecided(l *link, s *state.State) {
+func (b *Replica) receiveDecided(l *link, s *state.State) {
 	if s.Version <= b.contents.Record.Decided.Version {
 		return
 	}
 	if s.Config.Gen == 0 || b.contents.Configs[s.Config.Digest] != nil {
 		b.learn(*s)
-		b.rouse()
+		b.requestRound()
 		return
 	}
-	if b.catching {
+	if b.fetchInProgress {
 		return // the state is sent again in the next round
 	}
-	b.catching = true
-	b.background(func(ctx context.Context) {
-		config, err := b.fetch(ctx, l, s.Config)
+	b.fetchInProgress = true
+	b.runInBackground(func(ctx context.Context) {
+		config, err := b.fetchConfiguration(ctx, l, s.Config)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.catching = false
+		b.fetchInProgress = false
 		if err != nil {
 			b.log.Info("configuration not fetched", "version", s.Version, "why", err.Error())
 			return
@@ -235,18 +235,18 @@
 		b.contents.Configs[s.Config.Digest] = config
 		b.learn(*s)
 		b.contents.DropUnreferenced()
-		b.rouse()
+		b.requestRound()
 	})
 }
 
 // fetchTimeout bounds the wait for one piece of a configuration.
-const fetchWithin = time.Second
+const fetchTimeout = time.Second
 
 // fetchConfiguration fetches a configuration from another replica in pieces.
-func (b *Replica) fetch(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
+func (b *Replica) fetchConfiguration(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
 	transfer := replicate.NewTransfer(id)
 	for {
-		piece, err := b.piece(ctx, l, transfer.NextRequest())
+		piece, err := b.fetchPiece(ctx, l, transfer.NextRequest())
 		if err != nil {
 			return nil, err
 		}
@@ -262,16 +262,16 @@
 
 // fetchPiece fetches one piece of a configuration. It returns ErrNoMajority if no reply comes within fetchTimeout, and
 // replicate.ErrUnexpectedPiece if the reply has no piece.
-func (b *Replica) piece(ctx context.Context, l *link, r replicate.Request) (*replicate.Piece, error) {
-	ctx, cancel := b.within(ctx, fetchWithin)
+func (b *Replica) fetchPiece(ctx context.Context, l *link, r replicate.Request) (*replicate.Piece, error) {
+	ctx, cancel := b.withTimeout(ctx, fetchTimeout)
 	defer cancel()
 	poll := b.newPoll()
-	defer poll.end()
+	defer poll.cancel()
 	b.mu.Lock()
 	sent := poll.ask(l, peerlink.Ask{Piece: &r})
 	b.mu.Unlock()
 	if !sent {
-		return nil, ErrUnsettled
+		return nil, ErrNoMajority
 	}
 	select {
 	case a := <-poll.answers:
@@ -280,12 +280,12 @@
 		}
 		return a.reply.Piece, nil
 	case <-ctx.Done():
-		return nil, ErrUnsettled
+		return nil, ErrNoMajority
 	}
 }
 
 // cutPiece returns the requested piece; nil if the configuration is no longer stored or the request is out of range.
-func (b *Replica) cut(r replicate.Request) *replicate.Piece {
+func (b *Replica) cutPiece(r replicate.Request) *replicate.Piece {
 	b.mu.Lock()
 	config := b.contents.Configs[r.Digest]
 	b.mu.Unlock()
--- a/internal/control/alarms.go
+++ b/internal/control/alarms.go
@@ -8,41 +8,41 @@
 
 // Thresholds of the alarms that replicas log.
 const (
-	lagAfter     = 1500 * time.Millisecond // an agent has lacked the decided configuration for so long
-	contactAfter = 1500 * time.Millisecond // this replica has had no contact with a majority for so long
-	alarmAgain   = 5 * time.Second         // between two log lines about one lasting condition
+	agentLagThreshold    = 1500 * time.Millisecond // an agent has lacked the decided configuration for so long
+	contactLossThreshold = 1500 * time.Millisecond // this replica has had no contact with a majority for so long
+	alarmRepeatInterval  = 5 * time.Second         // between two log lines about one lasting condition
 )
 
 // Errors that are only logged.
 var (
-	errLag     = errors.New("an agent is behind the decided configuration")
-	errContact = errors.New("no majority confirms what is decided")
+	errAgentBehind = errors.New("an agent is behind the decided configuration")
+	errNoContact   = errors.New("no majority confirms what is decided")
 )
 
 // isAlarmDue reports whether a condition that holds since a time is to be logged now: it has lasted for at least after,
 // and was not yet logged, or not within alarmRepeatInterval.
-func alarm(since, reported, after, now time.Duration) bool {
-	return now-since >= after && (reported < since || now-reported >= alarmAgain)
+func isAlarmDue(since, reported, after, now time.Duration) bool {
+	return now-since >= after && (reported < since || now-reported >= alarmRepeatInterval)
 }
 
 // logAgentLag logs if an agent has lacked the decided configuration for too long. The caller holds the mutex.
-func (b *Replica) reportLag(follower *agent) {
+func (b *Replica) logAgentLag(follower *agent) {
 	now := b.now()
-	since, behind := b.versions.BehindSinceConnected(&follower.agent)
-	if !behind || !alarm(since, follower.reported, lagAfter, now) {
+	since, behind := b.configurationHistory.BehindSinceConnected(&follower.agent)
+	if !behind || !isAlarmDue(since, follower.reported, agentLagThreshold, now) {
 		return
 	}
 	follower.reported = now
-	b.log.Error(errLag, "agent behind", "agent", follower.name, "for", now-since, "held", follower.agent.Held.Gen, "decided", b.configuration.Gen,
+	b.log.Error(errAgentBehind, "agent behind", "agent", follower.name, "for", now-since, "held", follower.agent.Held.Gen, "decided", b.configuration.Gen,
 		"follows_this_replica", follower.agent.IsUpstream, "sent", follower.agent.Sent.Gen)
 }
 
 // logContactLoss logs if this replica has had no contact with a majority for too long. The caller holds the mutex.
-func (b *Replica) reportContact() {
+func (b *Replica) logContactLoss() {
 	now := b.now()
-	if !b.touched.IsKnown || !alarm(b.touched.At, b.alarmed, contactAfter, now) {
+	if !b.majorityContact.IsKnown || !isAlarmDue(b.majorityContact.At, b.contactAlarmedAt, contactLossThreshold, now) {
 		return
 	}
-	b.alarmed = now
-	b.log.Error(errContact, "out of touch", "for", now-b.touched.At, "version", b.contents.Record.Decided.Version)
+	b.contactAlarmedAt = now
+	b.log.Error(errNoContact, "out of touch", "for", now-b.majorityContact.At, "version", b.contents.Record.Decided.Version)
 }
--- a/internal/control/census.go
+++ b/internal/control/census.go
@@ -13,173 +13,173 @@
 
 // Time limits of the census of proxies.
 const (
-	countsFor = 60 * time.Second       // a silent proxy may be cut off and still serve requests
-	headsFor  = 15 * time.Second       // older counts of requests by host are ignored
-	leavesFor = 500 * time.Millisecond // after the grace period, a leaving proxy has ended or was killed
+	maxProxySilence  = 60 * time.Second       // a silent proxy may be cut off and still serve requests
+	maxHostCountsAge = 15 * time.Second       // older counts of requests by host are ignored
+	leaveMargin      = 500 * time.Millisecond // after the grace period, a leaving proxy has ended or was killed
 )
 
 // proxy is the state of a proxy as its agent reports it.
 type proxy struct {
-	hello peerlink.Hello
-	ready bool
-	up    bool // its agent is connected
-	heard time.Duration
-	every time.Duration // between two pings of its agent; 0: the default
-	left  time.Duration // when it announced that it leaves; 0: it did not
-	grace time.Duration // after leftAt; then it has ended
-
-	joined time.Duration // when it began to be counted; 0: before this replica started
-	risen  time.Duration // when it was first ready after joinedAt; 0: not yet
-	given  bool          // it has given up its share of the quotas
-	known  bool          // all others have reported that they divide quotas by a number that includes it
-	parts  int           // the number by which it divides quotas, as last reported; 0: never reported
-
-	rests     bool // it would be ready without the order to rest
-	figures   *peerlink.Figures
-	figuresAt time.Duration
-	asked     *peerlink.Asked
-	askedAt   time.Duration
-
-	heads   []homing.Heads
-	headsAt time.Duration
+	hello        peerlink.Hello
+	ready        bool
+	connected    bool // its agent is connected
+	lastHeard    time.Duration
+	pingInterval time.Duration // between two pings of its agent; 0: the default
+	leftAt       time.Duration // when it announced that it leaves; 0: it did not
+	grace        time.Duration // after leftAt; then it has ended
+
+	joinedAt         time.Duration // when it began to be counted; 0: before this replica started
+	firstReadyAt     time.Duration // when it was first ready after joinedAt; 0: not yet
+	quotaReleased    bool          // it has given up its share of the quotas
+	joinAcknowledged bool          // all others have reported that they divide quotas by a number that includes it
+	quotaParts       int           // the number by which it divides quotas, as last reported; 0: never reported
+
+	readyButResting bool // it would be ready without the order to rest
+	figures         *peerlink.Figures
+	figuresAt       time.Duration
+	requestCounts   *peerlink.Asked
+	requestCountsAt time.Duration
+
+	hostCounts   []homing.Heads
+	hostCountsAt time.Duration
 }
 
 // isAlive reports whether the proxy's agent is connected and has sent something recently.
-func (g *proxy) alive(now time.Duration) bool {
-	return g.up && now-g.heard < peerlink.Patience(g.every)
+func (g *proxy) isAlive(now time.Duration) bool {
+	return g.connected && now-g.lastHeard < peerlink.Patience(g.pingInterval)
 }
 
 // isCounted reports whether the proxy may be serving requests and so has a share of the quotas.
-func (g *proxy) counts(now time.Duration) bool {
-	if g.given || g.left > 0 && now-g.left >= g.grace+leavesFor {
+func (g *proxy) isCounted(now time.Duration) bool {
+	if g.quotaReleased || g.leftAt > 0 && now-g.leftAt >= g.grace+leaveMargin {
 		return false
 	}
-	return now-g.heard < countsFor
+	return now-g.lastHeard < maxProxySilence
 }
 
 // proxyRegistry holds all proxies ever seen. Their names are stored on disk: after a restart all of them count as
 // present until they have been silent for maxProxySilence.
-type register struct {
-	proxies map[string]*proxy
-	rests   map[string]bool   // names of proxies that are ordered to rest
-	sorted  []string          // all names in order; nil: to be sorted again
-	last    []peerlink.Member // the result of the last count, which is shared and never modified
-	spare   []peerlink.Member // buffer for the next count
+type proxyRegistry struct {
+	proxies      map[string]*proxy
+	resting      map[string]bool   // names of proxies that are ordered to rest
+	sortedNames  []string          // all names in order; nil: to be sorted again
+	lastMembers  []peerlink.Member // the result of the last count, which is shared and never modified
+	spareMembers []peerlink.Member // buffer for the next count
 }
 
 // newProxyRegistry returns a registry of the proxies with these names, all last heard now.
-func newRegister(names []string, now time.Duration) *register {
-	r := &register{proxies: map[string]*proxy{}, rests: map[string]bool{}}
+func newProxyRegistry(names []string, now time.Duration) *proxyRegistry {
+	r := &proxyRegistry{proxies: map[string]*proxy{}, resting: map[string]bool{}}
 	for _, name := range names {
-		r.proxies[name] = &proxy{hello: peerlink.Hello{Name: name}, heard: now}
+		r.proxies[name] = &proxy{hello: peerlink.Hello{Name: name}, lastHeard: now}
 	}
 	return r
 }
 
 // noteConnected records that a proxy's agent has connected, and reports whether its name is new.
-func (r *register) see(h peerlink.Hello, now time.Duration) (g *proxy, isNew bool) {
+func (r *proxyRegistry) noteConnected(h peerlink.Hello, now time.Duration) (g *proxy, isNew bool) {
 	g = r.proxies[h.Name]
 	if isNew = g == nil; isNew {
 		g = &proxy{}
-		r.proxies[h.Name], r.sorted = g, nil
+		r.proxies[h.Name], r.sortedNames = g, nil
 	}
-	if isNew || !g.counts(now) {
-		g.joined, g.risen, g.known = max(now, 1), 0, false
+	if isNew || !g.isCounted(now) {
+		g.joinedAt, g.firstReadyAt, g.joinAcknowledged = max(now, 1), 0, false
 	}
-	g.hello, g.heard, g.left, g.given, g.up = h, now, 0, false, true
+	g.hello, g.lastHeard, g.leftAt, g.quotaReleased, g.connected = h, now, 0, false, true
 	return g, isNew
 }
 
 // addKnown adds a proxy that another replica knows, and reports whether its name is new.
-func (r *register) add(m peerlink.Member, now time.Duration) (isNew bool) {
+func (r *proxyRegistry) addKnown(m peerlink.Member, now time.Duration) (isNew bool) {
 	if r.proxies[m.Hello.Name] != nil {
 		return false
 	}
-	r.proxies[m.Hello.Name], r.sorted = &proxy{hello: m.Hello, heard: now, joined: max(now, 1)}, nil
+	r.proxies[m.Hello.Name], r.sortedNames = &proxy{hello: m.Hello, lastHeard: now, joinedAt: max(now, 1)}, nil
 	return true
 }
 
 // names returns all names in order; callers must not modify the slice.
-func (r *register) names() []string {
-	if r.sorted == nil {
-		r.sorted = slices.Sorted(maps.Keys(r.proxies))
+func (r *proxyRegistry) names() []string {
+	if r.sortedNames == nil {
+		r.sortedNames = slices.Sorted(maps.Keys(r.proxies))
 	}
-	return r.sorted
+	return r.sortedNames
 }
 
 // members returns the counted proxies, the number by which they divide quotas, and whether the proxies are the same as
 // in the last count. A proxy's slot is its name's place among all names: the same at every replica that knows the same
 // names.
-func (r *register) members(now time.Duration) (all []peerlink.Member, shares int, same bool) {
-	all = r.spare[:0]
+func (r *proxyRegistry) members(now time.Duration) (all []peerlink.Member, shares int, same bool) {
+	all = r.spareMembers[:0]
 	for _, g := range r.proxies {
-		if g.counts(now) {
+		if g.isCounted(now) {
 			shares++
 		}
 	}
 	for slot, n := range r.names() {
 		g := r.proxies[n]
-		if !g.counts(now) {
+		if !g.isCounted(now) {
 			continue
 		}
 		if g.hello.Front == "" && g.hello.Peer == "" {
 			continue // only its name is known
 		}
-		alive := g.alive(now)
-		all = append(all, peerlink.Member{Hello: lean(g.hello), Ready: alive && g.ready && g.left == 0, Alive: alive, Slot: slot,
-			Silent: r.silent(g, shares, now)})
+		alive := g.isAlive(now)
+		all = append(all, peerlink.Member{Hello: memberHello(g.hello), Ready: alive && g.ready && g.leftAt == 0, Alive: alive, Slot: slot,
+			Silent: r.countUnaware(g, shares, now)})
 	}
-	if slices.Equal(all, r.last) {
-		r.spare = all
-		return r.last, shares, true
+	if slices.Equal(all, r.lastMembers) {
+		r.spareMembers = all
+		return r.lastMembers, shares, true
 	}
-	r.last, r.spare = all, nil
+	r.lastMembers, r.spareMembers = all, nil
 	return all, shares, false
 }
 
 // countUnaware returns how many counted proxies joined before g and may not know of it yet, because they have not
 // reported that they divide quotas by at least shares. Going by their reports, it doesn't matter which replica told
 // them, or when.
-func (r *register) silent(g *proxy, shares int, now time.Duration) (n int) {
-	if g.known || g.joined == 0 || now-g.joined >= countsFor {
+func (r *proxyRegistry) countUnaware(g *proxy, shares int, now time.Duration) (n int) {
+	if g.joinAcknowledged || g.joinedAt == 0 || now-g.joinedAt >= maxProxySilence {
 		return 0
 	}
 	for _, o := range r.proxies {
-		if o != g && o.joined < g.joined && o.counts(now) && !o.hasHeard(g, shares) {
+		if o != g && o.joinedAt < g.joinedAt && o.isCounted(now) && !o.isAwareOf(g, shares) {
 			n++
 		}
 	}
-	g.known = n == 0
+	g.joinAcknowledged = n == 0
 	return n
 }
 
 // isAwareOf reports whether a proxy divides quotas by a number that includes g. Earlier versions don't report that
 // number: they are taken to be aware once their agent has sent something handover.HeardBy after the join.
-func (o *proxy) hasHeard(g *proxy, shares int) bool {
-	if o.parts == 0 {
-		return o.heard >= g.joined+handover.HeardBy
+func (o *proxy) isAwareOf(g *proxy, shares int) bool {
+	if o.quotaParts == 0 {
+		return o.lastHeard >= g.joinedAt+handover.HeardBy
 	}
-	return o.parts >= shares
+	return o.quotaParts >= shares
 }
 
 // memberHello returns the part of a proxy's Hello that others need.
-func lean(h peerlink.Hello) peerlink.Hello {
+func memberHello(h peerlink.Hello) peerlink.Hello {
 	return peerlink.Hello{Role: peerlink.Proxy, Name: h.Name, Life: h.Life, IP: h.IP, Zone: h.Zone, Region: h.Region, Front: h.Front, Peer: h.Peer}
 }
 
 // frontAddresses returns the client-facing addresses of the ready proxies in some regions, or of all ready proxies if
 // those regions have none. A proxy that has just joined is in the answers to a growing share of places. If no proxy at
 // all is ready, the answer holds leaving proxies for as long as they accept connections.
-func (r *register) fronts(regions []string, place string, now time.Duration) []string {
+func (r *proxyRegistry) frontAddresses(regions []string, place string, now time.Duration) []string {
 	var all, leaving []*proxy
 	for _, n := range r.names() {
 		switch g := r.proxies[n]; {
-		case g.hello.Front == "" || !g.alive(now):
-		case g.left > 0:
-			if !g.given && handover.Open(g.grace, now-g.left) {
+		case g.hello.Front == "" || !g.isAlive(now):
+		case g.leftAt > 0:
+			if !g.quotaReleased && handover.Open(g.grace, now-g.leftAt) {
 				leaving = append(leaving, g)
 			}
-		case g.ready && !r.rests[n]:
+		case g.ready && !r.resting[n]:
 			all = append(all, g)
 		}
 	}
@@ -191,14 +191,14 @@
 	}
 	young := 0
 	for _, g := range all {
-		if g.young(now) {
+		if g.isNewlyReady(now) {
 			young++
 		}
 	}
 	spared := handover.Spared(young, len(all)-young)
 	var fronts []string
 	for _, g := range all {
-		if !spared || !g.young(now) || handover.Risen(g.hello.Name, place, now-g.risen) {
+		if !spared || !g.isNewlyReady(now) || handover.Risen(g.hello.Name, place, now-g.firstReadyAt) {
 			fronts = append(fronts, g.hello.Front)
 		}
 	}
@@ -207,20 +207,22 @@
 
 // isNewlyReady reports whether a proxy joined and became ready less than handover.RiseFor ago. One that returns shortly
 // after a kill was counted all the time, so it has not joined again.
-func (g *proxy) young(now time.Duration) bool { return g.joined > 0 && now-g.risen < handover.RiseFor }
+func (g *proxy) isNewlyReady(now time.Duration) bool {
+	return g.joinedAt > 0 && now-g.firstReadyAt < handover.RiseFor
+}
 
 // sortedByName returns the Hellos of a map in the order of their names.
-func byName(m map[string]peerlink.Hello) []peerlink.Hello {
+func sortedByName(m map[string]peerlink.Hello) []peerlink.Hello {
 	return slices.SortedFunc(maps.Values(m), func(a, b peerlink.Hello) int { return cmp.Compare(a.Name, b.Name) })
 }
 
 // sumHostCounts sums the proxies' latest counts of the requests for a host.
-func (r *register) heads(host uint32, now time.Duration) (sum homing.Heads) {
+func (r *proxyRegistry) sumHostCounts(host uint32, now time.Duration) (sum homing.Heads) {
 	for _, g := range r.proxies {
-		if now-g.headsAt >= headsFor {
+		if now-g.hostCountsAt >= maxHostCountsAge {
 			continue
 		}
-		for _, h := range g.heads {
+		for _, h := range g.hostCounts {
 			if h.Host == host {
 				sum.KB, sum.Free = sum.KB+h.KB, sum.Free+h.Free
 			}
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -20,31 +20,31 @@
 )
 
 // clusterFixture runs several replicas in one process, on a simulated network and simulated disks.
-type farm struct {
-	t     *testing.T
-	net   *sim.Net
-	disks []*sim.Disk
-	mu    sync.Mutex
-	runs  []*running       // by machine; nil: its replica is down
-	first bool             // Bootstrap in the settings
-	seeds []int            // machines that the settings name as seeds
-	cloud string           // address of the platform; "": none
-	jump  map[int]*jumping // by machine
-	gone  map[int]bool     // machines that never come back
-	drain time.Duration    // Drain in the settings; 0: none
-	rate  float64          // platform calls per second in the settings
+type clusterFixture struct {
+	t            *testing.T
+	net          *sim.Net
+	disks        []*sim.Disk
+	mu           sync.Mutex
+	replicas     []*runningReplica   // by machine; nil: its replica is down
+	bootstrap    bool                // Bootstrap in the settings
+	seeds        []int               // machines that the settings name as seeds
+	cloudAddress string              // address of the platform; "": none
+	clocks       map[int]*skewedHost // by machine
+	removed      map[int]bool        // machines that never come back
+	drainTime    time.Duration       // Drain in the settings; 0: none
+	cloudRate    float64             // platform calls per second in the settings
 }
 
 // skewedHost is a host whose clock can be moved ahead without its timers firing, as if its process had been suspended.
-type jumping struct {
+type skewedHost struct {
 	*sim.Host
-	by atomic.Int64
+	offset atomic.Int64
 }
 
-func (j *jumping) Now() time.Time { return j.Host.Now().Add(time.Duration(j.by.Load())) }
+func (j *skewedHost) Now() time.Time { return j.Host.Now().Add(time.Duration(j.offset.Load())) }
 
 // runningReplica is a replica and what the fixture needs to end it.
-type running struct {
+type runningReplica struct {
 	*Replica
 	host *sim.Host
 	stop context.CancelFunc
@@ -52,62 +52,62 @@
 }
 
 // runCluster runs a scenario with n replicas that have started for the first time and become voters.
-func play(t *testing.T, n int, scenario func(f *farm)) {
+func runCluster(t *testing.T, n int, scenario func(f *clusterFixture)) {
 	t.Helper()
-	platformed(t, n, nil, scenario)
+	runClusterWithPlatform(t, n, nil, scenario)
 }
 
 // runClusterWithPlatform does the same with a platform that serves the server list.
-func platformed(t *testing.T, n int, platform http.Handler, scenario func(f *farm)) {
+func runClusterWithPlatform(t *testing.T, n int, platform http.Handler, scenario func(f *clusterFixture)) {
 	t.Helper()
-	options := &farm{t: t, rate: 44}
+	options := &clusterFixture{t: t, cloudRate: 44}
 	options.run(n, platform, scenario)
 }
 
 // run runs a scenario with the drain time and the rate of the options.
-func (options *farm) run(n int, platform http.Handler, scenario func(f *farm)) {
+func (options *clusterFixture) run(n int, platform http.Handler, scenario func(f *clusterFixture)) {
 	options.t.Helper()
 	synctest.Test(options.t, func(t *testing.T) {
-		f := &farm{t: t, net: sim.New(uint64(n)), first: true, jump: map[int]*jumping{}, gone: map[int]bool{}, drain: options.drain, rate: options.rate}
+		f := &clusterFixture{t: t, net: sim.New(uint64(n)), bootstrap: true, clocks: map[int]*skewedHost{}, removed: map[int]bool{}, drainTime: options.drainTime, cloudRate: options.cloudRate}
 		f.net.Set(sim.Faults{Least: time.Millisecond, Most: 20 * time.Millisecond})
 		for i := range n {
-			f.place()
+			f.addMachine()
 			if i < 3 {
 				f.seeds = append(f.seeds, i)
 			}
 		}
 		defer time.Sleep(2 * time.Second) // goroutines that still wait time out
 		if platform != nil {
-			f.cloud = "10.8.0.1:80"
-			ln, err := f.net.Host("10.8.0.1").Listen(context.Background(), "tcp", f.cloud)
+			f.cloudAddress = "10.8.0.1:80"
+			ln, err := f.net.Host("10.8.0.1").Listen(context.Background(), "tcp", f.cloudAddress)
 			assert.NilError(t, err)
 			s := &http.Server{Handler: platform}
 			defer s.Close()
 			go func() { _ = s.Serve(ln) }()
 		}
-		defer f.endAll(false)
+		defer f.killAll(false)
 		f.startAll()
-		f.first = false
+		f.bootstrap = false
 		voters := min(n, membership.MaxVoters)
-		f.until(max(5*time.Second, time.Duration(n)*time.Second), "all replicas vote and are confirmed", func() bool { return f.voting() == voters && f.fresh() == n })
+		f.waitFor(max(5*time.Second, time.Duration(n)*time.Second), "all replicas vote and are confirmed", func() bool { return f.countVoting() == voters && f.countConfirmed() == n })
 		scenario(f)
 	})
 }
 
 // addMachine adds a machine with an empty disk, on which nothing runs yet, and returns its index.
-func (f *farm) place() int {
+func (f *clusterFixture) addMachine() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.disks = append(f.disks, sim.NewDisk(uint64(len(f.disks))))
-	f.runs = append(f.runs, nil)
-	return len(f.runs) - 1
+	f.replicas = append(f.replicas, nil)
+	return len(f.replicas) - 1
 }
 
 // startReplacement starts a replica on a new machine with another address; its seeds are up to three running replicas.
-func (f *farm) successor() int {
-	i := f.place()
+func (f *clusterFixture) startReplacement() int {
+	i := f.addMachine()
 	f.seeds = nil
-	for j, r := range f.runs {
+	for j, r := range f.replicas {
 		if r != nil && len(f.seeds) < 3 {
 			f.seeds = append(f.seeds, j)
 		}
@@ -117,7 +117,7 @@
 }
 
 // shutDown ends a process gracefully, as SIGTERM does.
-func (f *farm) leave(i int) {
+func (f *clusterFixture) shutDown(i int) {
 	r := f.at(i)
 	r.stop()
 	assert.NilError(f.t, <-r.done)
@@ -125,7 +125,7 @@
 	f.disks[i].Kill()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs[i] = nil
+	f.replicas[i] = nil
 }
 
 func ip(i int) string { return fmt.Sprintf("10.0.%d.1", i) }
@@ -138,55 +138,55 @@
 }
 
 // partition sets the barrier between two groups of hosts, in both directions; sim.Open removes it.
-func (f *farm) cut(a, b []string, how sim.Barrier) {
+func (f *clusterFixture) partition(a, b []string, how sim.Barrier) {
 	f.net.Bar(a, b, how)
 	f.net.Bar(b, a, how)
 }
 
-func (f *farm) settings(i int) *settings.Settings {
+func (f *clusterFixture) settings(i int) *settings.Settings {
 	s := &settings.Settings{}
-	s.Self = settings.Self{Name: fmt.Sprintf("replica-%d", i), IP: ip(i), Zone: "z" + fmt.Sprint(i%2), Region: "r", Voter: true, Bootstrap: f.first, DataDir: "/data"}
+	s.Self = settings.Self{Name: fmt.Sprintf("replica-%d", i), IP: ip(i), Zone: "z" + fmt.Sprint(i%2), Region: "r", Voter: true, Bootstrap: f.bootstrap, DataDir: "/data"}
 	s.Network.PortRange = [2]int{7600, 7615}
 	s.Network.Listen = settings.Listen{Ctl: ip(i) + ":8200", Dir: ip(i) + ":8209"}
 	for _, j := range f.seeds {
 		s.Network.Seeds = append(s.Network.Seeds, ip(j)+":8200")
 	}
 	s.Network.Zones = map[string]string{"z0": "r", "z1": "r"}
-	s.Provider.Cloud = settings.Cloud{Address: f.cloud, RatePerS: f.rate}
-	s.Terms.Bounds.Drain = f.drain
+	s.Provider.Cloud = settings.Cloud{Address: f.cloudAddress, RatePerS: f.cloudRate}
+	s.Terms.Bounds.Drain = f.drainTime
 	s.Terms.Bounds.TTLMax = 5 * time.Second
 	return s
 }
 
-func (f *farm) start(i int) {
+func (f *clusterFixture) start(i int) {
 	host := f.net.Host(ip(i))
 	ctx, stop := context.WithCancel(context.Background())
-	f.jump[i] = &jumping{Host: host}
-	r := &running{Replica: New(f.settings(i), f.jump[i], f.disks[i].Mount(), logr.Discard()), host: host, stop: stop, done: make(chan error, 1)}
+	f.clocks[i] = &skewedHost{Host: host}
+	r := &runningReplica{Replica: New(f.settings(i), f.clocks[i], f.disks[i].Mount(), logr.Discard()), host: host, stop: stop, done: make(chan error, 1)}
 	go func() { r.done <- r.Run(ctx) }()
 	f.mu.Lock()
-	f.runs[i] = r
+	f.replicas[i] = r
 	f.mu.Unlock()
 	time.Sleep(time.Millisecond) // until it listens
 }
 
-func (f *farm) startAll() {
-	for i := range f.runs {
-		if !f.gone[i] {
+func (f *clusterFixture) startAll() {
+	for i := range f.replicas {
+		if !f.removed[i] {
 			f.start(i)
 		}
 	}
 }
 
 // at returns the replica that runs on a machine; nil if none does.
-func (f *farm) at(i int) *running {
+func (f *clusterFixture) at(i int) *runningReplica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.runs[i]
+	return f.replicas[i]
 }
 
 // kill kills a replica's process; with power, its machine loses power too.
-func (f *farm) end(i int, power bool) {
+func (f *clusterFixture) kill(i int, power bool) {
 	r := f.at(i)
 	if r == nil {
 		return
@@ -200,39 +200,39 @@
 	assert.NilError(f.t, <-r.done)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs[i] = nil
+	f.replicas[i] = nil
 }
 
-func (f *farm) endAll(power bool) {
-	for i := range f.runs {
-		f.end(i, power)
+func (f *clusterFixture) killAll(power bool) {
+	for i := range f.replicas {
+		f.kill(i, power)
 	}
 }
 
 // isVoting reports whether a replica is a voter as far as it knows.
-func (r *running) votes() bool {
+func (r *runningReplica) isVoting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isVoter()
 }
 
 // configurationInForce returns the configuration in force at a replica; nil if there is none.
-func (r *running) configured() *peerlink.Configuration {
+func (r *runningReplica) configurationInForce() *peerlink.Configuration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.configuration
 }
 
 // orderInForce returns the order about a zone in force at a replica.
-func (r *running) zone(name string) peerlink.Zone {
+func (r *runningReplica) orderInForce(name string) peerlink.Zone {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.zones[name]
+	return r.ordersInForce[name]
 }
 
 // countConfirmed returns how many replicas have heard a majority confirm their state within the last second.
-func (f *farm) fresh() (n int) {
-	for _, r := range f.runs {
+func (f *clusterFixture) countConfirmed() (n int) {
+	for _, r := range f.replicas {
 		if r != nil {
 			if _, _, age := r.confirmed(); age < time.Second {
 				n++
@@ -243,9 +243,9 @@
 }
 
 // countVoting returns how many replicas are voters as far as they know.
-func (f *farm) voting() (n int) {
-	for _, r := range f.runs {
-		if r != nil && r.votes() {
+func (f *clusterFixture) countVoting() (n int) {
+	for _, r := range f.replicas {
+		if r != nil && r.isVoting() {
 			n++
 		}
 	}
@@ -253,7 +253,7 @@
 }
 
 // waitFor waits until a condition holds, and fails the test after d.
-func (f *farm) until(d time.Duration, what string, holds func() bool) {
+func (f *clusterFixture) waitFor(d time.Duration, what string, holds func() bool) {
 	f.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
 		assert.Assert(f.t, time.Since(began) < d, "%s: not within %v", what, d)
@@ -261,28 +261,28 @@
 }
 
 // configurationBody returns a route configuration with a generation number and a note in its one prefix.
-func body(gen int, note string) []byte {
+func configurationBody(gen int, note string) []byte {
 	return fmt.Appendf(nil, `{"gen":"r%d","routes":[{"name":"a","host":"h","prefix":"/%s/","kind":"mutating","timeout_ms":10,"backend":"s"}],"backends":[{"name":"s"}]}`, gen, note)
 }
 
-func (f *farm) replace(i int, body []byte) error {
+func (f *clusterFixture) replace(i int, body []byte) error {
 	_, err := f.at(i).Replace(context.Background(), body)
 	return err
 }
 
 // replaceUntilAcknowledged sends a configuration again and again until a replica acknowledges it.
-func (f *farm) acknowledged(i int, body []byte) {
+func (f *clusterFixture) replaceUntilAcknowledged(i int, body []byte) {
 	f.t.Helper()
-	f.until(6*time.Second, "the configuration is acknowledged", func() bool { return f.replace(i, body) == nil })
+	f.waitFor(6*time.Second, "the configuration is acknowledged", func() bool { return f.replace(i, body) == nil })
 }
 
 // assertShows asserts that a replica confirms a configuration within 6 s, and that it is this one.
-func (f *farm) shows(i int, want []byte) {
+func (f *clusterFixture) assertShows(i int, want []byte) {
 	f.t.Helper()
 	var p *peerlink.Configuration
-	f.until(6*time.Second, "a configuration is shown", func() (ok bool) {
+	f.waitFor(6*time.Second, "a configuration is shown", func() (ok bool) {
 		var err error
-		p, err = f.runs[i].Show(context.Background())
+		p, err = f.replicas[i].CurrentConfiguration(context.Background())
 		return err == nil
 	})
 	assert.Equal(f.t, string(p.Body), string(want))
--- a/internal/control/linearizability_test.go
+++ b/internal/control/linearizability_test.go
@@ -14,7 +14,7 @@
 )
 
 // operation is a read or a write of an operator.
-type told struct {
+type operation struct {
 	write bool
 	gen   int
 	text  string
@@ -30,17 +30,17 @@
 }
 
 // registerState is the configuration in force.
-type held struct {
+type registerState struct {
 	gen  int
 	text string
 }
 
 // registerModel models the control plane as a single register that holds a configuration, which operators write and
 // read.
-var oneRegister = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{held{}} },
+var registerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(s, input, output any) []any {
-		state, op, got := s.(held), input.(told), output.(outcome)
+		state, op, got := s.(registerState), input.(operation), output.(outcome)
 		if !op.write {
 			if got.unclear || got.gen == state.gen && got.text == state.text {
 				return []any{state}
@@ -52,7 +52,7 @@
 		}
 		after := state
 		if op.gen > state.gen {
-			after = held{op.gen, op.text}
+			after = registerState{op.gen, op.text}
 		}
 		conflict := op.gen == state.gen && op.text != state.text
 		switch {
@@ -76,13 +76,13 @@
 
 // Operators write and read configurations at all replicas, some with equal generation numbers, while random faults are
 // injected. The history of operations must be linearizable: as a single register could have answered.
-func TestOperatorsSeeOneRegister(t *testing.T) {
-	model := oneRegister.ToModel()
-	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
+func TestOperationsAreLinearizable(t *testing.T) {
+	model := registerModel.ToModel()
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			n := 3 + int(seed)%3
-			play(t, n, func(f *farm) {
+			runCluster(t, n, func(f *clusterFixture) {
 				var mu sync.Mutex
 				var history []porcupine.Operation
 				began := time.Now()
@@ -93,13 +93,13 @@
 						rnd := rand.New(rand.NewPCG(seed, uint64(client+10)))
 						for time.Now().Before(until) {
 							time.Sleep(time.Duration(rnd.IntN(400)) * time.Millisecond)
-							r := f.at(rnd.IntN(len(f.runs)))
+							r := f.at(rnd.IntN(len(f.replicas)))
 							if r == nil {
 								continue
 							}
-							op := told{write: rnd.IntN(3) > 0, gen: 2 + int(time.Since(began)/(300*time.Millisecond)) + rnd.IntN(2), text: fmt.Sprint(client, "-", rnd.IntN(2))}
+							op := operation{write: rnd.IntN(3) > 0, gen: 2 + int(time.Since(began)/(300*time.Millisecond)) + rnd.IntN(2), text: fmt.Sprint(client, "-", rnd.IntN(2))}
 							call := time.Since(began)
-							got := r.told(op)
+							got := r.runOperation(op)
 							end := time.Since(began)
 							if got.unclear && !op.write {
 								continue
@@ -113,17 +113,17 @@
 						}
 					})
 				}
-				faults := &trouble{replicas: make([]sync.Mutex, n)}
+				faults := &faultState{replicas: make([]sync.Mutex, n)}
 				all.Go(func() {
 					rnd := rand.New(rand.NewPCG(seed, 70))
 					for time.Now().Before(until) {
-						f.befall(rnd, faults)
+						f.injectFault(rnd, faults)
 						time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 					}
 				})
 				all.Wait()
-				faults.over.Store(true)
-				f.until(10*time.Second, "all replicas vote", func() bool { return f.voting() == n })
+				faults.finished.Store(true)
+				f.waitFor(10*time.Second, "all replicas vote", func() bool { return f.countVoting() == n })
 				result := porcupine.CheckOperationsTimeout(model, history, 0)
 				if result != porcupine.Ok {
 					for _, o := range history {
@@ -138,23 +138,23 @@
 }
 
 // runOperation performs an operation at a replica.
-func (r *running) told(op told) outcome {
+func (r *runningReplica) runOperation(op operation) outcome {
 	ctx := context.Background()
 	if !op.write {
-		p, err := r.Show(ctx)
+		p, err := r.CurrentConfiguration(ctx)
 		switch {
-		case err == ErrNothing:
+		case err == ErrNoConfiguration:
 			return outcome{}
 		case err != nil:
 			return outcome{unclear: true}
 		}
 		return outcome{gen: int(p.Gen), text: textOf(p.Body)}
 	}
-	done, err := r.Replace(ctx, body(op.gen, op.text))
+	done, err := r.Replace(ctx, configurationBody(op.gen, op.text))
 	switch err.(type) {
 	case nil:
 		return outcome{inForce: done.InForce, gen: int(done.Held.Gen)}
-	case Conflict:
+	case ConflictError:
 		return outcome{conflict: true}
 	}
 	return outcome{unclear: true}
--- a/internal/control/lock.go
+++ b/internal/control/lock.go
@@ -13,19 +13,19 @@
 // that accepts the order: a client that has lost the lock can't change anything more, however late its order arrives.
 
 // clockDriftDivisor bounds the drift between replicas' monotonic clocks: over a time t they differ by at most t/50.
-const driftPart = 50
+const clockDriftDivisor = 50
 
 // lockObservation is a grant of the lock and when this replica first saw it.
-type lockSeen struct {
-	granted uint64
-	at      time.Duration
+type lockObservation struct {
+	granted   uint64
+	firstSeen time.Duration
 }
 
 // LockTakenError is the error of a request for the lock while another client holds it, or of an order whose token
 // doesn't hold it.
-type Taken struct{ state.Lock }
+type LockTakenError struct{ state.Lock }
 
-func (t Taken) Error() string {
+func (t LockTakenError) Error() string {
 	if t.Who == "" {
 		return "the lock is not held with this token"
 	}
@@ -33,49 +33,49 @@
 }
 
 // lockTakenBy returns the error that names the lock's holder, without the holder's token.
-func takenBy(lock state.Lock) Taken {
+func lockTakenBy(lock state.Lock) LockTakenError {
 	lock.Token = ""
-	return Taken{lock}
+	return LockTakenError{lock}
 }
 
 // noteLock records when this replica first saw the present grant. The caller holds the mutex.
 func (b *Replica) noteLock(l state.Lock) {
-	if l.Granted != b.locks.granted {
-		b.locks = lockSeen{l.Granted, b.now()}
+	if l.Granted != b.observedLock.granted {
+		b.observedLock = lockObservation{l.Granted, b.now()}
 	}
 }
 
 // hasLapsed reports whether a grant has certainly expired: this replica has known it for its whole duration plus the
 // possible clock drift.
-func (b *Replica) lapsed(l state.Lock) bool {
+func (b *Replica) hasLapsed(l state.Lock) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.locks.granted == l.Granted && b.now()-b.locks.at >= l.For+l.For/driftPart
+	return b.observedLock.granted == l.Granted && b.now()-b.observedLock.firstSeen >= l.For+l.For/clockDriftDivisor
 }
 
 // AcquireLock takes or renews the lock for a token, for want.For but at most api.LockMost. It returns LockTakenError if
 // another token holds it.
-func (b *Replica) LockFor(ctx context.Context, want state.Lock) error {
+func (b *Replica) AcquireLock(ctx context.Context, want state.Lock) error {
 	want.For = min(want.For, api.LockMost)
 	_, err := b.submit(ctx, peerlink.Command{Lock: &want})
 	return err
 }
 
 // ReleaseLock releases the lock if the token holds it.
-func (b *Replica) Unlock(ctx context.Context, token string) error {
+func (b *Replica) ReleaseLock(ctx context.Context, token string) error {
 	_, err := b.submit(ctx, peerlink.Command{Lock: &state.Lock{Token: token}})
 	return err
 }
 
 // executeAcquireLock executes the command to take or renew the lock.
-func (b *Replica) takeLock(ctx context.Context, command *peerlink.Command) error {
+func (b *Replica) executeAcquireLock(ctx context.Context, command *peerlink.Command) error {
 	want := *command.Lock
-	return b.change(ctx, nil, func(next *state.State) error {
+	return b.changeState(ctx, nil, func(next *state.State) error {
 		if next.Lock.Granted > command.Since {
-			return errOutrun
+			return errConcurrentDecision
 		}
-		if held := next.Lock; held.Token != "" && held.Token != want.Token && !b.lapsed(held) {
-			return takenBy(held)
+		if held := next.Lock; held.Token != "" && held.Token != want.Token && !b.hasLapsed(held) {
+			return lockTakenBy(held)
 		}
 		granted := want
 		granted.Granted = next.Version
@@ -85,8 +85,8 @@
 }
 
 // executeReleaseLock executes the command to release the lock.
-func (b *Replica) dropLock(ctx context.Context, token string) error {
-	return b.change(ctx, nil, func(next *state.State) error {
+func (b *Replica) executeReleaseLock(ctx context.Context, token string) error {
+	return b.changeState(ctx, nil, func(next *state.State) error {
 		if next.Lock.Token == token {
 			next.Lock = state.Lock{}
 		}
@@ -99,19 +99,19 @@
 
 // withLockToken returns a context whose orders are accepted only while the token holds the lock. Orders with an empty
 // token are not checked.
-func withToken(ctx context.Context, token string) context.Context {
+func withLockToken(ctx context.Context, token string) context.Context {
 	return context.WithValue(ctx, tokenKey{}, token)
 }
 
 // withFencing returns apply with a check that the context's token holds the lock.
-func fenced(ctx context.Context, apply func(next *state.State) error) func(next *state.State) error {
+func withFencing(ctx context.Context, apply func(next *state.State) error) func(next *state.State) error {
 	token, _ := ctx.Value(tokenKey{}).(string)
 	if token == "" {
 		return apply
 	}
 	return func(next *state.State) error {
 		if next.Lock.Token != token {
-			return takenBy(next.Lock)
+			return lockTakenBy(next.Lock)
 		}
 		return apply(next)
 	}
--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -16,30 +16,30 @@
 
 // link is an open connection to another replica.
 type link struct {
-	conn    *peerlink.Conn
-	peer    peerlink.Hello
-	dialled bool
-	no      uint64            // number of the last change sent
-	told    *peerlink.Servers // server list as last sent to the peer
-	heard   *peerlink.Servers // server list as last received from the peer
-	since   time.Duration     // by this replica's clock
-	leaving bool              // the peer has said that it shuts down
-	pending map[uint64]*poll  // by question ID
+	conn             *peerlink.Conn
+	peer             peerlink.Hello
+	dialled          bool
+	lastChangeNumber uint64            // number of the last change sent
+	sentList         *peerlink.Servers // server list as last sent to the peer
+	receivedList     *peerlink.Servers // server list as last received from the peer
+	connectedAt      time.Duration     // by this replica's clock
+	leaving          bool              // the peer has said that it shuts down
+	openPolls        map[uint64]*poll  // by question ID
 
-	verdicts, verdictsHeard *serverhealth.Verdicts // as last sent to the peer and received from it
+	sentVerdicts, receivedVerdicts *serverhealth.Verdicts // as last sent to the peer and received from it
 }
 
 // dialTarget is the address of a replica that this one dials unless the other has dialled it and is to (see
 // isDialledBy).
-type keep struct {
-	stop context.CancelFunc // stops the current dialling and its session; nil while none is running
-	wake chan struct{}
-	gone bool // it is not to be dialled any more
+type dialTarget struct {
+	stopDialling context.CancelFunc // stops the current dialling and its session; nil while none is running
+	wakeup       chan struct{}
+	removed      bool // it is not to be dialled any more
 }
 
 // SetSettings replaces the settings that may change without a restart.
 func (b *Replica) SetSettings(s *settings.Settings) {
-	b.live.Store(s)
+	b.liveSettings.Store(s)
 	b.SetSeeds(s.Network.Seeds)
 	b.spurred()
 }
@@ -54,76 +54,78 @@
 		if err != nil {
 			continue
 		}
-		b.seeds = append(b.seeds, b.set.Inner(host))
+		b.seeds = append(b.seeds, b.settings.Inner(host))
 	}
 	for _, s := range b.seeds {
-		b.keep(s)
+		b.keepConnected(s)
 	}
 }
 
 // keepConnected starts to maintain a connection to the replica at an address, unless it does already. The caller holds
 // the mutex.
-func (b *Replica) keep(address string) {
-	if address == "" || address == b.self.Inner || b.keeps[address] != nil || b.ctx == nil || b.ctx.Err() != nil {
+func (b *Replica) keepConnected(address string) {
+	if address == "" || address == b.self.Inner || b.dialTargets[address] != nil || b.ctx == nil || b.ctx.Err() != nil {
 		return
 	}
-	target := &keep{wake: make(chan struct{}, 1)}
-	b.keeps[address] = target
-	b.jobs.Go(func() { b.hold(b.ctx, address, target) })
+	target := &dialTarget{wakeup: make(chan struct{}, 1)}
+	b.dialTargets[address] = target
+	b.jobs.Go(func() { b.maintainConnection(b.ctx, address, target) })
 }
 
 // maintainConnection dials an address again and again, and pauses while the replica there has dialled this one. It
 // returns when ctx ends or the target is removed.
-func (b *Replica) hold(ctx context.Context, address string, target *keep) {
-	dialer := &peerlink.Dialer{Net: b.w, Hello: b.self, Log: b.log}
+func (b *Replica) maintainConnection(ctx context.Context, address string, target *dialTarget) {
+	dialer := &peerlink.Dialer{Net: b.world, Hello: b.self, Log: b.log}
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		if target.gone {
+		if target.removed {
 			b.mu.Unlock()
 			return
 		}
-		if b.calledBy(address) {
+		if b.isDialledBy(address) {
 			b.mu.Unlock()
 			select {
-			case <-target.wake:
+			case <-target.wakeup:
 			case <-ctx.Done():
 			}
 			continue
 		}
 		dialCtx, stop := context.WithCancel(ctx)
-		target.stop = stop
+		target.stopDialling = stop
 		b.mu.Unlock()
-		dialer.Keep(dialCtx, address, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error { return b.talk(ctx, c, h, true) })
+		dialer.Keep(dialCtx, address, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
+			return b.runReplicaSession(ctx, c, h, true)
+		})
 		stop()
 		b.mu.Lock()
-		target.stop = nil
+		target.stopDialling = nil
 		b.mu.Unlock()
 	}
 }
 
 // forgetAfter is how long a replica that is no voter may be silent before it is forgotten.
-const forgottenAfter = time.Minute
+const forgetAfter = time.Minute
 
 // forgetSilentReplicas removes replicas that are no voters, are not connected and have been silent for forgetAfter, so
 // that neither this replica nor agents dial them forever. It goes on dialling seeds. The caller holds the mutex.
-func (b *Replica) forget() {
+func (b *Replica) forgetSilentReplicas() {
 	now := b.now()
 	for name, h := range b.replicas {
 		_, isVoter := b.contents.Record.Decided.Voter(h.ID)
-		lastHeard := max(b.heardOf[h.ID].at, b.firstHeard[name])
-		if name == b.self.Name || isVoter || len(b.links[name]) > 0 || now-lastHeard < forgottenAfter {
+		lastHeard := max(b.lastReports[h.ID].at, b.firstSeen[name])
+		if name == b.self.Name || isVoter || len(b.links[name]) > 0 || now-lastHeard < forgetAfter {
 			continue
 		}
 		b.log.Info("replica forgotten", "name", name)
 		delete(b.replicas, name)
-		delete(b.heardOf, h.ID)
-		delete(b.firstHeard, name)
-		if target := b.keeps[h.Inner]; target != nil && !slices.Contains(b.seeds, h.Inner) {
-			target.gone = true
-			if target.stop != nil {
-				target.stop()
+		delete(b.lastReports, h.ID)
+		delete(b.firstSeen, name)
+		if target := b.dialTargets[h.Inner]; target != nil && !slices.Contains(b.seeds, h.Inner) {
+			target.removed = true
+			if target.stopDialling != nil {
+				target.stopDialling()
 			}
-			delete(b.keeps, h.Inner)
+			delete(b.dialTargets, h.Inner)
 		}
 		b.stirred()
 	}
@@ -131,7 +133,7 @@
 
 // isDialledBy reports whether the replica at an address has dialled this one and has the lower name of the two: that
 // one's connection is kept, so that two replicas need only one. The caller holds the mutex.
-func (b *Replica) calledBy(address string) bool {
+func (b *Replica) isDialledBy(address string) bool {
 	for name, all := range b.links {
 		for _, l := range all {
 			if !l.dialled && l.peer.Inner == address && name < b.self.Name {
@@ -143,10 +145,10 @@
 }
 
 // acceptSession runs a session that another process has dialled. It rejects peers that are neither replica nor agent.
-func (b *Replica) accept(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
+func (b *Replica) acceptSession(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
 	switch hello.Role {
 	case peerlink.Replica:
-		return b.talk(ctx, conn, hello, false)
+		return b.runReplicaSession(ctx, conn, hello, false)
 	case peerlink.Agent:
 		return b.attend(ctx, conn, hello)
 	}
@@ -155,23 +157,23 @@
 
 // runReplicaSession runs a session with another replica until the connection ends. It first sends what this replica
 // knows.
-func (b *Replica) talk(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello, dialled bool) error {
+func (b *Replica) runReplicaSession(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello, dialled bool) error {
 	if h.Role != peerlink.Replica || h.Name == b.self.Name {
 		return errors.Errorf("replica: peer with role %q and name %q is not another replica", h.Role, h.Name)
 	}
 	b.mu.Lock()
-	l := &link{conn: c, peer: *h, dialled: dialled, since: b.now(), pending: map[uint64]*poll{}}
+	l := &link{conn: c, peer: *h, dialled: dialled, connectedAt: b.now(), openPolls: map[uint64]*poll{}}
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
-	l.told = b.held()
+	l.sentList = b.held()
 	duty := b.duty.Greeting()
-	l.news(&peerlink.Change{Census: b.known(), Servers: b.aged(l.told), Lately: b.fit.inForce()}, &duty)
-	b.tellDecided(l)
-	if target := b.keeps[h.Inner]; target != nil && target.stop != nil && b.calledBy(h.Inner) {
-		target.stop()
+	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.aged(l.sentList), Lately: b.healthJudge.inForce()}, &duty)
+	b.sendDecided(l)
+	if target := b.dialTargets[h.Inner]; target != nil && target.stopDialling != nil && b.isDialledBy(h.Inner) {
+		target.stopDialling()
 	}
 	b.mu.Unlock()
-	b.rouse()
+	b.requestRound()
 	b.spurred()
 	b.log.Info("replica connected", "name", h.Name, "dialled", dialled)
 	defer func() {
@@ -181,12 +183,12 @@
 		if len(b.links[h.Name]) == 0 {
 			delete(b.links, h.Name)
 		}
-		for _, p := range l.pending {
-			p.answers <- answer{from: h.ID}
+		for _, p := range l.openPolls {
+			p.answers <- pollAnswer{from: h.ID}
 		}
-		if target := b.keeps[h.Inner]; target != nil {
+		if target := b.dialTargets[h.Inner]; target != nil {
 			select {
-			case target.wake <- struct{}{}:
+			case target.wakeup <- struct{}{}:
 			default:
 			}
 		}
@@ -198,36 +200,36 @@
 		if err != nil {
 			return err
 		}
-		b.take(ctx, l, f)
+		b.handleFrame(ctx, l, f)
 	}
 }
 
 // sendChange numbers a change and sends it, with the state of the duty unless that is nil.
-func (l *link) news(c *peerlink.Change, d *peerlink.Duty) {
-	l.no++
-	c.No = l.no
+func (l *link) sendChange(c *peerlink.Change, d *peerlink.Duty) {
+	l.lastChangeNumber++
+	c.No = l.lastChangeNumber
 	_ = l.conn.Send(&peerlink.Frame{Change: c, Duty: d})
 }
 
 // handleFrame processes a frame from another replica.
-func (b *Replica) take(ctx context.Context, l *link, frame *peerlink.Frame) {
+func (b *Replica) handleFrame(ctx context.Context, l *link, frame *peerlink.Frame) {
 	if frame.Ask != nil {
-		b.answer(ctx, l, frame.Ask)
+		b.answerQuestion(ctx, l, frame.Ask)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if frame.Leaving != nil {
 		l.leaving = true
-		last := b.heardOf[l.peer.ID]
+		last := b.lastReports[l.peer.ID]
 		last.left = true
-		b.heardOf[l.peer.ID] = last
+		b.lastReports[l.peer.ID] = last
 		b.stirred()
 	}
 	if frame.Duty != nil {
 		b.hearDuty(l, frame.Duty)
 	}
 	if frame.Decided != nil {
-		b.hearDecided(l, frame.Decided)
+		b.receiveDecided(l, frame.Decided)
 	}
 	if frame.Report != nil {
 		b.reaped(frame.Report)
@@ -245,9 +247,9 @@
 		}
 	}
 	if reply := frame.Reply; reply != nil {
-		if poll := l.pending[reply.ID]; poll != nil {
-			delete(l.pending, reply.ID)
-			poll.answers <- answer{l.peer.ID, reply}
+		if poll := l.openPolls[reply.ID]; poll != nil {
+			delete(l.openPolls, reply.ID)
+			poll.answers <- pollAnswer{l.peer.ID, reply}
 		}
 	}
 }
@@ -260,18 +262,18 @@
 		return
 	}
 	b.replicas[hello.Name] = hello
-	b.firstHeard[hello.Name] = b.now()
+	b.firstSeen[hello.Name] = b.now()
 	if !known {
 		b.log.Info("new replica", "name", hello.Name, "voter", hello.Voter)
 	}
-	b.keep(hello.Inner)
+	b.keepConnected(hello.Inner)
 	b.stirred()
 }
 
 // runInBackground runs a job in a goroutine with a timeout of callTimeout. The caller may hold the mutex.
-func (b *Replica) background(job func(ctx context.Context)) {
+func (b *Replica) runInBackground(job func(ctx context.Context)) {
 	b.jobs.Go(func() {
-		ctx, cancel := b.within(b.ctx, callWithin)
+		ctx, cancel := b.withTimeout(b.ctx, callTimeout)
 		defer cancel()
 		job(ctx)
 	})
@@ -279,55 +281,55 @@
 
 // knownMembers returns the replicas and proxies that this replica knows, as sent to another one. The caller holds the
 // mutex.
-func (b *Replica) known() *peerlink.Census {
-	census := &peerlink.Census{Replicas: byName(b.replicas)}
+func (b *Replica) knownMembers() *peerlink.Census {
+	census := &peerlink.Census{Replicas: sortedByName(b.replicas)}
 	for _, name := range b.proxies.names() {
-		census.Proxies = append(census.Proxies, peerlink.Member{Hello: lean(b.proxies.proxies[name].hello)})
+		census.Proxies = append(census.Proxies, peerlink.Member{Hello: memberHello(b.proxies.proxies[name].hello)})
 	}
 	return census
 }
 
 // pollAnswer is the reply to a question; reply is nil if the connection broke.
-type answer struct {
+type pollAnswer struct {
 	from  string // ID of the replier's disk
 	reply *peerlink.Reply
 }
 
 // poll is a set of questions to other replicas whose answers are awaited.
 type poll struct {
-	b       *Replica
-	answers chan answer
-	out     int
-	asked   map[*link]uint64
+	replica     *Replica
+	answers     chan pollAnswer
+	sentCount   int
+	questionIDs map[*link]uint64
 }
 
 // newPoll returns a poll without questions; the caller cancels it in the end.
 func (b *Replica) newPoll() *poll {
-	return &poll{b: b, answers: make(chan answer, 64), asked: map[*link]uint64{}}
+	return &poll{replica: b, answers: make(chan pollAnswer, 64), questionIDs: map[*link]uint64{}}
 }
 
 // ask sends a question to another replica. It returns false if that can't be sent. The caller holds the mutex.
 func (p *poll) ask(l *link, question peerlink.Ask) bool {
-	if l == nil || p.out == cap(p.answers) {
+	if l == nil || p.sentCount == cap(p.answers) {
 		return false
 	}
-	p.b.asks++
-	question.ID = p.b.asks
+	p.replica.lastQuestionID++
+	question.ID = p.replica.lastQuestionID
 	if l.conn.Send(&peerlink.Frame{Ask: &question}) != nil {
 		return false
 	}
-	l.pending[question.ID] = p
-	p.asked[l] = question.ID
-	p.out++
+	l.openPolls[question.ID] = p
+	p.questionIDs[l] = question.ID
+	p.sentCount++
 	return true
 }
 
 // cancel drops the unanswered questions; replies to them are ignored from then on.
-func (p *poll) end() {
-	p.b.mu.Lock()
-	defer p.b.mu.Unlock()
-	for l, id := range p.asked {
-		delete(l.pending, id)
+func (p *poll) cancel() {
+	p.replica.mu.Lock()
+	defer p.replica.mu.Unlock()
+	for l, id := range p.questionIDs {
+		delete(l.openPolls, id)
 	}
 }
 
@@ -342,6 +344,6 @@
 }
 
 // withTimeout returns a context that ends after d by the replica's clock.
-func (b *Replica) within(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
-	return world.WithTimeout(ctx, b.w, d)
+func (b *Replica) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+	return world.WithTimeout(ctx, b.world, d)
 }
--- a/internal/control/request_counts.go
+++ b/internal/control/request_counts.go
@@ -9,11 +9,11 @@
 )
 
 // maxRequestCountsAge is the age up to which a proxy's request counts are used; proxies report them every 5 s.
-const askedFor = 15 * time.Second
+const maxRequestCountsAge = 15 * time.Second
 
 // RequestCounts sums the proxies' requests of the last minute by route. Proxies report them only while operators ask
 // for them: each call requests the reports for wantsFor more.
-func (b *Replica) Asked() *api.Asked {
+func (b *Replica) RequestCounts() *api.Asked {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -25,12 +25,12 @@
 	sums := map[int]uint64{}
 	for _, n := range b.proxies.names() {
 		g := b.proxies.proxies[n]
-		if !g.alive(now) || !g.ready || g.left > 0 {
+		if !g.isAlive(now) || !g.ready || g.leftAt > 0 {
 			continue
 		}
 		a.Ready++
-		counts := g.asked
-		if counts == nil || counts.Span <= 0 || g.askedAt < b.ops.since || now-g.askedAt > askedFor || b.configuration == nil || counts.Gen != b.configuration.Gen {
+		counts := g.requestCounts
+		if counts == nil || counts.Span <= 0 || g.requestCountsAt < b.ops.since || now-g.requestCountsAt > maxRequestCountsAge || b.configuration == nil || counts.Gen != b.configuration.Gen {
 			continue
 		}
 		if ms := counts.Span.Milliseconds(); a.Proxies == 0 || ms < a.SpanMS {
--- a/internal/control/server_orders.go
+++ b/internal/control/server_orders.go
@@ -14,36 +14,36 @@
 )
 
 // maxServerOrders bounds the number of stored orders about servers.
-const mostWords = 512
+const maxServerOrders = 512
 
 // ErrUnknownServer is the error of an order about a server that is not in the list.
-var ErrServer = errors.New("no such server is listed")
+var ErrUnknownServer = errors.New("no such server is listed")
 
 // orderedLevels maps the word of an operator's order about a server to the verdict that it sets.
-var wordLevels = map[string]serverhealth.Level{api.WordFit: serverhealth.Fit, api.WordUnfit: serverhealth.UnfitRecord, api.WordUnfitAll: serverhealth.UnfitAll}
+var orderedLevels = map[string]serverhealth.Level{api.WordFit: serverhealth.Fit, api.WordUnfit: serverhealth.UnfitRecord, api.WordUnfitAll: serverhealth.UnfitAll}
 
 // OrderVerdict sets an operator's verdict on a server, which overrides the evidence of proxies for a time;
 // api.WordWithdrawn withdraws it.
-func (b *Replica) Judge(ctx context.Context, id, word string, holds time.Duration) error {
-	_, known := wordLevels[word]
+func (b *Replica) OrderVerdict(ctx context.Context, id, word string, holds time.Duration) error {
+	_, known := orderedLevels[word]
 	switch {
 	case !nodeName.MatchString(id):
-		return Invalid{errors.Errorf("%q is not a valid server ID", id)}
+		return InvalidError{errors.Errorf("%q is not a valid server ID", id)}
 	case !known && word != api.WordWithdrawn:
-		return Invalid{errors.Errorf("%s: %q is not one of fit, unfit, unfit-all, none", api.JudgeWord, word)}
+		return InvalidError{errors.Errorf("%s: %q is not one of fit, unfit, unfit-all, none", api.JudgeWord, word)}
 	case holds <= 0 || holds > api.JudgeMost:
-		return Invalid{errors.Errorf("%s: must be more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
+		return InvalidError{errors.Errorf("%s: must be more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
 	}
 	want := peerlink.Zone{Zone: state.ServerSubject(id)}
 	if known {
-		want.Word, want.Until = word, b.w.Now().Add(holds).UnixMilli()
+		want.Word, want.Until = word, b.world.Now().Add(holds).UnixMilli()
 	}
 	_, err := b.submit(ctx, peerlink.Command{Order: &want})
 	return err
 }
 
 // checkServerOrder returns why an order about a server is refused under the decided state; nil if it is allowed.
-func (b *Replica) allowsWord(id string, held state.State) error {
+func (b *Replica) checkServerOrder(id string, held state.State) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	orders := 0
@@ -54,9 +54,9 @@
 	}
 	old := held.Order(state.ServerSubject(id))
 	switch {
-	case b.serviceIn(id) == "" && old.Count == 0:
-		return errors.WithMessage(ErrServer, id)
-	case orders >= mostWords && old.Count == 0:
+	case b.listedServiceOf(id) == "" && old.Count == 0:
+		return errors.WithMessage(ErrUnknownServer, id)
+	case orders >= maxServerOrders && old.Count == 0:
 		return Tight{errors.Errorf("orders about %d servers are stored already", orders)}
 	}
 	for name, h := range b.replicas { // a replica that does not know such orders would store only a part of one
@@ -69,33 +69,33 @@
 
 // listedServiceOf returns the service of a server in the list; "" if the server or the list is unknown. The caller
 // holds the mutex.
-func (b *Replica) serviceIn(id string) string {
-	if b.list == nil {
+func (b *Replica) listedServiceOf(id string) string {
+	if b.serverList == nil {
 		return ""
 	}
 	return b.serviceOf(id)
 }
 
 // serverOrder returns the latest order about a server and whether it holds now. The caller holds the mutex.
-func (b *Replica) wordOn(id string) (z peerlink.Zone, holds bool) {
-	z = b.zones[state.ServerSubject(id)]
-	_, known := wordLevels[z.Word]
-	return z, known && b.w.Now().UnixMilli() < z.Until
+func (b *Replica) serverOrder(id string) (z peerlink.Zone, holds bool) {
+	z = b.ordersInForce[state.ServerSubject(id)]
+	_, known := orderedLevels[z.Word]
+	return z, known && b.world.Now().UnixMilli() < z.Until
 }
 
 // serverOrders returns the operators' verdicts that hold now, by server. The caller holds the mutex.
-func (b *Replica) words() map[string]serverhealth.Word {
+func (b *Replica) serverOrders() map[string]serverhealth.Word {
 	var all map[string]serverhealth.Word
-	for _, z := range b.zones {
+	for _, z := range b.ordersInForce {
 		id, isServer := z.Server()
 		if !isServer {
 			continue
 		}
-		if z, holds := b.wordOn(id); holds {
+		if z, holds := b.serverOrder(id); holds {
 			if all == nil {
 				all = map[string]serverhealth.Word{}
 			}
-			all[id] = serverhealth.Word{Level: wordLevels[z.Word], Why: fmt.Sprintf("the operators' word until %s", time.UnixMilli(z.Until).UTC().Format(time.RFC3339))}
+			all[id] = serverhealth.Word{Level: orderedLevels[z.Word], Why: fmt.Sprintf("the operators' word until %s", time.UnixMilli(z.Until).UTC().Format(time.RFC3339))}
 		}
 	}
 	return all
@@ -103,26 +103,26 @@
 
 // ExplainVerdict returns what this replica knows of a server's verdict: its level, the evidence and any operator's
 // order.
-func (b *Replica) Explain(id string) *api.Explained {
-	b.fit.work.Lock()
-	testimonies := b.fit.floor.Testimonies(id)
-	b.fit.work.Unlock()
+func (b *Replica) ExplainVerdict(id string) *api.Explained {
+	b.healthJudge.work.Lock()
+	testimonies := b.healthJudge.floor.Testimonies(id)
+	b.healthJudge.work.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	explained := &api.Explained{Replica: b.self.Name, At: b.w.Now().UTC(), Server: id, Service: b.serviceIn(id), Said: []api.Testimony{}}
+	explained := &api.Explained{Replica: b.self.Name, At: b.world.Now().UTC(), Server: id, Service: b.listedServiceOf(id), Said: []api.Testimony{}}
 	if explained.Service != "" {
 		explained.Keeper = keeperOf(explained.Service, b.judgesThere())
 	}
-	if b.fit.joined != nil {
+	if b.healthJudge.joined != nil {
 		explained.Level = serverhealth.Fit.String()
 	}
-	for _, v := range b.fit.inForce() {
+	for _, v := range b.healthJudge.inForce() {
 		if v.Server == id {
 			explained.Level, explained.Why, explained.AgeMS, explained.Number, explained.Share = v.Level.String(), v.Why, v.Age.Milliseconds(), v.Number, v.Share
 			explained.For, explained.Against, explained.Relapses, explained.Trial = v.For, v.Against, v.Relapses, v.Trial
 		}
 	}
-	if z, holds := b.wordOn(id); holds {
+	if z, holds := b.serverOrder(id); holds {
 		explained.Word = api.ServerWord{Word: z.Word, Until: time.UnixMilli(z.Until).UTC(), By: z.By}
 	}
 	for _, t := range testimonies {
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -12,20 +12,20 @@
 )
 
 // forwardTimeout is how long a replica waits for the last proposer before it proposes a command by itself.
-const forwardWithin = 450 * time.Millisecond
+const forwardTimeout = 450 * time.Millisecond
 
 // submit executes an operator's command: at the replica that proposed last, which needs one phase only and competes
 // with no other proposer, or else at this one. Both may execute a command: it then has the same effect twice, within
 // the time that its caller waits. It returns ErrNoMajority if the outcome is unknown after callTimeout.
 func (b *Replica) submit(ctx context.Context, command peerlink.Command) (held state.ConfigID, err error) {
-	ctx, cancel := b.within(ctx, callWithin)
+	ctx, cancel := b.withTimeout(ctx, callTimeout)
 	defer cancel()
 	command.Token, _ = ctx.Value(tokenKey{}).(string)
-	command.Within = callWithin
+	command.Within = callTimeout
 	for ctx.Err() == nil {
-		command.Since = max(command.Since, b.decided().Version)
+		command.Since = max(command.Since, b.decidedState().Version)
 		var outcome *peerlink.Outcome
-		if proposer := b.lastProposer(); proposer != nil {
+		if proposer := b.linkToLastProposer(); proposer != nil {
 			outcome = b.forward(ctx, proposer, command)
 		}
 		switch {
@@ -35,21 +35,21 @@
 		case outcome != nil && (outcome.Decided || outcome.Refusal != peerlink.NotRefused):
 			return outcome.Held, errorOf(outcome)
 		}
-		held, err = b.perform(ctx, &command)
-		if !errors.Is(err, errOutrun) {
+		held, err = b.execute(ctx, &command)
+		if !errors.Is(err, errConcurrentDecision) {
 			return held, err
 		}
 	}
-	return held, ErrUnsettled
+	return held, ErrNoMajority
 }
 
 // linkToLastProposer returns the connection to the replica that proposed the decided state; nil if that is this one,
 // can't be reached or is leaving.
-func (b *Replica) lastProposer() *link {
+func (b *Replica) linkToLastProposer() *link {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	id, _, _ := strings.Cut(b.contents.Record.Decided.Proposer, proposerMark)
-	if id == b.self.ID || !b.reaches(id) {
+	id, _, _ := strings.Cut(b.contents.Record.Decided.Proposer, proposerSeparator)
+	if id == b.self.ID || !b.isReachable(id) {
 		return nil
 	}
 	l := b.linkTo(id)
@@ -61,10 +61,10 @@
 
 // forward asks another replica to execute a command; it returns nil if that has not answered within forwardTimeout.
 func (b *Replica) forward(ctx context.Context, l *link, command peerlink.Command) *peerlink.Outcome {
-	ctx, cancel := b.within(ctx, forwardWithin)
+	ctx, cancel := b.withTimeout(ctx, forwardTimeout)
 	defer cancel()
 	poll := b.newPoll()
-	defer poll.end()
+	defer poll.cancel()
 	b.mu.Lock()
 	sent := poll.ask(l, peerlink.Ask{Command: &command})
 	b.mu.Unlock()
@@ -84,38 +84,38 @@
 
 // executeForwarded executes a command that another replica has forwarded. It returns nil, as if unanswered, if the
 // configuration in it is corrupt.
-func (b *Replica) carryOut(ctx context.Context, command *peerlink.Command) *peerlink.Outcome {
-	ctx, cancel := b.within(withToken(ctx, command.Token), min(command.Within, callWithin))
+func (b *Replica) executeForwarded(ctx context.Context, command *peerlink.Command) *peerlink.Outcome {
+	ctx, cancel := b.withTimeout(withLockToken(ctx, command.Token), min(command.Within, callTimeout))
 	defer cancel()
 	if command.Config != nil {
-		if !isConfig(command.Config, idOf(command.Config)) {
+		if !isIntactConfiguration(command.Config, idOf(command.Config)) {
 			return nil
 		}
 		command.Config.Pack()
 	}
-	held, err := b.perform(ctx, command)
+	held, err := b.execute(ctx, command)
 	outcome := outcomeOf(held, err)
-	outcome.Version = b.decided().Version
+	outcome.Version = b.decidedState().Version
 	return outcome
 }
 
 // execute executes a command at this replica. For a configuration, held is the one in force afterwards.
-func (b *Replica) perform(ctx context.Context, command *peerlink.Command) (held state.ConfigID, err error) {
+func (b *Replica) execute(ctx context.Context, command *peerlink.Command) (held state.ConfigID, err error) {
 	switch {
 	case command.Config != nil:
-		return b.replace(ctx, command.Config)
+		return b.executeReplace(ctx, command.Config)
 	case command.Order != nil:
-		return held, b.order(ctx, command)
+		return held, b.executeOrder(ctx, command)
 	case command.Lock != nil && command.Lock.For > 0:
-		return held, b.takeLock(ctx, command)
+		return held, b.executeAcquireLock(ctx, command)
 	case command.Lock != nil:
-		return held, b.dropLock(ctx, command.Lock.Token)
+		return held, b.executeReleaseLock(ctx, command.Lock.Token)
 	}
-	return held, ErrUnsettled
+	return held, ErrNoMajority
 }
 
 // refusalErrors are the errors that guarantee that a command was not carried out, and that need no data but their text.
-var refusals = map[peerlink.Refusal]error{peerlink.RefusedZone: ErrZone, peerlink.RefusedNode: ErrNode, peerlink.RefusedServer: ErrServer}
+var refusalErrors = map[peerlink.Refusal]error{peerlink.RefusedZone: ErrUnknownZone, peerlink.RefusedNode: ErrUnknownProxy, peerlink.RefusedServer: ErrUnknownServer}
 
 // outcomeOf encodes the result of a command for the replica that forwarded it. An error without a refusal code
 // doesn't say whether the command took effect, so that replica executes it by itself.
@@ -125,8 +125,8 @@
 		return outcome
 	}
 	outcome.Text = err.Error()
-	var conflict Conflict
-	var taken Taken
+	var conflict ConflictError
+	var taken LockTakenError
 	var tight Tight
 	switch {
 	case errors.As(err, &conflict):
@@ -135,10 +135,10 @@
 		outcome.Refusal, outcome.Lock = peerlink.RefusedLocked, taken.Lock
 	case errors.As(err, &tight):
 		outcome.Refusal = peerlink.RefusedTight
-	case errors.Is(err, errOutrun):
+	case errors.Is(err, errConcurrentDecision):
 		outcome.Refusal = peerlink.RefusedOutrun
 	}
-	for refusal, cause := range refusals {
+	for refusal, cause := range refusalErrors {
 		if errors.Is(err, cause) {
 			outcome.Refusal = refusal
 		}
@@ -152,20 +152,20 @@
 	case peerlink.NotRefused:
 		return nil
 	case peerlink.RefusedConflict:
-		return Conflict{outcome.Held}
+		return ConflictError{outcome.Held}
 	case peerlink.RefusedLocked:
-		return Taken{outcome.Lock}
+		return LockTakenError{outcome.Lock}
 	case peerlink.RefusedTight:
 		return Tight{errors.New(outcome.Text)}
 	}
-	return refusedError{refusals[outcome.Refusal], outcome.Text}
+	return remoteRefusal{refusalErrors[outcome.Refusal], outcome.Text}
 }
 
 // remoteRefusal is a refusal by another replica, with the text that it sent.
-type refusedError struct {
-	is   error
-	text string
+type remoteRefusal struct {
+	cause error
+	text  string
 }
 
-func (e refusedError) Error() string { return e.text }
-func (e refusedError) Unwrap() error { return e.is }
+func (e remoteRefusal) Error() string { return e.text }
+func (e remoteRefusal) Unwrap() error { return e.cause }
