--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -19,31 +19,32 @@
 	conn             *peerlink.Conn
 	peer             peerlink.Hello
 	dialled          bool
-	lastChangeNumber uint64            // of the last change sent
-	sentList         *peerlink.Servers // as told to the other last
-	receivedList     *peerlink.Servers // as the other told last
-	connectedAt      time.Duration     // when it came up
-	leaving          bool
-	openPolls        map[uint64]*poll
+	lastChangeNumber uint64            // number of the last change sent
+	sentList         *peerlink.Servers // server list as last sent to the peer
+	receivedList     *peerlink.Servers // server list as last received from the peer
+	connectedAt      time.Duration     // by this replica's clock
+	leaving          bool              // the peer has said that it shuts down
+	openPolls        map[uint64]*poll  // by question ID
 
-	sentVerdicts, receivedVerdicts *serverhealth.Verdicts // as told to the other last, and by it
+	sentVerdicts, receivedVerdicts *serverhealth.Verdicts // as last sent to the peer and received from it
 }
 
-// dialTarget is an address that is dialled, unless the one there has dialled us.
+// dialTarget is the address of a replica that this one dials unless the other has dialled it and is to (see
+// isDialledBy).
 type dialTarget struct {
-	stopDialling context.CancelFunc // of the present dialling; nil: it waits
+	stopDialling context.CancelFunc // stops the current dialling and its session; nil while none is running
 	wakeup       chan struct{}
-	removed      bool // it is dialled no more
+	removed      bool // it is not to be dialled any more
 }
 
-// SetSettings takes over what a settings file says that may change in service.
+// SetSettings replaces the settings that may change without a restart.
 func (b *Replica) SetSettings(s *settings.Settings) {
 	b.liveSettings.Store(s)
 	b.SetSeeds(s.Network.Seeds)
 	b.spurred()
 }
 
-// SetSeeds takes over whom to dial first.
+// SetSeeds replaces the addresses that are dialled first, and dials new ones. It skips addresses that can't be parsed.
 func (b *Replica) SetSeeds(seeds []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,66 +61,69 @@
 	}
 }
 
-// keepConnected holds a connection to the replica at an address; the mutex is held.
-func (b *Replica) keepConnected(addr string) {
-	if addr == "" || addr == b.self.Inner || b.dialTargets[addr] != nil || b.ctx == nil || b.ctx.Err() != nil {
+// keepConnected starts to maintain a connection to the replica at an address, unless it does already. The caller holds
+// the mutex.
+func (b *Replica) keepConnected(address string) {
+	if address == "" || address == b.self.Inner || b.dialTargets[address] != nil || b.ctx == nil || b.ctx.Err() != nil {
 		return
 	}
-	k := &dialTarget{wakeup: make(chan struct{}, 1)}
-	b.dialTargets[addr] = k
-	b.jobs.Go(func() { b.maintainConnection(b.ctx, addr, k) })
+	target := &dialTarget{wakeup: make(chan struct{}, 1)}
+	b.dialTargets[address] = target
+	b.jobs.Go(func() { b.maintainConnection(b.ctx, address, target) })
 }
 
-func (b *Replica) maintainConnection(ctx context.Context, addr string, k *dialTarget) {
-	d := &peerlink.Dialer{Net: b.world, Hello: b.self, Log: b.log}
+// maintainConnection dials an address again and again, and pauses while the replica there has dialled this one. It
+// returns when ctx ends or the target is removed.
+func (b *Replica) maintainConnection(ctx context.Context, address string, target *dialTarget) {
+	dialer := &peerlink.Dialer{Net: b.world, Hello: b.self, Log: b.log}
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		if k.removed {
+		if target.removed {
 			b.mu.Unlock()
 			return
 		}
-		if b.isDialledBy(addr) {
+		if b.isDialledBy(address) {
 			b.mu.Unlock()
 			select {
-			case <-k.wakeup:
+			case <-target.wakeup:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		kctx, stop := context.WithCancel(ctx)
-		k.stopDialling = stop
+		dialCtx, stop := context.WithCancel(ctx)
+		target.stopDialling = stop
 		b.mu.Unlock()
-		d.Keep(kctx, addr, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
+		dialer.Keep(dialCtx, address, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
 			return b.runReplicaSession(ctx, c, h, true)
 		})
 		stop()
 		b.mu.Lock()
-		k.stopDialling = nil
+		target.stopDialling = nil
 		b.mu.Unlock()
 	}
 }
 
-// forgetAfter is how long a replica that is no voter may be silent before it is left for good.
+// forgetAfter is how long a replica that is no voter may be silent before it is forgotten.
 const forgetAfter = time.Minute
 
-// forgetSilentReplicas leaves replicas that are gone for good, so that neither this one nor agents dial them for ever; the mutex is
-// held.
+// forgetSilentReplicas removes replicas that are no voters, are not connected and have been silent for forgetAfter, so
+// that neither this replica nor agents dial them forever. It goes on dialling seeds. The caller holds the mutex.
 func (b *Replica) forgetSilentReplicas() {
 	now := b.now()
 	for name, h := range b.replicas {
-		_, votes := b.contents.Record.Decided.Voter(h.ID)
-		at := max(b.lastReports[h.ID].at, b.firstSeen[name])
-		if name == b.self.Name || votes || len(b.links[name]) > 0 || now-at < forgetAfter {
+		_, isVoter := b.contents.Record.Decided.Voter(h.ID)
+		lastHeard := max(b.lastReports[h.ID].at, b.firstSeen[name])
+		if name == b.self.Name || isVoter || len(b.links[name]) > 0 || now-lastHeard < forgetAfter {
 			continue
 		}
 		b.log.Info("replica forgotten", "name", name)
 		delete(b.replicas, name)
 		delete(b.lastReports, h.ID)
 		delete(b.firstSeen, name)
-		if k := b.dialTargets[h.Inner]; k != nil && !slices.Contains(b.seeds, h.Inner) {
-			k.removed = true
-			if k.stopDialling != nil {
-				k.stopDialling()
+		if target := b.dialTargets[h.Inner]; target != nil && !slices.Contains(b.seeds, h.Inner) {
+			target.removed = true
+			if target.stopDialling != nil {
+				target.stopDialling()
 			}
 			delete(b.dialTargets, h.Inner)
 		}
@@ -127,12 +131,12 @@
 	}
 }
 
-// isDialledBy tells whether the replica at an address has dialled this one and is the
-// one of the two that is to: the one whose name is lower. The mutex is held.
-func (b *Replica) isDialledBy(addr string) bool {
+// isDialledBy reports whether the replica at an address has dialled this one and has the lower name of the two: that
+// one's connection is kept, so that two replicas need only one. The caller holds the mutex.
+func (b *Replica) isDialledBy(address string) bool {
 	for name, all := range b.links {
 		for _, l := range all {
-			if !l.dialled && l.peer.Inner == addr && name < b.self.Name {
+			if !l.dialled && l.peer.Inner == address && name < b.self.Name {
 				return true
 			}
 		}
@@ -140,21 +144,22 @@
 	return false
 }
 
-// acceptSession runs a session that another process has dialled.
-func (b *Replica) acceptSession(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
-	switch h.Role {
+// acceptSession runs a session that another process has dialled. It rejects peers that are neither replica nor agent.
+func (b *Replica) acceptSession(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
+	switch hello.Role {
 	case peerlink.Replica:
-		return b.runReplicaSession(ctx, c, h, false)
+		return b.runReplicaSession(ctx, conn, hello, false)
 	case peerlink.Agent:
-		return b.attend(ctx, c, h)
+		return b.attend(ctx, conn, hello)
 	}
-	return errors.Errorf("replica: a %q has no business here", h.Role)
+	return errors.Errorf("replica: unexpected peer role %q", hello.Role)
 }
 
-// runReplicaSession runs a session with another replica.
+// runReplicaSession runs a session with another replica until the connection ends. It first sends what this replica
+// knows.
 func (b *Replica) runReplicaSession(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello, dialled bool) error {
 	if h.Role != peerlink.Replica || h.Name == b.self.Name {
-		return errors.Errorf("replica: %q %s is no other replica", h.Role, h.Name)
+		return errors.Errorf("replica: peer with role %q and name %q is not another replica", h.Role, h.Name)
 	}
 	b.mu.Lock()
 	l := &link{conn: c, peer: *h, dialled: dialled, connectedAt: b.now(), openPolls: map[uint64]*poll{}}
@@ -164,8 +169,8 @@
 	duty := b.duty.Greeting()
 	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.aged(l.sentList), Lately: b.healthJudge.inForce()}, &duty)
 	b.sendDecided(l)
-	if k := b.dialTargets[h.Inner]; k != nil && k.stopDialling != nil && b.isDialledBy(h.Inner) {
-		k.stopDialling()
+	if target := b.dialTargets[h.Inner]; target != nil && target.stopDialling != nil && b.isDialledBy(h.Inner) {
+		target.stopDialling()
 	}
 	b.mu.Unlock()
 	b.requestRound()
@@ -181,9 +186,9 @@
 		for _, p := range l.openPolls {
 			p.answers <- pollAnswer{from: h.ID}
 		}
-		if k := b.dialTargets[h.Inner]; k != nil {
+		if target := b.dialTargets[h.Inner]; target != nil {
 			select {
-			case k.wakeup <- struct{}{}:
+			case target.wakeup <- struct{}{}:
 			default:
 			}
 		}
@@ -199,72 +204,73 @@
 	}
 }
 
-// sendChange sends a numbered change with a word on the duty, which may be nil.
+// sendChange numbers a change and sends it, with the state of the duty unless that is nil.
 func (l *link) sendChange(c *peerlink.Change, d *peerlink.Duty) {
 	l.lastChangeNumber++
 	c.No = l.lastChangeNumber
 	_ = l.conn.Send(&peerlink.Frame{Change: c, Duty: d})
 }
 
-// handleFrame takes in what another replica says.
-func (b *Replica) handleFrame(ctx context.Context, l *link, f *peerlink.Frame) {
-	if f.Ask != nil {
-		b.answerQuestion(ctx, l, f.Ask)
+// handleFrame processes a frame from another replica.
+func (b *Replica) handleFrame(ctx context.Context, l *link, frame *peerlink.Frame) {
+	if frame.Ask != nil {
+		b.answerQuestion(ctx, l, frame.Ask)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f.Leaving != nil {
+	if frame.Leaving != nil {
 		l.leaving = true
-		h := b.lastReports[l.peer.ID]
-		h.left = true
-		b.lastReports[l.peer.ID] = h
+		last := b.lastReports[l.peer.ID]
+		last.left = true
+		b.lastReports[l.peer.ID] = last
 		b.stirred()
 	}
-	if f.Duty != nil {
-		b.hearDuty(l, f.Duty)
+	if frame.Duty != nil {
+		b.hearDuty(l, frame.Duty)
 	}
-	if f.Decided != nil {
-		b.receiveDecided(l, f.Decided)
+	if frame.Decided != nil {
+		b.receiveDecided(l, frame.Decided)
 	}
-	if f.Report != nil {
-		b.reaped(f.Report)
+	if frame.Report != nil {
+		b.reaped(frame.Report)
 	}
-	if c := f.Change; c != nil {
-		b.verdictsTold(l, c)
-		if c.Census != nil {
-			for _, h := range c.Census.Replicas {
-				b.noteReplica(h)
+	if change := frame.Change; change != nil {
+		b.verdictsTold(l, change)
+		if change.Census != nil {
+			for _, hello := range change.Census.Replicas {
+				b.noteReplica(hello)
 			}
-			b.meet(c.Census.Proxies)
+			b.meet(change.Census.Proxies)
 		}
-		if c.Servers != nil {
-			b.listTold(l, c.Servers)
+		if change.Servers != nil {
+			b.listTold(l, change.Servers)
 		}
 	}
-	if r := f.Reply; r != nil {
-		if p := l.openPolls[r.ID]; p != nil {
-			delete(l.openPolls, r.ID)
-			p.answers <- pollAnswer{l.peer.ID, r}
+	if reply := frame.Reply; reply != nil {
+		if poll := l.openPolls[reply.ID]; poll != nil {
+			delete(l.openPolls, reply.ID)
+			poll.answers <- pollAnswer{l.peer.ID, reply}
 		}
 	}
 }
 
-// noteReplica notes another replica; the mutex is held.
-func (b *Replica) noteReplica(h peerlink.Hello) {
-	old, known := b.replicas[h.Name]
-	if h.Name == b.self.Name || h.Name == "" || known && old.Life >= h.Life {
+// noteReplica registers another replica, or a newer incarnation of a known one, and dials it. The caller holds the
+// mutex.
+func (b *Replica) noteReplica(hello peerlink.Hello) {
+	old, known := b.replicas[hello.Name]
+	if hello.Name == b.self.Name || hello.Name == "" || known && old.Life >= hello.Life {
 		return
 	}
-	b.replicas[h.Name] = h
-	b.firstSeen[h.Name] = b.now()
+	b.replicas[hello.Name] = hello
+	b.firstSeen[hello.Name] = b.now()
 	if !known {
-		b.log.Info("new replica", "name", h.Name, "voter", h.Voter)
+		b.log.Info("new replica", "name", hello.Name, "voter", hello.Voter)
 	}
-	b.keepConnected(h.Inner)
+	b.keepConnected(hello.Inner)
 	b.stirred()
 }
 
-// runInBackground runs a job with a bound of time; the mutex may be held.
+// runInBackground runs a job in a goroutine with a timeout of callTimeout. The caller may hold the mutex.
 func (b *Replica) runInBackground(job func(ctx context.Context)) {
 	b.jobs.Go(func() {
 		ctx, cancel := b.withTimeout(b.ctx, callTimeout)
@@ -273,22 +279,23 @@
 	})
 }
 
-// knownMembers tells another replica whom this one knows; the mutex is held.
+// knownMembers returns the replicas and proxies that this replica knows, as sent to another one. The caller holds the
+// mutex.
 func (b *Replica) knownMembers() *peerlink.Census {
-	c := &peerlink.Census{Replicas: sortedByName(b.replicas)}
-	for _, n := range b.proxies.names() {
-		c.Proxies = append(c.Proxies, peerlink.Member{Hello: memberHello(b.proxies.proxies[n].hello)})
+	census := &peerlink.Census{Replicas: sortedByName(b.replicas)}
+	for _, name := range b.proxies.names() {
+		census.Proxies = append(census.Proxies, peerlink.Member{Hello: memberHello(b.proxies.proxies[name].hello)})
 	}
-	return c
+	return census
 }
 
-// pollAnswer is what came back on a question; a nil reply is a broken connection.
+// pollAnswer is the reply to a question; reply is nil if the connection broke.
 type pollAnswer struct {
-	from  string // the ID of the replier's disk
+	from  string // ID of the replier's disk
 	reply *peerlink.Reply
 }
 
-// poll is a number of questions whose answers are awaited.
+// poll is a set of questions to other replicas whose answers are awaited.
 type poll struct {
 	replica     *Replica
 	answers     chan pollAnswer
@@ -296,28 +303,28 @@
 	questionIDs map[*link]uint64
 }
 
+// newPoll returns a poll without questions; the caller cancels it in the end.
 func (b *Replica) newPoll() *poll {
 	return &poll{replica: b, answers: make(chan pollAnswer, 64), questionIDs: map[*link]uint64{}}
 }
 
-// ask puts a question to another replica; it is false where that can't be sent.
-// The mutex is held.
-func (p *poll) ask(l *link, a peerlink.Ask) bool {
+// ask sends a question to another replica. It returns false if that can't be sent. The caller holds the mutex.
+func (p *poll) ask(l *link, question peerlink.Ask) bool {
 	if l == nil || p.sentCount == cap(p.answers) {
 		return false
 	}
 	p.replica.lastQuestionID++
-	a.ID = p.replica.lastQuestionID
-	if l.conn.Send(&peerlink.Frame{Ask: &a}) != nil {
+	question.ID = p.replica.lastQuestionID
+	if l.conn.Send(&peerlink.Frame{Ask: &question}) != nil {
 		return false
 	}
-	l.openPolls[a.ID] = p
-	p.questionIDs[l] = a.ID
+	l.openPolls[question.ID] = p
+	p.questionIDs[l] = question.ID
 	p.sentCount++
 	return true
 }
 
-// cancel forgets the questions that were not answered.
+// cancel drops the unanswered questions; replies to them are ignored from then on.
 func (p *poll) cancel() {
 	p.replica.mu.Lock()
 	defer p.replica.mu.Unlock()
@@ -326,8 +333,7 @@
 	}
 }
 
-// linkTo is the connection to the replica with a disk; nil: there is none. The
-// mutex is held.
+// linkTo returns the newest connection to the replica with a disk ID; nil if there is none. The caller holds the mutex.
 func (b *Replica) linkTo(id string) *link {
 	for _, all := range b.links {
 		if l := all[len(all)-1]; l.peer.ID == id {
@@ -337,7 +343,7 @@
 	return nil
 }
 
-// withTimeout bounds a time by the replica's clock.
+// withTimeout returns a context that ends after d by the replica's clock.
 func (b *Replica) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return world.WithTimeout(ctx, b.world, d)
 }
