--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -12,7 +12,7 @@
 
 // Each of 60 gateways sends a request every 100 ms on average, so it gets a load report of each of 40 servers every
 // 4 s only: too seldom to know their load. Although the servers are 90% busy, few requests wait long for a slot.
-func TestFewOutcomesEach(t *testing.T) {
+func TestRareLoadReports(t *testing.T) {
 	const gateways, servers, slots, serviceTime = 60, 40, 3, 180 * ms
 	type scheduledEvent struct {
 		at time.Duration
@@ -76,14 +76,14 @@
 		g, err := New(fieldSet(), uint64(i))
 		assert.NilError(t, err)
 		terms := fieldTerms()
-		terms.Classes[0].Aim, terms.Classes[0].Deadline = 5*time.Second, 20*time.Second // so long that no request is held
-		for _, ev := range []Event{terms, Peers{Me: i, Gateways: gateways, Shares: gateways, Regions: regions}, Members{Kind: Whole, Servers: list}} {
+		terms.Classes[0].LatencyTarget, terms.Classes[0].Deadline = 5*time.Second, 20*time.Second // so long that no request is held
+		for _, ev := range []Event{terms, GatewaySet{Me: i, Gateways: gateways, CeilingParts: gateways, Regions: regions}, ServerList{Kind: CompleteList, Servers: list}} {
 			handle(g, ev)
 		}
 		var sendRequest func()
 		sendRequest = func() {
 			id, requests = id+1, requests+1
-			handle(g, Request{ID: id, Customer: "t", Plan: "t", Class: "safe", Service: "s", Units: 1, Remaining: 20 * time.Second, Tries: 1})
+			handle(g, Request{ID: id, Customer: "t", Plan: "t", Class: "safe", Service: "s", Units: 1, Remaining: 20 * time.Second, MaxAttempts: 1})
 			schedule(time.Duration(random.ExpFloat64()*float64(100*ms)), sendRequest)
 		}
 		schedule(time.Duration(random.ExpFloat64()*float64(100*ms)), sendRequest)
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -10,70 +10,70 @@
 // The fixed-size messages between gateways of a large fleet. On the wire: version, kind, fields, big-endian.
 
 // askMessage asks a customer's root to admit and count a request.
-type ask struct {
-	Customer      uint64
-	First, Spread uint16
-	Plan, Class   byte
-	Units, Left   uint16 // RemainingMS: milliseconds until the client gives up
-	Tag           uint32 // identifies the request between the two gateways
-	Thin          byte   // probability with which it was asked for, 250: always
-	Fill          byte   // fill of the bucket as last known, 250: full; unknownStore: not known
-	Flags         byte
+type askMessage struct {
+	Customer           uint64
+	First, Spread      uint16
+	Plan, Class        byte
+	Units, RemainingMS uint16 // RemainingMS: milliseconds until the client gives up
+	Tag                uint32 // identifies the request between the two gateways
+	AskChance          byte   // probability with which it was asked for, 250: always
+	BucketFill         byte   // fill of the bucket as last known, 250: full; unknownStore: not known
+	Flags              byte
 }
 
 const (
-	flagRepeat byte = 1 << iota // a client's retry
-	flagOwn                     // its ceiling units are taken from the sender's part
+	flagRepeat     byte = 1 << iota // a client's retry
+	flagOwnCeiling                  // its ceiling units are taken from the sender's part
 )
 
 // askReply is the root's reply to an ask.
-type answer struct {
-	Tag           uint32
-	Verdict, Fill byte // the decision; fill of the bucket, 250: full
-	Strain        byte // the root's mean latency over the latency target, in percent
-	Part          byte // share of the customer's demand that fits its limits, 250: all
+type askReply struct {
+	Tag                 uint32
+	Verdict, BucketFill byte // the decision; fill of the bucket, 250: full
+	Lateness            byte // the root's mean latency over the latency target, in percent
+	FittingShare        byte // share of the customer's demand that fits its limits, 250: all
 }
 
 // The decisions of a root.
 const (
 	granted byte = iota
 	refused
-	waits // the root holds the request and will reply again
+	heldAtRoot // the root holds the request and will reply again
 )
 
 // askEnded tells the root that an attempt it granted has ended or was never made (Unused).
-type ended struct {
+type askEnded struct {
 	Customer uint64
 	Tag      uint32
 	Unused   bool
 }
 
 // outcomeReport tells a server's watcher how an attempt ended.
-type sight struct {
-	Server  uint32
-	Class   byte
-	Code    byte
-	Latency uint16 // milliseconds
+type outcomeReport struct {
+	Server    uint32
+	Class     byte
+	Code      byte
+	LatencyMS uint16 // milliseconds
 }
 
 // serverVerdict is a watcher's assessment of a server, sent to all gateways.
-type verdict struct {
-	Server uint32
-	Bad    byte // bit i: the server is ejected for class i; for the first eight classes
-	Pace   byte // 16 * (4 + log2 of the server's latency relative to the fleet's)
+type serverVerdict struct {
+	Server      uint32
+	EjectedBits byte // bit i: the server is ejected for class i; for the first eight classes
+	Slowdown    byte // 16 * (4 + log2 of the server's latency relative to the fleet's)
 }
 
-const shortVersion = 3
+const messageVersion = 3
 
 // loanRequest asks another gateway to lend units of a customer's ceiling.
-type want struct {
+type loanRequest struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
 }
 
 // loanReply transfers the units; 0: the lender does not have them.
-type lent struct {
+type loanReply struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
@@ -83,20 +83,20 @@
 func encode(m any) []byte {
 	var kind byte
 	switch m.(type) {
-	case answer:
+	case askReply:
 		kind = 1
-	case ended:
+	case askEnded:
 		kind = 2
-	case sight:
+	case outcomeReport:
 		kind = 3
-	case verdict:
+	case serverVerdict:
 		kind = 4
-	case want:
+	case loanRequest:
 		kind = 5
-	case lent:
+	case loanReply:
 		kind = 6
 	}
-	b, err := binary.Append([]byte{shortVersion, kind}, binary.BigEndian, m)
+	b, err := binary.Append([]byte{messageVersion, kind}, binary.BigEndian, m)
 	if err != nil {
 		panic(err) // m is not one of the messages above
 	}
@@ -105,7 +105,7 @@
 
 // decode returns the message or report in b, or nil if b is not exactly one well-formed message.
 func decode(b []byte) any {
-	if len(b) < 2 || b[0] != shortVersion {
+	if len(b) < 2 || b[0] != messageVersion {
 		if m, ok := decodeReport(b); ok {
 			return m
 		}
@@ -113,25 +113,25 @@
 	}
 	switch b[1] {
 	case 0:
-		return fixed[ask](b[2:])
+		return decodeFixed[askMessage](b[2:])
 	case 1:
-		return fixed[answer](b[2:])
+		return decodeFixed[askReply](b[2:])
 	case 2:
-		return fixed[ended](b[2:])
+		return decodeFixed[askEnded](b[2:])
 	case 3:
-		return fixed[sight](b[2:])
+		return decodeFixed[outcomeReport](b[2:])
 	case 4:
-		return fixed[verdict](b[2:])
+		return decodeFixed[serverVerdict](b[2:])
 	case 5:
-		return fixed[want](b[2:])
+		return decodeFixed[loanRequest](b[2:])
 	case 6:
-		return fixed[lent](b[2:])
+		return decodeFixed[loanReply](b[2:])
 	}
 	return nil
 }
 
 // decodeFixed decodes a T of exactly len(b) bytes, or returns nil.
-func fixed[T any](b []byte) any {
+func decodeFixed[T any](b []byte) any {
 	var m T
 	if n, err := binary.Decode(b, binary.BigEndian, &m); err != nil || n != len(b) {
 		return nil
@@ -141,79 +141,79 @@
 
 // onAskEnded releases the lease of another gateway's attempt, and returns its units if it was never made. A
 // request that is still held here leaves the queue.
-func (g *Gateway) onEnded(from int, m ended) {
+func (g *Gateway) onAskEnded(from int, m askEnded) {
 	c := g.customers[m.Customer]
 	if c == nil {
 		return
 	}
-	l, ok := c.leases[lease{from, m.Tag}]
+	l, ok := c.leases[leaseKey{from, m.Tag}]
 	if !ok {
-		if i := slices.IndexFunc(c.held, func(r *request) bool { return r.from(from, m.Tag) }); i >= 0 {
-			g.unhold(c, i)
+		if i := slices.IndexFunc(c.held, func(r *request) bool { return r.isAskFrom(from, m.Tag) }); i >= 0 {
+			g.dequeue(c, i)
 		}
 		return
 	}
-	delete(c.leases, lease{from, m.Tag})
-	c.count(g.now, -1)
+	delete(c.leases, leaseKey{from, m.Tag})
+	c.addInFlight(g.now, -1)
 	g.advance(c)
 	if m.Unused {
-		c.store = min(c.plan.Burst, c.store+l.r.units)
+		c.bucket = min(c.plan.Burst, c.bucket+l.request.units)
 	}
-	g.release(c)
+	g.releaseHeld(c)
 }
 
 // healthOf returns the health of a server for a class; nil: the class is not in the settings.
-func (g *Gateway) record(s *server, cl *class) *record {
+func (g *Gateway) healthOf(s *server, cl *class) *classHealth {
 	if cl.Name == "" {
 		return nil
 	}
-	for g.set.Field != nil && cl.no >= len(s.by) {
-		s.by = append(s.by, record{})
+	for g.cfg.MultiService != nil && cl.index >= len(s.classes) {
+		s.classes = append(s.classes, classHealth{})
 	}
-	if cl.no >= len(s.by) {
+	if cl.index >= len(s.classes) {
 		return nil
 	}
-	return &s.by[cl.no]
+	return &s.classes[cl.index]
 }
 
 // askFor returns the ask for a request.
-func (g *Gateway) askOf(r *request) ask {
-	c, remaining := r.c, (r.deadline - g.now).Milliseconds()
-	m := ask{Customer: c.key, First: uint16(c.first), Spread: uint16(c.spread), Plan: c.plan.no,
-		Class: byte(r.cl.no), Units: uint16(r.units), Left: uint16(min(max(0, remaining), math.MaxUint16)),
-		Tag: r.tag, Fill: unknownStore, Thin: small(250 * r.asks)}
-	if r.repeat {
+func (g *Gateway) askFor(r *request) askMessage {
+	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
+	m := askMessage{Customer: c.key, First: uint16(c.firstGateway), Spread: uint16(c.gatewayCount), Plan: c.plan.index,
+		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
+		Tag: r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
+	if r.isRetry {
 		m.Flags |= flagRepeat
 	}
-	if r.own {
-		m.Flags |= flagOwn
+	if r.ownCeiling {
+		m.Flags |= flagOwnCeiling
 	}
-	if c.told > 0 {
-		m.Fill = small(250 * max(0, c.store) / max(1, c.plan.Burst))
+	if c.reportedTick > 0 {
+		m.BucketFill = toByte(250 * max(0, c.bucket) / max(1, c.plan.Burst))
 	}
 	return m
 }
 
 // requestFrom returns the request that another gateway asks for.
-func (g *Gateway) requestOf(c *customer, from int, m ask) *request {
-	return &request{c: c, cl: g.classes[g.set.Classes[m.Class].Name], effect: g.set.Classes[m.Class].Effect, units: float64(m.Units), arrived: g.now,
-		deadline: g.now + time.Duration(m.Left)*time.Millisecond, repeat: m.Flags&flagRepeat != 0,
-		own: m.Flags&flagOwn != 0, remote: true, root: from, tag: m.Tag}
+func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
+	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
+		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRepeat != 0,
+		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
 
 // ejectionBits returns a bit for each class to eject the server from, whether this differs from the current
 // state of any class, whether any class is to be ejected, and when the current ejection ends.
-func (s *server) masks(shouldEject func(class int, v *record) bool) (bits byte, changed, anyEjected bool, until time.Duration) {
-	for i := range s.by {
-		v := &s.by[i]
+func (s *server) ejectionBits(shouldEject func(class int, v *classHealth) bool) (bits byte, changed, anyEjected bool, until time.Duration) {
+	for i := range s.classes {
+		v := &s.classes[i]
 		eject := shouldEject(i, v)
-		if v.bad {
-			until = v.until
+		if v.ejected {
+			until = v.ejectedUntil
 		}
 		if eject {
 			bits |= 1 << i
 		}
-		changed, anyEjected = changed || eject != v.bad, anyEjected || eject
+		changed, anyEjected = changed || eject != v.ejected, anyEjected || eject
 	}
 	return bits, changed, anyEjected, until
 }
--- a/policy/partition_test.go
+++ b/policy/partition_test.go
@@ -12,7 +12,7 @@
 
 // While no gateway receives messages of another, about as many requests pass as the roots granted before: a
 // network partition neither stops customers far below their quotas nor lifts the quotas.
-func TestSplitPassesWhatPassedBefore(t *testing.T) {
+func TestPartitionPassesWhatPassedBefore(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		customers          int // which send 200 requests per second together
@@ -24,7 +24,7 @@
 		{"inside the quota, then five times as much", 40, 5, 0.6, 1.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, random := newManyGateways(t, 60, fleet(20)), rand.New(rand.NewPCG(1, 2))
+			w, random := newManyGateways(t, 60, testServers(20)), rand.New(rand.NewPCG(1, 2))
 			asked, before, during, perStep := 0, 0, 0, 2
 			ask := func(time.Duration) {
 				for range perStep {
@@ -46,7 +46,7 @@
 			}
 			w.lose = func(int, int) bool { return false }
 			w.pass(3*time.Second, ask)
-			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.deaf >= deafAsks }); n >= 0 {
+			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.unansweredAsks >= deafAsks }); n >= 0 {
 				t.Errorf("gateway %d still assumes that it is partitioned 3 s after the partition ended", n)
 			}
 		})
@@ -55,8 +55,8 @@
 
 // A partitioned gateway asks a root only once per request and then decides: three asks and one to the deputy would
 // take longer than a client waits.
-func TestSplitAnswersSoon(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(20))
+func TestPartitionAnswersSoon(t *testing.T) {
+	w := newManyGateways(t, 60, testServers(20))
 	i, _, _ := w.member("rate")
 	for id := range 20 {
 		w.request(i, RequestID(id+1), "k", "rate", "safe", 50)
@@ -76,10 +76,10 @@
 }
 
 // The parts of a hard ceiling add up to at most one ceiling, for each plan and number of gateways.
-func TestPartsOfACeilingMakeOneWhole(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(1))
+func TestPartsAddUpToTheCeiling(t *testing.T) {
+	w := newManyGateways(t, 60, testServers(1))
 	for _, g := range w.gs {
-		g.plans["ceil"] = &quota{Plan: Plan{Name: "ceil", Rate: 10, Burst: 20, HardRate: 20, HardBurst: 40}}
+		g.plans["ceil"] = &planState{Plan: Plan{Name: "ceil", Rate: 10, Burst: 20, HardRate: 20, HardBurst: 40}}
 	}
 	for _, plan := range []string{"ceil", "hard"} {
 		for _, spread := range []int{1, 2, 3, 7, 50, 60} {
@@ -88,7 +88,7 @@
 				name := fmt.Sprint(plan, spread)
 				c := w.gs[i].account(keyOf(name), w.gs[i].plans[plan], 5, spread)
 				if member := (i-5+60)%60 < spread; member {
-					sum += 1 / c.n
+					sum += 1 / c.parts
 				}
 			}
 			if sum > 1+1e-9 {
@@ -103,13 +103,13 @@
 
 // Whichever messages are lost, duplicated or late, whichever gateways restart and wherever requests arrive, all
 // gateways together stay within a hard ceiling.
-func TestSplitKeepsTheCeiling(t *testing.T) {
+func TestPartitionKeepsTheCeiling(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, burst, spread = 20.0, 40.0, 6
-		w := newManyGateways(t, 60, fleet(20))
+		w := newManyGateways(t, 60, testServers(20))
 		plan := Plan{Name: "rate", Rate: 200, Burst: 400, HardRate: rate, HardBurst: burst} // only the ceiling limits
 		start := func(i int) {
-			s := base()
+			s := testSettings()
 			s.Me, s.Gateways = i, 60
 			s.Plans[1] = plan
 			g, err := New(s, rapid.Uint64().Draw(rt, "seed"))
@@ -117,7 +117,7 @@
 				rt.Fatal(err)
 			}
 			w.gs[i] = g
-			w.do(i, Members{Kind: Remembered, Servers: fleet(20)})
+			w.do(i, ServerList{Kind: CachedList, Servers: testServers(20)})
 		}
 		for i := range 60 {
 			start(i)
@@ -146,7 +146,7 @@
 				if int(now/ms/10)%every == 0 {
 					n++
 					w.do(rapid.IntRange(0, spread-1).Draw(rt, "at"), Request{ID: RequestID(n), Customer: "k",
-						Plan: "rate", Class: "safe", Units: 2, Remaining: 2 * time.Second, Spread: spread})
+						Plan: "rate", Class: "safe", Units: 2, Remaining: 2 * time.Second, GatewayCount: spread})
 				}
 				bucket = min(burst, bucket+rate*(now-at).Seconds())
 				at = now
@@ -163,29 +163,29 @@
 
 // A gateway with units left in its own part of a ceiling uses them before its root's.
 func TestOwnPartOfACeilingIsUsedFirst(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(20))
+	w := newManyGateways(t, 60, testServers(20))
 	for _, g := range w.gs {
 		g.plans["rate"].HardRate, g.plans["rate"].HardBurst = 20, 40
 	}
 	i, root, _ := w.member("rate")
 	w.pass(10*time.Second, nil)
 	left := func(at int) float64 { return w.gs[at].customers[keyOf("k")].ceiling }
-	w.do(i, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 0.25, Remaining: 2 * time.Second, Spread: 50})
+	w.do(i, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 0.25, Remaining: 2 * time.Second, GatewayCount: 50})
 	own := left(i)
 	w.pass(100*ms, nil)
-	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].n-1e-9 {
+	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].parts-1e-9 {
 		t.Errorf("%d sent, %.2f of %.2f left here, %.2f at the root", len(w.sends), left(i), own, left(root))
 	}
 	w.request(i, 2, "k", "rate", "safe", 50) // needs more units than are left here
 	w.pass(100*ms, nil)
-	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].n-0.5 {
+	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].parts-0.5 {
 		t.Errorf("%d sent, %.2f left at the root", len(w.sends), left(root))
 	}
 }
 
 // A partitioned gateway serves a customer under a hard ceiling from its own part, which the roots do not hold.
-func TestSplitServesUnderACeiling(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(20))
+func TestPartitionServesUnderACeiling(t *testing.T) {
+	w := newManyGateways(t, 60, testServers(20))
 	for _, g := range w.gs {
 		g.plans["rate"].HardRate, g.plans["rate"].HardBurst = 20, 40
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,48 +6,48 @@
 
 // mayRetry decides whether a request gets another attempt and charges the service's retry budget, which keeps
 // retries from adding to an overload. usable decides at which servers.
-func (g *Gateway) again(r *request, code Code) bool {
-	if r.tries > 0 && r.attempts >= r.tries ||
-		r.ran && (r.effect == Unsafe || r.effect == Keyed && g.now-r.ranAt >= r.cl.Window) ||
-		g.now+time.Duration(r.cl.mean/2*float64(time.Second)) > r.deadline {
+func (g *Gateway) mayRetry(r *request, code Code) bool {
+	if r.maxAttempts > 0 && r.attempts >= r.maxAttempts ||
+		r.mayHaveRun && (r.effect == Unsafe || r.effect == Keyed && g.now-r.ranAt >= r.class.DedupWindow) ||
+		g.now+time.Duration(r.class.mean/2*float64(time.Second)) > r.deadline {
 		return false
 	}
 	if !code.NeverRan() || code == Full {
-		if g.set.Field != nil && g.budgets[r.service] < 1 {
+		if g.cfg.MultiService != nil && g.retryBudgets[r.service] < 1 {
 			return false // an attempt that is not made costs no budget
 		}
-		g.budgets[r.service]--
+		g.retryBudgets[r.service]--
 	}
-	return g.budgets[r.service] >= 0
+	return g.retryBudgets[r.service] >= 0
 }
 
 // earnRetryBudget adds to a service's retry budget what a first attempt earns.
-func (g *Gateway) earn(service string) {
+func (g *Gateway) earnRetryBudget(service string) {
 	perAttempt, maxBudget := retryEarn, retryCap
-	if f := g.set.Field; f != nil {
-		perAttempt, maxBudget = f.RetryEarn, f.RetryCap(service)
+	if f := g.cfg.MultiService; f != nil {
+		perAttempt, maxBudget = f.RetryBudgetPerAttempt, f.MaxRetryBudget(service)
 	}
-	budget, known := g.budgets[service]
-	if !known && g.set.Field == nil {
+	budget, known := g.retryBudgets[service]
+	if !known && g.cfg.MultiService == nil {
 		budget = maxBudget
 	}
-	g.budgets[service] = min(maxBudget, budget+perAttempt)
+	g.retryBudgets[service] = min(maxBudget, budget+perAttempt)
 }
 
 // retryAfter returns when a retry may find room: after two ticks, and once the bucket holds what it needs.
 // Without a rate quota room appears when attempts end, which is sooner than the long ticks of a large fleet.
-func (g *Gateway) advice(r *request) time.Duration {
-	c, wait := r.c, 2*g.tick.Seconds()
-	if g.set.Field != nil && !r.beyond {
+func (g *Gateway) retryAfter(r *request) time.Duration {
+	c, wait := r.customer, 2*g.tickInterval.Seconds()
+	if g.cfg.MultiService != nil && !r.overQuota {
 		return shortAdvice
-	} else if g.wide {
+	} else if g.borrows {
 		return wideAdvice
 	}
 	if c.plan.Rate == 0 {
-		wait = min(wait, g.mean)
+		wait = min(wait, g.meanLatency)
 	} else {
 		need := r.units + retryReserve*c.plan.Burst - g.allowance(c)
 		wait = max(wait, need/c.plan.Rate)
 	}
-	return min(g.set.MaxRetryAfter, time.Duration(wait*float64(time.Second)))
+	return min(g.cfg.MaxRetryAfter, time.Duration(wait*float64(time.Second)))
 }
