--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -12,91 +12,92 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// hand is an open connection to an agent.
+// agentConn is an open connection to an agent. The replica's mutex guards it.
 type agent struct {
 	conn     *peerlink.Conn
 	name     string
 	life     int64
-	no       uint64 // of the last change sent
-	ack      uint64 // of the last change that is in force at its proxy
-	gen      uint64 // the version in force there
-	upstream bool   // it wants servers and census from here
-	packs    bool   // it can unpack lists
+	no       uint64 // of the last change that was sent
+	ack      uint64 // of the last change that the agent acknowledged as in force at its proxy
+	gen      uint64 // number of the configuration in force at its proxy
+	upstream bool   // the agent wants the server list and the census from this replica
+	packs    bool   // the agent can unpack compressed lists
 
-	agent    delivery.Agent // what decides when it is told the configuration
-	reported time.Duration  // when it was logged last that it stays behind; 0: it was not
+	agent    delivery.Agent // decides when the configuration is sent
+	reported time.Duration  // when its lag was last logged; 0: never
 
-	list   *peerlink.Servers // as told last; nil: not told. Shared with others
-	census *peerlink.Census  // the same
+	list   *peerlink.Servers // as sent last, shared with other connections; nil: none was sent
+	census *peerlink.Census  // likewise
 
-	verdicts *serverhealth.Verdicts // as told last; nil: not told
-	seat     uint64                 // tells this connection from others
+	verdicts *serverhealth.Verdicts // as sent last; nil: none were sent
+	seat     uint64                 // unique among this replica's agent connections
 }
 
-// change sends numbered news; the replica's mutex is held.
-func (h *agent) change(c *peerlink.Change) {
-	h.no++
-	c.No = h.no
-	if h.packs {
-		c = c.Pack() // many agents on narrow lines are told the same
+// sendChange numbers a change and sends it; the replica's mutex is held.
+func (a *agent) change(change *peerlink.Change) {
+	a.no++
+	change.No = a.no
+	if a.packs {
+		change = change.Pack() // many agents on slow links get the same change
 	}
-	_ = h.conn.Send(&peerlink.Frame{Change: c})
+	_ = a.conn.Send(&peerlink.Frame{Change: change})
 }
 
-// attend runs a session with an agent.
-func (b *Replica) attend(ctx context.Context, c *peerlink.Conn, hello *peerlink.Hello) error {
-	h := &agent{conn: c, name: hello.Name, life: hello.Life, agent: delivery.Agent{Since: b.now()}}
+// serveAgent runs a session with an agent until its connection ends.
+func (b *Replica) attend(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
+	agent := &agent{conn: conn, name: hello.Name, life: hello.Life, agent: delivery.Agent{Since: b.now()}}
 	b.mu.Lock()
-	b.agents[h] = true
-	h.seat = b.fit.seat()
+	b.agents[agent] = true
+	agent.seat = b.fit.seat()
 	b.arrive(*hello)
-	h.change(&peerlink.Change{Zones: b.orders(h.name)}) // its first Ping tells whether it lacks the configuration
+	agent.change(&peerlink.Change{Zones: b.orders(agent.name)}) // the configuration follows if the agent's first Ping shows that it lacks it
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.agents, h)
-		if g := b.proxies.proxies[h.name]; g != nil && g.hello.Life == h.life && !b.attended(h.name) {
-			g.up, g.ready = false, false
+		delete(b.agents, agent)
+		if known := b.proxies.proxies[agent.name]; known != nil && known.hello.Life == agent.life && !b.attended(agent.name) {
+			known.up, known.ready = false, false
 			b.stirred()
 		}
 	}()
 	for {
-		f, err := c.Receive()
+		frame, err := conn.Receive()
 		if err != nil {
 			return err
 		}
 		b.mu.Lock()
-		b.hear(h, f)
+		b.hear(agent, frame)
 		b.mu.Unlock()
 	}
 }
 
+// isAgentConnected reports whether an agent of this name is connected; the mutex is held.
 func (b *Replica) attended(name string) bool {
-	for h := range b.agents {
-		if h.name == name {
+	for agent := range b.agents {
+		if agent.name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// arrive notes a proxy by its agent's word; the mutex is held.
-func (b *Replica) arrive(h peerlink.Hello) {
-	if old := b.proxies.proxies[h.Name]; old != nil && old.hello.Life > h.Life {
+// registerProxy records a proxy from its agent's Hello, unless a later incarnation is known; the mutex is held.
+func (b *Replica) arrive(hello peerlink.Hello) {
+	if old := b.proxies.proxies[hello.Name]; old != nil && old.hello.Life > hello.Life {
 		return
 	}
-	if _, isNew := b.proxies.see(h, b.now()); isNew {
+	if _, isNew := b.proxies.see(hello, b.now()); isNew {
 		b.store.KeepCensus(b.proxies.names())
 	}
 	b.stirred()
 }
 
-// meet notes proxies that another replica knows; the mutex is held.
-func (b *Replica) meet(all []peerlink.Member) {
+// mergeProxies adds proxies that another replica knows; the mutex is held.
+func (b *Replica) meet(members []peerlink.Member) {
 	isNew := false
-	for _, m := range all {
-		isNew = b.proxies.add(m, b.now()) || isNew
+	for _, member := range members {
+		isNew = b.proxies.add(member, b.now()) || isNew
 	}
 	if isNew {
 		b.store.KeepCensus(b.proxies.names())
@@ -104,101 +105,102 @@
 	}
 }
 
-// hear takes in what an agent says; the mutex is held.
-func (b *Replica) hear(h *agent, f *peerlink.Frame) {
+// handleAgentFrame processes a frame from an agent; the mutex is held.
+func (b *Replica) hear(agent *agent, frame *peerlink.Frame) {
 	now := b.now()
-	if f.Hello != nil && f.Hello.Name == h.name {
-		h.life = f.Hello.Life
-		b.arrive(*f.Hello)
+	if frame.Hello != nil && frame.Hello.Name == agent.name {
+		agent.life = frame.Hello.Life
+		b.arrive(*frame.Hello)
 	}
-	g := b.proxies.proxies[h.name]
-	if g == nil || g.hello.Life != h.life {
-		return // an earlier life's connection
+	proxy := b.proxies.proxies[agent.name]
+	if proxy == nil || proxy.hello.Life != agent.life {
+		return // the connection of an earlier incarnation
 	}
-	if !g.alive(now) {
+	if !proxy.alive(now) {
 		b.stirred()
 	}
-	g.heard = now
-	if p := f.Ping; p != nil {
-		if g.every = p.Every; h.agent.Every != p.Every {
-			h.agent.Every = p.Every
-			h.conn.SetSilence(peerlink.Suits(p.Every))
+	proxy.heard = now
+	if ping := frame.Ping; ping != nil {
+		if proxy.every = ping.Every; agent.agent.Every != ping.Every {
+			agent.agent.Every = ping.Every
+			agent.conn.SetSilence(peerlink.Suits(ping.Every))
 		}
-		if h.gen = p.Gen; g.ready != p.Ready {
-			if g.ready = p.Ready; g.ready && g.risen == 0 {
-				g.risen = now
+		if agent.gen = ping.Gen; proxy.ready != ping.Ready {
+			if proxy.ready = ping.Ready; proxy.ready && proxy.risen == 0 {
+				proxy.risen = now
 			}
 			b.stirred()
 		}
-		g.rests = p.Rests
-		if p.Parts > 0 {
-			g.parts = p.Parts
+		proxy.rests = ping.Rests
+		if ping.Parts > 0 {
+			proxy.parts = ping.Parts
 		}
-		if p.Figures != nil {
-			g.figures, g.figuresAt = p.Figures, now
+		if ping.Figures != nil {
+			proxy.figures, proxy.figuresAt = ping.Figures, now
 		}
-		if p.Asked != nil {
-			g.asked, g.askedAt = p.Asked, now
+		if ping.Asked != nil {
+			proxy.asked, proxy.askedAt = ping.Asked, now
 		}
-		if p.Heads != nil {
-			g.heads, g.headsAt = p.Heads[:min(len(p.Heads), homing.MostHosts)], now
+		if ping.Heads != nil {
+			proxy.heads, proxy.headsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
 		}
-		h.packs, h.agent.Held, h.agent.Follows = p.Packs, delivery.Version{Gen: p.Held, Sum: p.Sum}, p.Upstream
-		b.deliver(h)
-		b.upstream(h, p.Upstream) // ahead of the Pong, which tells how old the list is that was sent
-		pong := b.pong(p, now)
-		pong.Want, pong.Asks, pong.Wanted = now < b.ops.wants, now < b.ops.asks, b.fit.wanted(h)
-		_ = h.conn.Send(&peerlink.Frame{Pong: pong})
+		agent.packs, agent.agent.Held, agent.agent.Follows = ping.Packs, delivery.Version{Gen: ping.Held, Sum: ping.Sum}, ping.Upstream
+		b.deliver(agent)
+		b.upstream(agent, ping.Upstream) // before the Pong, which says how old the sent list is
+		pong := b.pong(ping, now)
+		pong.Want, pong.Asks, pong.Wanted = now < b.ops.wants, now < b.ops.asks, b.fit.wanted(agent)
+		_ = agent.conn.Send(&peerlink.Frame{Pong: pong})
 	}
-	if f.Report != nil && h.upstream {
-		b.report(h, f.Report)
+	if frame.Report != nil && agent.upstream {
+		b.report(agent, frame.Report)
 	}
-	if a := f.Ack; a != nil {
-		h.ack, h.gen = max(h.ack, a.No), a.Gen
+	if ack := frame.Ack; ack != nil {
+		agent.ack, agent.gen = max(agent.ack, ack.No), ack.Gen
 	}
-	if f.Leaving != nil {
-		if g.left = max(now, 1); *f.Leaving != peerlink.Gone {
-			g.grace = b.live.Load().Terms.Bounds.Grace
+	if frame.Leaving != nil {
+		if proxy.left = max(now, 1); *frame.Leaving != peerlink.Gone {
+			proxy.grace = b.live.Load().Terms.Bounds.Grace
 		} else {
-			g.grace = 0
+			proxy.grace = 0
 		}
-		g.given = g.given || *f.Leaving == peerlink.Given
-		b.log.Info("proxy leaves", "name", h.name, "why", *f.Leaving)
+		proxy.given = proxy.given || *frame.Leaving == peerlink.Given
+		b.log.Info("proxy leaves", "name", agent.name, "why", *frame.Leaving)
 		b.stirred()
 	}
 }
 
-// pong tells how fresh what a proxy has in force is, and whether this replica is in
-// touch with a majority; the mutex is held.
-func (b *Replica) pong(p *peerlink.Ping, now time.Duration) *peerlink.Pong {
-	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.touched.Ever, List: b.read.tell(now)}
+// newPong answers a Ping. It says how recently what the proxy has in force was confirmed, and whether this replica is in
+// touch with a majority. The mutex is held.
+func (b *Replica) pong(ping *peerlink.Ping, now time.Duration) *peerlink.Pong {
+	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.touched.Ever, List: b.read.tell(now)}
 	if pong.List != nil {
-		pong.List.Pages = 0 // agents don't read the list
+		pong.List.Pages = 0 // agents don't read the list from the platform
 	}
 	if b.touched.Ever {
 		pong.TouchAge = now - b.touched.At
 	}
-	if at := b.versions.Confirmed(inForce(p), b.fresh); at.Ever {
+	if at := b.versions.Confirmed(inForce(ping), b.fresh); at.Ever {
 		pong.Fresh, pong.Age = true, now-at.At
 	}
 	return pong
 }
 
-// inForce is what a ping says that a proxy has in force. The text's sum is that of
-// what the agent holds: where that is another configuration, it fits none and nothing
-// is confirmed.
-func inForce(p *peerlink.Ping) delivery.Version { return delivery.Version{Gen: p.Gen, Sum: p.Sum} }
+// versionInForceOf returns the version that a proxy has in force according to a ping. The ping's checksum is that of the
+// configuration that the agent holds. If the proxy has another one in force, number and checksum match no version, and
+// nothing is confirmed.
+func inForce(ping *peerlink.Ping) delivery.Version {
+	return delivery.Version{Gen: ping.Gen, Sum: ping.Sum}
+}
 
-// deliver sends an agent the configuration in force where that is due; the mutex is
-// held.
-func (b *Replica) deliver(h *agent) {
-	if b.configuration != nil && b.versions.Due(&h.agent, b.now()) {
-		h.agent.Sent = b.versions.Current()
-		h.change(&peerlink.Change{Configuration: b.configuration})
+// deliverConfiguration sends an agent the configuration in force if that is due; the mutex is held.
+func (b *Replica) deliver(agent *agent) {
+	if b.configuration != nil && b.versions.Due(&agent.agent, b.now()) {
+		agent.agent.Sent = b.versions.Current()
+		agent.change(&peerlink.Change{Configuration: b.configuration})
 	}
 }
 
-// stirred notes that the census may have changed; the mutex may be held.
+// signalCensusChange makes runAgentUpdates check the census now; the mutex may be held.
 func (b *Replica) stirred() {
 	select {
 	case b.stir <- struct{}{}:
@@ -206,22 +208,22 @@
 	}
 }
 
-// watch tells the agents whenever the census has changed.
+// runAgentUpdates sends agents the configuration and census changes that are due, until ctx ends.
 func (b *Replica) watch(ctx context.Context) {
-	t := b.w.NewTimer(lookEvery)
-	defer t.Stop()
+	timer := b.w.NewTimer(lookEvery)
+	defer timer.Stop()
 	for {
 		select {
-		case <-t.C():
+		case <-timer.C():
 		case <-b.stir:
 		case <-ctx.Done():
 			return
 		}
 		next := lookEvery
 		b.mu.Lock()
-		for h := range b.agents {
-			b.deliver(h)
-			b.reportLag(h)
+		for agent := range b.agents {
+			b.deliver(agent)
+			b.reportLag(agent)
 		}
 		b.reportContact()
 		if b.recount(); b.told != b.census {
@@ -235,28 +237,28 @@
 		if !b.pause(ctx, stirEvery) {
 			return
 		}
-		t.Reset(next)
+		timer.Reset(next)
 	}
 }
 
-// Standing is a proxy's state as its agent acknowledges it.
+// AgentProgress says how far a connected agent has got with the changes that it was sent.
 type Standing struct {
 	Name   string
-	Gen    uint64 // the version in force
-	Behind uint64 // changes sent and not acknowledged
+	Gen    uint64 // number of the configuration in force at the proxy
+	Behind uint64 // number of changes sent and not acknowledged
 }
 
-// Standing tells what is in force where.
+// AgentProgress returns the progress of all connected agents, by name.
 func (b *Replica) Standing() []Standing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := map[string]Standing{}
-	for h := range b.agents {
-		all[h.name] = Standing{h.name, h.gen, h.no - h.ack}
+	for agent := range b.agents {
+		all[agent.name] = Standing{agent.name, agent.gen, agent.no - agent.ack}
 	}
 	var list []Standing
-	for _, n := range slices.Sorted(maps.Keys(all)) {
-		list = append(list, all[n])
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		list = append(list, all[name])
 	}
 	return list
 }
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -18,119 +18,120 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// farmhand is an agent on a machine of its own, connected to one replica.
+// simAgent is an agent on a host of its own, connected to one replica. It applies what it is sent and pings by itself.
 type farmhand struct {
 	f    *farm
 	mu   sync.Mutex
-	gen  uint64 // of the newest configuration told
-	sum  uint32
+	gen  uint64 // number of the newest configuration received
+	sum  uint32 // its checksum
 	list *peerlink.Servers
 	who  *peerlink.Census
-	age  time.Duration // of the last answer, from when it was asked for
-	ever bool
+	age  time.Duration // of what is in force, since its last confirmation, by the last Pong
+	ever bool          // the last Pong confirmed what is in force
 	stop context.CancelFunc
 	conn *peerlink.Conn
 }
 
+// startAgent starts an agent of proxy-NAME and connects it to a replica.
 func (f *farm) agent(name string, at int) *farmhand {
-	p := f.net.Host("10.1.0." + name)
+	host := f.net.Host("10.1.0." + name)
 	ctx, stop := context.WithCancel(context.Background())
-	h := &farmhand{f: f, stop: stop}
-	d := &peerlink.Dialer{Net: p, Log: logr.Discard(), Hello: peerlink.Hello{Role: peerlink.Agent, Name: "proxy-" + name, Life: time.Now().UnixNano(), Region: "r", Front: "10.1.0." + name + ":80"}}
-	began := time.Now()
-	go d.Keep(ctx, f.settings(at).Inner(ip(at)), func(_ context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
-		h.mu.Lock()
-		h.conn = c
-		h.mu.Unlock()
+	agent := &farmhand{f: f, stop: stop}
+	dialer := &peerlink.Dialer{Net: host, Log: logr.Discard(), Hello: peerlink.Hello{Role: peerlink.Agent, Name: "proxy-" + name, Life: time.Now().UnixNano(), Region: "r", Front: "10.1.0." + name + ":80"}}
+	start := time.Now()
+	go dialer.Keep(ctx, f.settings(at).Inner(ip(at)), func(_ context.Context, conn *peerlink.Conn, _ *peerlink.Hello) error {
+		agent.mu.Lock()
+		agent.conn = conn
+		agent.mu.Unlock()
 		go func() {
 			for {
-				h.mu.Lock()
-				p := &peerlink.Ping{Sent: time.Since(began), Ready: true, Upstream: true, Gen: h.gen, Held: h.gen, Sum: h.sum}
-				h.mu.Unlock()
-				if c.Send(&peerlink.Frame{Ping: p}) != nil {
+				agent.mu.Lock()
+				ping := &peerlink.Ping{Sent: time.Since(start), Ready: true, Upstream: true, Gen: agent.gen, Held: agent.gen, Sum: agent.sum}
+				agent.mu.Unlock()
+				if conn.Send(&peerlink.Frame{Ping: ping}) != nil {
 					return
 				}
 				time.Sleep(250 * time.Millisecond)
 			}
 		}()
 		for {
-			fr, err := c.Receive()
+			frame, err := conn.Receive()
 			if err != nil {
 				return err
 			}
-			h.mu.Lock()
-			if ch := fr.Change; ch != nil {
-				if ch.Configuration != nil {
-					h.gen, h.sum = ch.Configuration.Gen, ch.Configuration.Sum()
+			agent.mu.Lock()
+			if change := frame.Change; change != nil {
+				if change.Configuration != nil {
+					agent.gen, agent.sum = change.Configuration.Gen, change.Configuration.Sum()
 				}
-				if ch.Servers != nil {
-					h.list = ch.Servers.Onto(h.list)
+				if change.Servers != nil {
+					agent.list = change.Servers.Onto(agent.list)
 				}
-				if ch.Census != nil {
-					h.who = ch.Census.Onto(h.who)
+				if change.Census != nil {
+					agent.who = change.Census.Onto(agent.who)
 				}
-				_ = c.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: ch.No, Gen: h.gen}})
+				_ = conn.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: change.No, Gen: agent.gen}})
 			}
-			if po := fr.Pong; po != nil {
-				h.ever, h.age = po.Fresh, time.Since(began)-po.Sent+po.Age
+			if pong := frame.Pong; pong != nil {
+				agent.ever, agent.age = pong.Fresh, time.Since(start)-pong.Sent+pong.Age
 			}
-			h.mu.Unlock()
+			agent.mu.Unlock()
 		}
 	})
-	return h
+	return agent
 }
 
-// sees tells whether something holds of what the agent was told.
-func (h *farmhand) sees(what func(h *farmhand) bool) func() bool {
+// holds returns a function that reports whether a condition holds for what the agent was sent.
+func (a *farmhand) sees(condition func(a *farmhand) bool) func() bool {
 	return func() bool {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return what(h)
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		return condition(a)
 	}
 }
 
-// get calls a replica's ctl or dir.
-func (f *farm) call(method, url string, text []byte) (int, string) {
+// call sends an HTTP request and returns the status and body of the response; status 0 if there was none.
+func (f *farm) call(method, url string, body []byte) (int, string) {
 	f.t.Helper()
-	p := f.net.Host("10.9.0.1")
-	defer p.Kill()
-	c := &http.Client{Transport: &http.Transport{DialContext: p.Dial, DisableKeepAlives: true}}
-	req, err := http.NewRequest(method, url, bytes.NewReader(text))
+	host := f.net.Host("10.9.0.1")
+	defer host.Kill()
+	client := &http.Client{Transport: &http.Transport{DialContext: host.Dial, DisableKeepAlives: true}}
+	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	assert.NilError(f.t, err)
-	res, err := c.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer res.Body.Close()
-	got, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	got, err := io.ReadAll(response.Body)
 	assert.NilError(f.t, err)
-	return res.StatusCode, string(got)
+	return response.StatusCode, string(got)
 }
 
-// An agent hears of what a majority holds and of nothing else, and how fresh that is.
+// Agents are sent only configurations that a majority has decided, and how recently these were confirmed.
 func TestAgentsHearOfWhatIsHeldByMost(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		a, b := f.agent("1", 0), f.agent("2", 2)
 		defer a.stop()
 		defer b.stop()
 		f.acknowledged(0, body(2, "a"))
-		f.until(100*time.Millisecond, "told by who took it", a.sees(func(h *farmhand) bool { return h.gen == 2 }))
-		f.until(500*time.Millisecond, "told by another", b.sees(func(h *farmhand) bool { return h.gen == 2 }))
-		f.until(time.Second, "fresh", a.sees(func(h *farmhand) bool { return h.ever && h.age < 800*time.Millisecond }))
+		f.until(100*time.Millisecond, "sent by the replica that took it", a.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
+		f.until(500*time.Millisecond, "sent by another replica", b.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
+		f.until(time.Second, "confirmed", a.sees(func(agent *farmhand) bool { return agent.ever && agent.age < 800*time.Millisecond }))
 		f.halfAccepted(0, body(3, "a"))
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, a.sees(func(h *farmhand) bool { return h.gen == 2 })())
+		assert.Assert(t, a.sees(func(agent *farmhand) bool { return agent.gen == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.until(3*time.Second, "mended", b.sees(func(h *farmhand) bool { return h.gen == 3 }))
-		f.until(time.Second, "mended", a.sees(func(h *farmhand) bool { return h.gen == 3 }))
-		// Cut off, a replica's word ages; what it does not know may be in force.
+		f.until(3*time.Second, "sent once a majority can write again", b.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		f.until(time.Second, "sent once a majority can write again", a.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		// A replica that is cut off confirms nothing any more, since it may lack what was decided.
 		f.cut(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
 		f.acknowledged(1, body(4, "a"))
-		assert.Assert(t, a.sees(func(h *farmhand) bool { return h.gen == 3 && h.age > 4*time.Second })())
+		assert.Assert(t, a.sees(func(agent *farmhand) bool { return agent.gen == 3 && agent.age > 4*time.Second })())
 		f.cut(ips(0), ips(1, 2), sim.Open)
-		f.until(3*time.Second, "told after the cut", a.sees(func(h *farmhand) bool { return h.gen == 4 && h.age < time.Second }))
+		f.until(3*time.Second, "sent after the cut", a.sees(func(agent *farmhand) bool { return agent.gen == 4 && agent.age < time.Second }))
 	})
 }
 
@@ -138,37 +139,37 @@
 	play(t, 3, func(f *farm) {
 		a, b := f.agent("1", 0), f.agent("2", 0)
 		defer a.stop()
-		is := func(ready, shares int) func() bool {
-			return a.sees(func(h *farmhand) bool {
-				n := 0
-				for _, g := range h.who.Proxies {
-					if g.Ready {
-						n++
+		counts := func(ready, shares int) func() bool {
+			return a.sees(func(agent *farmhand) bool {
+				readyCount := 0
+				for _, proxy := range agent.who.Proxies {
+					if proxy.Ready {
+						readyCount++
 					}
 				}
-				return n == ready && h.who.Shares == shares
+				return readyCount == ready && agent.who.Shares == shares
 			})
 		}
-		f.until(2*time.Second, "both ready", func() bool { return a.sees(func(h *farmhand) bool { return h.who != nil })() && is(2, 2)() })
+		f.until(2*time.Second, "both ready", func() bool { return a.sees(func(agent *farmhand) bool { return agent.who != nil })() && counts(2, 2)() })
 		status, text := f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
 		b.stop()
-		f.until(2*time.Second, "one left", is(1, 2)) // the silent one may be passing
+		f.until(2*time.Second, "one left", counts(1, 2)) // the silent one still has its share: it may be serving requests behind a cut
 		_, text = f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80"],"ttl_s":1}`+"\n")
 		f.end(0, true)
 		f.start(0)
-		f.until(3*time.Second, "back", is(1, 2)) // a restart forgets no proxy
+		f.until(3*time.Second, "back", counts(1, 2)) // a restarted replica still knows all proxies
 		time.Sleep(62 * time.Second)
-		assert.Assert(t, is(1, 1)())
+		assert.Assert(t, counts(1, 1)())
 	})
 }
 
 func TestCtl(t *testing.T) {
 	play(t, 3, func(f *farm) {
-		at := "http://" + ip(1) + ":8200/-/"
-		for _, c := range []struct {
+		base := "http://" + ip(1) + ":8200/-/"
+		for _, call := range []struct {
 			method, path, text string
 			status             int
 		}{
@@ -184,26 +185,26 @@
 			{"POST", "Drain.Begin/nowhere", "", 404},
 			{"GET", "Drain.Begin/z1", "", 405},
 		} {
-			status, text := f.call(c.method, at+c.path, []byte(c.text))
-			assert.Equal(t, status, c.status, "%s: %s", c.path, text)
-			if c.path == "Config.Show" && status == 200 {
+			status, text := f.call(call.method, base+call.path, []byte(call.text))
+			assert.Equal(t, status, call.status, "%s: %s", call.path, text)
+			if call.path == "Config.Show" && status == 200 {
 				assert.Equal(t, text, string(body(2, "a")))
 			}
 		}
-		f.runs[1].stop() // an order in flight is finished, then nobody is served
+		f.runs[1].stop() // orders in flight are finished, then no calls are served
 		assert.NilError(t, <-f.runs[1].done)
 		f.runs[1].done <- nil
-		status, _ := f.call("GET", at+"Config.Show", nil)
+		status, _ := f.call("GET", base+"Config.Show", nil)
 		assert.Equal(t, status, 0)
 	})
 }
 
-// platform is the platform's list, of one page for each server.
+// fakePlatform serves the platform's server list, with one server a page.
 type platform struct {
 	mu      sync.Mutex
-	servers []string // rows
+	servers []string // rows in JSON
 	calls   int
-	down    bool
+	down    bool // all calls are refused
 }
 
 func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -222,38 +223,39 @@
 	fmt.Fprintf(w, `{"servers":{"cols":["id","backend","address","zone","state"],"rows":[%s]},"next_token":%s}`, p.servers[i], next)
 }
 
+// serverRow returns the row of a server in JSON.
 func row(id, state string) string {
 	return fmt.Sprintf(`["%s","s","10.5.0.1:80","z0","%s"]`, id, state)
 }
 
 func TestListsDutyIsTakenOver(t *testing.T) {
-	p := &platform{servers: []string{row("a", "ready"), row("b", "ready")}}
-	platformed(t, 4, p, func(f *farm) {
-		h := f.agent("1", 0)
-		defer h.stop()
+	platformList := &platform{servers: []string{row("a", "ready"), row("b", "ready")}}
+	platformed(t, 4, platformList, func(f *farm) {
+		agent := f.agent("1", 0)
+		defer agent.stop()
 		states := func(want string) func() bool {
-			return h.sees(func(h *farmhand) bool {
+			return agent.sees(func(agent *farmhand) bool {
 				got := ""
-				for _, s := range h.list.List {
-					got += fmt.Sprint(s.ID, " ", s.Draining, ";")
+				for _, server := range agent.list.List {
+					got += fmt.Sprint(server.ID, " ", server.Draining, ";")
 				}
 				return got == want
 			})
 		}
 		set := func(rows ...string) {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.servers = rows
+			platformList.mu.Lock()
+			defer platformList.mu.Unlock()
+			platformList.servers = rows
 		}
-		f.until(2*time.Second, "a list", h.sees(func(h *farmhand) bool { return h.list != nil }))
+		f.until(2*time.Second, "a list", agent.sees(func(agent *farmhand) bool { return agent.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
-		p.mu.Lock()
-		before := p.calls
-		p.mu.Unlock()
+		platformList.mu.Lock()
+		before := platformList.calls
+		platformList.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		p.mu.Lock()
-		assert.Assert(t, p.calls-before <= 2*21, "%d calls", p.calls-before) // one replica asks
-		p.mu.Unlock()
+		platformList.mu.Lock()
+		assert.Assert(t, platformList.calls-before <= 2*21, "%d calls", platformList.calls-before) // one replica reads, at most every 500 ms
+		platformList.mu.Unlock()
 		set(row("a", "draining"), row("b", "ready"))
 		f.until(time.Second, "drains", states("a true;b false;"))
 		holder := 0
@@ -263,44 +265,45 @@
 			}
 		}
 		if holder == 0 {
-			f.cut(ips(0), []string{"10.8.0.1"}, sim.Silent) // it only loses the platform
+			f.cut(ips(0), []string{"10.8.0.1"}, sim.Silent) // the holder only loses its connection to the platform
 		} else {
 			f.end(holder, true)
 		}
 		set(row("a", "ready"), row("b", "draining"), row("c", "ready"))
-		f.until(3*time.Second, "taken over", states("a true;b true;c false;")) // no life comes back from draining
+		f.until(3*time.Second, "taken over", states("a true;b true;c false;")) // a draining instance never becomes ready again
 	})
 }
 
+// holdsListLease reports whether the replica holds the lease of the server list.
 func (r *running) holdsNow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duty.Holds()
 }
 
-// An agent that was told another text of the same number is told the one that holds.
+// An agent that holds another text under the number of the configuration in force is sent the one in force.
 func TestTwinTextIsTold(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
 		f.acknowledged(0, body(5, "a"))
 		held := f.runs[0].configured()
-		h, stop := f.helper(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
+		agent, stop := f.helper(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
 		defer stop()
-		f.pass(2*time.Second, h)
-		assert.Equal(t, string(h.news().Configuration.Body), string(held.Body))
-		assert.Assert(t, !h.pong.Fresh, "%+v", h.pong)
+		f.pass(2*time.Second, agent)
+		assert.Equal(t, string(agent.news().Configuration.Body), string(held.Body))
+		assert.Assert(t, !agent.pong.Fresh, "%+v", agent.pong)
 	})
 }
 
-// What a proxy has in force is confirmed for as long as it was the newest, and from the decision of the next one on no
-// more. While that is on its way, in force of another text, or held by the agent alone, the proxy goes on with keys that
-// may have been taken away.
+// What a proxy has in force is confirmed only up to the decision of the next configuration. Otherwise a proxy would go on
+// accepting keys that have been revoked, while the next configuration is being sent, while only the agent holds it, or
+// while another text of the same number is in force.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
 		f.acknowledged(0, body(2, "a"))
-		in := func(gen uint64) peerlink.Ping {
+		ping := func(gen uint64) peerlink.Ping {
 			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.runs[0].configured().Sum()}
 		}
-		proxy, stop := f.helper(0, "1", in(2))
+		proxy, stop := f.helper(0, "1", ping(2))
 		defer stop()
 		newest := func(what string) {
 			f.pass(time.Second, proxy)
@@ -314,54 +317,54 @@
 			assert.Assert(t, !proxy.pong.Fresh || proxy.pong.Age >= time.Since(decided)-250*time.Millisecond, "%s: %+v, decided %v ago", what, proxy.pong, time.Since(decided))
 			assert.Assert(t, proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
-		outdated("the next on its way")
+		outdated("the next being sent")
 		assert.Assert(t, proxy.pong.Fresh && proxy.pong.Age < time.Since(decided)+800*time.Millisecond, "confirmed until then: %+v", proxy.pong)
-		held, other := in(3), in(3)
+		held, other := ping(3), ping(3)
 		held.Gen = 2
 		proxy.ping = held
-		outdated("the next held by the agent")
+		outdated("the next held by the agent only")
 		other.Sum++
 		proxy.ping = other
 		outdated("another text in force")
 		assert.Assert(t, !proxy.pong.Fresh, "%+v", proxy.pong)
-		proxy.ping = in(3)
+		proxy.ping = ping(3)
 		newest("the next in force")
 		proxy.ping.Gen, proxy.ping.Held = 4, 4
 		newest("one above in force")
 	})
 }
 
-// The platform's address, the zones and the rate change in service.
+// The platform's address, its rate and the zones can change while replicas run.
 func TestSettingsChange(t *testing.T) {
 	one, two := &platform{servers: []string{row("a", "ready")}}, &platform{servers: []string{row("b", "ready")}}
 	platformed(t, 3, one, func(f *farm) {
-		ln, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
+		listener, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
 		assert.NilError(t, err)
-		s := &http.Server{Handler: two}
-		defer s.Close()
-		go func() { _ = s.Serve(ln) }()
-		lists := func(id string) func() bool {
+		server := &http.Server{Handler: two}
+		defer server.Close()
+		go func() { _ = server.Serve(listener) }()
+		hasList := func(id string) func() bool {
 			return func() bool {
-				for _, r := range f.runs {
-					r.mu.Lock()
-					is := r.list != nil && len(r.list.List) == 1 && r.list.List[0].ID == id
-					r.mu.Unlock()
-					if !is {
+				for _, replica := range f.runs {
+					replica.mu.Lock()
+					matches := replica.list != nil && len(replica.list.List) == 1 && replica.list.List[0].ID == id
+					replica.mu.Unlock()
+					if !matches {
 						return false
 					}
 				}
 				return true
 			}
 		}
-		f.until(2*time.Second, "the first list", lists("a"))
+		f.until(2*time.Second, "the first list", hasList("a"))
 		assert.ErrorIs(t, f.runs[0].Drain(context.Background(), "z9", true), ErrZone)
-		for i, r := range f.runs {
+		for i, replica := range f.runs {
 			next := f.settings(i)
 			next.Provider.Cloud = settings.Cloud{Address: "10.8.0.2:80", RatePerS: 8}
 			next.Network.Zones["z9"] = "r"
-			r.SetSettings(next)
+			replica.SetSettings(next)
 		}
-		f.until(2*time.Second, "the other list", lists("b"))
+		f.until(2*time.Second, "the other list", hasList("b"))
 		assert.NilError(t, f.runs[0].Drain(context.Background(), "z9", true))
 		time.Sleep(2 * time.Second)
 		two.mu.Lock()
@@ -371,6 +374,6 @@
 		two.mu.Lock()
 		calls := two.calls - before
 		two.mu.Unlock()
-		assert.Assert(t, calls >= 9 && calls <= 11, "%d calls", calls) // one a second
+		assert.Assert(t, calls >= 9 && calls <= 11, "%d calls", calls) // one a second: the rate changed too
 	})
 }
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -20,19 +20,19 @@
 
 const (
 	drainWithin  = 5 * time.Second         // drain_ms of the large deployments
-	upstreamLost = 1500 * time.Millisecond // of it, for an agent whose upstream replica is lost at the same time
+	upstreamLost = 1500 * time.Millisecond // part of it, for an agent that loses its upstream replica at the same time
 	longReplicas = 24
-	someReplicas = 10               // more than vote
-	settleFor    = 10 * time.Second // one reader is left by then
+	someReplicas = 10               // more than the voters
+	settleFor    = 10 * time.Second // by then only one replica reads the list
 	longServers  = 719
 	longPage     = 50
 )
 
-// longList is a platform's list of many pages, in two zones.
+// longListPlatform serves a server list of many pages, in two zones.
 type longList struct {
 	mu      sync.Mutex
-	leaving map[string]bool
-	onPage  func(zone string, first int, caller string) // before a page is answered; the mutex is held
+	leaving map[string]bool                             // IDs of draining servers
+	onPage  func(zone string, first int, caller string) // called before a page is served, with the mutex held
 }
 
 func longID(i int) string { return fmt.Sprintf("i-%03d", i) }
@@ -45,12 +45,12 @@
 	rows, last := [][]any{}, from
 	for i := from; i < longServers && len(rows) < longPage; i++ {
 		last = i + 1
-		if in := "z" + strconv.Itoa(i%2); zone == "" || zone == in {
+		if inZone := "z" + strconv.Itoa(i%2); zone == "" || zone == inZone {
 			state := "ready"
 			if p.leaving[longID(i)] {
 				state = "draining"
 			}
-			rows = append(rows, []any{longID(i), "s", "10.5.0.1:80", in, state})
+			rows = append(rows, []any{longID(i), "s", "10.5.0.1:80", inZone, state})
 		}
 	}
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
@@ -65,7 +65,7 @@
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// leavesUnseen has the first server leave once it has been read again, and tells when.
+// drainAfterNextRead has the first server drain right after the next read has passed it, and returns when that was.
 func (p *longList) leavesUnseen(f *farm) (left time.Time) {
 	p.mu.Lock()
 	p.onPage = func(_ string, first int, _ string) {
@@ -82,13 +82,14 @@
 	return left
 }
 
+// knowsDraining reports whether the replica has the whole list with the first server draining.
 func (r *running) knowsLeaving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list != nil && len(r.list.List) == longServers && r.list.List[0].Draining
 }
 
-// holder is who reads the list; -1: nobody.
+// leaseHolder returns the replica that holds the list lease; -1: none.
 func (f *farm) holder() int {
 	for i, r := range f.runs {
 		if r != nil && r.holdsNow() {
@@ -98,7 +99,7 @@
 	return -1
 }
 
-// named is the replica that may follow the holder without a vote.
+// leaseSuccessor returns the replica that may take over the lease without a vote; -1: none.
 func (f *farm) named(holder int) int {
 	r := f.at(holder)
 	r.mu.Lock()
@@ -112,18 +113,19 @@
 	return -1
 }
 
-// nextReadingDue lets time pass until the next reading is about to begin.
+// waitForNextRead waits until the holder is about to begin its next read.
 func (f *farm) nextReadingDue(holder int) {
-	f.until(drainWithin, "next reading", func() bool {
-		r := f.at(holder)
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return !r.reads.busy && r.now() >= r.reads.work.Asked+r.reads.work.Period-20*time.Millisecond
+	f.until(drainWithin, "next read", func() bool {
+		reader := f.at(holder)
+		reader.mu.Lock()
+		defer reader.mu.Unlock()
+		return !reader.reads.busy && reader.now() >= reader.reads.work.Asked+reader.reads.work.Period-20*time.Millisecond
 	})
 }
 
+// All replicas know of a draining server in time, also if the replica that reads the list fails between two reads.
 func TestLeavingServerIsKnownInTimeAtManyReplicasOfALongList(t *testing.T) {
-	for name, trouble := range map[string]func(f *farm, p *longList, left time.Time){
+	for name, fault := range map[string]func(f *farm, p *longList, left time.Time){
 		"calm": func(*farm, *longList, time.Time) {},
 		"reader loses power before its next reading": func(f *farm, _ *longList, _ time.Time) {
 			reader := f.holder()
@@ -159,11 +161,11 @@
 			if strings.Contains(name, "rank") {
 				replicas = longReplicas
 			}
-			set := &farm{t: t, drain: drainWithin, rate: 2100}
-			set.run(replicas, http.Handler(p), func(f *farm) {
+			setup := &farm{t: t, drain: drainWithin, rate: 2100}
+			setup.run(replicas, http.Handler(p), func(f *farm) {
 				time.Sleep(settleFor)
 				left := p.leavesUnseen(f)
-				trouble(f, p, left)
+				fault(f, p, left)
 				known := func() bool {
 					for _, r := range f.runs {
 						if r != nil && !r.knowsLeaving() {
@@ -180,12 +182,12 @@
 	}
 }
 
-// With a long period those who didn't know it would read in between.
+// If the period between reads is long, replicas that didn't know it would read the list in between.
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
 	const drain = 4 * drainWithin
 	p := &longList{}
-	set := &farm{t: t, drain: drain, rate: 2100}
-	set.run(longReplicas, http.Handler(p), func(f *farm) {
+	setup := &farm{t: t, drain: drain, rate: 2100}
+	setup.run(longReplicas, http.Handler(p), func(f *farm) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(5 * time.Second)
 		callers := map[string]bool{}
@@ -202,7 +204,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		assert.Equal(f.t, len(callers), 1)
-		assert.Assert(f.t, longest <= drain/4, "%v between two readings", longest)
+		assert.Assert(f.t, longest <= drain/4, "%v between two reads", longest)
 	})
 }
 
@@ -213,6 +215,6 @@
 	r.take(peerlink.Reading{Age: 800 * ms, Period: 1250 * ms, Pages: 16}, 5000*ms)
 	assert.Equal(t, r.began, 4200*ms)
 	assert.Equal(t, *r.tell(6000 * ms), peerlink.Reading{Age: 1800 * ms, Period: 1250 * ms, Pages: 16})
-	r.take(peerlink.Reading{Age: -time.Hour}, 7000*ms) // none began later than it was heard of
+	r.take(peerlink.Reading{Age: -time.Hour}, 7000*ms) // a read can't have begun after this replica learned of it
 	assert.Equal(t, *r.tell(7000 * ms), peerlink.Reading{Period: 1250 * ms, Pages: 16})
 }
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -20,54 +20,54 @@
 	"pepperfall.example/pepperfall/internal/dataplane/homing"
 )
 
-// Bounds of calls.
+// Bounds of HTTP calls.
 const (
-	mostBody    = 7 << 20 // a frame has to hold it
+	mostBody    = 7 << 20 // a frame between replicas has to hold it
 	mostLockAsk = 4 << 10
 	headWithin  = 3 * time.Second
 	callRead    = 10 * time.Second
 	idleWithin  = 30 * time.Second
-	answersFor  = time.Second // a client may use an answer of dir
+	answersFor  = time.Second // for which a client may use the answer to a lookup
 	retryAfter  = "0.2"
 	jsonType    = "application/json"
-	closeWithin = 1500 * time.Millisecond // for calls in flight at the end
+	closeWithin = 1500 * time.Millisecond // for calls in flight when the replica stops
 )
 
-// serveHTTP serves ctl and dir; what it returns ends that in order.
+// serveHTTP serves the operators' calls and the clients' lookups. It returns a function that shuts both servers down.
 func (b *Replica) serveHTTP(ctx context.Context) (func(), error) {
-	var all []*http.Server
+	var servers []*http.Server
 	stop := func() {
 		ctx, cancel := b.within(context.Background(), closeWithin)
 		defer cancel()
-		for _, s := range all {
-			_ = s.Shutdown(ctx)
-			_ = s.Close()
+		for _, server := range servers {
+			_ = server.Shutdown(ctx)
+			_ = server.Close()
 		}
 	}
-	for addr, h := range map[string]http.Handler{b.self.Ctl: b.ctl(), b.self.Dir: b.dir()} {
+	for addr, handler := range map[string]http.Handler{b.self.Ctl: b.ctl(), b.self.Dir: b.dir()} {
 		if addr == "" {
 			continue
 		}
-		ln, err := b.w.Listen(ctx, "tcp", addr)
+		listener, err := b.w.Listen(ctx, "tcp", addr)
 		if err != nil {
 			stop()
 			return nil, errors.Wrap(err, "replica")
 		}
-		s := &http.Server{Handler: h, ReadHeaderTimeout: headWithin, ReadTimeout: callRead, WriteTimeout: callRead, IdleTimeout: idleWithin}
-		all = append(all, s)
-		b.jobs.Go(func() { _ = s.Serve(ln) })
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: headWithin, ReadTimeout: callRead, WriteTimeout: callRead, IdleTimeout: idleWithin}
+		servers = append(servers, server)
+		b.jobs.Go(func() { _ = server.Serve(listener) })
 	}
 	return stop, nil
 }
 
-// ctl is what the operator calls.
+// operatorHandler serves the operators' calls.
 func (b *Replica) ctl() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("POST "+api.ConfigReplace, func(w http.ResponseWriter, r *http.Request) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+api.ConfigReplace, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
-		var large *http.MaxBytesError
+		var tooLarge *http.MaxBytesError
 		switch {
-		case errors.As(err, &large):
+		case errors.As(err, &tooLarge):
 			refuse(w, http.StatusRequestEntityTooLarge, err)
 		case err != nil:
 			refuse(w, http.StatusServiceUnavailable, err)
@@ -80,97 +80,97 @@
 			answerReplace(w, done, err)
 		}
 	})
-	m.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
-		p, err := b.Show(r.Context())
+	mux.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
+		configuration, err := b.Show(r.Context())
 		if err != nil {
 			finish(w, err)
 			return
 		}
 		w.Header().Set("Content-Type", jsonType)
-		_, _ = w.Write(p.Body)
+		_, _ = w.Write(configuration.Body)
 	})
 	for path, drain := range map[string]bool{api.DrainBegin: true, api.DrainFinish: false} {
-		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
+		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			zone := strings.TrimPrefix(r.URL.Path, path)
 			finish(w, b.noted(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
 		})
 	}
-	b.nodes(m)
-	b.servers(m)
-	b.operators(m)
-	return m
+	b.nodes(mux)
+	b.servers(mux)
+	b.operators(mux)
+	return mux
 }
 
-// nodes adds the orders about proxies, and the lock of those who give many.
-func (b *Replica) nodes(m *http.ServeMux) {
-	m.HandleFunc("POST "+api.NodeRest, func(w http.ResponseWriter, r *http.Request) {
+// addProxyRoutes adds the orders about proxies, and the lock for operators who give a series of orders.
+func (b *Replica) nodes(mux *http.ServeMux) {
+	mux.HandleFunc("POST "+api.NodeRest, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeRest)
 		finish(w, b.noted(r, api.OrderRest, name, func(ctx context.Context) error {
-			least, err := floorOf(r.URL.Query())
+			minAwake, err := floorOf(r.URL.Query())
 			if err != nil {
 				return Invalid{err}
 			}
-			return b.Rest(ctx, name, least)
+			return b.Rest(ctx, name, minAwake)
 		}))
 	})
-	m.HandleFunc("POST "+api.NodeWake, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+api.NodeWake, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeWake)
 		finish(w, b.noted(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
 	})
 	for path, take := range map[string]bool{api.LockTake: true, api.LockDrop: false} {
-		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			var ask api.LockAsk
-			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostLockAsk)).Decode(&ask)
-			if err != nil || ask.Token == "" || take && (ask.Who == "" || ask.ForMS <= 0) {
-				refuse(w, http.StatusBadRequest, errors.New("not the form of a lock"))
+		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
+			var request api.LockAsk
+			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostLockAsk)).Decode(&request)
+			if err != nil || request.Token == "" || take && (request.Who == "" || request.ForMS <= 0) {
+				refuse(w, http.StatusBadRequest, errors.New("lock request is malformed or lacks a token, a name or a duration"))
 				return
 			}
 			if take {
-				want := state.Lock{Token: ask.Token, Who: ask.Who, Since: ask.Since.UnixNano(), For: time.Duration(ask.ForMS) * time.Millisecond}
-				finish(w, b.LockFor(r.Context(), want))
+				lock := state.Lock{Token: request.Token, Who: request.Who, Since: request.Since.UnixNano(), For: time.Duration(request.ForMS) * time.Millisecond}
+				finish(w, b.LockFor(r.Context(), lock))
 				return
 			}
-			finish(w, b.Unlock(r.Context(), ask.Token))
+			finish(w, b.Unlock(r.Context(), request.Token))
 		})
 	}
 }
 
-// servers adds the order about servers.
-func (b *Replica) servers(m *http.ServeMux) {
-	m.HandleFunc("POST "+api.ServerJudge, func(w http.ResponseWriter, r *http.Request) {
-		id, q := strings.TrimPrefix(r.URL.Path, api.ServerJudge), r.URL.Query()
+// addServerRoutes adds the order about servers.
+func (b *Replica) servers(mux *http.ServeMux) {
+	mux.HandleFunc("POST "+api.ServerJudge, func(w http.ResponseWriter, r *http.Request) {
+		id, query := strings.TrimPrefix(r.URL.Path, api.ServerJudge), r.URL.Query()
 		finish(w, b.noted(r, api.OrderJudge, id, func(ctx context.Context) error {
-			holds := api.JudgeUsual
-			if text := q.Get(api.JudgeFor); text != "" {
-				s, err := strconv.ParseFloat(text, 64)
-				if err != nil || !(s > 0 && s <= api.JudgeMost.Seconds()) {
-					return Invalid{errors.Errorf("%s: %q is no number of seconds up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
+			duration := api.JudgeUsual
+			if text := query.Get(api.JudgeFor); text != "" {
+				seconds, err := strconv.ParseFloat(text, 64)
+				if err != nil || !(seconds > 0 && seconds <= api.JudgeMost.Seconds()) {
+					return Invalid{errors.Errorf("%s: %q is not a number of seconds above 0 and up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
 				}
-				holds = time.Duration(s * float64(time.Second))
+				duration = time.Duration(seconds * float64(time.Second))
 			}
-			return b.Judge(ctx, id, q.Get(api.JudgeWord), holds)
+			return b.Judge(ctx, id, query.Get(api.JudgeWord), duration)
 		}))
 	})
 }
 
-// floorOf reads what has to stay awake.
-func floorOf(q url.Values) (Floor, error) {
-	least := Floor{Zone: api.LeastAwake, All: api.LeastAwake, Force: q.Get(api.RestForce) == "true"}
-	for name, to := range map[string]*float64{api.RestZone: &least.Zone, api.RestAll: &least.All} {
-		text := q.Get(name)
+// parseMinAwake reads which parts of the proxies have to stay awake.
+func floorOf(query url.Values) (Floor, error) {
+	minAwake := Floor{Zone: api.LeastAwake, All: api.LeastAwake, Force: query.Get(api.RestForce) == "true"}
+	for name, target := range map[string]*float64{api.RestZone: &minAwake.Zone, api.RestAll: &minAwake.All} {
+		text := query.Get(name)
 		if text == "" {
 			continue
 		}
-		part, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(part >= 0 && part <= 1) {
-			return least, errors.Errorf("%s: %q is no part from 0 to 1", name, text)
+		fraction, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(fraction >= 0 && fraction <= 1) {
+			return minAwake, errors.Errorf("%s: %q is not a fraction from 0 to 1", name, text)
 		}
-		*to = part
+		*target = fraction
 	}
-	return least, nil
+	return minAwake, nil
 }
 
-// finish answers an order.
+// writeOrderResult answers an order.
 func finish(w http.ResponseWriter, err error) {
 	if err != nil {
 		refuse(w, statusOf(err), err)
@@ -180,7 +180,8 @@
 	_, _ = io.WriteString(w, "{}\n")
 }
 
-// answerReplace answers a configuration: where one above it is in force, that is said.
+// writeReplaceResult answers a replacement of the configuration with the version that is in force now: it may be a newer
+// one.
 func answerReplace(w http.ResponseWriter, done Replaced, err error) {
 	if err != nil {
 		finish(w, err)
@@ -190,10 +191,10 @@
 	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: version(done.Held)})
 }
 
-// statusOf is the answer to an order that did not go through; 503: it may be in force or may not.
+// httpStatus returns the status for an order that failed. 503 says that it's unknown whether the order is in force.
 func statusOf(err error) int {
 	var invalid Invalid
-	var tight Tight
+	var tooFewAwake Tight
 	var taken Taken
 	var conflict Conflict
 	switch {
@@ -201,7 +202,7 @@
 		return http.StatusBadRequest
 	case errors.Is(err, ErrZone), errors.Is(err, ErrNode), errors.Is(err, ErrServer):
 		return http.StatusNotFound
-	case errors.As(err, &tight), errors.As(err, &conflict):
+	case errors.As(err, &tooFewAwake), errors.As(err, &conflict):
 		return http.StatusConflict
 	case errors.As(err, &taken):
 		return http.StatusLocked
@@ -209,6 +210,7 @@
 	return http.StatusServiceUnavailable
 }
 
+// writeError answers with a status and an error in JSON.
 func refuse(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", jsonType)
 	if status == http.StatusServiceUnavailable {
@@ -218,41 +220,41 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
 }
 
-// dir is what clients ask.
+// directoryHandler serves the clients' lookups of proxies.
 func (b *Replica) dir() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET "+api.DirLookup, func(w http.ResponseWriter, r *http.Request) {
-		q := r.URL.Query()
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+api.DirLookup, func(w http.ResponseWriter, r *http.Request) {
+		query := r.URL.Query()
 		b.mu.Lock()
-		regions := b.regionsFor(q.Get(api.LookupName), q.Get(api.LookupRegion))
-		fronts := b.proxies.fronts(regions, q.Get(api.LookupName)+" "+q.Get(api.LookupZone), b.now())
+		regions := b.regionsFor(query.Get(api.LookupName), query.Get(api.LookupRegion))
+		addresses := b.proxies.fronts(regions, query.Get(api.LookupName)+" "+query.Get(api.LookupZone), b.now())
 		b.mu.Unlock()
-		if len(fronts) == 0 {
-			refuse(w, http.StatusServiceUnavailable, errors.New("no node is ready"))
+		if len(addresses) == 0 {
+			refuse(w, http.StatusServiceUnavailable, errors.New("no proxy is ready"))
 			return
 		}
-		if len(fronts) > api.MostAddresses {
-			rand.Shuffle(len(fronts), func(i, j int) { fronts[i], fronts[j] = fronts[j], fronts[i] })
-			fronts = fronts[:api.MostAddresses]
+		if len(addresses) > api.MostAddresses {
+			rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+			addresses = addresses[:api.MostAddresses]
 		}
 		w.Header().Set("Content-Type", jsonType)
-		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(answersFor, b.live.Load().Terms.Bounds.TTLMax).Seconds()})
+		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: addresses, TTLS: min(answersFor, b.live.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
-	return m
+	return mux
 }
 
-// regionsFor are those in which clients of a host and a region are told proxies; the mutex is held.
-func (b *Replica) regionsFor(name, region string) []string {
+// lookupRegions returns the regions whose proxies a client in a region gets for a host; the mutex is held.
+func (b *Replica) regionsFor(hostName, region string) []string {
 	if b.parsed == nil {
 		return []string{region}
 	}
-	homes, bound, free := b.parsed.HomesOf(name)
-	if len(homes) == 0 || slices.Contains(homes, region) {
+	homeRegions, bound, free := b.parsed.HomesOf(hostName)
+	if len(homeRegions) == 0 || slices.Contains(homeRegions, region) {
 		return []string{region}
 	}
-	host, now := homing.Host(routeconfig.Bare(name)), b.now()
+	host, now := homing.Host(routeconfig.Bare(hostName)), b.now()
 	if !b.roads.Home(host, bound, free, func() homing.Heads { return b.proxies.heads(host, now) }, now) {
 		return []string{region}
 	}
-	return homes // else every bound body would go from one region to the other
+	return homeRegions // otherwise every body of a bound request would be sent from one region to another
 }
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -11,65 +11,66 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// join brings a proxy in that is ready at once.
+// joinProxy registers a proxy that is ready at once.
 func join(r *register, name string, now time.Duration) *proxy {
-	g, _ := r.see(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
-	g.ready = true
-	if g.risen == 0 {
-		g.risen = now
+	proxy, _ := r.see(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
+	proxy.ready = true
+	if proxy.risen == 0 {
+		proxy.risen = now
 	}
-	return g
+	return proxy
 }
 
-func hearAll(r *register, now time.Duration, but ...string) {
-	for _, n := range r.names() {
-		if len(but) == 0 || n != but[0] {
-			r.proxies[n].heard = now
+// heartbeatAll records a heartbeat of all proxies but the one named in except.
+func hearAll(r *register, now time.Duration, except ...string) {
+	for _, name := range r.names() {
+		if len(except) == 0 || name != except[0] {
+			r.proxies[name].heard = now
 		}
 	}
 }
 
-// One that has given its parts up counts no more from then on, whatever it says later; its next life joins anew, and
-// leaves unused what one behind a cut still holds.
+// A leaving proxy that has released its quota shares no longer counts, even if it is heard of later. Its next incarnation
+// joins like a new proxy, and leaves unused the shares that a proxy behind a cut may still use.
 func TestGivenPartsAreOthersAtOnce(t *testing.T) {
 	r := newRegister(nil, 0)
-	at := time.Second
+	now := time.Second
 	for _, n := range []string{"a", "b", "c"} {
-		join(r, n, at)
+		join(r, n, now)
 	}
-	at += 5 * time.Second
-	hearAll(r, at)
-	g := r.proxies["a"]
-	g.left, g.grace, g.given = at, 6*time.Second, true
-	_, shares, _ := r.members(at)
+	now += 5 * time.Second
+	hearAll(r, now)
+	leaver := r.proxies["a"]
+	leaver.left, leaver.grace, leaver.given = now, 6*time.Second, true
+	_, shares, _ := r.members(now)
 	assert.Equal(t, shares, 2)
 
-	at += time.Second
-	hearAll(r, at)
-	join(r, "a", at)
+	now += time.Second
+	hearAll(r, now)
+	join(r, "a", now)
 	for _, step := range []struct {
 		d      time.Duration
 		but    string
 		silent int
 	}{{0, "", 2}, {handover.HeardBy, "c", 1}, {10 * time.Second, "c", 1}, {11 * time.Second, "", 0}} {
 		if step.d > 0 {
-			hearAll(r, at+step.d, step.but)
+			hearAll(r, now+step.d, step.but)
 		}
-		all, shares, _ := r.members(at + step.d)
+		all, shares, _ := r.members(now + step.d)
 		assert.Equal(t, shares, 3)
 		assert.Equal(t, all[0].Silent, step.silent, "after %v", step.d)
 	}
 }
 
-// A proxy that joins others is told of to a rising part of places; those that all began at once, and one that was
-// killed and comes back, to all at once.
+// A proxy that joins others is listed to a growing part of the clients. Proxies that all start at once, and one that comes
+// back after being killed, are listed to all clients at once.
 func TestJoinersRise(t *testing.T) {
 	r := newRegister(nil, 0)
-	at := time.Second
+	clock := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
-		join(r, n, at)
+		join(r, n, clock)
 	}
-	told := func(name string, now time.Duration) (n int) {
+	placesWith := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
 			for _, f := range r.fronts([]string{"r"}, "place "+string(rune('0'+i)), now) {
 				if f == name {
@@ -79,73 +80,73 @@
 		}
 		return n
 	}
-	assert.Equal(t, told("b", at), 100) // a first start
-	at += 10 * time.Second
-	hearAll(r, at)
+	assert.Equal(t, placesWith("b", clock), 100) // all started at once
+	clock += 10 * time.Second
+	hearAll(r, clock)
 	r.proxies["b"].up = false
-	join(r, "b", at) // it was killed
-	assert.Equal(t, told("b", at), 100)
-	join(r, "e", at)
+	join(r, "b", clock) // it was killed
+	assert.Equal(t, placesWith("b", clock), 100)
+	join(r, "e", clock)
 	const mid = (handover.RiseAt + handover.RiseFor) / 2
-	assert.Equal(t, told("e", at), 0)
-	hearAll(r, at+mid)
-	half := told("e", at+mid)
+	assert.Equal(t, placesWith("e", clock), 0)
+	hearAll(r, clock+mid)
+	half := placesWith("e", clock+mid)
 	assert.Assert(t, half > 25 && half < 75, "%d", half)
-	hearAll(r, at+handover.RiseFor)
-	assert.Equal(t, told("e", at+handover.RiseFor), 100)
-	assert.Equal(t, told("a", at+handover.RiseFor), 100)
+	hearAll(r, clock+handover.RiseFor)
+	assert.Equal(t, placesWith("e", clock+handover.RiseFor), 100)
+	assert.Equal(t, placesWith("a", clock+handover.RiseFor), 100)
 }
 
-// A joiner takes from the others only once their proxies have said that they go by as many parts as there are with it,
-// however long their agents were heard by then; a later join makes it no stranger again.
+// A joining proxy uses its quota share only once all other proxies have reported that they divide quotas by the new number,
+// however long that takes. A later join doesn't put it back into waiting.
 func TestJoinersWaitForTheOthersWord(t *testing.T) {
 	r := newRegister(nil, 0)
-	at := time.Second
+	now := time.Second
 	for _, n := range []string{"a", "b"} {
-		join(r, n, at).parts = 2
+		join(r, n, now).parts = 2
 	}
-	at += time.Second
-	join(r, "c", at)
+	now += time.Second
+	join(r, "c", now)
 	silent := func(name string, after time.Duration) int {
-		hearAll(r, at+after)
-		all, _, _ := r.members(at + after)
+		hearAll(r, now+after)
+		all, _, _ := r.members(now + after)
 		i := slices.IndexFunc(all, func(m peerlink.Member) bool { return m.Hello.Name == name })
 		return all[i].Silent
 	}
 	assert.Equal(t, silent("c", 0), 2)
 	r.proxies["a"].parts = 3
-	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // no time has to pass
-	assert.Equal(t, silent("c", 20*time.Second), 1)      // and none is enough: b's lead knows nothing of it
+	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // it doesn't wait any longer for a
+	assert.Equal(t, silent("c", 20*time.Second), 1)      // no time is enough: b doesn't know of c, since its upstream replica doesn't
 	r.proxies["b"].parts = 4
 	assert.Equal(t, silent("c", 20*time.Second), 0)
-	at += 21 * time.Second
+	now += 21 * time.Second
 	r.proxies["c"].parts = 3
-	join(r, "d", at)
+	join(r, "d", now)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
 }
 
-// Where every proxy leaves at once, clients are sent to those whose doors are still open, and to nobody behind a shut one.
+// If every proxy leaves at once, clients are sent to those that still accept requests, and to none that has stopped.
 func TestLeaversAreBetterThanNone(t *testing.T) {
 	r := newRegister(nil, 0)
-	at := time.Second
-	for _, n := range []string{"a", "b"} {
-		join(r, n, at)
+	now := time.Second
+	for _, name := range []string{"a", "b"} {
+		join(r, name, now)
 	}
-	at += 10 * time.Second
-	hearAll(r, at)
-	leave := func(n string) {
-		r.proxies[n].left, r.proxies[n].grace, r.proxies[n].ready = at, 6*time.Second, false
+	now += 10 * time.Second
+	hearAll(r, now)
+	leave := func(name string) {
+		r.proxies[name].left, r.proxies[name].grace, r.proxies[name].ready = now, 6*time.Second, false
 	}
 	leave("a")
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", at), []string{"b"})
+	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", now), []string{"b"})
 	leave("b")
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", at), []string{"a", "b"})
-	at += 2 * time.Second
-	hearAll(r, at)
+	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", now), []string{"a", "b"})
+	now += 2 * time.Second
+	hearAll(r, now)
 	r.proxies["a"].given = true
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", at), []string{"b"})
-	at += time.Second
-	hearAll(r, at)
-	assert.Equal(t, len(r.fronts([]string{"r"}, "p", at)), 0)
+	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", now), []string{"b"})
+	now += time.Second
+	hearAll(r, now)
+	assert.Equal(t, len(r.fronts([]string{"r"}, "p", now)), 0)
 }
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -15,14 +15,14 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// growing is a platform's list to which servers are added; it notes when each whole reading began and ended.
+// growingPlatform serves a server list that grows. It records when whole reads of the list began and ended.
 type growing struct {
 	mu      sync.Mutex
 	servers int
-	begun   map[string]time.Time // by caller
-	last    time.Time            // when the newest of the readings that have ended began
-	before  time.Time            // the same, as of the reading before that one
-	longest time.Duration        // from before to the end of the newest
+	begun   map[string]time.Time // start of the current read, by caller
+	last    time.Time            // start of the newest read that has ended
+	before  time.Time            // start of the read before that one
+	longest time.Duration        // longest time from the start of a read to the end of the next
 }
 
 func (p *growing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -33,8 +33,8 @@
 	rows, next := [][]any{}, from
 	for i := from; i < p.servers && len(rows) < longPage; i++ {
 		next = i + 1
-		if in := "z" + strconv.Itoa(i%2); zone == "" || zone == in {
-			rows = append(rows, []any{longID(i), "s", "10.5.0.1:80", in, "ready"})
+		if inZone := "z" + strconv.Itoa(i%2); zone == "" || zone == inZone {
+			rows = append(rows, []any{longID(i), "s", "10.5.0.1:80", inZone, "ready"})
 		}
 	}
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
@@ -45,22 +45,22 @@
 	if next < p.servers {
 		token := strconv.Itoa(next)
 		page.NextToken = &token
-	} else if at := p.begun[caller]; !at.Before(p.last) {
-		if at.After(p.last) {
-			p.before, p.last = p.last, at
+	} else if begun := p.begun[caller]; !begun.Before(p.last) {
+		if begun.After(p.last) {
+			p.before, p.last = p.last, begun
 		}
-		if !p.before.IsZero() { // the last page of each zone ends it anew
+		if !p.before.IsZero() { // the last page of each zone may be the end of the read
 			p.longest = max(p.longest, time.Since(p.before))
 		}
 	}
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// Whoever read the list before it grew, or never did, doesn't keep the holder of the duty from reading it in time.
+// Replicas that read the list before it grew, or never did, must not keep the lease's holder from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
 	p := &growing{servers: 700, begun: map[string]time.Time{}}
-	set := &farm{t: t, drain: drainWithin, rate: 2100}
-	set.run(longReplicas, http.Handler(p), func(f *farm) {
+	setup := &farm{t: t, drain: drainWithin, rate: 2100}
+	setup.run(longReplicas, http.Handler(p), func(f *farm) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
@@ -75,7 +75,7 @@
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		f.t.Logf("%v from the beginning of a reading to the end of the next", p.longest)
-		assert.Assert(f.t, p.longest <= drainWithin-upstreamLost, "%v from the beginning of a reading to the end of the next", p.longest)
+		f.t.Logf("%v from the start of a read to the end of the next", p.longest)
+		assert.Assert(f.t, p.longest <= drainWithin-upstreamLost, "%v from the start of a read to the end of the next", p.longest)
 	})
 }
--- /dev/null
+++ b/internal/control/list_lease.go
@@ -0,0 +1,150 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"pepperfall.example/pepperfall/internal/config/listing"
+	"pepperfall.example/pepperfall/internal/control/lease"
+	"pepperfall.example/pepperfall/internal/platform/peerlink"
+)
+
+// The lease of the server list: its holder reads the list from the platform for all replicas.
+const (
+	listDuty   = "servers"
+	listAfter  = 300 * time.Millisecond // after the start, so that another replica can announce first that it holds the lease
+	listWithin = time.Second            // of one call to the platform
+	listAgain  = 200 * time.Millisecond
+)
+
+// ownListReads is the state of this replica's own reads of the server list.
+type reading struct {
+	work  lease.Work
+	again time.Duration // no read before this time, after one that failed
+	took  time.Duration // duration of the last successful read
+
+	failures uint64 // since the start
+	busy     bool   // a read is under way
+}
+
+// runListLease takes part in the lease of the server list and reads the list when it is this replica's turn, until ctx
+// ends.
+func (b *Replica) duties(ctx context.Context) {
+	if !b.pause(ctx, listAfter) {
+		return
+	}
+	b.mu.Lock()
+	b.reads.work = lease.Work{Asked: -lease.Slowly}
+	b.mu.Unlock()
+	for ctx.Err() == nil {
+		b.mu.Lock()
+		now, view := b.now(), b.view()
+		b.tellDuty(b.duty.Step(view))
+		next := min(b.duty.Wake(view), now+time.Second)
+		if due := b.due(view); due > now {
+			next = min(next, due)
+		} else if reads := &b.reads; !reads.busy {
+			reads.busy, reads.work.Asked = true, now
+			stamp := max(b.w.Now().UnixNano(), b.stamp+1)
+			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
+		}
+		b.mu.Unlock()
+		timer := b.w.NewTimer(max(soon, next-now))
+		select {
+		case <-timer.C():
+		case <-b.spur:
+		case <-ctx.Done():
+		}
+		timer.Stop()
+	}
+}
+
+// nextListReadAt returns when this replica reads the list next, as far as it knows now; the mutex is held.
+func (b *Replica) due(view lease.View) time.Duration {
+	if b.live.Load().Provider.Cloud.Address == "" || b.leaving {
+		return view.Now + time.Second
+	}
+	work := &b.reads.work
+	work.Period, work.Heard, work.Others = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
+	return max(b.reads.again, b.duty.Due(view, b.reads.work))
+}
+
+// readListOnce reads the list from the platform and applies it under the given stamp, in nanoseconds.
+func (b *Replica) readOnce(ctx context.Context, stamp int64) {
+	settings := b.live.Load()
+	began := b.now()
+	terms := listing.Terms{RatePerS: settings.Provider.Cloud.RatePerS, Drain: settings.Terms.Bounds.Drain}
+	list, pages, err := b.readList(ctx, settings.Provider.Cloud.Address, terms)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	defer b.spurred()
+	reads := &b.reads
+	if reads.busy = false; err != nil {
+		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
+		reads.failures++
+		reads.again = b.now() + listAgain
+		if b.others > reads.work.Asked-reads.work.Period {
+			b.tellDuty(b.duty.Yield()) // another replica can read it
+		}
+		return
+	}
+	reads.again = 0
+	reads.took = b.now() - began
+	b.log.V(1).Info("list read", "pages", pages, "took", reads.took)
+	servers := &peerlink.Servers{Stamp: stamp, By: b.self.Name, List: list,
+		Reading: peerlink.Reading{Age: reads.took, Period: terms.Period(pages), Pages: pages}}
+	if b.duty.Holds() {
+		servers.Term = b.duty.Known().Term
+		b.duty.Spoke(b.now())
+	}
+	b.listed(servers)
+}
+
+// leaseView returns what the lease has to know of this replica and the others; the mutex is held.
+func (b *Replica) view() lease.View {
+	voters := b.contents.Record.Decided.Voters
+	view := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), Elector: b.isVoter(), Electors: len(voters)}
+	noVoters := len(voters) == 0 // then every replica counts as having a vote
+	if noVoters {
+		view.Elector, view.Electors = true, len(b.replicas)
+	}
+	for _, links := range b.links {
+		if link := links[len(links)-1]; !link.leaving {
+			_, isVoter := b.contents.Record.Decided.Voter(link.peer.ID)
+			view.Peers = append(view.Peers, lease.Peer{Seat: link.seat(), Zone: link.peer.Zone, Elector: noVoters || isVoter})
+		}
+	}
+	return view
+}
+
+// processID identifies the replica process at the other end of the link.
+func (l *link) seat() peerlink.Seat { return peerlink.Seat{Name: l.peer.Name, Life: l.peer.Life} }
+
+// handleLeaseMessage processes another replica's message about the list lease; the mutex is held.
+func (b *Replica) hearDuty(link *link, message *peerlink.Duty) {
+	before := b.duty.Known()
+	b.tellDuty(b.duty.Hear(b.view(), link.seat(), *message))
+	if after := b.duty.Known(); after.Term != before.Term {
+		b.log.Info("list lease changed", "holder", after.Holder.Name, "next", after.Next.Name, "epoch", after.Term.Epoch, "step", after.Term.Step)
+	}
+	b.spurred()
+}
+
+// sendLeaseMessages sends messages about the list lease to the replicas they are for; the mutex is held.
+func (b *Replica) tellDuty(messages []lease.Tell) {
+	for _, message := range messages {
+		for name, links := range b.links {
+			if message.To == "" || message.To == name {
+				_ = links[len(links)-1].conn.Send(&peerlink.Frame{Duty: &message.Duty})
+			}
+		}
+	}
+}
+
+// signalLeaseChange makes runListLease check the lease now; the mutex may be held.
+func (b *Replica) spurred() {
+	select {
+	case b.spur <- struct{}{}:
+	default:
+	}
+}
--- a/internal/control/platform.go
+++ b/internal/control/list_reader.go
@@ -20,38 +20,39 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Bounds of a reading.
+// Bounds of a read of the server list from the platform.
 const (
 	mostPage    = 8 << 20 // bytes
-	mostChains  = 16      // calls at once
+	mostChains  = 16      // zones read at once
 	cloudIdle   = 5 * time.Second
-	pageRetries = 1  // of a page that failed
-	rateRetries = 20 // and of one that the platform refused for its rate
+	pageRetries = 1  // of a failed page
+	rateRetries = 20 // of a page that the platform refused because of its rate limit
 
-	// A reading may be so far ahead of its pace, all who read together: short lists are read at once.
+	// How far reads may be ahead of the pace, divided among the replicas that read: short lists are read without waiting.
 	aheadOfPace = 500 * time.Millisecond
 )
 
 var (
-	errEndless = errors.New("a list without an end")
-	errRate    = errors.New("over the platform's rate")
+	errEndless = errors.New("server list has too many pages")
+	errRate    = errors.New("refused by the platform's rate limit")
 )
 
+// newCloudClient returns the HTTP client for calls to the platform.
 func newCloud(w world.World) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: world.DialWithin(w, listWithin), DisableCompression: true,
 		MaxIdleConns: mostChains, MaxIdleConnsPerHost: mostChains, IdleConnTimeout: cloudIdle}}
 }
 
-// readList reads all pages; half a list is none. A list of more pages than there are zones
-// is read zone by zone, side by side: each page waits for the one before it.
+// readList reads all pages of the list; it fails if a page fails. A list of more pages than there are zones is read by zone
+// with the zones in parallel, since within one listing each page needs the token of the page before it.
 func (b *Replica) readList(ctx context.Context, address string, terms listing.Terms) (list []peerlink.Server, pages int, err error) {
 	b.mu.Lock()
 	zones, known := b.listZones(), b.read.pages
 	b.mu.Unlock()
-	r := &listReader{b: b, address: address, terms: terms}
+	reader := &listReader{b: b, address: address, terms: terms}
 	zoned := zones
 	if !listing.SideBySide(known, len(zones)) {
-		list, pages, whole, err := r.pages(ctx, "", listing.MostInTurn(len(zones)))
+		list, pages, whole, err := reader.pages(ctx, "", listing.MostInTurn(len(zones)))
 		switch {
 		case err != nil || whole:
 			return byID(list), pages, err
@@ -60,10 +61,10 @@
 		}
 		zoned = withZonesOf(zones, list)
 	}
-	return r.zones(ctx, zoned)
+	return reader.zones(ctx, zoned)
 }
 
-// listZones are the zones that the settings name or in which servers were listed; the mutex is held.
+// listZones returns the zones of the settings and of the listed servers; the mutex is held.
 func (b *Replica) listZones() []string {
 	zones := slices.Sorted(maps.Keys(b.live.Load().Network.Zones))
 	if b.list != nil {
@@ -72,29 +73,29 @@
 	return zones
 }
 
-// withZonesOf adds the zones of servers to others.
+// mergeServerZones returns the given zones and those of the servers, sorted.
 func withZonesOf(zones []string, servers []peerlink.Server) []string {
-	all := map[string]bool{}
+	merged := map[string]bool{}
 	for _, zone := range zones {
-		all[zone] = true
+		merged[zone] = true
 	}
 	for i := range servers {
-		all[servers[i].Zone] = true
+		merged[servers[i].Zone] = true
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(merged))
 }
 
-// listReader is one reading of the list. Its calls are spread over time.
+// listReader runs one read of the list. It spreads its calls over time.
 type listReader struct {
 	b       *Replica
 	address string
 	terms   listing.Terms
 
 	mu   sync.Mutex
-	next time.Duration // when the calls so far would have ended at the pace, by the replica's steady clock
+	next time.Duration // when the calls so far would have ended at the pace, by the replica's monotonic clock
 }
 
-// turn waits until the next call may begin; it returns false when ctx has ended.
+// waitTurn waits until the next call may begin; it returns false if ctx has ended.
 func (r *listReader) turn(ctx context.Context) bool {
 	readers := r.b.readers()
 	r.mu.Lock()
@@ -105,7 +106,7 @@
 	return wait <= 0 || r.b.pause(ctx, wait)
 }
 
-// readers is how many replicas may read the list now: the holder of the duty alone, or all.
+// listReaderCount returns how many replicas may be reading the list now: 1 if this one holds the lease, else all.
 func (b *Replica) readers() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,43 +116,43 @@
 	return len(b.links) + 1
 }
 
-// zones reads the pages of each zone, the zones side by side.
+// readZones reads all pages of each zone, with the zones in parallel.
 func (r *listReader) zones(ctx context.Context, zones []string) (list []peerlink.Server, pages int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
-		mu    sync.Mutex
-		all   sync.WaitGroup
-		slots = make(chan struct{}, mostChains)
+		mu      sync.Mutex
+		readers sync.WaitGroup
+		slots   = make(chan struct{}, mostChains)
 	)
 	for _, zone := range zones {
-		all.Go(func() {
+		readers.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			part, n, whole, failed := r.pages(ctx, zone, listing.MostPages)
-			if failed == nil && !whole {
-				failed = errEndless
+			part, count, whole, partErr := r.pages(ctx, zone, listing.MostPages)
+			if partErr == nil && !whole {
+				partErr = errEndless
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			list, pages = append(list, part...), pages+n
-			if failed != nil && err == nil {
-				err = errors.WithMessage(failed, zone)
+			list, pages = append(list, part...), pages+count
+			if partErr != nil && err == nil {
+				err = errors.WithMessage(partErr, zone)
 				cancel()
 			}
 		})
 	}
-	all.Wait()
+	readers.Wait()
 	if err != nil {
 		return nil, 0, err
 	}
 	return byID(list), pages, nil
 }
 
-// pages reads pages of a zone, or of all where it is empty, one after the other; it is
-// not whole where there are more than so many.
-func (r *listReader) pages(ctx context.Context, zone string, most int) (list []peerlink.Server, pages int, whole bool, err error) {
-	for token := ""; pages < most; {
+// readPages reads at most so many pages of a zone, or of all zones if it is empty, one after the other. The result is
+// whole if there are no further pages.
+func (r *listReader) pages(ctx context.Context, zone string, maxPages int) (list []peerlink.Server, pages int, whole bool, err error) {
+	for token := ""; pages < maxPages; {
 		page, err := r.page(ctx, zone, token)
 		for tries := 0; err != nil && tries < retries(err) && r.b.pause(ctx, listAgain); tries++ {
 			page, err = r.page(ctx, zone, token)
@@ -161,10 +162,10 @@
 		}
 		rows, err := page.Servers()
 		if err != nil {
-			r.b.log.Error(err, "rows of the list passed over")
+			r.b.log.Error(err, "skipped invalid rows of the server list")
 		}
-		for _, s := range rows {
-			list = append(list, peerlink.Server{ID: s.ID, Backend: s.Backend, Address: s.Address, Zone: s.Zone, Gen: s.Gen, Capacity: s.Capacity, Draining: s.Draining, WarmLeft: s.WarmLeft})
+		for _, row := range rows {
+			list = append(list, peerlink.Server{ID: row.ID, Backend: row.Backend, Address: row.Address, Zone: row.Zone, Gen: row.Gen, Capacity: row.Capacity, Draining: row.Draining, WarmLeft: row.WarmLeft})
 		}
 		if pages++; page.NextToken == nil || *page.NextToken == "" {
 			return list, pages, true, nil
@@ -174,7 +175,7 @@
 	return list, pages, false, nil
 }
 
-// retries is how often a page that ended so is asked for again.
+// maxRetries returns how often a page that failed with err is requested again.
 func retries(err error) int {
 	if errors.Is(err, errRate) {
 		return rateRetries
@@ -182,6 +183,7 @@
 	return pageRetries
 }
 
+// fetchPage requests one page; the token is that of the page before it, or empty.
 func (r *listReader) page(ctx context.Context, zone, token string) (*api.Page, error) {
 	if !r.turn(ctx) {
 		return nil, ctx.Err()
@@ -195,23 +197,23 @@
 	if token != "" {
 		query.Set(api.ServersToken, token)
 	}
-	at := url.URL{Scheme: "http", Host: r.address, Path: api.CloudServers, RawQuery: query.Encode()}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at.String(), nil)
+	address := url.URL{Scheme: "http", Host: r.address, Path: api.CloudServers, RawQuery: query.Encode()}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
 	if err != nil {
 		return nil, err
 	}
-	res, err := r.b.cloud.Do(req)
+	response, err := r.b.cloud.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer res.Body.Close()
-	if res.StatusCode == http.StatusTooManyRequests {
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusTooManyRequests {
 		return nil, errRate
 	}
-	if res.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("status %d", res.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.Errorf("status %d", response.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, mostPage))
+	body, err := io.ReadAll(io.LimitReader(response.Body, mostPage))
 	if err != nil {
 		return nil, err
 	}
@@ -219,7 +221,7 @@
 	return page, json.Unmarshal(body, page)
 }
 
-// byID puts a list in the order of its ids, of equal ones the last.
+// sortedByID sorts a list by ID in place, and keeps only the last of several servers with the same ID.
 func byID(list []peerlink.Server) []peerlink.Server {
 	slices.Reverse(list)
 	slices.SortStableFunc(list, func(x, y peerlink.Server) int { return cmp.Compare(x.ID, y.ID) })
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	platformRate = 44               // calls a second that the platform answers
+	platformRate = 44               // beyond this, the platform refuses calls
 	pagesOfList  = 60               // 3,000 servers at 50 a page
-	recoverIn    = 15 * time.Second // recover_s
+	recoverIn    = 15 * time.Second // the setting recover_s
 )
 
-// sparing refuses what comes over the platform's rate.
+// rateLimitedPlatform refuses calls above platformCallsPerSecond.
 type sparing struct {
 	platform
-	calls   []time.Time
+	calls   []time.Time // of the last second
 	refused int
 	down    bool
 }
@@ -45,17 +45,18 @@
 	s.platform.ServeHTTP(w, r)
 }
 
-// A list of more pages than the platform answers in a second was never read: each refusal began it anew.
+// Guards against a list of more pages than the platform serves in a second never being read, because each refused call
+// restarted the read.
 func TestListOfMorePagesThanTheRateIsRead(t *testing.T) {
 	p := &sparing{}
 	for i := range pagesOfList {
 		p.servers = append(p.servers, row(longID(i), "ready"))
 	}
 	platformed(t, 3, p, func(f *farm) {
-		h := f.agent("1", 0)
-		defer h.stop()
-		known := h.sees(func(h *farmhand) bool { return h.list != nil && len(h.list.List) == pagesOfList })
-		for began := time.Now(); !known() && time.Since(began) < recoverIn; {
+		agent := f.agent("1", 0)
+		defer agent.stop()
+		known := agent.sees(func(agent *farmhand) bool { return agent.list != nil && len(agent.list.List) == pagesOfList })
+		for start := time.Now(); !known() && time.Since(start) < recoverIn; {
 			time.Sleep(100 * time.Millisecond)
 		}
 		p.mu.Lock()
@@ -64,29 +65,30 @@
 	})
 }
 
+// After an outage of the platform, all replicas have a current list in time, although all of them try to read it.
 func TestManyReplicasDoNotKeepEachOtherFromTheListAfterAnOutage(t *testing.T) {
 	p := &sparing{}
 	for i := range 10 {
 		p.servers = append(p.servers, row(longID(i), "ready"))
 	}
-	set := &farm{t: t, drain: drainWithin, rate: platformRate}
-	set.run(longReplicas, p, func(f *farm) {
-		goes := func(down bool) {
+	setup := &farm{t: t, drain: drainWithin, rate: platformRate}
+	setup.run(longReplicas, p, func(f *farm) {
+		setDown := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.down, p.refused = down, 0
 		}
 		time.Sleep(10 * time.Second)
-		goes(true)
+		setDown(true)
 		time.Sleep(8 * time.Second)
-		goes(false)
-		back := time.Now()
+		setDown(false)
+		restored := time.Now()
 		f.until(time.Minute, "read by all again", func() bool {
-			for _, r := range f.runs {
-				r.mu.Lock()
-				age := r.now() - r.read.began
-				r.mu.Unlock()
-				if age > time.Since(back) {
+			for _, replica := range f.runs {
+				replica.mu.Lock()
+				age := replica.now() - replica.read.began
+				replica.mu.Unlock()
+				if age > time.Since(restored) {
 					return false
 				}
 			}
@@ -94,6 +96,6 @@
 		})
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(f.t, time.Since(back) <= drainWithin, "%v, %d calls refused", time.Since(back), p.refused)
+		assert.Assert(f.t, time.Since(restored) <= drainWithin, "%v, %d calls refused", time.Since(restored), p.refused)
 	})
 }
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -16,16 +16,16 @@
 
 var measured = flag.Bool("control.measure", false, "print the figures of docs/measurements/control.md")
 
-// spread tells the median, the 99th of 100 and the worst of some times.
-func spread(all []time.Duration) string {
-	slices.Sort(all)
-	at := func(q float64) time.Duration {
-		return all[min(len(all)-1, int(q*float64(len(all))))].Round(100 * time.Microsecond)
+// summarize returns the median, the 99th percentile and the maximum of some durations as text.
+func spread(durations []time.Duration) string {
+	slices.Sort(durations)
+	value := func(quantile float64) time.Duration {
+		return durations[min(len(durations)-1, int(quantile*float64(len(durations))))].Round(100 * time.Microsecond)
 	}
-	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", at(0.5), at(0.99), all[len(all)-1].Round(100*time.Microsecond), len(all))
+	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", value(0.5), value(0.99), durations[len(durations)-1].Round(100*time.Microsecond), len(durations))
 }
 
-// lastProposer is where the replica runs that proposed what is decided.
+// lastProposer returns the replica that proposed the decided state, or the first one if that is gone.
 func (f *farm) lastProposer() int {
 	for _, i := range f.there() {
 		if f.runs[i].proposer() == f.runs[i].decided().Proposer {
@@ -35,6 +35,7 @@
 	return f.there()[0]
 }
 
+// without returns all elements but one.
 func without(all []int, one int) (rest []int) {
 	for _, i := range all {
 		if i != one {
@@ -44,81 +45,83 @@
 	return rest
 }
 
-// acks sends configurations one after the other, to replicas by chance, and returns how long each took until it was taken.
-func (f *farm) acks(rnd *rand.Rand, gen *int, n int, at ...int) (all []time.Duration) {
-	for range n {
+// timeReplacements replaces the configuration count times, each time at a random one of the given replicas, and returns how
+// long each took until it was acknowledged.
+func (f *farm) acks(random *rand.Rand, gen *int, count int, replicas ...int) (durations []time.Duration) {
+	for range count {
 		*gen++
 		text := body(*gen, "m")
 		began := time.Now()
-		for f.replace(at[rnd.IntN(len(at))], text) != nil {
+		for f.replace(replicas[random.IntN(len(replicas))], text) != nil {
 			time.Sleep(50 * time.Millisecond)
 		}
-		all = append(all, time.Since(began))
-		time.Sleep(time.Duration(50+rnd.IntN(400)) * time.Millisecond)
+		durations = append(durations, time.Since(began))
+		time.Sleep(time.Duration(50+random.IntN(400)) * time.Millisecond)
 	}
-	return all
+	return durations
 }
 
-// TestMeasure prints how long orders take, calm and in trouble; it runs with -control.measure.
+// TestMeasure measures how long replacements of the configuration take, with and without faults. It prints the figures only
+// with -control.measure, which also runs it with more seeds.
 func TestMeasure(t *testing.T) {
 	seeds := 1
 	if *measured {
 		seeds = 12
 	}
-	for _, x := range []struct {
-		name string
-		n    int
-		way  time.Duration
+	for _, setup := range []struct {
+		name    string
+		n       int
+		latency time.Duration
 	}{{"3 in a region", 3, time.Millisecond}, {"4 over regions", 4, 20 * time.Millisecond}, {"5 over regions", 5, 20 * time.Millisecond}} {
 		var calm, lost, killed, cut, slow, whole, joined []time.Duration
 		for seed := range seeds {
-			play(t, x.n, func(f *farm) {
-				f.net.Set(sim.Faults{Least: x.way, Most: x.way})
+			play(t, setup.n, func(f *farm) {
+				f.net.Set(sim.Faults{Least: setup.latency, Most: setup.latency})
 				for _, d := range f.disks {
 					d.SetLatency(time.Millisecond)
 				}
-				rnd := rand.New(rand.NewPCG(uint64(seed), 9))
-				all := make([]int, x.n)
+				random := rand.New(rand.NewPCG(uint64(seed), 9))
+				all := make([]int, setup.n)
 				for i := range all {
 					all[i] = i
 				}
 				gen := 1
-				f.acks(rnd, &gen, 1, 0) // the first replica proposed last
-				calm = append(calm, f.acks(rnd, &gen, 20, all...)...)
-				f.acks(rnd, &gen, 1, 0)
-				f.end(x.n-1, true)
-				lost = append(lost, f.acks(rnd, &gen, 10, all[:x.n-1]...)...)
-				f.start(x.n - 1)
+				f.acks(random, &gen, 1, 0) // makes the first replica the last proposer
+				calm = append(calm, f.acks(random, &gen, 20, all...)...)
+				f.acks(random, &gen, 1, 0)
+				f.end(setup.n-1, true)
+				lost = append(lost, f.acks(random, &gen, 10, all[:setup.n-1]...)...)
+				f.start(setup.n - 1)
 				time.Sleep(syncs)
-				last := f.lastProposer()
-				f.end(last, true)
-				killed = append(killed, f.acks(rnd, &gen, 1, without(all, last)...)...)
-				f.start(last)
+				proposer := f.lastProposer()
+				f.end(proposer, true)
+				killed = append(killed, f.acks(random, &gen, 1, without(all, proposer)...)...)
+				f.start(proposer)
 				time.Sleep(syncs)
-				last = f.lastProposer()
-				f.cut(ips(last), ips(without(all, last)...), sim.Silent)
-				cut = append(cut, f.acks(rnd, &gen, 1, without(all, last)...)...)
-				f.cut(ips(last), ips(without(all, last)...), sim.Open)
+				proposer = f.lastProposer()
+				f.cut(ips(proposer), ips(without(all, proposer)...), sim.Silent)
+				cut = append(cut, f.acks(random, &gen, 1, without(all, proposer)...)...)
+				f.cut(ips(proposer), ips(without(all, proposer)...), sim.Open)
 				time.Sleep(syncs)
-				last = f.lastProposer()
-				f.disks[last].SetLatency(30 * time.Millisecond)
-				slow = append(slow, f.acks(rnd, &gen, 3, all...)...)
-				f.disks[last].SetLatency(time.Millisecond)
+				proposer = f.lastProposer()
+				f.disks[proposer].SetLatency(30 * time.Millisecond)
+				slow = append(slow, f.acks(random, &gen, 3, all...)...)
+				f.disks[proposer].SetLatency(time.Millisecond)
 				if !*measured {
 					return
 				}
 				f.gone[0] = true
 				f.end(0, true)
 				time.Sleep(time.Second)
-				next := f.successor()
+				replacement := f.successor()
 				began := time.Now()
-				f.until(4*syncs, "whole", func() bool { return f.voting() == x.n && len(f.runs[next].decided().Voters) == x.n })
+				f.until(4*syncs, "whole", func() bool { return f.voting() == setup.n && len(f.runs[replacement].decided().Voters) == setup.n })
 				whole = append(whole, time.Since(began))
 				began = time.Now()
-				f.end(next, true)
-				f.disks[next].Wipe()
-				f.start(next)
-				f.until(4*syncs, "whole", func() bool { return f.voting() == x.n && len(f.runs[next].decided().Voters) == x.n })
+				f.end(replacement, true)
+				f.disks[replacement].Wipe()
+				f.start(replacement)
+				f.until(4*syncs, "whole", func() bool { return f.voting() == setup.n && len(f.runs[replacement].decided().Voters) == setup.n })
 				joined = append(joined, time.Since(began))
 			})
 		}
@@ -127,7 +130,7 @@
 		}
 		for what, all := range map[string][]time.Duration{"calm": calm, "one lost": lost, "the last proposer loses power": killed,
 			"the last proposer is cut off": cut, "its disk takes 30 ms an operation": slow, "whole after a replacement": whole, "whole after a lost disk": joined} {
-			t.Logf("%s: %s: %s", x.name, what, spread(all))
+			t.Logf("%s: %s: %s", setup.name, what, spread(all))
 		}
 	}
 	if *measured {
@@ -135,7 +138,7 @@
 	}
 }
 
-// measureCatchUp prints how long a replica needs that missed some changes.
+// measureCatchUp prints how long a replica that missed changes takes to catch up.
 func measureCatchUp(t *testing.T) {
 	for _, missed := range []int{10, 100, 1000} {
 		play(t, 3, func(f *farm) {
--- a/internal/control/figures.go
+++ b/internal/control/metrics.go
@@ -6,7 +6,7 @@
 	"pepperfall.example/pepperfall/internal/platform/metrics"
 )
 
-// figures are what this replica tells of itself to whoever watches it.
+// collectMetrics returns this replica's metrics.
 func (b *Replica) figures() []metrics.Figure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -17,19 +17,19 @@
 		}
 		return now - at
 	}
-	behind, follow, longest := 0, 0, time.Duration(0)
-	for h := range b.agents {
-		if at, is := b.versions.Lag(&h.agent); is {
+	behind, following, longest := 0, 0, time.Duration(0)
+	for agent := range b.agents {
+		if at, isBehind := b.versions.Lag(&agent.agent); isBehind {
 			behind++
 			longest = max(longest, now-at)
 		}
-		if h.agent.Follows {
-			follow++
+		if agent.agent.Follows {
+			following++
 		}
 	}
 	reached := 0
-	for _, v := range b.contents.Record.Decided.Voters {
-		if b.reaches(v.ID) {
+	for _, voter := range b.contents.Record.Decided.Voters {
+		if b.reaches(voter.ID) {
 			reached++
 		}
 	}
@@ -44,7 +44,7 @@
 		metrics.Count("control_voters", "Replicas that vote.", len(b.contents.Record.Decided.Voters)),
 		metrics.Count("control_voters_reached", "Those of them that this one has heard lately, itself included.", reached),
 		metrics.Count("control_agents", "Agents that are connected.", len(b.agents)),
-		metrics.Count("control_agents_following", "Agents that follow this replica.", follow),
+		metrics.Count("control_agents_following", "Agents that follow this replica.", following),
 		metrics.Count("control_agents_behind", "Agents that lack the configuration in force.", behind),
 		metrics.Seconds("control_agents_behind_longest_seconds", "For how long the one furthest behind has been so.", longest),
 	}
--- a/internal/control/figures_test.go
+++ b/internal/control/metrics_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// figure is one of a replica's figures.
+// metricValue returns the value of one of the replica's metrics; -1 if there is none of this name.
 func (r *running) figure(name string) float64 {
 	for _, f := range r.figures() {
 		if f.Name == name {
@@ -20,7 +20,7 @@
 	return -1
 }
 
-// The figures tell a replica that is cut off from one that is not, and an agent that lacks a change.
+// The metrics show that a replica is cut off, and that an agent lacks the configuration in force.
 func TestFiguresTellWhoIsBehind(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
 		f.acknowledged(0, body(2, "a"))
@@ -32,7 +32,7 @@
 		assert.Assert(t, cut.figure("control_touch_age_seconds") < 1 && cut.figure("control_voters_reached") == 3 && cut.figure("control_agents_following") == 1 &&
 			cut.figure("control_agents_behind") == 0 && cut.figure("control_configuration") == 2)
 		f.acknowledged(1, body(3, "a"))
-		f.pass(2*time.Second, agent) // it is told, and goes on to say that it holds what it held
+		f.pass(2*time.Second, agent) // it is sent the new one, but goes on reporting the old one
 		assert.Assert(t, cut.figure("control_agents_behind") == 1 && cut.figure("control_agents_behind_longest_seconds") >= 2, "%v", cut.figures())
 		f.cut(ips(0), ips(1, 2), sim.Silent)
 		f.pass(3*time.Second, agent)
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -24,33 +24,33 @@
 )
 
 const (
-	mostLooking = 4                       // calls of operators at once
-	mostWhat    = 64                      // bytes of a version, a zone or a proxy in the history
-	wantsFor    = 10 * time.Second        // after a look proxies tell their figures
-	figuresFor  = 3500 * time.Millisecond // then they are told no more
+	mostLooking = 4                       // calls at once that read what operators ask
+	mostWhat    = 64                      // of the version, zone, proxy or server that an order in the history is about
+	wantsFor    = 10 * time.Second        // for which proxies send their figures after a status call
+	figuresFor  = 3500 * time.Millisecond // older ones aren't shown
 )
 
-// ops is what operators are told. Nothing of it runs while nobody asks.
+// operatorState holds what only the operators' read calls need. Nothing of it runs without such calls.
 type ops struct {
 	ring   *logring.Ring
-	orders []api.Order // a ring
-	next   uint64
-	note   func(api.Order) // writes one down; nil: nobody does
-	wants  time.Duration   // until when figures of proxies are wanted
-	asks   time.Duration   // and what they were asked for
-	since  time.Duration   // that is wanted without a pause
+	orders []api.Order     // a ring buffer
+	next   uint64          // orders recorded so far, which is also the next slot modulo the ring's size
+	note   func(api.Order) // writes an order down; nil: orders are kept in memory only
+	wants  time.Duration   // until when proxies are to send their figures
+	asks   time.Duration   // until when proxies are to send their requests by route
+	since  time.Duration   // since when they are to do so without a pause
 }
 
-var errBusy = errors.New("too many operators look at once")
+var errBusy = errors.New("too many operator calls at once")
 
-// ShowLog lets operators read the ring; it is called before Run.
+// SetLogRing lets operators read the ring's log lines; it must be called before Run.
 func (b *Replica) ShowLog(ring *logring.Ring) { b.ops.ring = ring }
 
-// operators adds their calls to ctl.
-func (b *Replica) operators(m *http.ServeMux) {
+// addOperatorRoutes adds the calls by which operators read the replica's state.
+func (b *Replica) operators(mux *http.ServeMux) {
 	slots := make(chan struct{}, mostLooking)
-	add := func(path string, look func(r *http.Request) (any, error)) {
-		m.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
+	add := func(path string, read func(r *http.Request) (any, error)) {
+		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case slots <- struct{}{}:
 				defer func() { <-slots }()
@@ -58,27 +58,27 @@
 				refuse(w, http.StatusServiceUnavailable, errBusy)
 				return
 			}
-			told, err := look(r)
+			result, err := read(r)
 			if err != nil {
 				refuse(w, http.StatusBadRequest, err)
 				return
 			}
 			w.Header().Set("Content-Type", jsonType)
 			if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-				_ = json.NewEncoder(w).Encode(told)
+				_ = json.NewEncoder(w).Encode(result)
 				return
 			}
-			w.Header().Set("Content-Encoding", "gzip") // of a hundred proxies, asked every second, it is a part of a thin link
-			z := gzip.NewWriter(w)
-			_ = json.NewEncoder(z).Encode(told)
-			_ = z.Close()
+			w.Header().Set("Content-Encoding", "gzip") // uncompressed, a status of a hundred proxies every second takes much of a slow link
+			zipped := gzip.NewWriter(w)
+			_ = json.NewEncoder(zipped).Encode(result)
+			_ = zipped.Close()
 		})
 	}
 	add(api.OpsStatus, func(r *http.Request) (any, error) { return b.Status(r.Context()), nil })
 	add(api.ServerExplain, func(r *http.Request) (any, error) {
 		id := strings.TrimPrefix(r.URL.Path, api.ServerExplain)
 		if !nodeName.MatchString(id) {
-			return nil, errors.Errorf("%q is no id of a server", id)
+			return nil, errors.Errorf("%q is not a server ID", id)
 		}
 		return b.Explain(id), nil
 	})
@@ -89,56 +89,56 @@
 		if text := r.URL.Query().Get(api.LogFrom); text != "" {
 			var err error
 			if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-				return nil, errors.Errorf("%s: %q is no number", api.LogFrom, text)
+				return nil, errors.Errorf("%s: %q is not a number", api.LogFrom, text)
 			}
 		}
 		return b.Log(from), nil
 	})
 }
 
-// noted carries an order out and keeps what became of it.
+// runOrder runs an order and records its outcome in the history.
 func (b *Replica) noted(r *http.Request, kind, what string, order func(ctx context.Context) error) error {
 	began, at := b.now(), b.w.Now()
 	err := order(withToken(r.Context(), r.URL.Query().Get(api.LockToken)))
-	o := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), mostWhat)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
+	record := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), mostWhat)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
 	if err != nil {
-		if o.End, o.Why = "unclear", err.Error(); statusOf(err) != http.StatusServiceUnavailable {
-			o.End = "refused"
+		if record.End, record.Why = "unclear", err.Error(); statusOf(err) != http.StatusServiceUnavailable {
+			record.End = "refused"
 		}
-		o.Why = o.Why[:min(len(o.Why), api.MostLine)]
+		record.Why = record.Why[:min(len(record.Why), api.MostLine)]
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.keepOrder(o)
+	b.keepOrder(record)
 	return err
 }
 
-// keepOrder keeps an order, or a verdict, and has it written down; the mutex is held.
-func (b *Replica) keepOrder(o api.Order) {
+// recordOrder adds an order or a verdict to the history and has it written down; the mutex is held.
+func (b *Replica) keepOrder(order api.Order) {
 	if b.ops.note != nil {
-		b.ops.note(o)
+		b.ops.note(order)
 	}
 	if len(b.ops.orders) < api.MostOrders {
-		b.ops.orders = append(b.ops.orders, o)
+		b.ops.orders = append(b.ops.orders, order)
 	} else {
-		b.ops.orders[b.ops.next%api.MostOrders] = o
+		b.ops.orders[b.ops.next%api.MostOrders] = order
 	}
 	b.ops.next++
 }
 
-// genOf is the version that a body says it is, for the history only.
+// configurationGen returns the version that a configuration's text claims, for the history only.
 func genOf(body []byte) string {
-	var b struct {
+	var header struct {
 		Gen string `json:"gen"`
 	}
-	_ = json.Unmarshal(body, &b)
-	return b.Gen
+	_ = json.Unmarshal(body, &header)
+	return header.Gen
 }
 
-// Notes has orders written down; it is called before Run.
+// SetOrderPersister sets the function that writes orders down; it must be called before Run.
 func (b *Replica) Notes(note func(api.Order)) { b.ops.note = note }
 
-// Recall puts orders of earlier lives before those of this one.
+// RestoreOrders puts the orders of earlier incarnations before those of this one.
 func (b *Replica) Recall(orders []api.Order) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,7 +147,7 @@
 	b.ops.next = uint64(len(b.ops.orders))
 }
 
-// inOrder is the ring's orders, oldest first.
+// oldestFirst returns the ring's orders, oldest first.
 func (o *ops) inOrder() []api.Order {
 	if len(o.orders) == 0 {
 		return nil
@@ -156,191 +156,192 @@
 	return slices.Concat(o.orders[cut:], o.orders[:cut])
 }
 
-// History tells of the orders that this replica was given, also in earlier lives
-// as far as these were written down.
+// History returns the orders that this replica was given, including those of earlier incarnations that were written down.
 func (b *Replica) History() *api.History {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := &api.History{Replica: b.self.Name, Since: b.start.UTC(), Orders: []api.Order{}}
+	history := &api.History{Replica: b.self.Name, Since: b.start.UTC(), Orders: []api.Order{}}
 	if n := uint64(len(b.ops.orders)); n > 0 {
-		h.Lost, h.Orders = b.ops.next-n, b.ops.inOrder()
+		history.Lost, history.Orders = b.ops.next-n, b.ops.inOrder()
 	}
-	return h
+	return history
 }
 
-// Log tells the ring's lines from a number on.
+// Log returns the log ring's lines from a line number on.
 func (b *Replica) Log(from uint64) *api.Log {
-	l := &api.Log{Replica: b.self.Name, At: b.w.Now().UTC(), Lines: []api.LogLine{}}
+	log := &api.Log{Replica: b.self.Name, At: b.w.Now().UTC(), Lines: []api.LogLine{}}
 	if b.ops.ring == nil {
-		return l
+		return log
 	}
 	lines, next := b.ops.ring.Lines(from, api.MostLines, api.MostLine)
-	l.Next = next
-	for _, x := range lines {
-		l.Lines = append(l.Lines, api.LogLine{No: x.No, At: x.At.UTC(), Text: x.Text})
+	log.Next = next
+	for _, line := range lines {
+		log.Lines = append(log.Lines, api.LogLine{No: line.No, At: line.At.UTC(), Text: line.Text})
 	}
-	return l
+	return log
 }
 
-// Status asks the other replicas what they hold and tells that, and what else this one knows.
+// Status asks the other replicas for their reports and returns them with everything else that this replica knows.
 func (b *Replica) Status(ctx context.Context) *api.Status {
-	rctx, cancel := b.within(ctx, roundWithin)
-	reports := b.reports(rctx, func() bool { return false })
+	roundCtx, cancel := b.within(ctx, roundWithin)
+	reports := b.reports(roundCtx, func() bool { return false })
 	cancel()
 	trouble := b.store.Trouble()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, decided := b.now(), b.contents.Record.Decided
 	b.ops.wants = now + wantsFor
-	s := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.w.Now().UTC(), UpMS: now.Milliseconds(),
+	status := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.w.Now().UTC(), UpMS: now.Milliseconds(),
 		Voter: b.self.Voter, Eligible: b.isVoter(), Leaving: b.leaving,
 		Voters: len(decided.Voters), Majority: quorum.Majority(len(decided.Voters)),
 		Held: version(highest(b.contents.Record.Report())), Confirmed: version(decided.Config), FreshMS: -1,
 		Replicas: []api.ReplicaView{}, Proxies: []api.ProxyView{}, Zones: []api.ZoneOrder{}, Nodes: []api.NodeOrder{}}
 	if b.fresh.Ever {
-		s.FreshMS = (now - b.fresh.At).Milliseconds()
+		status.FreshMS = (now - b.fresh.At).Milliseconds()
 	}
 	if trouble != nil {
-		s.Disk = trouble.Error()
+		status.Disk = trouble.Error()
 	}
-	for _, h := range byName(b.replicas) {
-		m, answered := reports[h.ID]
-		_, votes := decided.Voter(h.ID)
-		self := h.Name == b.self.Name
-		s.Replicas = append(s.Replicas, api.ReplicaView{Name: h.Name, Zone: h.Zone, Ctl: h.Ctl, Voter: h.Voter,
-			Connected: self || len(b.links[h.Name]) > 0, Answered: answered || self, Eligible: votes, Held: version(highest(m))})
+	for _, replica := range byName(b.replicas) {
+		report, answered := reports[replica.ID]
+		_, votes := decided.Voter(replica.ID)
+		self := replica.Name == b.self.Name
+		status.Replicas = append(status.Replicas, api.ReplicaView{Name: replica.Name, Zone: replica.Zone, Ctl: replica.Ctl, Voter: replica.Voter,
+			Connected: self || len(b.links[replica.Name]) > 0, Answered: answered || self, Eligible: votes, Held: version(highest(report))})
 	}
-	b.proxiesTo(s, now)
-	for _, z := range decided.Orders {
-		name := z.Zone
-		if _, is := z.Server(); is {
-			continue // Explain tells of it
+	b.proxiesTo(status, now)
+	for _, order := range decided.Orders {
+		name := order.Zone
+		if _, ok := order.Server(); ok {
+			continue // Explain shows it
 		}
-		if node, is := z.Node(); is {
-			s.Nodes = append(s.Nodes, api.NodeOrder{Node: node, Rests: z.Drain, Count: z.Count, By: z.By, Confirmed: true})
+		if node, ok := order.Node(); ok {
+			status.Nodes = append(status.Nodes, api.NodeOrder{Node: node, Rests: order.Drain, Count: order.Count, By: order.By, Confirmed: true})
 		} else {
-			s.Zones = append(s.Zones, api.ZoneOrder{Zone: name, Drained: z.Drain, Count: z.Count, By: z.By, Confirmed: true})
+			status.Zones = append(status.Zones, api.ZoneOrder{Zone: name, Drained: order.Drain, Count: order.Count, By: order.By, Confirmed: true})
 		}
 	}
-	if l := decided.Lock; l.Token != "" {
-		left := max(0, l.For-(now-b.locks.at))
-		s.Lock = api.LockView{Who: l.Who, Since: time.Unix(0, l.Since).UTC(), LeftMS: left.Milliseconds()}
+	if lock := decided.Lock; lock.Token != "" {
+		left := max(0, lock.For-(now-b.locks.at))
+		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
-	d := b.duty.Known()
-	s.Duties = []api.Duty{{Name: listDuty, Holder: d.Holder.Name, Next: d.Next.Name, Epoch: d.Term.Epoch, Step: d.Term.Step, Rank: b.duty.Rank(b.view())}}
-	s.List = b.listView(now)
-	return s
+	duty := b.duty.Known()
+	status.Duties = []api.Duty{{Name: listDuty, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.duty.Rank(b.view())}}
+	status.List = b.listView(now)
+	return status
 }
 
-// highest is the configuration that a replica has decided, or accepted above that.
-func highest(m quorum.Report) state.ConfigID {
-	if m.Value != nil && m.Value.Config.Above(m.Config) {
-		return m.Value.Config
+// newestConfig returns the configuration that a replica has accepted, if it is above the decided one, or else that one.
+func highest(report quorum.Report) state.ConfigID {
+	if report.Value != nil && report.Value.Config.Above(report.Config) {
+		return report.Value.Config
 	}
-	return m.Config
+	return report.Config
 }
 
-// idOf names p, which may be nil.
-func idOf(p *peerlink.Configuration) state.ConfigID {
-	if p == nil {
+// configIDOf returns the ID of a configuration, which may be nil.
+func idOf(configuration *peerlink.Configuration) state.ConfigID {
+	if configuration == nil {
 		return state.ConfigID{}
 	}
-	return state.ConfigID{Gen: p.Gen, Digest: p.Digest}
+	return state.ConfigID{Gen: configuration.Gen, Digest: configuration.Digest}
 }
 
-func version(h state.ConfigID) api.Version {
-	if h.Gen == 0 {
+// apiVersion returns a configuration's ID as operators see it; the zero version for none.
+func version(id state.ConfigID) api.Version {
+	if id.Gen == 0 {
 		return api.Version{}
 	}
-	return api.Version{Gen: fmt.Sprintf("r%d", h.Gen), Digest: hex.EncodeToString(h.Digest[:])}
+	return api.Version{Gen: fmt.Sprintf("r%d", id.Gen), Digest: hex.EncodeToString(id.Digest[:])}
 }
 
-// proxiesTo tells of the proxies; the mutex is held.
-func (b *Replica) proxiesTo(s *api.Status, now time.Duration) {
+// addProxyViews adds the proxies to a status; the mutex is held.
+func (b *Replica) proxiesTo(status *api.Status, now time.Duration) {
 	agents := map[string]*agent{}
-	for h := range b.agents {
-		if old := agents[h.name]; old == nil || old.life < h.life {
-			agents[h.name] = h
+	for agent := range b.agents {
+		if other := agents[agent.name]; other == nil || other.life < agent.life {
+			agents[agent.name] = agent
 		}
 	}
 	names := b.proxies.names()
-	s.LeftOut = max(0, len(names)-api.MostProxies)
-	for _, n := range names[:len(names)-s.LeftOut] {
-		g := b.proxies.proxies[n]
-		v := api.ProxyView{Name: n, Zone: g.hello.Zone, Region: g.hello.Region, Front: g.hello.Front, Alive: g.alive(now),
-			HeardMS: (now - g.heard).Milliseconds()}
-		v.Ready = v.Alive && g.ready && g.left == 0
-		v.Life, v.ToRest, v.Rests = g.hello.Life, b.proxies.rests[n], v.Alive && g.rests && g.left == 0
-		if f := g.figures; f != nil && v.Alive && now-g.figuresAt < figuresFor {
-			v.Figures = &api.Figures{AgeMS: (now - g.figuresAt).Milliseconds(), Open: f.Open, Clients: f.Clients, SpanMS: f.Span.Milliseconds(),
-				Served: f.Served, Refused: f.Refused, Failed: f.Failed}
+	status.LeftOut = max(0, len(names)-api.MostProxies)
+	for _, name := range names[:len(names)-status.LeftOut] {
+		known := b.proxies.proxies[name]
+		view := api.ProxyView{Name: name, Zone: known.hello.Zone, Region: known.hello.Region, Front: known.hello.Front, Alive: known.alive(now),
+			HeardMS: (now - known.heard).Milliseconds()}
+		view.Ready = view.Alive && known.ready && known.left == 0
+		view.Life, view.ToRest, view.Rests = known.hello.Life, b.proxies.rests[name], view.Alive && known.rests && known.left == 0
+		if figures := known.figures; figures != nil && view.Alive && now-known.figuresAt < figuresFor {
+			view.Figures = &api.Figures{AgeMS: (now - known.figuresAt).Milliseconds(), Open: figures.Open, Clients: figures.Clients, SpanMS: figures.Span.Milliseconds(),
+				Served: figures.Served, Refused: figures.Refused, Failed: figures.Failed}
 		}
-		if h := agents[n]; h != nil {
-			v.Linked, v.Behind = true, h.no-h.ack
-			if h.gen > 0 {
-				v.Gen = fmt.Sprintf("r%d", h.gen)
+		if agent := agents[name]; agent != nil {
+			view.Linked, view.Behind = true, agent.no-agent.ack
+			if agent.gen > 0 {
+				view.Gen = fmt.Sprintf("r%d", agent.gen)
 			}
 		}
-		v.Lags = lags(v, g, s.Confirmed.Gen)
-		s.Proxies = append(s.Proxies, v)
+		view.Lags = lags(view, known, status.Confirmed.Gen)
+		status.Proxies = append(status.Proxies, view)
 	}
-	s.Versions = routeconfig.VersionsAt(slices.Values(s.Proxies))
-	for _, n := range names {
-		if b.proxies.proxies[n].counts(now) {
-			s.Shares++
+	status.Versions = routeconfig.VersionsAt(slices.Values(status.Proxies))
+	for _, name := range names {
+		if b.proxies.proxies[name].counts(now) {
+			status.Shares++
 		}
 	}
 }
 
-// lags says why a proxy may serve something old.
-func lags(v api.ProxyView, g *proxy, confirmed string) string {
+// lagReason says why a proxy may serve an old configuration; empty: it doesn't.
+func lags(view api.ProxyView, proxy *proxy, confirmed string) string {
 	switch {
-	case g.left > 0:
+	case proxy.left > 0:
 		return "it leaves"
-	case !v.Linked:
+	case !view.Linked:
 		return "not connected to this replica"
-	case !v.Alive:
-		return fmt.Sprintf("silent for %d ms", v.HeardMS)
-	case v.Gen != confirmed:
-		return fmt.Sprintf("%s in force, %d changes not acknowledged", or(v.Gen, "nothing"), v.Behind)
-	case v.Behind > 0:
-		return fmt.Sprintf("%d changes not acknowledged", v.Behind)
+	case !view.Alive:
+		return fmt.Sprintf("silent for %d ms", view.HeardMS)
+	case view.Gen != confirmed:
+		return fmt.Sprintf("%s in force, %d changes not acknowledged", or(view.Gen, "nothing"), view.Behind)
+	case view.Behind > 0:
+		return fmt.Sprintf("%d changes not acknowledged", view.Behind)
 	}
 	return ""
 }
 
-func or(text, none string) string {
+// orDefault returns text, or other if text is empty.
+func or(text, other string) string {
 	if text == "" {
-		return none
+		return other
 	}
 	return text
 }
 
-// listView tells of the list; the mutex is held.
+// listView summarizes the server list for a status; the mutex is held.
 func (b *Replica) listView(now time.Duration) api.ListView {
-	l := api.ListView{Stamp: b.stamp, HeardMS: -1, Servers: []api.ServersIn{}}
+	view := api.ListView{Stamp: b.stamp, HeardMS: -1, Servers: []api.ServersIn{}}
 	if b.list == nil {
-		return l
+		return view
 	}
-	l.By, l.HeardMS = b.list.By, (now - b.read.heard).Milliseconds()
-	in := map[string]*api.ServersIn{}
-	for _, s := range b.list.List {
-		z := in[s.Zone]
-		if z == nil {
-			z = &api.ServersIn{Zone: s.Zone}
-			in[s.Zone] = z
+	view.By, view.HeardMS = b.list.By, (now - b.read.heard).Milliseconds()
+	zones := map[string]*api.ServersIn{}
+	for _, server := range b.list.List {
+		zone := zones[server.Zone]
+		if zone == nil {
+			zone = &api.ServersIn{Zone: server.Zone}
+			zones[server.Zone] = zone
 		}
 		switch {
-		case s.Draining:
-			z.Draining++
-		case s.WarmLeft > time.Duration(b.w.Now().UnixNano()-b.list.Stamp):
-			z.Cold++
+		case server.Draining:
+			zone.Draining++
+		case server.WarmLeft > time.Duration(b.w.Now().UnixNano()-b.list.Stamp):
+			zone.Cold++
 		default:
-			z.Ready++
+			zone.Ready++
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(in)) {
-		l.Servers = append(l.Servers, *in[name])
+	for _, name := range slices.Sorted(maps.Keys(zones)) {
+		view.Servers = append(view.Servers, *zones[name])
 	}
-	return l
+	return view
 }
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -16,22 +16,24 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
+// get reads a JSON response of a replica's operator interface and returns the status.
 func (f *farm) get(i int, path string, into any) int {
 	f.t.Helper()
-	c := http.Client{Transport: &http.Transport{DialContext: f.net.Dial, DisableKeepAlives: true}, Timeout: 2 * time.Second}
-	res, err := c.Get("http://" + ip(i) + ":8200" + path)
+	client := http.Client{Transport: &http.Transport{DialContext: f.net.Dial, DisableKeepAlives: true}, Timeout: 2 * time.Second}
+	response, err := client.Get("http://" + ip(i) + ":8200" + path)
 	assert.NilError(f.t, err)
-	defer res.Body.Close()
-	body, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	assert.NilError(f.t, err)
 	assert.NilError(f.t, json.Unmarshal(body, into), string(body))
-	return res.StatusCode
+	return response.StatusCode
 }
 
+// The operator interface shows status, history and log, also while a disk is full and a replica is lost.
 func TestWhatOperatorsAreTold(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(3, "a"))
-		f.until(time.Second, "hold", func() bool {
+		f.until(time.Second, "decided everywhere", func() bool {
 			return f.runs[2].configured() != nil && f.runs[2].Status(context.Background()).Confirmed.Gen == "r3"
 		})
 		ring := logring.New(f.net, 4, io.Discard)
@@ -39,65 +41,65 @@
 		ring.Logger().Info("one", "n", 1)
 		ring.Dump("two")
 		f.disks[2].SetFull(true)
-		c := http.Client{Transport: &http.Transport{DialContext: f.net.Dial, DisableKeepAlives: true}}
-		res, err := c.Post("http://"+ip(1)+":8200"+api.DrainBegin+"z1", "", nil)
+		client := http.Client{Transport: &http.Transport{DialContext: f.net.Dial, DisableKeepAlives: true}}
+		response, err := client.Post("http://"+ip(1)+":8200"+api.DrainBegin+"z1", "", nil)
 		assert.NilError(t, err)
-		res.Body.Close()
+		response.Body.Close()
 		f.end(0, true)
 		time.Sleep(3 * time.Second)
-		var s api.Status
-		assert.Equal(t, f.get(2, api.OpsStatus, &s), 200)
-		assert.Equal(t, s.Confirmed.Gen, "r3")
-		assert.Assert(t, s.Eligible && s.Majority == 2 && s.Disk != "" && s.FreshMS >= 0, "%+v", s)
-		assert.DeepEqual(t, []bool{s.Replicas[0].Answered, s.Replicas[1].Answered, s.Replicas[2].Answered}, []bool{false, true, true})
-		assert.Assert(t, len(s.Zones) == 1 && s.Zones[0].Drained, "%+v", s.Zones)
-		f.get(1, api.OpsStatus, &s)
-		assert.Assert(t, s.Zones[0].Confirmed)
-		assert.Assert(t, s.Duties[0].Holder != "replica-0")
-		var h api.History
-		f.get(1, api.OpsHistory, &h)
-		assert.Assert(t, len(h.Orders) == 1 && h.Orders[0].Kind == api.OrderEvacuate && h.Orders[0].End == "acknowledged", "%+v", h)
-		var l api.Log
-		f.get(1, api.OpsLog, &l)
-		assert.Assert(t, len(l.Lines) == 2 && l.Next == 2 && l.Lines[0].Text == "one n=1", "%+v", l)
-		f.get(1, api.OpsLog+"?from=2", &l)
-		assert.Equal(t, len(l.Lines), 0)
+		var status api.Status
+		assert.Equal(t, f.get(2, api.OpsStatus, &status), 200)
+		assert.Equal(t, status.Confirmed.Gen, "r3")
+		assert.Assert(t, status.Eligible && status.Majority == 2 && status.Disk != "" && status.FreshMS >= 0, "%+v", status)
+		assert.DeepEqual(t, []bool{status.Replicas[0].Answered, status.Replicas[1].Answered, status.Replicas[2].Answered}, []bool{false, true, true})
+		assert.Assert(t, len(status.Zones) == 1 && status.Zones[0].Drained, "%+v", status.Zones)
+		f.get(1, api.OpsStatus, &status)
+		assert.Assert(t, status.Zones[0].Confirmed)
+		assert.Assert(t, status.Duties[0].Holder != "replica-0")
+		var history api.History
+		f.get(1, api.OpsHistory, &history)
+		assert.Assert(t, len(history.Orders) == 1 && history.Orders[0].Kind == api.OrderEvacuate && history.Orders[0].End == "acknowledged", "%+v", history)
+		var log api.Log
+		f.get(1, api.OpsLog, &log)
+		assert.Assert(t, len(log.Lines) == 2 && log.Next == 2 && log.Lines[0].Text == "one n=1", "%+v", log)
+		f.get(1, api.OpsLog+"?from=2", &log)
+		assert.Equal(t, len(log.Lines), 0)
 		var fault map[string]string
 		assert.Equal(t, f.get(1, api.OpsLog+"?from=x", &fault), 400)
 		synctest.Wait()
 	})
 }
 
-// Each replica tells who has the list's duty, who is next and in which term, also after the holder has gone; and which
-// version is in force at which proxies, by name where one may serve something old.
+// Each replica's status shows the list lease's holder, successor and term, also after the holder has gone. It also shows how
+// many proxies have each version in force, with the names of those that may serve an old one.
 func TestDutyAndVersionsAreTold(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(3, "a"))
 		defer f.agent("1", 1).stop()
 		behind := f.agent("2", 1)
 		defer behind.stop()
-		f.until(3*time.Second, "in force", behind.sees(func(h *farmhand) bool { return h.gen == 3 }))
-		told := func(of ...int) (s api.Status) {
+		f.until(3*time.Second, "in force", behind.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		statusOf := func(of ...int) (status api.Status) {
 			for _, i := range of {
-				was := s
-				assert.Equal(t, f.get(i, api.OpsStatus, &s), 200)
-				assert.Assert(t, was.Replica == "" || was.Duties[0].Holder == s.Duties[0].Holder && was.Duties[0].Next == s.Duties[0].Next, "%+v", s.Duties)
+				before := status
+				assert.Equal(t, f.get(i, api.OpsStatus, &status), 200)
+				assert.Assert(t, before.Replica == "" || before.Duties[0].Holder == status.Duties[0].Holder && before.Duties[0].Next == status.Duties[0].Next, "%+v", status.Duties)
 			}
-			return s
+			return status
 		}
 		time.Sleep(2 * time.Second)
-		was := told(0, 1, 2).Duties[0]
-		assert.Assert(t, was.Holder != "" && was.Next != "" && was.Next != was.Holder && was.Epoch > 0, "%+v", was)
-		assert.DeepEqual(t, told(1).Versions, []api.VersionAt{{Gen: "r3", Proxies: 2, Lag: []string{}}})
+		before := statusOf(0, 1, 2).Duties[0]
+		assert.Assert(t, before.Holder != "" && before.Next != "" && before.Next != before.Holder && before.Epoch > 0, "%+v", before)
+		assert.DeepEqual(t, statusOf(1).Versions, []api.VersionAt{{Gen: "r3", Proxies: 2, Lag: []string{}}})
 		f.cut([]string{"10.1.0.2"}, ips(0, 1, 2), sim.Silent)
 		f.acknowledged(0, body(4, "a"))
 		time.Sleep(3 * time.Second)
-		assert.DeepEqual(t, told(1).Versions, []api.VersionAt{{Gen: "r4", Proxies: 1, Lag: []string{}}, {Gen: "", Proxies: 1, Lag: []string{"proxy-2"}}})
-		holder := int(was.Holder[len(was.Holder)-1] - '0')
+		assert.DeepEqual(t, statusOf(1).Versions, []api.VersionAt{{Gen: "r4", Proxies: 1, Lag: []string{}}, {Gen: "", Proxies: 1, Lag: []string{"proxy-2"}}})
+		holder := int(before.Holder[len(before.Holder)-1] - '0')
 		f.end(holder, false)
 		time.Sleep(3 * time.Second)
-		is := told((holder+1)%3, (holder+2)%3).Duties[0]
-		assert.Assert(t, is.Holder == was.Next && is.Next != was.Holder && is.Next != "", "%+v", is)
-		assert.Assert(t, is.Epoch > was.Epoch || is.Epoch == was.Epoch && is.Step > was.Step, "%+v", is)
+		after := statusOf((holder+1)%3, (holder+2)%3).Duties[0]
+		assert.Assert(t, after.Holder == before.Next && after.Next != before.Holder && after.Next != "", "%+v", after)
+		assert.Assert(t, after.Epoch > before.Epoch || after.Epoch == before.Epoch && after.Step > before.Step, "%+v", after)
 	})
 }
--- a/internal/control/compare.go
+++ b/internal/control/report_rounds.go
@@ -10,59 +10,59 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of rounds.
+// Times of report rounds.
 const (
 	roundEvery  = 400 * time.Millisecond
 	roundWithin = 300 * time.Millisecond
-	soon        = 20 * time.Millisecond // between a wish for a round and the round
+	soon        = 20 * time.Millisecond // between a request for work in the background and its start, to join requests
 )
 
 // lastReport is another replica's last report.
 type lastReport struct {
 	report quorum.Report
 	at     time.Duration
-	left   bool // it said that it ends, and has not come back since
+	left   bool // it announced that it ends, and has not come back since
 }
 
-// undecided is what a replica had accepted above the version that it knew.
+// acceptedProposal is a proposal that a replica accepted on top of its decided version.
 type undecided struct {
 	version uint64
 	ballot  quorum.Ballot
 }
 
-// compare asks the others how far they are, ever again.
+// runReportRounds runs report rounds periodically, and when kicked, until ctx ends.
 func (b *Replica) compare(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := b.now()
 		b.round(ctx)
-		t := b.w.NewTimer(max(soon, roundEvery-(b.now()-began)))
+		timer := b.w.NewTimer(max(soon, roundEvery-(b.now()-began)))
 		select {
-		case <-t.C():
+		case <-timer.C():
 		case <-b.kick:
-			t.Stop()
+			timer.Stop()
 			if !b.pause(ctx, soon) {
 				return
 			}
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 		}
 	}
 }
 
-// round compares how far all are: it confirms what is decided, helps those that
-// are behind, finishes what a proposer has left behind, and sees to the voters.
+// runReportRound asks all replicas for their reports. It confirms the decided state, sends it to replicas that are behind,
+// resolves proposals whose proposer has failed, and starts changes of the voters.
 func (b *Replica) round(ctx context.Context) {
 	began, known := b.now(), b.decided().Version
-	rctx, cancel := b.within(ctx, roundWithin)
-	reports := b.reports(rctx, func() bool { return false })
+	roundCtx, cancel := b.within(ctx, roundWithin)
+	reports := b.reports(roundCtx, func() bool { return false })
 	cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	base := b.contents.Record.Decided
 	b.noteContact(base, reports, began)
-	for id, m := range reports {
-		if l := b.linkTo(id); l != nil && m.Version < base.Version {
-			b.tellDecided(l)
+	for id, report := range reports {
+		if link := b.linkTo(id); link != nil && report.Version < base.Version {
+			b.tellDecided(link)
 		}
 	}
 	b.store.Again()
@@ -71,10 +71,10 @@
 	b.forget()
 }
 
-// noteContact takes in what a round that began at a moment says of this replica's
-// own standing; the mutex is held. One that a majority answers is in touch unless it
-// lacks what somebody knew in the round before. That nothing newer is decided can't
-// be told while the next version is being accepted.
+// updateContact updates when this replica last confirmed the decided state and when it was last in touch with a majority,
+// by a round's reports; the mutex is held. It is in touch if a majority of the voters answered and it has every version
+// that was reported in the previous round. Being in touch doesn't need a confirmation, since no round can confirm that
+// nothing newer is decided while the next version is being accepted.
 func (b *Replica) noteContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
 		b.fresh = delivery.Confirmation{Ever: true, At: max(b.fresh.At, began)}
@@ -84,24 +84,25 @@
 		b.touched = delivery.Confirmation{Ever: true, At: began}
 	}
 	b.newest = 0
-	for _, m := range reports {
-		b.newest = max(b.newest, m.Version)
+	for _, report := range reports {
+		b.newest = max(b.newest, report.Version)
 	}
 }
 
-// finish has a value decided, or found not to be, that somebody accepted and that
-// nobody has seen to for a whole round; the mutex is held.
+// resolveUndecided starts a ballot if a replica reported the same accepted proposal in two rounds in a row, without a
+// decision: its proposer may have failed. The ballot decides on that value or finds that it wasn't chosen. The mutex is
+// held.
 func (b *Replica) finish(base state.State, reports map[string]quorum.Report) {
 	before := b.accepted
 	b.accepted = map[string]undecided{}
-	left := false
-	for id, m := range reports {
-		if m.Version == base.Version && m.Accepted != (quorum.Ballot{}) {
-			b.accepted[id] = undecided{m.Version, m.Accepted}
-			left = left || before[id] == b.accepted[id]
+	stale := false
+	for id, report := range reports {
+		if report.Version == base.Version && report.Accepted != (quorum.Ballot{}) {
+			b.accepted[id] = undecided{report.Version, report.Accepted}
+			stale = stale || before[id] == b.accepted[id]
 		}
 	}
-	if !left || b.finishing || b.leaving {
+	if !stale || b.finishing || b.leaving {
 		return
 	}
 	b.finishing = true
@@ -113,33 +114,34 @@
 	})
 }
 
-// reports asks all replicas that are connected how far they are, until enough is
-// true, all have answered, or ctx ends. They go by ID, this one's among them.
+// requestReports asks all connected replicas for their reports until enough returns true, all have answered, or ctx ends.
+// It returns the reports by replica ID, this replica's among them.
 func (b *Replica) reports(ctx context.Context, enough func() bool) map[string]quorum.Report {
 	all := map[string]quorum.Report{}
 	b.collect(ctx, all, enough)
 	return all
 }
 
+// collectReports is requestReports that adds to all, which enough may look at.
 func (b *Replica) collect(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
-	p := b.newPoll()
-	defer p.end()
+	poll := b.newPoll()
+	defer poll.end()
 	b.mu.Lock()
 	all[b.self.ID] = b.contents.Record.Report()
 	for _, links := range b.links {
-		p.ask(links[len(links)-1], peerlink.Ask{Report: true})
+		poll.ask(links[len(links)-1], peerlink.Ask{Report: true})
 	}
 	b.mu.Unlock()
-	for left := p.out; left > 0 && !enough(); left-- {
+	for left := poll.out; left > 0 && !enough(); left-- {
 		select {
-		case a := <-p.answers:
-			if a.reply == nil || a.reply.Report == nil {
+		case answer := <-poll.answers:
+			if answer.reply == nil || answer.reply.Report == nil {
 				continue
 			}
-			m := *a.reply.Report
-			all[m.ID] = m
+			report := *answer.reply.Report
+			all[report.ID] = report
 			b.mu.Lock()
-			b.heardOf[m.ID] = lastReport{report: m, at: b.now()}
+			b.heardOf[report.ID] = lastReport{report: report, at: b.now()}
 			b.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -147,7 +149,7 @@
 	}
 }
 
-// stillLatest tells whether a majority says that nothing but other voters is decided above base.
+// isStillLatest reports whether a majority confirms that nothing above base is decided except changes of the voters.
 func (b *Replica) stillLatest(ctx context.Context, base state.State) bool {
 	ctx, cancel := b.within(ctx, roundWithin)
 	defer cancel()
@@ -157,8 +159,8 @@
 	return latest()
 }
 
-// confirm returns what is decided once a majority of its voters has said that
-// nothing was decided above it when confirm was called; else ErrUnsettled.
+// confirmedState returns the decided state once a majority of its voters has confirmed that nothing above it was decided
+// when confirmedState was called. It returns ErrUnsettled if no majority can be reached.
 func (b *Replica) confirm(ctx context.Context) (state.State, error) {
 	b.mu.Lock()
 	reached := b.reachesMajority()
@@ -172,13 +174,13 @@
 		base = b.decided()
 		return quorum.IsLatest(base, reports)
 	}
-	rctx, cancel := b.within(ctx, roundWithin)
-	b.collect(rctx, reports, latest)
+	roundCtx, cancel := b.within(ctx, roundWithin)
+	b.collect(roundCtx, reports, latest)
 	cancel()
 	if latest() {
 		return base, nil
 	}
-	// Something may be decided above it, or is about to be: ballots tell.
+	// A newer state may be decided or about to be: a ballot settles that.
 	if err := b.decide(ctx, nil, func(*state.State) error { return nil }); err != nil {
 		return state.State{}, err
 	}
--- a/internal/control/rest_test.go
+++ b/internal/control/rest_orders_test.go
@@ -16,26 +16,27 @@
 
 var half = Floor{Zone: 0.5, All: 0.5}
 
-// proxies are agents of four proxies in one zone, each connected to all replicas.
+// startProxies starts the agents of four proxies in one zone, each connected to all replicas.
 func (f *farm) proxies() (stop func()) {
-	var all []*farmhand
-	for _, n := range []string{"1", "2", "3", "4"} {
+	var agents []*farmhand
+	for _, name := range []string{"1", "2", "3", "4"} {
 		for i := range f.runs {
-			all = append(all, f.agent(n, i))
+			agents = append(agents, f.agent(name, i))
 		}
 	}
 	f.until(5*time.Second, "proxies", func() bool {
-		s := f.runs[len(f.runs)-1].Status(context.Background())
-		return len(s.Proxies) == 4 && !slices.ContainsFunc(s.Proxies, func(g api.ProxyView) bool { return !g.Ready })
+		status := f.runs[len(f.runs)-1].Status(context.Background())
+		return len(status.Proxies) == 4 && !slices.ContainsFunc(status.Proxies, func(proxy api.ProxyView) bool { return !proxy.Ready })
 	})
 	return func() {
-		for _, h := range all {
-			h.stop()
+		for _, agent := range agents {
+			agent.stop()
 		}
 		time.Sleep(time.Second)
 	}
 }
 
+// restingCount returns how many proxies are ordered to rest, by a replica's status.
 func (f *farm) resting(i int) (n int) {
 	for _, o := range f.runs[i].Status(context.Background()).Nodes {
 		if o.Rests {
@@ -45,32 +46,32 @@
 	return n
 }
 
-// An order to rest that leaves too few awake is refused, by itself and where two cross at two replicas.
+// An order to rest that would leave too few proxies awake is refused, also if two orders at two replicas run at once.
 func TestTooFewAwake(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(1, "a"))
 		defer f.proxies()()
 		ctx := context.Background()
-		var tight Tight
+		var tooFewAwake Tight
 		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-1", half))
-		assert.NilError(t, f.runs[1].Rest(ctx, "proxy-1", half)) // it rests already
-		ends := make(chan error, 2)
+		assert.NilError(t, f.runs[1].Rest(ctx, "proxy-1", half)) // it is resting already
+		results := make(chan error, 2)
 		for i, n := range []string{"proxy-2", "proxy-3"} {
-			go func() { ends <- f.runs[i].Rest(ctx, n, half) }()
+			go func() { results <- f.runs[i].Rest(ctx, n, half) }()
 		}
-		a, b := <-ends, <-ends
-		assert.Assert(t, errors.As(a, &tight) || errors.As(b, &tight), "%v, %v", a, b)
+		a, b := <-results, <-results
+		assert.Assert(t, errors.As(a, &tooFewAwake) || errors.As(b, &tooFewAwake), "%v, %v", a, b)
 		assert.Assert(t, f.resting(2) <= 2)
 		if f.resting(2) < 2 {
 			assert.NilError(t, f.runs[0].Rest(ctx, "proxy-2", half))
 		}
 		err := f.runs[0].Rest(ctx, "proxy-4", half)
-		assert.Assert(t, errors.As(err, &tight), "%v", err)
+		assert.Assert(t, errors.As(err, &tooFewAwake), "%v", err)
 		assert.Error(t, err, "1 of 4 proxies of all would stay awake, and 0.5 of them have to")
 		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-4", Floor{Force: true}))
 		assert.Assert(t, errors.Is(f.runs[0].Rest(ctx, "proxy-9", half), ErrNode))
 		assert.Assert(t, errors.Is(f.runs[0].Wake(ctx, "proxy-9"), ErrNode))
-		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-9", Floor{Force: true})) // it is yet to come
+		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-9", Floor{Force: true})) // an order may be forced for a proxy that is not known yet
 		assert.NilError(t, f.runs[1].Wake(ctx, "proxy-9"))
 		url := "http://" + ip(0) + ":8200" + api.NodeRest
 		for path, want := range map[string]int{"proxy-1?zone=2": 400, "a%20b": 400, "proxy-8": 404, "proxy-1": 200, "proxy-1?lock=x": 423} {
@@ -80,7 +81,8 @@
 	})
 }
 
-// Both sides of a core that is cut in half are ordered; neither acknowledges, and what holds later is one word.
+// If the control replicas are split into two halves, neither half acknowledges orders. Afterwards all replicas agree on one
+// outcome.
 func TestRestInHalves(t *testing.T) {
 	play(t, 4, func(f *farm) {
 		f.acknowledged(0, body(1, "a"))
@@ -106,14 +108,14 @@
 			return len(want) > 0
 		}
 		f.until(5*time.Second, "agree", same)
-		f.until(5*time.Second, "are one core again", func() bool { return f.runs[2].Wake(ctx, "proxy-1") == nil })
+		f.until(5*time.Second, "take orders again", func() bool { return f.runs[2].Wake(ctx, "proxy-1") == nil })
 		assert.NilError(t, f.runs[2].Wake(ctx, "proxy-2"))
 		f.until(2*time.Second, "agree", same)
 		assert.Equal(t, f.resting(1), 0)
 	})
 }
 
-// An order to rest outlives the power of all replicas.
+// An order to rest is still in force after all replicas have lost power.
 func TestRestOutlivesReplicas(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		f.acknowledged(0, body(1, "a"))
@@ -122,9 +124,9 @@
 		f.endAll(true)
 		time.Sleep(time.Second)
 		f.startAll()
-		f.until(5*time.Second, "know", func() bool {
-			s := f.runs[2].Status(context.Background())
-			return len(s.Proxies) == 4 && s.Proxies[1].ToRest && !slices.ContainsFunc(s.Proxies, func(g api.ProxyView) bool { return !g.Ready })
+		f.until(5*time.Second, "order and proxies known again", func() bool {
+			status := f.runs[2].Status(context.Background())
+			return len(status.Proxies) == 4 && status.Proxies[1].ToRest && !slices.ContainsFunc(status.Proxies, func(proxy api.ProxyView) bool { return !proxy.Ready })
 		})
 		assert.Assert(t, f.runs[0].proxies.rests["proxy-2"])
 		_, text := f.call("GET", "http://"+ip(2)+":8209"+api.DirLookup, nil)
@@ -132,7 +134,7 @@
 	})
 }
 
-// The lock is one token's at a time, is forgotten by itself, and not by a replica that starts anew.
+// The lock is held under one token at a time and expires by itself. A restarted replica keeps it until it has expired.
 func TestLock(t *testing.T) {
 	play(t, 3, func(f *farm) {
 		ctx := context.Background()
@@ -156,16 +158,16 @@
 		f.endAll(true)
 		f.startAll()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, lock(0, "ben", 15*time.Second) != nil) // nobody knows whether ana still holds it
+		assert.Assert(t, lock(0, "ben", 15*time.Second) != nil) // ana may still hold it
 		f.until(20*time.Second, "grant", func() bool { return lock(0, "ben", 15*time.Second) == nil })
 		assert.NilError(t, lock(0, "ben", 0))
 		assert.NilError(t, lock(1, "ana", time.Second))
 		time.Sleep(1100 * time.Millisecond)
-		ends := make(chan error, 2)
+		results := make(chan error, 2)
 		for i, n := range []string{"cleo", "dan"} {
-			go func() { ends <- lock(i, n, time.Second) }()
+			go func() { results <- lock(i, n, time.Second) }()
 		}
-		a, b := <-ends, <-ends
+		a, b := <-results, <-results
 		assert.Assert(t, a != nil || b != nil)
 	})
 }
--- /dev/null
+++ b/internal/control/server_list.go
@@ -0,0 +1,85 @@
+package control
+
+import (
+	"slices"
+
+	"pepperfall.example/pepperfall/internal/platform/peerlink"
+)
+
+// applyList applies a server list that this replica has read or another replica has sent. A list without servers says that
+// the previous one is still valid. The mutex is held.
+func (b *Replica) listed(servers *peerlink.Servers) {
+	if servers.Stamp <= b.stamp {
+		return
+	}
+	b.stamp = servers.Stamp
+	if b.read.take(servers.Reading, b.now()); servers.By != b.self.Name {
+		b.others = b.read.began
+	}
+	if len(servers.List) > 0 {
+		servers = b.sober(servers)
+		if b.list == nil || servers.Since(b.list) != nil {
+			stored := *servers
+			stored.Term, stored.Reading = peerlink.Term{}, peerlink.Reading{} // whoever is sent this list later gets the term and age of that time
+			b.list = &stored
+			b.tellList()
+		}
+	}
+	if servers.By != b.self.Name {
+		return
+	}
+	var duty *peerlink.Duty
+	if b.duty.Holds() {
+		greeting := b.duty.Greet()
+		duty = &greeting
+	}
+	for _, links := range b.links {
+		links[len(links)-1].list(servers, duty)
+	}
+}
+
+// sendList sends another replica a list that was read, as a difference to what it was sent before.
+func (l *link) list(servers *peerlink.Servers, duty *peerlink.Duty) {
+	message := &peerlink.Servers{Stamp: servers.Stamp, By: servers.By, Part: true}
+	reading := servers.Reading
+	if len(servers.List) > 0 {
+		if changes := servers.Since(l.told); changes != nil {
+			part := *changes
+			message = &part
+		}
+	}
+	message.Term, message.Reading = servers.Term, reading
+	if whole := message.Onto(l.told); whole != nil {
+		l.told = whole
+	}
+	l.news(&peerlink.Change{Servers: message}, duty)
+}
+
+// handlePeerList applies a list from another replica, unless the lease has since passed to a third one; the mutex is held.
+func (b *Replica) listTold(link *link, servers *peerlink.Servers) {
+	term, reading := servers.Term, servers.Reading
+	if whole := servers.Onto(link.heard); whole != nil {
+		link.heard, servers = whole, whole
+	} else { // the list that this part builds on wasn't received
+		servers = &peerlink.Servers{Stamp: servers.Stamp, By: servers.By}
+	}
+	servers.Reading = reading
+	if b.duty.Takes(term) {
+		b.listed(servers)
+	}
+}
+
+// withKnownDraining marks servers that were seen draining before as draining: an instance never stops draining.
+func (b *Replica) sober(servers *peerlink.Servers) *peerlink.Servers {
+	marked := *servers
+	marked.List = slices.Clone(servers.List)
+	draining := make(map[string]bool, len(b.drained))
+	for i := range marked.List {
+		server := &marked.List[i]
+		if server.Draining = server.Draining || b.drained[server.ID]; server.Draining {
+			draining[server.ID] = true
+		}
+	}
+	b.drained = draining
+	return &marked
+}
