--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -45,7 +45,7 @@
 
 // serveAgent runs a session with an agent until its connection ends.
 func (b *Replica) attend(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
-	agent := &agent{conn: conn, name: hello.Name, life: hello.Life, agent: delivery.Agent{Since: b.now()}}
+	agent := &agent{conn: conn, name: hello.Name, life: hello.Life, agent: delivery.Agent{ConnectedAt: b.now()}}
 	b.mu.Lock()
 	b.agents[agent] = true
 	agent.seat = b.fit.seat()
@@ -88,7 +88,7 @@
 		return
 	}
 	if _, isNew := b.proxies.see(hello, b.now()); isNew {
-		b.store.KeepCensus(b.proxies.names())
+		b.store.SaveCensus(b.proxies.names())
 	}
 	b.stirred()
 }
@@ -100,7 +100,7 @@
 		isNew = b.proxies.add(member, b.now()) || isNew
 	}
 	if isNew {
-		b.store.KeepCensus(b.proxies.names())
+		b.store.SaveCensus(b.proxies.names())
 		b.stirred()
 	}
 }
@@ -121,8 +121,8 @@
 	}
 	proxy.heard = now
 	if ping := frame.Ping; ping != nil {
-		if proxy.every = ping.Every; agent.agent.Every != ping.Every {
-			agent.agent.Every = ping.Every
+		if proxy.every = ping.Every; agent.agent.PingInterval != ping.Every {
+			agent.agent.PingInterval = ping.Every
 			agent.conn.SetSilence(peerlink.Suits(ping.Every))
 		}
 		if agent.gen = ping.Gen; proxy.ready != ping.Ready {
@@ -144,7 +144,7 @@
 		if ping.Heads != nil {
 			proxy.heads, proxy.headsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
 		}
-		agent.packs, agent.agent.Held, agent.agent.Follows = ping.Packs, delivery.Version{Gen: ping.Held, Sum: ping.Sum}, ping.Upstream
+		agent.packs, agent.agent.Held, agent.agent.IsUpstream = ping.Packs, delivery.Version{Gen: ping.Held, Checksum: ping.Sum}, ping.Upstream
 		b.deliver(agent)
 		b.upstream(agent, ping.Upstream) // before the Pong, which says how old the sent list is
 		pong := b.pong(ping, now)
@@ -172,14 +172,14 @@
 // newPong answers a Ping. It says how recently what the proxy has in force was confirmed, and whether this replica is in
 // touch with a majority. The mutex is held.
 func (b *Replica) pong(ping *peerlink.Ping, now time.Duration) *peerlink.Pong {
-	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.touched.Ever, List: b.read.tell(now)}
+	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.touched.IsKnown, List: b.read.tell(now)}
 	if pong.List != nil {
 		pong.List.Pages = 0 // agents don't read the list from the platform
 	}
-	if b.touched.Ever {
+	if b.touched.IsKnown {
 		pong.TouchAge = now - b.touched.At
 	}
-	if at := b.versions.Confirmed(inForce(ping), b.fresh); at.Ever {
+	if at := b.versions.Confirmed(inForce(ping), b.fresh); at.IsKnown {
 		pong.Fresh, pong.Age = true, now-at.At
 	}
 	return pong
@@ -189,12 +189,12 @@
 // configuration that the agent holds. If the proxy has another one in force, number and checksum match no version, and
 // nothing is confirmed.
 func inForce(ping *peerlink.Ping) delivery.Version {
-	return delivery.Version{Gen: ping.Gen, Sum: ping.Sum}
+	return delivery.Version{Gen: ping.Gen, Checksum: ping.Sum}
 }
 
 // deliverConfiguration sends an agent the configuration in force if that is due; the mutex is held.
 func (b *Replica) deliver(agent *agent) {
-	if b.configuration != nil && b.versions.Due(&agent.agent, b.now()) {
+	if b.configuration != nil && b.versions.ShouldSend(&agent.agent, b.now()) {
 		agent.agent.Sent = b.versions.Current()
 		agent.change(&peerlink.Change{Configuration: b.configuration})
 	}
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -119,7 +119,7 @@
 		reader := f.at(holder)
 		reader.mu.Lock()
 		defer reader.mu.Unlock()
-		return !reader.reads.busy && reader.now() >= reader.reads.work.Asked+reader.reads.work.Period-20*time.Millisecond
+		return !reader.reads.busy && reader.now() >= reader.reads.work.LastOwn+reader.reads.work.Period-20*time.Millisecond
 	})
 }
 
--- a/internal/control/list_lease.go
+++ b/internal/control/list_lease.go
@@ -19,7 +19,7 @@
 
 // ownListReads is the state of this replica's own reads of the server list.
 type reading struct {
-	work  lease.Work
+	work  lease.TaskTimes
 	again time.Duration // no read before this time, after one that failed
 	took  time.Duration // duration of the last successful read
 
@@ -34,17 +34,17 @@
 		return
 	}
 	b.mu.Lock()
-	b.reads.work = lease.Work{Asked: -lease.Slowly}
+	b.reads.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
 		now, view := b.now(), b.view()
 		b.tellDuty(b.duty.Step(view))
-		next := min(b.duty.Wake(view), now+time.Second)
+		next := min(b.duty.NextStep(view), now+time.Second)
 		if due := b.due(view); due > now {
 			next = min(next, due)
 		} else if reads := &b.reads; !reads.busy {
-			reads.busy, reads.work.Asked = true, now
+			reads.busy, reads.work.LastOwn = true, now
 			stamp := max(b.w.Now().UnixNano(), b.stamp+1)
 			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
 		}
@@ -65,8 +65,8 @@
 		return view.Now + time.Second
 	}
 	work := &b.reads.work
-	work.Period, work.Heard, work.Others = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
-	return max(b.reads.again, b.duty.Due(view, b.reads.work))
+	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
+	return max(b.reads.again, b.duty.NextRun(view, b.reads.work))
 }
 
 // readListOnce reads the list from the platform and applies it under the given stamp, in nanoseconds.
@@ -83,7 +83,7 @@
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
 		reads.failures++
 		reads.again = b.now() + listAgain
-		if b.others > reads.work.Asked-reads.work.Period {
+		if b.others > reads.work.LastOwn-reads.work.Period {
 			b.tellDuty(b.duty.Yield()) // another replica can read it
 		}
 		return
@@ -95,7 +95,7 @@
 		Reading: peerlink.Reading{Age: reads.took, Period: terms.Period(pages), Pages: pages}}
 	if b.duty.Holds() {
 		servers.Term = b.duty.Known().Term
-		b.duty.Spoke(b.now())
+		b.duty.NoteAnnounced(b.now())
 	}
 	b.listed(servers)
 }
@@ -103,15 +103,15 @@
 // leaseView returns what the lease has to know of this replica and the others; the mutex is held.
 func (b *Replica) view() lease.View {
 	voters := b.contents.Record.Decided.Voters
-	view := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), Elector: b.isVoter(), Electors: len(voters)}
+	view := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
 	noVoters := len(voters) == 0 // then every replica counts as having a vote
 	if noVoters {
-		view.Elector, view.Electors = true, len(b.replicas)
+		view.CanVote, view.VoterCount = true, len(b.replicas)
 	}
 	for _, links := range b.links {
 		if link := links[len(links)-1]; !link.leaving {
 			_, isVoter := b.contents.Record.Decided.Voter(link.peer.ID)
-			view.Peers = append(view.Peers, lease.Peer{Seat: link.seat(), Zone: link.peer.Zone, Elector: noVoters || isVoter})
+			view.Peers = append(view.Peers, lease.Peer{Seat: link.seat(), Zone: link.peer.Zone, CanVote: noVoters || isVoter})
 		}
 	}
 	return view
@@ -123,7 +123,7 @@
 // handleLeaseMessage processes another replica's message about the list lease; the mutex is held.
 func (b *Replica) hearDuty(link *link, message *peerlink.Duty) {
 	before := b.duty.Known()
-	b.tellDuty(b.duty.Hear(b.view(), link.seat(), *message))
+	b.tellDuty(b.duty.Receive(b.view(), link.seat(), *message))
 	if after := b.duty.Known(); after.Term != before.Term {
 		b.log.Info("list lease changed", "holder", after.Holder.Name, "next", after.Next.Name, "epoch", after.Term.Epoch, "step", after.Term.Step)
 	}
@@ -131,7 +131,7 @@
 }
 
 // sendLeaseMessages sends messages about the list lease to the replicas they are for; the mutex is held.
-func (b *Replica) tellDuty(messages []lease.Tell) {
+func (b *Replica) tellDuty(messages []lease.Message) {
 	for _, message := range messages {
 		for name, links := range b.links {
 			if message.To == "" || message.To == name {
--- a/internal/control/list_lease_test.go
+++ b/internal/control/list_lease_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, long, 1200*ms)
 	self := peerlink.Seat{Name: "a", Life: 1}
 	listLease := lease.New(listDuty, self, "z")
-	view := lease.View{Now: 20 * time.Second, Peers: []lease.Peer{{Seat: peerlink.Seat{Name: "b", Life: 1}}}, Electors: 2}
-	due := listLease.Due(view, lease.Work{Period: long, Heard: 10 * time.Second})
+	view := lease.View{Now: 20 * time.Second, Peers: []lease.Peer{{Seat: peerlink.Seat{Name: "b", Life: 1}}}, VoterCount: 2}
+	due := listLease.NextRun(view, lease.TaskTimes{Period: long, LastKnown: 10 * time.Second})
 	assert.Assert(t, due > 11200*ms && due <= 12500*ms, "%s", due)
 }
--- a/internal/control/rest_orders.go
+++ b/internal/control/rest_orders.go
@@ -27,13 +27,13 @@
 	if !nodeName.MatchString(name) {
 		return Invalid{errors.Errorf("%q is not a proxy name", name)}
 	}
-	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.OfNode(name), Drain: true}, Floor: &minAwake})
+	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name), Drain: true}, Floor: &minAwake})
 	return err
 }
 
 // Wake ends an order that a proxy rests.
 func (b *Replica) Wake(ctx context.Context, name string) error {
-	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.OfNode(name)}})
+	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name)}})
 	return err
 }
 
@@ -68,7 +68,7 @@
 func (r *register) room(now time.Duration, name string, decided state.State, minAwake Floor) error {
 	count := func(zone string) (awakeCount, total int) {
 		for _, other := range r.names() {
-			proxy, rests := r.proxies[other], decided.Order(state.OfNode(other)).Drain
+			proxy, rests := r.proxies[other], decided.Order(state.NodeSubject(other)).Drain
 			if zone != "" && proxy.hello.Zone != zone || !rests && !proxy.counts(now) {
 				continue // a proxy that has left counts only while it is ordered to rest
 			}
--- a/internal/control/server_list.go
+++ b/internal/control/server_list.go
@@ -30,7 +30,7 @@
 	}
 	var duty *peerlink.Duty
 	if b.duty.Holds() {
-		greeting := b.duty.Greet()
+		greeting := b.duty.Greeting()
 		duty = &greeting
 	}
 	for _, links := range b.links {
@@ -64,7 +64,7 @@
 		servers = &peerlink.Servers{Stamp: servers.Stamp, By: servers.By}
 	}
 	servers.Reading = reading
-	if b.duty.Takes(term) {
+	if b.duty.AcceptsTerm(term) {
 		b.listed(servers)
 	}
 }
