--- a/internal/control/delivery/history.go
+++ b/internal/control/delivery/history.go
@@ -1,30 +1,30 @@
-// Package delivery knows, without I/O, which configurations were in force lately
-// and until when: so a replica can tell for how long an agent has been behind, and
-// up to which moment what a proxy has in force was the newest.
+// Package delivery records, without I/O, which configurations were current recently and until when. From this a
+// replica knows how long an agent has been behind, and up to which moment the configuration that a proxy uses was the
+// newest.
 package delivery
 
 import "time"
 
-// Bounds of what is remembered of configurations that are not in force any more.
+// Bounds of the history of superseded configurations.
 const (
 	keepDuration  = 30 * time.Second
 	maxSuperseded = 512
 )
 
-// Version names a configuration.
+// Version identifies a configuration.
 type Version struct {
 	Gen      uint64 // its number; 0: none
 	Checksum uint32 // of its text
 }
 
-// Confirmation is the newest moment at which a majority is known to have held
-// nothing newer than what was decided here. Moments are of one steady clock.
+// Confirmation is the latest moment at which a majority is known to have held nothing newer than the state decided
+// here. All moments are on one monotonic clock.
 type Confirmation struct {
 	IsKnown bool
 	At      time.Duration
 }
 
-// History is the configuration in force and those before it.
+// History holds the current configuration and those that it superseded.
 type History struct {
 	current      Version
 	currentSince time.Duration       // when current was learnt
@@ -64,7 +64,7 @@
 	h.superseded = kept
 }
 
-// Current is the configuration in force; the zero Version: none is.
+// Current returns the current configuration, or the zero Version if there is none.
 func (h *History) Current() Version { return h.current }
 
 // BehindSince tells whether a holder of v lacks the configuration in force, and since
@@ -82,9 +82,9 @@
 	return h.currentSince, true
 }
 
-// Confirmed is the newest moment at which nothing above v was decided, given that
-// of the configuration in force: a proxy that has v in force was up to date then. Of
-// another text under a number that was decided there is none.
+// Confirmed returns the latest moment at which nothing above v was decided; a proxy that uses v was up to date then.
+// newest is the confirmation of the current configuration. If v has the number of a decided configuration but a
+// different text, there is no such moment.
 func (h *History) Confirmed(v Version, newest Confirmation) Confirmation {
 	if h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current {
 		return newest
--- a/internal/control/orderlog/orderlog.go
+++ b/internal/control/orderlog/orderlog.go
@@ -15,7 +15,7 @@
 	"pepperfall.example/pepperfall/api"
 )
 
-// Bounds of a tally.
+// Bounds of a log.
 const (
 	maxQueued     = 64   // orders to be written; more are lost
 	maxKept       = 4096 // on disk; older ones are removed at the start
@@ -33,7 +33,7 @@
 	quit  chan struct{}
 	done  chan struct{}
 	store *pebble.DB
-	next  uint64
+	next  uint64 // key of the next entry
 }
 
 // Open begins to open the tally in a folder after a time, and calls told with
@@ -44,15 +44,15 @@
 	go func() {
 		defer close(t.done)
 		select {
-		case <-time.After(after):
+		case <-time.After(delay):
 		case <-t.quit:
 			return
 		}
 		if err := t.open(fs, dir); err != nil {
-			log.Info("no tally of orders", "why", err.Error())
+			log.Info("cannot open the order log", "why", err.Error())
 			return
 		}
-		told(t.read(most))
+		onOpen(t.read(maxRead))
 		t.run()
 	}()
 	return t
@@ -78,47 +78,47 @@
 func (t *Log) open(fs vfs.FS, dir string) error {
 	blocks := pebble.NewCache(cacheBytes)
 	defer blocks.Unref()
-	// With a file system of its own it has no watcher that ticks.
+	// Pebble starts no periodic disk health check for a file system that the caller passes.
 	opts := func() *pebble.Options {
 		return &pebble.Options{FS: fs, Cache: blocks, MemTableSize: memTableBytes, MaxOpenFiles: maxOpenFiles, FormatMajorVersion: pebble.FormatNewest, Logger: pebbleLogger{t.log}}
 	}
 	var err error
 	if t.store, err = pebble.Open(dir, opts()); pebble.IsCorruptionError(err) {
-		t.log.Info("tally spoilt, begun anew", "why", err.Error())
+		t.log.Info("order log is corrupt, starting a new one", "why", err.Error())
 		if err = fs.RemoveAll(dir); err == nil {
 			t.store, err = pebble.Open(dir, opts())
 		}
 	}
-	return errors.Wrap(err, "tally")
+	return errors.Wrap(err, "order log")
 }
 
 // read is the newest orders, oldest first; it removes those that are too old.
 func (t *Log) read(most int) []api.Order {
 	it, err := t.store.NewIter(nil)
 	if err != nil {
-		t.log.Info("tally not read", "why", err.Error())
+		t.log.Info("cannot read the order log", "why", err.Error())
 		return nil
 	}
 	var all []api.Order
-	kept := 0
+	count := 0
 	var last []byte
 	for ok := it.Last(); ok && kept < maxKept; ok = it.Prev() {
 		if kept == 0 && len(it.Key()) == 8 {
 			t.next = binary.BigEndian.Uint64(it.Key()) + 1
 		}
 		var o api.Order
-		if kept++; len(all) < most && json.Unmarshal(it.Value(), &o) == nil {
+		if count++; len(all) < maxRead && json.Unmarshal(it.Value(), &o) == nil {
 			all = append(all, o)
 		}
 		last = append(last[:0], it.Key()...)
 	}
 	if it.Valid() {
 		if err := t.store.DeleteRange(make([]byte, 8), last, pebble.NoSync); err != nil {
-			t.log.Info("tally not shortened", "why", err.Error())
+			t.log.Info("cannot remove old entries of the order log", "why", err.Error())
 		}
 	}
 	if err := it.Close(); err != nil {
-		t.log.Info("tally not read", "why", err.Error())
+		t.log.Info("cannot read the order log", "why", err.Error())
 	}
 	slices.Reverse(all)
 	return all
@@ -135,14 +135,14 @@
 		case <-sync:
 			sync = nil
 			if err := t.store.LogData(nil, pebble.Sync); err != nil {
-				t.log.Info("tally not synced", "why", err.Error())
+				t.log.Info("cannot sync the order log", "why", err.Error())
 			}
 		case <-t.quit:
 			open = false
 		}
 	}
 	if err := t.store.Close(); err != nil {
-		t.log.Info("tally not closed", "why", err.Error())
+		t.log.Info("cannot close the order log", "why", err.Error())
 	}
 }
 
@@ -152,7 +152,7 @@
 		err = t.store.Set(binary.BigEndian.AppendUint64(nil, t.next), value, pebble.NoSync)
 	}
 	if t.next++; err != nil {
-		t.log.Info("order not noted", "why", err.Error())
+		t.log.Info("cannot write an order to the order log", "why", err.Error())
 	}
 }
 
--- a/internal/control/quorum/explore_test.go
+++ b/internal/control/quorum/explore_test.go
@@ -25,7 +25,7 @@
 // walksPerInjectedFault are enough to find each fault that is planted.
 const walksPerInjectedFault = 40_000
 
-// rules are the steps of the protocol, each of which a test may break on purpose.
+// rules are the steps of the protocol. A test may replace any of them to inject a fault.
 type rules struct {
 	prepare          func(r *Record, p Prepare) Promise
 	accept           func(r *Record, a Accept) Acceptance
@@ -57,7 +57,7 @@
 	change  func(s state.State) state.State
 }
 
-// model is a small system: what may happen in it, in any order.
+// model is a small system, and the events that may happen in it in any order.
 type model struct {
 	voters, replicas int
 	plans            []plannedProposal
@@ -149,7 +149,8 @@
 	return w
 }
 
-// explore visits states in depth first order, and returns how many, whether they are all, and the first broken invariant.
+// explore visits states in depth-first order, at most the given number of them. It returns how many it visited,
+// whether these are all reachable states, and the first violated invariant.
 func explore(m model, r rules, most int) (states int, all bool, broken string) {
 	first := m.start()
 	seen := map[uint64]bool{first.key(): true}
@@ -172,7 +173,7 @@
 	return len(seen), len(seen) < most, ""
 }
 
-// walk takes steps by chance, from a seed, and returns how many states were met and the first broken invariant.
+// walk makes random walks, with one seed each. It returns how many states it visited and the first violated invariant.
 func walk(m model, r rules, walks int) (states int, broken string) {
 	seen := map[uint64]bool{}
 	for seed := range uint64(walks) {
@@ -463,8 +464,8 @@
 				var least Ballot
 				var value *state.State
 				for _, m := range p.promises {
-					if m.Value != nil && (value == nil || least.Above(m.Accepted)) {
-						least, value = m.Accepted, m.Value
+					if m.Value != nil && (value == nil || lowest.Above(m.Accepted)) {
+						lowest, value = m.Accepted, m.Value
 					}
 				}
 				return value
@@ -545,7 +546,7 @@
 	}
 }
 
-// The first round belongs to one proposer, and to one value of its.
+// The explorer must find a violation if one proposer uses the first round for two values.
 func TestFirstRoundTwice(t *testing.T) {
 	m := model{voters: 3, replicas: 3, plans: []plannedProposal{{0, FirstRound, setConfig(1)}, {0, FirstRound, setConfig(2)}}}
 	_, broken := walk(m, correctRules(), walksPerInjectedFault)
@@ -562,7 +563,7 @@
 		"b": {ID: "b", Version: 1, Accepted: Ballot{Round: 2}, Value: &next},
 		"c": {ID: "c", Version: 1},
 	}
-	assert.Assert(t, !IsLatest(base, reports)) // a and d may be further
+	assert.Assert(t, !IsLatest(base, reports)) // a and d may know a newer version
 	reports["d"] = Report{ID: "d", Version: 1}
 	assert.Assert(t, IsLatest(base, reports))
 	reports["d"] = Report{ID: "d", Version: 2}
@@ -570,5 +571,5 @@
 	changed := setConfig(7)(next)
 	reports["b"] = Report{ID: "b", Version: 1, Accepted: Ballot{Round: 2}, Value: &changed}
 	reports["d"] = Report{ID: "d", Version: 1}
-	assert.Assert(t, !IsLatest(base, reports)) // b may be one of a majority that has decided another configuration
+	assert.Assert(t, !IsLatest(base, reports)) // b may belong to a majority that has decided another configuration
 }
