--- a/internal/control/agent_updates.go
+++ b/internal/control/agent_updates.go
@@ -28,21 +28,21 @@
 		return
 	}
 	b.recount()
-	agent.list, agent.census, agent.verdicts = b.held(), b.census, b.fit.joined
+	agent.list, agent.census, agent.verdicts = b.held(), b.census, b.healthJudge.joined
 	agent.change(&peerlink.Change{Servers: agent.list, Census: agent.census, Verdicts: agent.verdicts})
 }
 
 // currentList returns the list with the stamp of the newest read, which may have found no changes; the mutex is held.
 func (b *Replica) held() *peerlink.Servers {
-	if b.list != nil && b.stamp > b.list.Stamp {
-		b.list = (&peerlink.Servers{Stamp: b.stamp, By: b.list.By, Part: true}).Onto(b.list)
+	if b.serverList != nil && b.listStamp > b.serverList.Stamp {
+		b.serverList = (&peerlink.Servers{Stamp: b.listStamp, By: b.serverList.By, Part: true}).Onto(b.serverList)
 	}
-	return b.list
+	return b.serverList
 }
 
 // listWithAge returns the list with its age, as it is sent to another replica; the mutex is held.
 func (b *Replica) aged(list *peerlink.Servers) *peerlink.Servers {
-	reading := b.read.tell(b.now())
+	reading := b.newestReading.tell(b.now())
 	if list == nil || reading == nil {
 		return list
 	}
@@ -62,7 +62,7 @@
 		}
 		next, ok := updates[agent.list]
 		if !ok {
-			if next.part = b.list.Since(agent.list); next.part != nil {
+			if next.part = b.serverList.Since(agent.list); next.part != nil {
 				next.whole = shared(&lists, next.part.Onto(agent.list))
 			}
 			updates[agent.list] = next
@@ -102,12 +102,12 @@
 			agent.change(&peerlink.Change{Census: change})
 		}
 	}
-	b.told, b.toldAt = b.census, b.now()
+	b.sentCensus, b.censusSentAt = b.census, b.now()
 }
 
 // updateCensus takes the census again and reports whether it has changed; the mutex is held.
 func (b *Replica) recount() bool {
-	replicas := byName(b.replicas)
+	replicas := sortedByName(b.replicas)
 	proxies, shares, same := b.proxies.members(b.now())
 	if census := b.census; census != nil && same && shares == census.Shares && slices.Equal(replicas, census.Replicas) {
 		return false
@@ -120,11 +120,11 @@
 func (b *Replica) owed() time.Duration {
 	interval := stirEvery
 	if len(b.census.Proxies) > manyProxies {
-		if interval = manyEvery; dies(b.told, b.census) {
+		if interval = manyEvery; dies(b.sentCensus, b.census) {
 			interval = diesEvery
 		}
 	}
-	return max(0, b.toldAt+interval-b.now())
+	return max(0, b.censusSentAt+interval-b.now())
 }
 
 // isAnyProxyNewlyDown reports whether a proxy was alive or ready in the old census and no longer is.
--- a/internal/control/agent_updates_test.go
+++ b/internal/control/agent_updates_test.go
@@ -16,13 +16,13 @@
 
 // agentFarm is a farm of replicas with agents.
 type crowd struct {
-	*farm
+	*clusterFixture
 	helping sync.Mutex // guards all agents
 }
 
 // playAgents runs a test with n replicas and agents.
 func playAgents(t *testing.T, n int, story func(f *crowd)) {
-	play(t, n, func(f *farm) { story(&crowd{farm: f}) })
+	runCluster(t, n, func(f *clusterFixture) { story(&crowd{clusterFixture: f}) })
 }
 
 // pingingAgent is an agent that applies what it is sent and sends the ping that the test sets, when the test says so.
@@ -97,9 +97,9 @@
 
 // applyListRead applies a list at a replica as if it had just read it.
 func (f *crowd) reads(i int, list ...peerlink.Server) {
-	replica := f.runs[i].Replica
+	replica := f.replicas[i].Replica
 	replica.mu.Lock()
-	replica.listed(&peerlink.Servers{Stamp: replica.w.Now().UnixNano(), By: replica.self.Name, List: list})
+	replica.listed(&peerlink.Servers{Stamp: replica.world.Now().UnixNano(), By: replica.self.Name, List: list})
 	replica.mu.Unlock()
 }
 
@@ -176,8 +176,8 @@
 		f.pass(time.Second, agent)
 		assert.Assert(t, agent.servers.List[0].Draining && agent.servers.List[1].WarmLeft == 0)
 		var all *peerlink.Servers
-		for i := range f.runs {
-			replica := f.runs[i].Replica
+		for i := range f.replicas {
+			replica := f.replicas[i].Replica
 			replica.mu.Lock()
 			assert.Assert(t, all == nil || replica.held().Since(all) == nil)
 			all = replica.held()
--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -48,16 +48,16 @@
 	agent := &agent{conn: conn, name: hello.Name, life: hello.Life, agent: delivery.Agent{ConnectedAt: b.now()}}
 	b.mu.Lock()
 	b.agents[agent] = true
-	agent.seat = b.fit.seat()
+	agent.seat = b.healthJudge.seat()
 	b.arrive(*hello)
-	agent.change(&peerlink.Change{Zones: b.orders(agent.name)}) // the configuration follows if the agent's first Ping shows that it lacks it
+	agent.change(&peerlink.Change{Zones: b.ordersFor(agent.name)}) // the configuration follows if the agent's first Ping shows that it lacks it
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		delete(b.agents, agent)
 		if known := b.proxies.proxies[agent.name]; known != nil && known.hello.Life == agent.life && !b.attended(agent.name) {
-			known.up, known.ready = false, false
+			known.connected, known.ready = false, false
 			b.stirred()
 		}
 	}()
@@ -87,7 +87,7 @@
 	if old := b.proxies.proxies[hello.Name]; old != nil && old.hello.Life > hello.Life {
 		return
 	}
-	if _, isNew := b.proxies.see(hello, b.now()); isNew {
+	if _, isNew := b.proxies.noteConnected(hello, b.now()); isNew {
 		b.store.SaveCensus(b.proxies.names())
 	}
 	b.stirred()
@@ -97,7 +97,7 @@
 func (b *Replica) meet(members []peerlink.Member) {
 	isNew := false
 	for _, member := range members {
-		isNew = b.proxies.add(member, b.now()) || isNew
+		isNew = b.proxies.addKnown(member, b.now()) || isNew
 	}
 	if isNew {
 		b.store.SaveCensus(b.proxies.names())
@@ -116,39 +116,39 @@
 	if proxy == nil || proxy.hello.Life != agent.life {
 		return // the connection of an earlier incarnation
 	}
-	if !proxy.alive(now) {
+	if !proxy.isAlive(now) {
 		b.stirred()
 	}
-	proxy.heard = now
+	proxy.lastHeard = now
 	if ping := frame.Ping; ping != nil {
-		if proxy.every = ping.Every; agent.agent.PingInterval != ping.Every {
+		if proxy.pingInterval = ping.Every; agent.agent.PingInterval != ping.Every {
 			agent.agent.PingInterval = ping.Every
 			agent.conn.SetSilence(peerlink.Suits(ping.Every))
 		}
 		if agent.gen = ping.Gen; proxy.ready != ping.Ready {
-			if proxy.ready = ping.Ready; proxy.ready && proxy.risen == 0 {
-				proxy.risen = now
+			if proxy.ready = ping.Ready; proxy.ready && proxy.firstReadyAt == 0 {
+				proxy.firstReadyAt = now
 			}
 			b.stirred()
 		}
-		proxy.rests = ping.Rests
+		proxy.readyButResting = ping.Rests
 		if ping.Parts > 0 {
-			proxy.parts = ping.Parts
+			proxy.quotaParts = ping.Parts
 		}
 		if ping.Figures != nil {
 			proxy.figures, proxy.figuresAt = ping.Figures, now
 		}
 		if ping.Asked != nil {
-			proxy.asked, proxy.askedAt = ping.Asked, now
+			proxy.requestCounts, proxy.requestCountsAt = ping.Asked, now
 		}
 		if ping.Heads != nil {
-			proxy.heads, proxy.headsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
+			proxy.hostCounts, proxy.hostCountsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
 		}
 		agent.packs, agent.agent.Held, agent.agent.IsUpstream = ping.Packs, delivery.Version{Gen: ping.Held, Checksum: ping.Sum}, ping.Upstream
 		b.deliver(agent)
 		b.upstream(agent, ping.Upstream) // before the Pong, which says how old the sent list is
 		pong := b.pong(ping, now)
-		pong.Want, pong.Asks, pong.Wanted = now < b.ops.wants, now < b.ops.asks, b.fit.wanted(agent)
+		pong.Want, pong.Asks, pong.Wanted = now < b.ops.wants, now < b.ops.asks, b.healthJudge.wanted(agent)
 		_ = agent.conn.Send(&peerlink.Frame{Pong: pong})
 	}
 	if frame.Report != nil && agent.upstream {
@@ -158,12 +158,12 @@
 		agent.ack, agent.gen = max(agent.ack, ack.No), ack.Gen
 	}
 	if frame.Leaving != nil {
-		if proxy.left = max(now, 1); *frame.Leaving != peerlink.Gone {
-			proxy.grace = b.live.Load().Terms.Bounds.Grace
+		if proxy.leftAt = max(now, 1); *frame.Leaving != peerlink.Gone {
+			proxy.grace = b.liveSettings.Load().Terms.Bounds.Grace
 		} else {
 			proxy.grace = 0
 		}
-		proxy.given = proxy.given || *frame.Leaving == peerlink.Given
+		proxy.quotaReleased = proxy.quotaReleased || *frame.Leaving == peerlink.Given
 		b.log.Info("proxy leaves", "name", agent.name, "why", *frame.Leaving)
 		b.stirred()
 	}
@@ -172,14 +172,14 @@
 // newPong answers a Ping. It says how recently what the proxy has in force was confirmed, and whether this replica is in
 // touch with a majority. The mutex is held.
 func (b *Replica) pong(ping *peerlink.Ping, now time.Duration) *peerlink.Pong {
-	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.touched.IsKnown, List: b.read.tell(now)}
+	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.majorityContact.IsKnown, List: b.newestReading.tell(now)}
 	if pong.List != nil {
 		pong.List.Pages = 0 // agents don't read the list from the platform
 	}
-	if b.touched.IsKnown {
-		pong.TouchAge = now - b.touched.At
+	if b.majorityContact.IsKnown {
+		pong.TouchAge = now - b.majorityContact.At
 	}
-	if at := b.versions.Confirmed(inForce(ping), b.fresh); at.IsKnown {
+	if at := b.configurationHistory.Confirmed(inForce(ping), b.decidedConfirmed); at.IsKnown {
 		pong.Fresh, pong.Age = true, now-at.At
 	}
 	return pong
@@ -194,8 +194,8 @@
 
 // deliverConfiguration sends an agent the configuration in force if that is due; the mutex is held.
 func (b *Replica) deliver(agent *agent) {
-	if b.configuration != nil && b.versions.ShouldSend(&agent.agent, b.now()) {
-		agent.agent.Sent = b.versions.Current()
+	if b.configuration != nil && b.configurationHistory.ShouldSend(&agent.agent, b.now()) {
+		agent.agent.Sent = b.configurationHistory.Current()
 		agent.change(&peerlink.Change{Configuration: b.configuration})
 	}
 }
@@ -203,19 +203,19 @@
 // signalCensusChange makes runAgentUpdates check the census now; the mutex may be held.
 func (b *Replica) stirred() {
 	select {
-	case b.stir <- struct{}{}:
+	case b.censusChanged <- struct{}{}:
 	default:
 	}
 }
 
 // runAgentUpdates sends agents the configuration and census changes that are due, until ctx ends.
 func (b *Replica) watch(ctx context.Context) {
-	timer := b.w.NewTimer(lookEvery)
+	timer := b.world.NewTimer(lookEvery)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C():
-		case <-b.stir:
+		case <-b.censusChanged:
 		case <-ctx.Done():
 			return
 		}
@@ -223,10 +223,10 @@
 		b.mu.Lock()
 		for agent := range b.agents {
 			b.deliver(agent)
-			b.reportLag(agent)
+			b.logAgentLag(agent)
 		}
-		b.reportContact()
-		if b.recount(); b.told != b.census {
+		b.logContactLoss()
+		if b.recount(); b.sentCensus != b.census {
 			if wait := b.owed(); wait > 0 {
 				next = min(next, wait)
 			} else {
@@ -234,7 +234,7 @@
 			}
 		}
 		b.mu.Unlock()
-		if !b.pause(ctx, stirEvery) {
+		if !b.sleep(ctx, stirEvery) {
 			return
 		}
 		timer.Reset(next)
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -20,7 +20,7 @@
 
 // simAgent is an agent on a host of its own, connected to one replica. It applies what it is sent and pings by itself.
 type farmhand struct {
-	f    *farm
+	f    *clusterFixture
 	mu   sync.Mutex
 	gen  uint64 // number of the newest configuration received
 	sum  uint32 // its checksum
@@ -33,7 +33,7 @@
 }
 
 // startAgent starts an agent of proxy-NAME and connects it to a replica.
-func (f *farm) agent(name string, at int) *farmhand {
+func (f *clusterFixture) agent(name string, at int) *farmhand {
 	host := f.net.Host("10.1.0." + name)
 	ctx, stop := context.WithCancel(context.Background())
 	agent := &farmhand{f: f, stop: stop}
@@ -91,7 +91,7 @@
 }
 
 // call sends an HTTP request and returns the status and body of the response; status 0 if there was none.
-func (f *farm) call(method, url string, body []byte) (int, string) {
+func (f *clusterFixture) call(method, url string, body []byte) (int, string) {
 	f.t.Helper()
 	host := f.net.Host("10.9.0.1")
 	defer host.Kill()
@@ -110,33 +110,33 @@
 
 // Agents are sent only configurations that a majority has decided, and how recently these were confirmed.
 func TestAgentsHearOfWhatIsHeldByMost(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.agent("1", 0), f.agent("2", 2)
 		defer a.stop()
 		defer b.stop()
-		f.acknowledged(0, body(2, "a"))
-		f.until(100*time.Millisecond, "sent by the replica that took it", a.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
-		f.until(500*time.Millisecond, "sent by another replica", b.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
-		f.until(time.Second, "confirmed", a.sees(func(agent *farmhand) bool { return agent.ever && agent.age < 800*time.Millisecond }))
-		f.halfAccepted(0, body(3, "a"))
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
+		f.waitFor(100*time.Millisecond, "sent by the replica that took it", a.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
+		f.waitFor(500*time.Millisecond, "sent by another replica", b.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
+		f.waitFor(time.Second, "confirmed", a.sees(func(agent *farmhand) bool { return agent.ever && agent.age < 800*time.Millisecond }))
+		f.acceptOnOneDisk(0, configurationBody(3, "a"))
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, a.sees(func(agent *farmhand) bool { return agent.gen == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.until(3*time.Second, "sent once a majority can write again", b.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
-		f.until(time.Second, "sent once a majority can write again", a.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		f.waitFor(3*time.Second, "sent once a majority can write again", b.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		f.waitFor(time.Second, "sent once a majority can write again", a.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
 		// A replica that is cut off confirms nothing any more, since it may lack what was decided.
-		f.cut(ips(0), ips(1, 2), sim.Silent)
+		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
-		f.acknowledged(1, body(4, "a"))
+		f.replaceUntilAcknowledged(1, configurationBody(4, "a"))
 		assert.Assert(t, a.sees(func(agent *farmhand) bool { return agent.gen == 3 && agent.age > 4*time.Second })())
-		f.cut(ips(0), ips(1, 2), sim.Open)
-		f.until(3*time.Second, "sent after the cut", a.sees(func(agent *farmhand) bool { return agent.gen == 4 && agent.age < time.Second }))
+		f.partition(ips(0), ips(1, 2), sim.Open)
+		f.waitFor(3*time.Second, "sent after the cut", a.sees(func(agent *farmhand) bool { return agent.gen == 4 && agent.age < time.Second }))
 	})
 }
 
 func TestCensus(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.agent("1", 0), f.agent("2", 0)
 		defer a.stop()
 		counts := func(ready, shares int) func() bool {
@@ -150,24 +150,24 @@
 				return readyCount == ready && agent.who.Shares == shares
 			})
 		}
-		f.until(2*time.Second, "both ready", func() bool { return a.sees(func(agent *farmhand) bool { return agent.who != nil })() && counts(2, 2)() })
+		f.waitFor(2*time.Second, "both ready", func() bool { return a.sees(func(agent *farmhand) bool { return agent.who != nil })() && counts(2, 2)() })
 		status, text := f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
 		b.stop()
-		f.until(2*time.Second, "one left", counts(1, 2)) // the silent one still has its share: it may be serving requests behind a cut
+		f.waitFor(2*time.Second, "one left", counts(1, 2)) // the silent one still has its share: it may be serving requests behind a cut
 		_, text = f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80"],"ttl_s":1}`+"\n")
-		f.end(0, true)
+		f.kill(0, true)
 		f.start(0)
-		f.until(3*time.Second, "back", counts(1, 2)) // a restarted replica still knows all proxies
+		f.waitFor(3*time.Second, "back", counts(1, 2)) // a restarted replica still knows all proxies
 		time.Sleep(62 * time.Second)
 		assert.Assert(t, counts(1, 1)())
 	})
 }
 
 func TestCtl(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		base := "http://" + ip(1) + ":8200/-/"
 		for _, call := range []struct {
 			method, path, text string
@@ -175,8 +175,8 @@
 		}{
 			{"GET", "Config.Show", "", 503},
 			{"POST", "Config.Replace", `{"gen":"r1"`, 400},
-			{"POST", "Config.Replace", string(body(2, "a")), 200},
-			{"POST", "Config.Replace", string(body(1, "a")), 200},
+			{"POST", "Config.Replace", string(configurationBody(2, "a")), 200},
+			{"POST", "Config.Replace", string(configurationBody(1, "a")), 200},
 			{"POST", "Config.Replace", "x" + string(make([]byte, mostBody)), 413},
 			{"GET", "Config.Show", "", 200},
 			{"POST", "Drain.Begin/z1", "", 200},
@@ -188,12 +188,12 @@
 			status, text := f.call(call.method, base+call.path, []byte(call.text))
 			assert.Equal(t, status, call.status, "%s: %s", call.path, text)
 			if call.path == "Config.Show" && status == 200 {
-				assert.Equal(t, text, string(body(2, "a")))
+				assert.Equal(t, text, string(configurationBody(2, "a")))
 			}
 		}
-		f.runs[1].stop() // orders in flight are finished, then no calls are served
-		assert.NilError(t, <-f.runs[1].done)
-		f.runs[1].done <- nil
+		f.replicas[1].stop() // orders in flight are finished, then no calls are served
+		assert.NilError(t, <-f.replicas[1].done)
+		f.replicas[1].done <- nil
 		status, _ := f.call("GET", base+"Config.Show", nil)
 		assert.Equal(t, status, 0)
 	})
@@ -230,7 +230,7 @@
 
 func TestListsDutyIsTakenOver(t *testing.T) {
 	platformList := &platform{servers: []string{row("a", "ready"), row("b", "ready")}}
-	platformed(t, 4, platformList, func(f *farm) {
+	runClusterWithPlatform(t, 4, platformList, func(f *clusterFixture) {
 		agent := f.agent("1", 0)
 		defer agent.stop()
 		states := func(want string) func() bool {
@@ -247,7 +247,7 @@
 			defer platformList.mu.Unlock()
 			platformList.servers = rows
 		}
-		f.until(2*time.Second, "a list", agent.sees(func(agent *farmhand) bool { return agent.list != nil }))
+		f.waitFor(2*time.Second, "a list", agent.sees(func(agent *farmhand) bool { return agent.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
 		platformList.mu.Lock()
 		before := platformList.calls
@@ -257,25 +257,25 @@
 		assert.Assert(t, platformList.calls-before <= 2*21, "%d calls", platformList.calls-before) // one replica reads, at most every 500 ms
 		platformList.mu.Unlock()
 		set(row("a", "draining"), row("b", "ready"))
-		f.until(time.Second, "drains", states("a true;b false;"))
+		f.waitFor(time.Second, "drains", states("a true;b false;"))
 		holder := 0
 		for i := 1; i < 4; i++ {
-			if f.runs[i].holdsNow() {
+			if f.replicas[i].holdsNow() {
 				holder = i
 			}
 		}
 		if holder == 0 {
-			f.cut(ips(0), []string{"10.8.0.1"}, sim.Silent) // the holder only loses its connection to the platform
+			f.partition(ips(0), []string{"10.8.0.1"}, sim.Silent) // the holder only loses its connection to the platform
 		} else {
-			f.end(holder, true)
+			f.kill(holder, true)
 		}
 		set(row("a", "ready"), row("b", "draining"), row("c", "ready"))
-		f.until(3*time.Second, "taken over", states("a true;b true;c false;")) // a draining instance never becomes ready again
+		f.waitFor(3*time.Second, "taken over", states("a true;b true;c false;")) // a draining instance never becomes ready again
 	})
 }
 
 // holdsListLease reports whether the replica holds the lease of the server list.
-func (r *running) holdsNow() bool {
+func (r *runningReplica) holdsNow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duty.Holds()
@@ -284,8 +284,8 @@
 // An agent that holds another text under the number of the configuration in force is sent the one in force.
 func TestTwinTextIsTold(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
-		f.acknowledged(0, body(5, "a"))
-		held := f.runs[0].configured()
+		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
+		held := f.replicas[0].configurationInForce()
 		agent, stop := f.helper(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
 		defer stop()
 		f.pass(2*time.Second, agent)
@@ -299,9 +299,9 @@
 // while another text of the same number is in force.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
-		f.acknowledged(0, body(2, "a"))
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		ping := func(gen uint64) peerlink.Ping {
-			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.runs[0].configured().Sum()}
+			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
 		}
 		proxy, stop := f.helper(0, "1", ping(2))
 		defer stop()
@@ -310,7 +310,7 @@
 			assert.Assert(t, proxy.pong.Fresh && proxy.pong.Age < time.Second && proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
 		newest("the newest in force")
-		f.acknowledged(1, body(3, "a"))
+		f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
 		decided := time.Now()
 		outdated := func(what string) {
 			f.pass(time.Second, proxy)
@@ -337,7 +337,7 @@
 // The platform's address, its rate and the zones can change while replicas run.
 func TestSettingsChange(t *testing.T) {
 	one, two := &platform{servers: []string{row("a", "ready")}}, &platform{servers: []string{row("b", "ready")}}
-	platformed(t, 3, one, func(f *farm) {
+	runClusterWithPlatform(t, 3, one, func(f *clusterFixture) {
 		listener, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
 		assert.NilError(t, err)
 		server := &http.Server{Handler: two}
@@ -345,9 +345,9 @@
 		go func() { _ = server.Serve(listener) }()
 		hasList := func(id string) func() bool {
 			return func() bool {
-				for _, replica := range f.runs {
+				for _, replica := range f.replicas {
 					replica.mu.Lock()
-					matches := replica.list != nil && len(replica.list.List) == 1 && replica.list.List[0].ID == id
+					matches := replica.serverList != nil && len(replica.serverList.List) == 1 && replica.serverList.List[0].ID == id
 					replica.mu.Unlock()
 					if !matches {
 						return false
@@ -356,16 +356,16 @@
 				return true
 			}
 		}
-		f.until(2*time.Second, "the first list", hasList("a"))
-		assert.ErrorIs(t, f.runs[0].Drain(context.Background(), "z9", true), ErrZone)
-		for i, replica := range f.runs {
+		f.waitFor(2*time.Second, "the first list", hasList("a"))
+		assert.ErrorIs(t, f.replicas[0].Drain(context.Background(), "z9", true), ErrUnknownZone)
+		for i, replica := range f.replicas {
 			next := f.settings(i)
 			next.Provider.Cloud = settings.Cloud{Address: "10.8.0.2:80", RatePerS: 8}
 			next.Network.Zones["z9"] = "r"
 			replica.SetSettings(next)
 		}
-		f.until(2*time.Second, "the other list", hasList("b"))
-		assert.NilError(t, f.runs[0].Drain(context.Background(), "z9", true))
+		f.waitFor(2*time.Second, "the other list", hasList("b"))
+		assert.NilError(t, f.replicas[0].Drain(context.Background(), "z9", true))
 		time.Sleep(2 * time.Second)
 		two.mu.Lock()
 		before := two.calls
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -66,7 +66,7 @@
 }
 
 // drainAfterNextRead has the first server drain right after the next read has passed it, and returns when that was.
-func (p *longList) leavesUnseen(f *farm) (left time.Time) {
+func (p *longList) leavesUnseen(f *clusterFixture) (left time.Time) {
 	p.mu.Lock()
 	p.onPage = func(_ string, first int, _ string) {
 		if first == 0 {
@@ -74,7 +74,7 @@
 		}
 	}
 	p.mu.Unlock()
-	f.until(drainWithin, "read again", func() bool {
+	f.waitFor(drainWithin, "read again", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.onPage == nil
@@ -83,15 +83,15 @@
 }
 
 // knowsDraining reports whether the replica has the whole list with the first server draining.
-func (r *running) knowsLeaving() bool {
+func (r *runningReplica) knowsLeaving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list != nil && len(r.list.List) == longServers && r.list.List[0].Draining
+	return r.serverList != nil && len(r.serverList.List) == longServers && r.serverList.List[0].Draining
 }
 
 // leaseHolder returns the replica that holds the list lease; -1: none.
-func (f *farm) holder() int {
-	for i, r := range f.runs {
+func (f *clusterFixture) holder() int {
+	for i, r := range f.replicas {
 		if r != nil && r.holdsNow() {
 			return i
 		}
@@ -100,12 +100,12 @@
 }
 
 // leaseSuccessor returns the replica that may take over the lease without a vote; -1: none.
-func (f *farm) named(holder int) int {
+func (f *clusterFixture) named(holder int) int {
 	r := f.at(holder)
 	r.mu.Lock()
 	next := r.duty.Known().Next.Name
 	r.mu.Unlock()
-	for i := range f.runs {
+	for i := range f.replicas {
 		if f.settings(i).Self.Name == next {
 			return i
 		}
@@ -114,46 +114,46 @@
 }
 
 // waitForNextRead waits until the holder is about to begin its next read.
-func (f *farm) nextReadingDue(holder int) {
-	f.until(drainWithin, "next read", func() bool {
+func (f *clusterFixture) nextReadingDue(holder int) {
+	f.waitFor(drainWithin, "next read", func() bool {
 		reader := f.at(holder)
 		reader.mu.Lock()
 		defer reader.mu.Unlock()
-		return !reader.reads.busy && reader.now() >= reader.reads.work.LastOwn+reader.reads.work.Period-20*time.Millisecond
+		return !reader.ownReading.busy && reader.now() >= reader.ownReading.work.LastOwn+reader.ownReading.work.Period-20*time.Millisecond
 	})
 }
 
 // All replicas know of a draining server in time, also if the replica that reads the list fails between two reads.
 func TestLeavingServerIsKnownInTimeAtManyReplicasOfALongList(t *testing.T) {
-	for name, fault := range map[string]func(f *farm, p *longList, left time.Time){
-		"calm": func(*farm, *longList, time.Time) {},
-		"reader loses power before its next reading": func(f *farm, _ *longList, _ time.Time) {
+	for name, fault := range map[string]func(f *clusterFixture, p *longList, left time.Time){
+		"calm": func(*clusterFixture, *longList, time.Time) {},
+		"reader loses power before its next reading": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader := f.holder()
 			f.nextReadingDue(reader)
-			f.end(reader, true)
+			f.kill(reader, true)
 		},
-		"reader and its successor lose power before the next reading": func(f *farm, _ *longList, _ time.Time) {
+		"reader and its successor lose power before the next reading": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader := f.holder()
 			next := f.named(reader)
 			f.nextReadingDue(reader)
-			f.end(reader, true)
-			f.end(next, true)
+			f.kill(reader, true)
+			f.kill(next, true)
 		},
-		"reader cut off from one replica that ranks last": func(f *farm, _ *longList, _ time.Time) {
+		"reader cut off from one replica that ranks last": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader, last, rank := f.holder(), -1, -1
-			for i, r := range f.runs {
+			for i, r := range f.replicas {
 				r.mu.Lock()
 				if n := r.duty.Rank(r.view()); i != reader && n > rank {
 					last, rank = i, n
 				}
 				r.mu.Unlock()
 			}
-			f.cut(ips(reader), ips(last), sim.Silent)
+			f.partition(ips(reader), ips(last), sim.Silent)
 		},
-		"reader loses its way to the platform": func(f *farm, _ *longList, _ time.Time) {
+		"reader loses its way to the platform": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader := f.holder()
 			f.nextReadingDue(reader)
-			f.cut(ips(reader), []string{"10.8.0.1"}, sim.Silent)
+			f.partition(ips(reader), []string{"10.8.0.1"}, sim.Silent)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -161,20 +161,20 @@
 			if strings.Contains(name, "rank") {
 				replicas = longReplicas
 			}
-			setup := &farm{t: t, drain: drainWithin, rate: 2100}
-			setup.run(replicas, http.Handler(p), func(f *farm) {
+			setup := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: 2100}
+			setup.run(replicas, http.Handler(p), func(f *clusterFixture) {
 				time.Sleep(settleFor)
 				left := p.leavesUnseen(f)
 				fault(f, p, left)
 				known := func() bool {
-					for _, r := range f.runs {
+					for _, r := range f.replicas {
 						if r != nil && !r.knowsLeaving() {
 							return false
 						}
 					}
 					return true
 				}
-				f.until(time.Minute, "known", known)
+				f.waitFor(time.Minute, "known", known)
 				took := time.Since(left)
 				assert.Assert(f.t, took <= drainWithin-upstreamLost, "known everywhere after %v", took)
 			})
@@ -186,8 +186,8 @@
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
 	const drain = 4 * drainWithin
 	p := &longList{}
-	setup := &farm{t: t, drain: drain, rate: 2100}
-	setup.run(longReplicas, http.Handler(p), func(f *farm) {
+	setup := &clusterFixture{t: t, drainTime: drain, cloudRate: 2100}
+	setup.run(longReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(5 * time.Second)
 		callers := map[string]bool{}
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -37,7 +37,7 @@
 func (b *Replica) serveHTTP(ctx context.Context) (func(), error) {
 	var servers []*http.Server
 	stop := func() {
-		ctx, cancel := b.within(context.Background(), closeWithin)
+		ctx, cancel := b.withTimeout(context.Background(), closeWithin)
 		defer cancel()
 		for _, server := range servers {
 			_ = server.Shutdown(ctx)
@@ -48,7 +48,7 @@
 		if addr == "" {
 			continue
 		}
-		listener, err := b.w.Listen(ctx, "tcp", addr)
+		listener, err := b.world.Listen(ctx, "tcp", addr)
 		if err != nil {
 			stop()
 			return nil, errors.Wrap(err, "replica")
@@ -72,7 +72,7 @@
 		case err != nil:
 			refuse(w, http.StatusServiceUnavailable, err)
 		default:
-			var done Replaced
+			var done ReplaceResult
 			err := b.noted(r, api.OrderConfig, genOf(body), func(ctx context.Context) (err error) {
 				done, err = b.Replace(ctx, body)
 				return err
@@ -81,7 +81,7 @@
 		}
 	})
 	mux.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
-		configuration, err := b.Show(r.Context())
+		configuration, err := b.CurrentConfiguration(r.Context())
 		if err != nil {
 			finish(w, err)
 			return
@@ -108,7 +108,7 @@
 		finish(w, b.noted(r, api.OrderRest, name, func(ctx context.Context) error {
 			minAwake, err := floorOf(r.URL.Query())
 			if err != nil {
-				return Invalid{err}
+				return InvalidError{err}
 			}
 			return b.Rest(ctx, name, minAwake)
 		}))
@@ -127,10 +127,10 @@
 			}
 			if take {
 				lock := state.Lock{Token: request.Token, Who: request.Who, Since: request.Since.UnixNano(), For: time.Duration(request.ForMS) * time.Millisecond}
-				finish(w, b.LockFor(r.Context(), lock))
+				finish(w, b.AcquireLock(r.Context(), lock))
 				return
 			}
-			finish(w, b.Unlock(r.Context(), request.Token))
+			finish(w, b.ReleaseLock(r.Context(), request.Token))
 		})
 	}
 }
@@ -144,11 +144,11 @@
 			if text := query.Get(api.JudgeFor); text != "" {
 				seconds, err := strconv.ParseFloat(text, 64)
 				if err != nil || !(seconds > 0 && seconds <= api.JudgeMost.Seconds()) {
-					return Invalid{errors.Errorf("%s: %q is not a number of seconds above 0 and up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
+					return InvalidError{errors.Errorf("%s: %q is not a number of seconds above 0 and up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
 				}
 				duration = time.Duration(seconds * float64(time.Second))
 			}
-			return b.Judge(ctx, id, query.Get(api.JudgeWord), duration)
+			return b.OrderVerdict(ctx, id, query.Get(api.JudgeWord), duration)
 		}))
 	})
 }
@@ -182,7 +182,7 @@
 
 // writeReplaceResult answers a replacement of the configuration with the version that is in force now: it may be a newer
 // one.
-func answerReplace(w http.ResponseWriter, done Replaced, err error) {
+func answerReplace(w http.ResponseWriter, done ReplaceResult, err error) {
 	if err != nil {
 		finish(w, err)
 		return
@@ -193,14 +193,14 @@
 
 // httpStatus returns the status for an order that failed. 503 says that it's unknown whether the order is in force.
 func statusOf(err error) int {
-	var invalid Invalid
+	var invalid InvalidError
 	var tooFewAwake Tight
-	var taken Taken
-	var conflict Conflict
+	var taken LockTakenError
+	var conflict ConflictError
 	switch {
 	case errors.As(err, &invalid):
 		return http.StatusBadRequest
-	case errors.Is(err, ErrZone), errors.Is(err, ErrNode), errors.Is(err, ErrServer):
+	case errors.Is(err, ErrUnknownZone), errors.Is(err, ErrUnknownProxy), errors.Is(err, ErrUnknownServer):
 		return http.StatusNotFound
 	case errors.As(err, &tooFewAwake), errors.As(err, &conflict):
 		return http.StatusConflict
@@ -227,7 +227,7 @@
 		query := r.URL.Query()
 		b.mu.Lock()
 		regions := b.regionsFor(query.Get(api.LookupName), query.Get(api.LookupRegion))
-		addresses := b.proxies.fronts(regions, query.Get(api.LookupName)+" "+query.Get(api.LookupZone), b.now())
+		addresses := b.proxies.frontAddresses(regions, query.Get(api.LookupName)+" "+query.Get(api.LookupZone), b.now())
 		b.mu.Unlock()
 		if len(addresses) == 0 {
 			refuse(w, http.StatusServiceUnavailable, errors.New("no proxy is ready"))
@@ -238,22 +238,22 @@
 			addresses = addresses[:api.MostAddresses]
 		}
 		w.Header().Set("Content-Type", jsonType)
-		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: addresses, TTLS: min(answersFor, b.live.Load().Terms.Bounds.TTLMax).Seconds()})
+		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: addresses, TTLS: min(answersFor, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
 	return mux
 }
 
 // lookupRegions returns the regions whose proxies a client in a region gets for a host; the mutex is held.
 func (b *Replica) regionsFor(hostName, region string) []string {
-	if b.parsed == nil {
+	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
-	homeRegions, bound, free := b.parsed.HomesOf(hostName)
+	homeRegions, bound, free := b.parsedConfiguration.HomesOf(hostName)
 	if len(homeRegions) == 0 || slices.Contains(homeRegions, region) {
 		return []string{region}
 	}
 	host, now := homing.Host(routeconfig.Bare(hostName)), b.now()
-	if !b.roads.Home(host, bound, free, func() homing.Heads { return b.proxies.heads(host, now) }, now) {
+	if !b.hostRoutes.Home(host, bound, free, func() homing.Heads { return b.proxies.sumHostCounts(host, now) }, now) {
 		return []string{region}
 	}
 	return homeRegions // otherwise every body of a bound request would be sent from one region to another
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -12,20 +12,20 @@
 )
 
 // joinProxy registers a proxy that is ready at once.
-func join(r *register, name string, now time.Duration) *proxy {
-	proxy, _ := r.see(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
+func join(r *proxyRegistry, name string, now time.Duration) *proxy {
+	proxy, _ := r.noteConnected(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
 	proxy.ready = true
-	if proxy.risen == 0 {
-		proxy.risen = now
+	if proxy.firstReadyAt == 0 {
+		proxy.firstReadyAt = now
 	}
 	return proxy
 }
 
 // heartbeatAll records a heartbeat of all proxies but the one named in except.
-func hearAll(r *register, now time.Duration, except ...string) {
+func hearAll(r *proxyRegistry, now time.Duration, except ...string) {
 	for _, name := range r.names() {
 		if len(except) == 0 || name != except[0] {
-			r.proxies[name].heard = now
+			r.proxies[name].lastHeard = now
 		}
 	}
 }
@@ -33,7 +33,7 @@
 // A leaving proxy that has released its quota shares no longer counts, even if it is heard of later. Its next incarnation
 // joins like a new proxy, and leaves unused the shares that a proxy behind a cut may still use.
 func TestGivenPartsAreOthersAtOnce(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b", "c"} {
 		join(r, n, now)
@@ -41,7 +41,7 @@
 	now += 5 * time.Second
 	hearAll(r, now)
 	leaver := r.proxies["a"]
-	leaver.left, leaver.grace, leaver.given = now, 6*time.Second, true
+	leaver.leftAt, leaver.grace, leaver.quotaReleased = now, 6*time.Second, true
 	_, shares, _ := r.members(now)
 	assert.Equal(t, shares, 2)
 
@@ -65,14 +65,14 @@
 // A proxy that joins others is listed to a growing part of the clients. Proxies that all start at once, and one that comes
 // back after being killed, are listed to all clients at once.
 func TestJoinersRise(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	clock := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
 		join(r, n, clock)
 	}
 	placesWith := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
-			for _, f := range r.fronts([]string{"r"}, "place "+string(rune('0'+i)), now) {
+			for _, f := range r.frontAddresses([]string{"r"}, "place "+string(rune('0'+i)), now) {
 				if f == name {
 					n++
 				}
@@ -83,7 +83,7 @@
 	assert.Equal(t, placesWith("b", clock), 100) // all started at once
 	clock += 10 * time.Second
 	hearAll(r, clock)
-	r.proxies["b"].up = false
+	r.proxies["b"].connected = false
 	join(r, "b", clock) // it was killed
 	assert.Equal(t, placesWith("b", clock), 100)
 	join(r, "e", clock)
@@ -100,10 +100,10 @@
 // A joining proxy uses its quota share only once all other proxies have reported that they divide quotas by the new number,
 // however long that takes. A later join doesn't put it back into waiting.
 func TestJoinersWaitForTheOthersWord(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b"} {
-		join(r, n, now).parts = 2
+		join(r, n, now).quotaParts = 2
 	}
 	now += time.Second
 	join(r, "c", now)
@@ -114,13 +114,13 @@
 		return all[i].Silent
 	}
 	assert.Equal(t, silent("c", 0), 2)
-	r.proxies["a"].parts = 3
+	r.proxies["a"].quotaParts = 3
 	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // it doesn't wait any longer for a
 	assert.Equal(t, silent("c", 20*time.Second), 1)      // no time is enough: b doesn't know of c, since its upstream replica doesn't
-	r.proxies["b"].parts = 4
+	r.proxies["b"].quotaParts = 4
 	assert.Equal(t, silent("c", 20*time.Second), 0)
 	now += 21 * time.Second
-	r.proxies["c"].parts = 3
+	r.proxies["c"].quotaParts = 3
 	join(r, "d", now)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
@@ -128,7 +128,7 @@
 
 // If every proxy leaves at once, clients are sent to those that still accept requests, and to none that has stopped.
 func TestLeaversAreBetterThanNone(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, name := range []string{"a", "b"} {
 		join(r, name, now)
@@ -136,17 +136,17 @@
 	now += 10 * time.Second
 	hearAll(r, now)
 	leave := func(name string) {
-		r.proxies[name].left, r.proxies[name].grace, r.proxies[name].ready = now, 6*time.Second, false
+		r.proxies[name].leftAt, r.proxies[name].grace, r.proxies[name].ready = now, 6*time.Second, false
 	}
 	leave("a")
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", now), []string{"b"})
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
 	leave("b")
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", now), []string{"a", "b"})
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"a", "b"})
 	now += 2 * time.Second
 	hearAll(r, now)
-	r.proxies["a"].given = true
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", now), []string{"b"})
+	r.proxies["a"].quotaReleased = true
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
 	now += time.Second
 	hearAll(r, now)
-	assert.Equal(t, len(r.fronts([]string{"r"}, "p", now)), 0)
+	assert.Equal(t, len(r.frontAddresses([]string{"r"}, "p", now)), 0)
 }
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -59,8 +59,8 @@
 // Replicas that read the list before it grew, or never did, must not keep the lease's holder from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
 	p := &growing{servers: 700, begun: map[string]time.Time{}}
-	setup := &farm{t: t, drain: drainWithin, rate: 2100}
-	setup.run(longReplicas, http.Handler(p), func(f *farm) {
+	setup := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: 2100}
+	setup.run(longReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
--- a/internal/control/list_lease.go
+++ b/internal/control/list_lease.go
@@ -30,11 +30,11 @@
 // runListLease takes part in the lease of the server list and reads the list when it is this replica's turn, until ctx
 // ends.
 func (b *Replica) duties(ctx context.Context) {
-	if !b.pause(ctx, listAfter) {
+	if !b.sleep(ctx, listAfter) {
 		return
 	}
 	b.mu.Lock()
-	b.reads.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
+	b.ownReading.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
@@ -43,16 +43,16 @@
 		next := min(b.duty.NextStep(view), now+time.Second)
 		if due := b.due(view); due > now {
 			next = min(next, due)
-		} else if reads := &b.reads; !reads.busy {
+		} else if reads := &b.ownReading; !reads.busy {
 			reads.busy, reads.work.LastOwn = true, now
-			stamp := max(b.w.Now().UnixNano(), b.stamp+1)
+			stamp := max(b.world.Now().UnixNano(), b.listStamp+1)
 			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
 		}
 		b.mu.Unlock()
-		timer := b.w.NewTimer(max(soon, next-now))
+		timer := b.world.NewTimer(max(soon, next-now))
 		select {
 		case <-timer.C():
-		case <-b.spur:
+		case <-b.dutyWakeup:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -61,29 +61,29 @@
 
 // nextListReadAt returns when this replica reads the list next, as far as it knows now; the mutex is held.
 func (b *Replica) due(view lease.View) time.Duration {
-	if b.live.Load().Provider.Cloud.Address == "" || b.leaving {
+	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return view.Now + time.Second
 	}
-	work := &b.reads.work
-	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
-	return max(b.reads.again, b.duty.NextRun(view, b.reads.work))
+	work := &b.ownReading.work
+	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.heard, b.othersReadingAt
+	return max(b.ownReading.again, b.duty.NextRun(view, b.ownReading.work))
 }
 
 // readListOnce reads the list from the platform and applies it under the given stamp, in nanoseconds.
 func (b *Replica) readOnce(ctx context.Context, stamp int64) {
-	settings := b.live.Load()
+	settings := b.liveSettings.Load()
 	began := b.now()
 	terms := listing.Terms{RatePerS: settings.Provider.Cloud.RatePerS, Drain: settings.Terms.Bounds.Drain}
 	list, pages, err := b.readList(ctx, settings.Provider.Cloud.Address, terms)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.spurred()
-	reads := &b.reads
+	reads := &b.ownReading
 	if reads.busy = false; err != nil {
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
 		reads.failures++
 		reads.again = b.now() + listAgain
-		if b.others > reads.work.LastOwn-reads.work.Period {
+		if b.othersReadingAt > reads.work.LastOwn-reads.work.Period {
 			b.tellDuty(b.duty.Yield()) // another replica can read it
 		}
 		return
@@ -103,7 +103,7 @@
 // leaseView returns what the lease has to know of this replica and the others; the mutex is held.
 func (b *Replica) view() lease.View {
 	voters := b.contents.Record.Decided.Voters
-	view := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
+	view := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.world.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
 	noVoters := len(voters) == 0 // then every replica counts as having a vote
 	if noVoters {
 		view.CanVote, view.VoterCount = true, len(b.replicas)
@@ -144,7 +144,7 @@
 // signalLeaseChange makes runListLease check the lease now; the mutex may be held.
 func (b *Replica) spurred() {
 	select {
-	case b.spur <- struct{}{}:
+	case b.dutyWakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/control/list_reader.go
+++ b/internal/control/list_reader.go
@@ -47,7 +47,7 @@
 // with the zones in parallel, since within one listing each page needs the token of the page before it.
 func (b *Replica) readList(ctx context.Context, address string, terms listing.Terms) (list []peerlink.Server, pages int, err error) {
 	b.mu.Lock()
-	zones, known := b.listZones(), b.read.pages
+	zones, known := b.listZones(), b.newestReading.pages
 	b.mu.Unlock()
 	reader := &listReader{b: b, address: address, terms: terms}
 	zoned := zones
@@ -66,9 +66,9 @@
 
 // listZones returns the zones of the settings and of the listed servers; the mutex is held.
 func (b *Replica) listZones() []string {
-	zones := slices.Sorted(maps.Keys(b.live.Load().Network.Zones))
-	if b.list != nil {
-		zones = withZonesOf(zones, b.list.List)
+	zones := slices.Sorted(maps.Keys(b.liveSettings.Load().Network.Zones))
+	if b.serverList != nil {
+		zones = withZonesOf(zones, b.serverList.List)
 	}
 	return zones
 }
@@ -103,7 +103,7 @@
 	r.next = max(r.next, now) + r.terms.Gap(readers)
 	wait := r.next - now - aheadOfPace/time.Duration(readers)
 	r.mu.Unlock()
-	return wait <= 0 || r.b.pause(ctx, wait)
+	return wait <= 0 || r.b.sleep(ctx, wait)
 }
 
 // listReaderCount returns how many replicas may be reading the list now: 1 if this one holds the lease, else all.
@@ -154,7 +154,7 @@
 func (r *listReader) pages(ctx context.Context, zone string, maxPages int) (list []peerlink.Server, pages int, whole bool, err error) {
 	for token := ""; pages < maxPages; {
 		page, err := r.page(ctx, zone, token)
-		for tries := 0; err != nil && tries < retries(err) && r.b.pause(ctx, listAgain); tries++ {
+		for tries := 0; err != nil && tries < retries(err) && r.b.sleep(ctx, listAgain); tries++ {
 			page, err = r.page(ctx, zone, token)
 		}
 		if err != nil {
@@ -188,7 +188,7 @@
 	if !r.turn(ctx) {
 		return nil, ctx.Err()
 	}
-	ctx, cancel := r.b.within(ctx, listWithin)
+	ctx, cancel := r.b.withTimeout(ctx, listWithin)
 	defer cancel()
 	query := url.Values{}
 	if zone != "" {
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	response, err := r.b.cloud.Do(request)
+	response, err := r.b.cloudClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -52,7 +52,7 @@
 	for i := range pagesOfList {
 		p.servers = append(p.servers, row(longID(i), "ready"))
 	}
-	platformed(t, 3, p, func(f *farm) {
+	runClusterWithPlatform(t, 3, p, func(f *clusterFixture) {
 		agent := f.agent("1", 0)
 		defer agent.stop()
 		known := agent.sees(func(agent *farmhand) bool { return agent.list != nil && len(agent.list.List) == pagesOfList })
@@ -71,8 +71,8 @@
 	for i := range 10 {
 		p.servers = append(p.servers, row(longID(i), "ready"))
 	}
-	setup := &farm{t: t, drain: drainWithin, rate: platformRate}
-	setup.run(longReplicas, p, func(f *farm) {
+	setup := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: platformRate}
+	setup.run(longReplicas, p, func(f *clusterFixture) {
 		setDown := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -83,10 +83,10 @@
 		time.Sleep(8 * time.Second)
 		setDown(false)
 		restored := time.Now()
-		f.until(time.Minute, "read by all again", func() bool {
-			for _, replica := range f.runs {
+		f.waitFor(time.Minute, "read by all again", func() bool {
+			for _, replica := range f.replicas {
 				replica.mu.Lock()
-				age := replica.now() - replica.read.began
+				age := replica.now() - replica.newestReading.began
 				replica.mu.Unlock()
 				if age > time.Since(restored) {
 					return false
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -25,14 +25,14 @@
 	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", value(0.5), value(0.99), durations[len(durations)-1].Round(100*time.Microsecond), len(durations))
 }
 
-// lastProposer returns the replica that proposed the decided state, or the first one if that is gone.
-func (f *farm) lastProposer() int {
-	for _, i := range f.there() {
-		if f.runs[i].proposer() == f.runs[i].decided().Proposer {
+// linkToLastProposer returns the replica that proposed the decided state, or the first one if that is gone.
+func (f *clusterFixture) lastProposer() int {
+	for _, i := range f.runningIndexes() {
+		if f.replicas[i].proposerID() == f.replicas[i].decidedState().Proposer {
 			return i
 		}
 	}
-	return f.there()[0]
+	return f.runningIndexes()[0]
 }
 
 // without returns all elements but one.
@@ -47,10 +47,10 @@
 
 // timeReplacements replaces the configuration count times, each time at a random one of the given replicas, and returns how
 // long each took until it was acknowledged.
-func (f *farm) acks(random *rand.Rand, gen *int, count int, replicas ...int) (durations []time.Duration) {
+func (f *clusterFixture) acks(random *rand.Rand, gen *int, count int, replicas ...int) (durations []time.Duration) {
 	for range count {
 		*gen++
-		text := body(*gen, "m")
+		text := configurationBody(*gen, "m")
 		began := time.Now()
 		for f.replace(replicas[random.IntN(len(replicas))], text) != nil {
 			time.Sleep(50 * time.Millisecond)
@@ -75,7 +75,7 @@
 	}{{"3 in a region", 3, time.Millisecond}, {"4 over regions", 4, 20 * time.Millisecond}, {"5 over regions", 5, 20 * time.Millisecond}} {
 		var calm, lost, killed, cut, slow, whole, joined []time.Duration
 		for seed := range seeds {
-			play(t, setup.n, func(f *farm) {
+			runCluster(t, setup.n, func(f *clusterFixture) {
 				f.net.Set(sim.Faults{Least: setup.latency, Most: setup.latency})
 				for _, d := range f.disks {
 					d.SetLatency(time.Millisecond)
@@ -89,20 +89,20 @@
 				f.acks(random, &gen, 1, 0) // makes the first replica the last proposer
 				calm = append(calm, f.acks(random, &gen, 20, all...)...)
 				f.acks(random, &gen, 1, 0)
-				f.end(setup.n-1, true)
+				f.kill(setup.n-1, true)
 				lost = append(lost, f.acks(random, &gen, 10, all[:setup.n-1]...)...)
 				f.start(setup.n - 1)
-				time.Sleep(syncs)
+				time.Sleep(rejoinTimeout)
 				proposer := f.lastProposer()
-				f.end(proposer, true)
+				f.kill(proposer, true)
 				killed = append(killed, f.acks(random, &gen, 1, without(all, proposer)...)...)
 				f.start(proposer)
-				time.Sleep(syncs)
+				time.Sleep(rejoinTimeout)
 				proposer = f.lastProposer()
-				f.cut(ips(proposer), ips(without(all, proposer)...), sim.Silent)
+				f.partition(ips(proposer), ips(without(all, proposer)...), sim.Silent)
 				cut = append(cut, f.acks(random, &gen, 1, without(all, proposer)...)...)
-				f.cut(ips(proposer), ips(without(all, proposer)...), sim.Open)
-				time.Sleep(syncs)
+				f.partition(ips(proposer), ips(without(all, proposer)...), sim.Open)
+				time.Sleep(rejoinTimeout)
 				proposer = f.lastProposer()
 				f.disks[proposer].SetLatency(30 * time.Millisecond)
 				slow = append(slow, f.acks(random, &gen, 3, all...)...)
@@ -110,18 +110,22 @@
 				if !*measured {
 					return
 				}
-				f.gone[0] = true
-				f.end(0, true)
+				f.removed[0] = true
+				f.kill(0, true)
 				time.Sleep(time.Second)
-				replacement := f.successor()
+				replacement := f.startReplacement()
 				began := time.Now()
-				f.until(4*syncs, "whole", func() bool { return f.voting() == setup.n && len(f.runs[replacement].decided().Voters) == setup.n })
+				f.waitFor(4*rejoinTimeout, "whole", func() bool {
+					return f.countVoting() == setup.n && len(f.replicas[replacement].decidedState().Voters) == setup.n
+				})
 				whole = append(whole, time.Since(began))
 				began = time.Now()
-				f.end(replacement, true)
+				f.kill(replacement, true)
 				f.disks[replacement].Wipe()
 				f.start(replacement)
-				f.until(4*syncs, "whole", func() bool { return f.voting() == setup.n && len(f.runs[replacement].decided().Voters) == setup.n })
+				f.waitFor(4*rejoinTimeout, "whole", func() bool {
+					return f.countVoting() == setup.n && len(f.replicas[replacement].decidedState().Voters) == setup.n
+				})
 				joined = append(joined, time.Since(began))
 			})
 		}
@@ -141,15 +145,15 @@
 // measureCatchUp prints how long a replica that missed changes takes to catch up.
 func measureCatchUp(t *testing.T) {
 	for _, missed := range []int{10, 100, 1000} {
-		play(t, 3, func(f *farm) {
-			f.acknowledged(0, body(1, "a"))
-			f.end(2, true)
+		runCluster(t, 3, func(f *clusterFixture) {
+			f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
+			f.kill(2, true)
 			for gen := range missed {
-				f.acknowledged(0, body(2+gen, "a"))
+				f.replaceUntilAcknowledged(0, configurationBody(2+gen, "a"))
 			}
 			began := time.Now()
 			f.start(2)
-			f.until(5*time.Second, "caught up", func() bool { return idOf(f.runs[2].configured()).Gen == uint64(missed+1) })
+			f.waitFor(5*time.Second, "caught up", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == uint64(missed+1) })
 			took := time.Since(began)
 			size := 0
 			names, err := f.disks[0].Mount().List("/data")
@@ -158,7 +162,7 @@
 				text, _ := f.disks[0].Mount().ReadFile("/data/" + name)
 				size += len(text)
 			}
-			_, err = f.runs[2].Show(context.Background())
+			_, err = f.replicas[2].CurrentConfiguration(context.Background())
 			t.Logf("%d changes missed: caught up after %v (shown: %v); %d bytes on a disk in %d files", missed, took, err == nil, size, len(names))
 		})
 	}
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -80,10 +80,10 @@
 		if !nodeName.MatchString(id) {
 			return nil, errors.Errorf("%q is not a server ID", id)
 		}
-		return b.Explain(id), nil
+		return b.ExplainVerdict(id), nil
 	})
 	add(api.OpsHistory, func(*http.Request) (any, error) { return b.History(), nil })
-	add(api.OpsAsked, func(*http.Request) (any, error) { return b.Asked(), nil })
+	add(api.OpsAsked, func(*http.Request) (any, error) { return b.RequestCounts(), nil })
 	add(api.OpsLog, func(r *http.Request) (any, error) {
 		from := uint64(0)
 		if text := r.URL.Query().Get(api.LogFrom); text != "" {
@@ -98,8 +98,8 @@
 
 // runOrder runs an order and records its outcome in the history.
 func (b *Replica) noted(r *http.Request, kind, what string, order func(ctx context.Context) error) error {
-	began, at := b.now(), b.w.Now()
-	err := order(withToken(r.Context(), r.URL.Query().Get(api.LockToken)))
+	began, at := b.now(), b.world.Now()
+	err := order(withLockToken(r.Context(), r.URL.Query().Get(api.LockToken)))
 	record := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), mostWhat)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
 	if err != nil {
 		if record.End, record.Why = "unclear", err.Error(); statusOf(err) != http.StatusServiceUnavailable {
@@ -160,7 +160,7 @@
 func (b *Replica) History() *api.History {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	history := &api.History{Replica: b.self.Name, Since: b.start.UTC(), Orders: []api.Order{}}
+	history := &api.History{Replica: b.self.Name, Since: b.startedAt.UTC(), Orders: []api.Order{}}
 	if n := uint64(len(b.ops.orders)); n > 0 {
 		history.Lost, history.Orders = b.ops.next-n, b.ops.inOrder()
 	}
@@ -169,7 +169,7 @@
 
 // Log returns the log ring's lines from a line number on.
 func (b *Replica) Log(from uint64) *api.Log {
-	log := &api.Log{Replica: b.self.Name, At: b.w.Now().UTC(), Lines: []api.LogLine{}}
+	log := &api.Log{Replica: b.self.Name, At: b.world.Now().UTC(), Lines: []api.LogLine{}}
 	if b.ops.ring == nil {
 		return log
 	}
@@ -183,7 +183,7 @@
 
 // Status asks the other replicas for their reports and returns them with everything else that this replica knows.
 func (b *Replica) Status(ctx context.Context) *api.Status {
-	roundCtx, cancel := b.within(ctx, roundWithin)
+	roundCtx, cancel := b.withTimeout(ctx, roundWithin)
 	reports := b.reports(roundCtx, func() bool { return false })
 	cancel()
 	trouble := b.store.LastError()
@@ -191,18 +191,18 @@
 	defer b.mu.Unlock()
 	now, decided := b.now(), b.contents.Record.Decided
 	b.ops.wants = now + wantsFor
-	status := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.w.Now().UTC(), UpMS: now.Milliseconds(),
+	status := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.world.Now().UTC(), UpMS: now.Milliseconds(),
 		Voter: b.self.Voter, Eligible: b.isVoter(), Leaving: b.leaving,
 		Voters: len(decided.Voters), Majority: quorum.Majority(len(decided.Voters)),
 		Held: version(highest(b.contents.Record.Report())), Confirmed: version(decided.Config), FreshMS: -1,
 		Replicas: []api.ReplicaView{}, Proxies: []api.ProxyView{}, Zones: []api.ZoneOrder{}, Nodes: []api.NodeOrder{}}
-	if b.fresh.IsKnown {
-		status.FreshMS = (now - b.fresh.At).Milliseconds()
+	if b.decidedConfirmed.IsKnown {
+		status.FreshMS = (now - b.decidedConfirmed.At).Milliseconds()
 	}
 	if trouble != nil {
 		status.Disk = trouble.Error()
 	}
-	for _, replica := range byName(b.replicas) {
+	for _, replica := range sortedByName(b.replicas) {
 		report, answered := reports[replica.ID]
 		_, votes := decided.Voter(replica.ID)
 		self := replica.Name == b.self.Name
@@ -222,7 +222,7 @@
 		}
 	}
 	if lock := decided.Lock; lock.Token != "" {
-		left := max(0, lock.For-(now-b.locks.at))
+		left := max(0, lock.For-(now-b.observedLock.firstSeen))
 		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
 	duty := b.duty.Known()
@@ -267,10 +267,10 @@
 	status.LeftOut = max(0, len(names)-api.MostProxies)
 	for _, name := range names[:len(names)-status.LeftOut] {
 		known := b.proxies.proxies[name]
-		view := api.ProxyView{Name: name, Zone: known.hello.Zone, Region: known.hello.Region, Front: known.hello.Front, Alive: known.alive(now),
-			HeardMS: (now - known.heard).Milliseconds()}
-		view.Ready = view.Alive && known.ready && known.left == 0
-		view.Life, view.ToRest, view.Rests = known.hello.Life, b.proxies.rests[name], view.Alive && known.rests && known.left == 0
+		view := api.ProxyView{Name: name, Zone: known.hello.Zone, Region: known.hello.Region, Front: known.hello.Front, Alive: known.isAlive(now),
+			HeardMS: (now - known.lastHeard).Milliseconds()}
+		view.Ready = view.Alive && known.ready && known.leftAt == 0
+		view.Life, view.ToRest, view.Rests = known.hello.Life, b.proxies.resting[name], view.Alive && known.readyButResting && known.leftAt == 0
 		if figures := known.figures; figures != nil && view.Alive && now-known.figuresAt < figuresFor {
 			view.Figures = &api.Figures{AgeMS: (now - known.figuresAt).Milliseconds(), Open: figures.Open, Clients: figures.Clients, SpanMS: figures.Span.Milliseconds(),
 				Served: figures.Served, Refused: figures.Refused, Failed: figures.Failed}
@@ -286,7 +286,7 @@
 	}
 	status.Versions = routeconfig.VersionsAt(slices.Values(status.Proxies))
 	for _, name := range names {
-		if b.proxies.proxies[name].counts(now) {
+		if b.proxies.proxies[name].isCounted(now) {
 			status.Shares++
 		}
 	}
@@ -295,7 +295,7 @@
 // lagReason says why a proxy may serve an old configuration; empty: it doesn't.
 func lags(view api.ProxyView, proxy *proxy, confirmed string) string {
 	switch {
-	case proxy.left > 0:
+	case proxy.leftAt > 0:
 		return "it leaves"
 	case !view.Linked:
 		return "not connected to this replica"
@@ -319,13 +319,13 @@
 
 // listView summarizes the server list for a status; the mutex is held.
 func (b *Replica) listView(now time.Duration) api.ListView {
-	view := api.ListView{Stamp: b.stamp, HeardMS: -1, Servers: []api.ServersIn{}}
-	if b.list == nil {
+	view := api.ListView{Stamp: b.listStamp, HeardMS: -1, Servers: []api.ServersIn{}}
+	if b.serverList == nil {
 		return view
 	}
-	view.By, view.HeardMS = b.list.By, (now - b.read.heard).Milliseconds()
+	view.By, view.HeardMS = b.serverList.By, (now - b.newestReading.heard).Milliseconds()
 	zones := map[string]*api.ServersIn{}
-	for _, server := range b.list.List {
+	for _, server := range b.serverList.List {
 		zone := zones[server.Zone]
 		if zone == nil {
 			zone = &api.ServersIn{Zone: server.Zone}
@@ -334,7 +334,7 @@
 		switch {
 		case server.Draining:
 			zone.Draining++
-		case server.WarmLeft > time.Duration(b.w.Now().UnixNano()-b.list.Stamp):
+		case server.WarmLeft > time.Duration(b.world.Now().UnixNano()-b.serverList.Stamp):
 			zone.Cold++
 		default:
 			zone.Ready++
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -17,7 +17,7 @@
 )
 
 // get reads a JSON response of a replica's operator interface and returns the status.
-func (f *farm) get(i int, path string, into any) int {
+func (f *clusterFixture) get(i int, path string, into any) int {
 	f.t.Helper()
 	client := http.Client{Transport: &http.Transport{DialContext: f.net.Dial, DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	response, err := client.Get("http://" + ip(i) + ":8200" + path)
@@ -31,13 +31,13 @@
 
 // The operator interface shows status, history and log, also while a disk is full and a replica is lost.
 func TestWhatOperatorsAreTold(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(3, "a"))
-		f.until(time.Second, "decided everywhere", func() bool {
-			return f.runs[2].configured() != nil && f.runs[2].Status(context.Background()).Confirmed.Gen == "r3"
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
+		f.waitFor(time.Second, "decided everywhere", func() bool {
+			return f.replicas[2].configurationInForce() != nil && f.replicas[2].Status(context.Background()).Confirmed.Gen == "r3"
 		})
 		ring := logring.New(f.net, 4, io.Discard)
-		f.runs[1].ShowLog(ring)
+		f.replicas[1].ShowLog(ring)
 		ring.Logger().Info("one", "n", 1)
 		ring.Dump("two")
 		f.disks[2].SetFull(true)
@@ -45,7 +45,7 @@
 		response, err := client.Post("http://"+ip(1)+":8200"+api.DrainBegin+"z1", "", nil)
 		assert.NilError(t, err)
 		response.Body.Close()
-		f.end(0, true)
+		f.kill(0, true)
 		time.Sleep(3 * time.Second)
 		var status api.Status
 		assert.Equal(t, f.get(2, api.OpsStatus, &status), 200)
@@ -73,12 +73,12 @@
 // Each replica's status shows the list lease's holder, successor and term, also after the holder has gone. It also shows how
 // many proxies have each version in force, with the names of those that may serve an old one.
 func TestDutyAndVersionsAreTold(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(3, "a"))
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 		defer f.agent("1", 1).stop()
 		behind := f.agent("2", 1)
 		defer behind.stop()
-		f.until(3*time.Second, "in force", behind.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		f.waitFor(3*time.Second, "in force", behind.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
 		statusOf := func(of ...int) (status api.Status) {
 			for _, i := range of {
 				before := status
@@ -91,12 +91,12 @@
 		before := statusOf(0, 1, 2).Duties[0]
 		assert.Assert(t, before.Holder != "" && before.Next != "" && before.Next != before.Holder && before.Epoch > 0, "%+v", before)
 		assert.DeepEqual(t, statusOf(1).Versions, []api.VersionAt{{Gen: "r3", Proxies: 2, Lag: []string{}}})
-		f.cut([]string{"10.1.0.2"}, ips(0, 1, 2), sim.Silent)
-		f.acknowledged(0, body(4, "a"))
+		f.partition([]string{"10.1.0.2"}, ips(0, 1, 2), sim.Silent)
+		f.replaceUntilAcknowledged(0, configurationBody(4, "a"))
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, statusOf(1).Versions, []api.VersionAt{{Gen: "r4", Proxies: 1, Lag: []string{}}, {Gen: "", Proxies: 1, Lag: []string{"proxy-2"}}})
 		holder := int(before.Holder[len(before.Holder)-1] - '0')
-		f.end(holder, false)
+		f.kill(holder, false)
 		time.Sleep(3 * time.Second)
 		after := statusOf((holder+1)%3, (holder+2)%3).Duties[0]
 		assert.Assert(t, after.Holder == before.Next && after.Next != before.Holder && after.Next != "", "%+v", after)
--- a/internal/control/report_rounds.go
+++ b/internal/control/report_rounds.go
@@ -35,12 +35,12 @@
 	for ctx.Err() == nil {
 		began := b.now()
 		b.round(ctx)
-		timer := b.w.NewTimer(max(soon, roundEvery-(b.now()-began)))
+		timer := b.world.NewTimer(max(soon, roundEvery-(b.now()-began)))
 		select {
 		case <-timer.C():
-		case <-b.kick:
+		case <-b.roundWanted:
 			timer.Stop()
-			if !b.pause(ctx, soon) {
+			if !b.sleep(ctx, soon) {
 				return
 			}
 		case <-ctx.Done():
@@ -52,8 +52,8 @@
 // runReportRound asks all replicas for their reports. It confirms the decided state, sends it to replicas that are behind,
 // resolves proposals whose proposer has failed, and starts changes of the voters.
 func (b *Replica) round(ctx context.Context) {
-	began, known := b.now(), b.decided().Version
-	roundCtx, cancel := b.within(ctx, roundWithin)
+	began, known := b.now(), b.decidedState().Version
+	roundCtx, cancel := b.withTimeout(ctx, roundWithin)
 	reports := b.reports(roundCtx, func() bool { return false })
 	cancel()
 	b.mu.Lock()
@@ -62,13 +62,13 @@
 	b.noteContact(base, reports, began)
 	for id, report := range reports {
 		if link := b.linkTo(id); link != nil && report.Version < base.Version {
-			b.tellDecided(link)
+			b.sendDecided(link)
 		}
 	}
 	b.store.RetryPending()
 	b.finish(base, reports)
-	b.tend(known)
-	b.forget()
+	b.maintainVoters(known)
+	b.forgetSilentReplicas()
 }
 
 // updateContact updates when this replica last confirmed the decided state and when it was last in touch with a majority,
@@ -77,15 +77,15 @@
 // nothing newer is decided while the next version is being accepted.
 func (b *Replica) noteContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
-		b.fresh = delivery.Confirmation{IsKnown: true, At: max(b.fresh.At, began)}
+		b.decidedConfirmed = delivery.Confirmation{IsKnown: true, At: max(b.decidedConfirmed.At, began)}
 	}
 	answered := func(id string) bool { _, ok := reports[id]; return ok }
-	if quorum.IsMajority(base.Voters, answered) && base.Version >= b.newest {
-		b.touched = delivery.Confirmation{IsKnown: true, At: began}
+	if quorum.IsMajority(base.Voters, answered) && base.Version >= b.newestReported {
+		b.majorityContact = delivery.Confirmation{IsKnown: true, At: began}
 	}
-	b.newest = 0
+	b.newestReported = 0
 	for _, report := range reports {
-		b.newest = max(b.newest, report.Version)
+		b.newestReported = max(b.newestReported, report.Version)
 	}
 }
 
@@ -93,24 +93,24 @@
 // decision: its proposer may have failed. The ballot decides on that value or finds that it wasn't chosen. The mutex is
 // held.
 func (b *Replica) finish(base state.State, reports map[string]quorum.Report) {
-	before := b.accepted
-	b.accepted = map[string]undecided{}
+	before := b.acceptedUndecided
+	b.acceptedUndecided = map[string]undecided{}
 	stale := false
 	for id, report := range reports {
 		if report.Version == base.Version && report.Accepted != (quorum.Ballot{}) {
-			b.accepted[id] = undecided{report.Version, report.Accepted}
-			stale = stale || before[id] == b.accepted[id]
+			b.acceptedUndecided[id] = undecided{report.Version, report.Accepted}
+			stale = stale || before[id] == b.acceptedUndecided[id]
 		}
 	}
-	if !stale || b.finishing || b.leaving {
+	if !stale || b.finishInProgress || b.leaving {
 		return
 	}
-	b.finishing = true
-	b.background(func(ctx context.Context) {
+	b.finishInProgress = true
+	b.runInBackground(func(ctx context.Context) {
 		_ = b.decide(ctx, nil, func(*state.State) error { return nil })
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.finishing = false
+		b.finishInProgress = false
 	})
 }
 
@@ -125,14 +125,14 @@
 // collectReports is requestReports that adds to all, which enough may look at.
 func (b *Replica) collect(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
 	poll := b.newPoll()
-	defer poll.end()
+	defer poll.cancel()
 	b.mu.Lock()
 	all[b.self.ID] = b.contents.Record.Report()
 	for _, links := range b.links {
 		poll.ask(links[len(links)-1], peerlink.Ask{Report: true})
 	}
 	b.mu.Unlock()
-	for left := poll.out; left > 0 && !enough(); left-- {
+	for left := poll.sentCount; left > 0 && !enough(); left-- {
 		select {
 		case answer := <-poll.answers:
 			if answer.reply == nil || answer.reply.Report == nil {
@@ -141,7 +141,7 @@
 			report := *answer.reply.Report
 			all[report.ID] = report
 			b.mu.Lock()
-			b.heardOf[report.ID] = lastReport{report: report, at: b.now()}
+			b.lastReports[report.ID] = lastReport{report: report, at: b.now()}
 			b.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -151,7 +151,7 @@
 
 // isStillLatest reports whether a majority confirms that nothing above base is decided except changes of the voters.
 func (b *Replica) stillLatest(ctx context.Context, base state.State) bool {
-	ctx, cancel := b.within(ctx, roundWithin)
+	ctx, cancel := b.withTimeout(ctx, roundWithin)
 	defer cancel()
 	reports := map[string]quorum.Report{}
 	latest := func() bool { return quorum.IsLatest(base, reports) }
@@ -160,21 +160,21 @@
 }
 
 // confirmedState returns the decided state once a majority of its voters has confirmed that nothing above it was decided
-// when confirmedState was called. It returns ErrUnsettled if no majority can be reached.
+// when confirmedState was called. It returns ErrNoMajority if no majority can be reached.
 func (b *Replica) confirm(ctx context.Context) (state.State, error) {
 	b.mu.Lock()
-	reached := b.reachesMajority()
+	reached := b.isMajorityReachable()
 	b.mu.Unlock()
 	if !reached {
-		return state.State{}, ErrUnsettled
+		return state.State{}, ErrNoMajority
 	}
 	reports := map[string]quorum.Report{}
 	var base state.State
 	latest := func() bool {
-		base = b.decided()
+		base = b.decidedState()
 		return quorum.IsLatest(base, reports)
 	}
-	roundCtx, cancel := b.within(ctx, roundWithin)
+	roundCtx, cancel := b.withTimeout(ctx, roundWithin)
 	b.collect(roundCtx, reports, latest)
 	cancel()
 	if latest() {
@@ -184,5 +184,5 @@
 	if err := b.decide(ctx, nil, func(*state.State) error { return nil }); err != nil {
 		return state.State{}, err
 	}
-	return b.decided(), nil
+	return b.decidedState(), nil
 }
--- a/internal/control/report_rounds_test.go
+++ b/internal/control/report_rounds_test.go
@@ -23,7 +23,7 @@
 			reports[id] = quorum.Report{Version: version}
 		}
 		replica.noteContact(base, reports, at)
-		return replica.touched.IsKnown && replica.touched.At == at
+		return replica.majorityContact.IsKnown && replica.majorityContact.At == at
 	}
 	assert.Assert(t, !inTouchAfter(4), "nobody has answered")
 	assert.Assert(t, inTouchAfter(4, "b"))
--- a/internal/control/rest_orders.go
+++ b/internal/control/rest_orders.go
@@ -25,7 +25,7 @@
 // time, one is decided first, and the other is checked against it.
 func (b *Replica) Rest(ctx context.Context, name string, minAwake Floor) error {
 	if !nodeName.MatchString(name) {
-		return Invalid{errors.Errorf("%q is not a proxy name", name)}
+		return InvalidError{errors.Errorf("%q is not a proxy name", name)}
 	}
 	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name), Drain: true}, Floor: &minAwake})
 	return err
@@ -44,12 +44,12 @@
 	old, known := decided.Order(command.Order.Zone), b.proxies.proxies[name] != nil
 	if command.Floor == nil {
 		if !known && old.Count == 0 {
-			return errors.WithMessage(ErrNode, name)
+			return errors.WithMessage(ErrUnknownProxy, name)
 		}
 		return nil
 	}
 	if !known && !command.Floor.Force {
-		return errors.WithMessage(ErrNode, name)
+		return errors.WithMessage(ErrUnknownProxy, name)
 	}
 	if old.Drain || command.Floor.Force {
 		return nil
@@ -58,21 +58,21 @@
 }
 
 // setResting records whether a proxy is to rest.
-func (r *register) rest(name string, rests bool) {
-	if delete(r.rests, name); rests {
-		r.rests[name] = true
+func (r *proxyRegistry) rest(name string, rests bool) {
+	if delete(r.resting, name); rests {
+		r.resting[name] = true
 	}
 }
 
 // checkMinAwake returns TooFewAwake if too few proxies would stay awake once name rests under the decided orders.
-func (r *register) room(now time.Duration, name string, decided state.State, minAwake Floor) error {
+func (r *proxyRegistry) room(now time.Duration, name string, decided state.State, minAwake Floor) error {
 	count := func(zone string) (awakeCount, total int) {
 		for _, other := range r.names() {
 			proxy, rests := r.proxies[other], decided.Order(state.NodeSubject(other)).Drain
-			if zone != "" && proxy.hello.Zone != zone || !rests && !proxy.counts(now) {
+			if zone != "" && proxy.hello.Zone != zone || !rests && !proxy.isCounted(now) {
 				continue // a proxy that has left counts only while it is ordered to rest
 			}
-			if total++; !rests && other != name && proxy.ready && proxy.left == 0 && proxy.alive(now) {
+			if total++; !rests && other != name && proxy.ready && proxy.leftAt == 0 && proxy.isAlive(now) {
 				awakeCount++
 			}
 		}
--- a/internal/control/server_list.go
+++ b/internal/control/server_list.go
@@ -9,19 +9,19 @@
 // applyList applies a server list that this replica has read or another replica has sent. A list without servers says that
 // the previous one is still valid. The mutex is held.
 func (b *Replica) listed(servers *peerlink.Servers) {
-	if servers.Stamp <= b.stamp {
+	if servers.Stamp <= b.listStamp {
 		return
 	}
-	b.stamp = servers.Stamp
-	if b.read.take(servers.Reading, b.now()); servers.By != b.self.Name {
-		b.others = b.read.began
+	b.listStamp = servers.Stamp
+	if b.newestReading.take(servers.Reading, b.now()); servers.By != b.self.Name {
+		b.othersReadingAt = b.newestReading.began
 	}
 	if len(servers.List) > 0 {
 		servers = b.sober(servers)
-		if b.list == nil || servers.Since(b.list) != nil {
+		if b.serverList == nil || servers.Since(b.serverList) != nil {
 			stored := *servers
 			stored.Term, stored.Reading = peerlink.Term{}, peerlink.Reading{} // whoever is sent this list later gets the term and age of that time
-			b.list = &stored
+			b.serverList = &stored
 			b.tellList()
 		}
 	}
@@ -43,23 +43,23 @@
 	message := &peerlink.Servers{Stamp: servers.Stamp, By: servers.By, Part: true}
 	reading := servers.Reading
 	if len(servers.List) > 0 {
-		if changes := servers.Since(l.told); changes != nil {
+		if changes := servers.Since(l.sentList); changes != nil {
 			part := *changes
 			message = &part
 		}
 	}
 	message.Term, message.Reading = servers.Term, reading
-	if whole := message.Onto(l.told); whole != nil {
-		l.told = whole
+	if whole := message.Onto(l.sentList); whole != nil {
+		l.sentList = whole
 	}
-	l.news(&peerlink.Change{Servers: message}, duty)
+	l.sendChange(&peerlink.Change{Servers: message}, duty)
 }
 
 // handlePeerList applies a list from another replica, unless the lease has since passed to a third one; the mutex is held.
 func (b *Replica) listTold(link *link, servers *peerlink.Servers) {
 	term, reading := servers.Term, servers.Reading
-	if whole := servers.Onto(link.heard); whole != nil {
-		link.heard, servers = whole, whole
+	if whole := servers.Onto(link.receivedList); whole != nil {
+		link.receivedList, servers = whole, whole
 	} else { // the list that this part builds on wasn't received
 		servers = &peerlink.Servers{Stamp: servers.Stamp, By: servers.By}
 	}
@@ -73,13 +73,13 @@
 func (b *Replica) sober(servers *peerlink.Servers) *peerlink.Servers {
 	marked := *servers
 	marked.List = slices.Clone(servers.List)
-	draining := make(map[string]bool, len(b.drained))
+	draining := make(map[string]bool, len(b.drainedServers))
 	for i := range marked.List {
 		server := &marked.List[i]
-		if server.Draining = server.Draining || b.drained[server.ID]; server.Draining {
+		if server.Draining = server.Draining || b.drainedServers[server.ID]; server.Draining {
 			draining[server.ID] = true
 		}
 	}
-	b.drained = draining
+	b.drainedServers = draining
 	return &marked
 }
--- a/internal/control/server_verdicts.go
+++ b/internal/control/server_verdicts.go
@@ -89,10 +89,10 @@
 
 // serviceOf returns the service of a server, by the server list; the replica's mutex is held.
 func (b *Replica) serviceOf(id string) string {
-	judge := b.fit
-	if judge.list != b.list {
-		judge.list, judge.in = b.list, map[string]string{}
-		for _, server := range b.list.List {
+	judge := b.healthJudge
+	if judge.list != b.serverList {
+		judge.list, judge.in = b.serverList, map[string]string{}
+		for _, server := range b.serverList.List {
 			judge.in[server.ID] = server.Backend
 		}
 	}
@@ -141,7 +141,7 @@
 // handleProxyReport splits a proxy's report by service and sends each owner its part; the mutex is held.
 func (b *Replica) report(agent *agent, packed []byte) {
 	report, err := serverhealth.Unpack(packed)
-	if err != nil || report.Witness != agent.name || b.list == nil || !b.self.Judges {
+	if err != nil || report.Witness != agent.name || b.serverList == nil || !b.self.Judges {
 		return
 	}
 	names := b.judgesThere()
@@ -151,7 +151,7 @@
 			return service != "" && keeperOf(service, names) == name
 		})
 		if name == b.self.Name {
-			b.fit.take(part, b.now())
+			b.healthJudge.take(part, b.now())
 			continue
 		}
 		links := b.links[name]
@@ -162,7 +162,7 @@
 // handleForwardedReport queues a proxy's report that another replica has forwarded; the mutex is held.
 func (b *Replica) reaped(packed []byte) {
 	if report, err := serverhealth.Unpack(packed); err == nil && b.self.Judges {
-		b.fit.take(report, b.now())
+		b.healthJudge.take(report, b.now())
 	}
 }
 
@@ -175,44 +175,44 @@
 
 // handlePeerVerdicts processes another replica's own verdicts and those that it had in force; the mutex is held.
 func (b *Replica) verdictsTold(link *link, change *peerlink.Change) {
-	judge := b.fit
+	judge := b.healthJudge
 	for _, verdict := range change.Lately {
 		judge.lately[verdict.Server] = lasting{verdict, b.now()}
 	}
 	if change.Verdicts == nil || change.Verdicts.By != link.peer.Name {
 		return
 	}
-	if whole := change.Verdicts.Onto(link.verdictsHeard); whole != nil {
-		link.verdictsHeard = whole
+	if whole := change.Verdicts.Onto(link.receivedVerdicts); whole != nil {
+		link.receivedVerdicts = whole
 		judge.heard[link.peer.Name] = &heard{whole, b.now()}
 	}
 }
 
 // runServerJudge evaluates the queued reports periodically and publishes the verdicts, until ctx ends.
 func (b *Replica) judges(ctx context.Context) {
-	for b.pause(ctx, judgeEvery) {
+	for b.sleep(ctx, judgeEvery) {
 		b.mu.Lock()
 		now := b.now()
 		names := b.judgesThere()
-		b.fit.epoch = b.epochOf(names)
-		if now < judgeAfter || b.list == nil {
+		b.healthJudge.epoch = b.epochOf(names)
+		if now < judgeAfter || b.serverList == nil {
 			b.mu.Unlock()
 			continue
 		}
 		servers := b.judged()
 		owned, adopted := b.keepsOf(servers, names, now)
-		reports, regions := b.fit.inbox, b.live.Load().Network.Zones
-		b.fit.inbox = nil
+		reports, regions := b.healthJudge.inbox, b.liveSettings.Load().Network.Zones
+		b.healthJudge.inbox = nil
 		b.mu.Unlock()
 
-		b.fit.work.Lock()
-		b.fit.floor.Adopt(now, adopted)
+		b.healthJudge.work.Lock()
+		b.healthJudge.floor.Adopt(now, adopted)
 		for _, report := range reports {
-			b.fit.floor.Hear(report.at, report.s)
+			b.healthJudge.floor.Hear(report.at, report.s)
 		}
-		b.fit.floor.Place(regions)
-		verdicts := b.fit.floor.Step(now, owned)
-		b.fit.work.Unlock()
+		b.healthJudge.floor.Place(regions)
+		verdicts := b.healthJudge.floor.Step(now, owned)
+		b.healthJudge.work.Unlock()
 
 		b.mu.Lock()
 		b.ruled(verdicts, servers, now)
@@ -222,9 +222,9 @@
 
 // serversToJudge returns the servers of the list; the mutex is held.
 func (b *Replica) judged() (all []serverhealth.Server) {
-	zones := b.live.Load().Network.Zones
-	for _, server := range b.list.List {
-		all = append(all, serverhealth.Server{ID: server.ID, Service: server.Backend, Region: zones[server.Zone], Capacity: server.Capacity, Closed: server.Draining || b.zones[server.Zone].Drain})
+	zones := b.liveSettings.Load().Network.Zones
+	for _, server := range b.serverList.List {
+		all = append(all, serverhealth.Server{ID: server.ID, Service: server.Backend, Region: zones[server.Zone], Capacity: server.Capacity, Closed: server.Draining || b.ordersInForce[server.Zone].Drain})
 	}
 	return all
 }
@@ -232,7 +232,7 @@
 // ownedServers returns the servers whose services this replica owns, and the recent verdicts to adopt on servers of
 // services that it didn't own at the last evaluation; the mutex is held.
 func (b *Replica) keepsOf(servers []serverhealth.Server, names []string, now time.Duration) (owned []serverhealth.Server, adopted []serverhealth.Verdict) {
-	judge := b.fit
+	judge := b.healthJudge
 	services := map[string]bool{}
 	for _, server := range servers {
 		if keeperOf(server.Service, names) != b.self.Name {
@@ -252,21 +252,21 @@
 // publishVerdicts puts the evaluator's verdicts in force and sends the changes to other replicas and to agents; the mutex
 // is held.
 func (b *Replica) ruled(verdicts *serverhealth.Verdicts, servers []serverhealth.Server, now time.Duration) {
-	judge := b.fit
+	judge := b.healthJudge
 	b.noteVerdicts(verdicts)
-	verdicts.By, verdicts.Stamp = b.self.Name, b.w.Now().UnixNano()
+	verdicts.By, verdicts.Stamp = b.self.Name, b.world.Now().UnixNano()
 	if judge.mine != nil {
 		verdicts.Stamp = max(verdicts.Stamp, judge.mine.Stamp+1)
 	}
 	judge.mine = verdicts
 	for _, links := range b.links {
 		link := links[len(links)-1]
-		if change := verdicts.Since(link.verdicts); change != nil && link.peer.Judges {
-			link.verdicts = verdicts
-			link.news(&peerlink.Change{Verdicts: change}, nil)
+		if change := verdicts.Since(link.sentVerdicts); change != nil && link.peer.Judges {
+			link.sentVerdicts = verdicts
+			link.sendChange(&peerlink.Change{Verdicts: change}, nil)
 		}
 	}
-	next := &serverhealth.Verdicts{By: b.self.Name, Stamp: verdicts.Stamp, List: serverhealth.Overrule(servers, serverhealth.Join(servers, b.lists(now)...), b.words())}
+	next := &serverhealth.Verdicts{By: b.self.Name, Stamp: verdicts.Stamp, List: serverhealth.Overrule(servers, serverhealth.Join(servers, b.lists(now)...), b.serverOrders())}
 	for _, verdict := range next.List {
 		judge.lately[verdict.Server] = lasting{verdict, now}
 	}
@@ -289,7 +289,7 @@
 // verdictLists returns the verdicts of all owners. Those of an owner that isn't connected weaken with time and expire. The
 // mutex is held.
 func (b *Replica) lists(now time.Duration) [][]serverhealth.Verdict {
-	judge := b.fit
+	judge := b.healthJudge
 	lists := [][]serverhealth.Verdict{judge.mine.List}
 	for name, peer := range judge.heard {
 		if len(b.links[name]) > 0 {
@@ -315,18 +315,18 @@
 	levels := make(map[string]serverhealth.Level, len(verdicts.List))
 	for _, verdict := range verdicts.List {
 		levels[verdict.Server] = verdict.Level
-		if b.fit.levels[verdict.Server] == verdict.Level {
+		if b.healthJudge.levels[verdict.Server] == verdict.Level {
 			continue
 		}
 		reason := strings.TrimSpace(fmt.Sprintf("%s (%d outcomes, %.2f against; proxies: %d against, %d for; relapses: %d)", verdict.Why, verdict.Number, verdict.Share, verdict.Against, verdict.For, verdict.Relapses))
 		b.log.Info("verdict", "server", verdict.Server, "service", verdict.Service, "level", verdict.Level.String(), "why", reason)
-		b.keepOrder(api.Order{At: b.w.Now().UTC(), Kind: api.OrderVerdict, What: verdict.Server, End: verdict.Level.String(), Why: reason})
+		b.keepOrder(api.Order{At: b.world.Now().UTC(), Kind: api.OrderVerdict, What: verdict.Server, End: verdict.Level.String(), Why: reason})
 	}
-	for id, level := range b.fit.levels {
+	for id, level := range b.healthJudge.levels {
 		if _, isJudged := levels[id]; !isJudged && level > serverhealth.Fit {
 			b.log.Info("verdict", "server", id, "level", serverhealth.Fit.String())
-			b.keepOrder(api.Order{At: b.w.Now().UTC(), Kind: api.OrderVerdict, What: id, End: serverhealth.Fit.String()})
+			b.keepOrder(api.Order{At: b.world.Now().UTC(), Kind: api.OrderVerdict, What: id, End: serverhealth.Fit.String()})
 		}
 	}
-	b.fit.levels = levels
+	b.healthJudge.levels = levels
 }
