--- a/internal/control/alarms.go
+++ b/internal/control/alarms.go
@@ -6,37 +6,38 @@
 	"github.com/pkg/errors"
 )
 
-// Times of the alarms that replicas log.
+// Thresholds of the alarms that replicas log.
 const (
-	agentLagThreshold    = 1500 * time.Millisecond // an agent is behind the decided configuration for so long
-	contactLossThreshold = 1500 * time.Millisecond // no majority has confirmed what is decided for so long
-	alarmRepeatInterval  = 5 * time.Second         // between two lines about one trouble that lasts
+	agentLagThreshold    = 1500 * time.Millisecond // an agent has lacked the decided configuration for so long
+	contactLossThreshold = 1500 * time.Millisecond // this replica has had no contact with a majority for so long
+	alarmRepeatInterval  = 5 * time.Second         // between two log lines about one lasting condition
 )
 
-// Errors that are logged and go to nobody.
+// Errors that are only logged.
 var (
 	errAgentBehind = errors.New("an agent is behind the decided configuration")
 	errNoContact   = errors.New("no majority confirms what is decided")
 )
 
-// isAlarmDue tells whether a trouble that lasts since a moment is to be logged now.
+// isAlarmDue reports whether a condition that holds since a time is to be logged now: it has lasted for at least after,
+// and was not yet logged, or not within alarmRepeatInterval.
 func isAlarmDue(since, reported, after, now time.Duration) bool {
 	return now-since >= after && (reported < since || now-reported >= alarmRepeatInterval)
 }
 
-// logAgentLag logs that an agent stays behind; the mutex is held.
-func (b *Replica) logAgentLag(h *agent) {
+// logAgentLag logs if an agent has lacked the decided configuration for too long. The caller holds the mutex.
+func (b *Replica) logAgentLag(follower *agent) {
 	now := b.now()
-	since, behind := b.configurationHistory.BehindSinceConnected(&h.agent)
-	if !behind || !isAlarmDue(since, h.reported, agentLagThreshold, now) {
+	since, behind := b.configurationHistory.BehindSinceConnected(&follower.agent)
+	if !behind || !isAlarmDue(since, follower.reported, agentLagThreshold, now) {
 		return
 	}
-	h.reported = now
-	b.log.Error(errAgentBehind, "agent behind", "agent", h.name, "for", now-since, "held", h.agent.Held.Gen, "decided", b.configuration.Gen,
-		"follows_this_replica", h.agent.IsUpstream, "sent", h.agent.Sent.Gen)
+	follower.reported = now
+	b.log.Error(errAgentBehind, "agent behind", "agent", follower.name, "for", now-since, "held", follower.agent.Held.Gen, "decided", b.configuration.Gen,
+		"follows_this_replica", follower.agent.IsUpstream, "sent", follower.agent.Sent.Gen)
 }
 
-// logContactLoss logs that this replica has lost touch with the majority; the mutex is held.
+// logContactLoss logs if this replica has had no contact with a majority for too long. The caller holds the mutex.
 func (b *Replica) logContactLoss() {
 	now := b.now()
 	if !b.majorityContact.IsKnown || !isAlarmDue(b.majorityContact.At, b.contactAlarmedAt, contactLossThreshold, now) {
--- a/internal/control/held_test.go
+++ b/internal/control/dissemination_test.go
@@ -12,6 +12,8 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
+// confirmed returns what is in force at a replica, and the time since a majority confirmed it; the age is the largest
+// duration if none ever did.
 func (r *runningReplica) confirmed() (gen uint64, drained bool, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,8 +26,8 @@
 	return gen, r.ordersInForce["z0"].Drain, r.now() - r.decidedConfirmed.At
 }
 
-// What a majority holds is in force at the other replicas without a round of theirs, also where their disk hangs; it
-// makes nobody's word fresher.
+// A decided state must be in force at all replicas as soon as the proposer's message arrives, without waiting for a
+// round of reports, also at a replica whose disk hangs.
 func TestDecisionIsAppliedEverywhereAtOnce(t *testing.T) {
 	runCluster(t, 4, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
@@ -35,7 +37,7 @@
 			began := time.Now()
 			assert.NilError(t, f.replace(0, configurationBody(gen, "a")))
 			assert.NilError(t, f.replicas[0].Drain(context.Background(), "z0", gen%2 == 0))
-			time.Sleep(2 * 20 * time.Millisecond) // the farm's longest way, and once more for what it carries
+			time.Sleep(2 * 20 * time.Millisecond) // twice the longest delay of the simulated network: for the message and for what it carries
 			took := time.Since(began)
 			for i := range 4 {
 				got, drained, _ := f.replicas[i].confirmed()
@@ -47,7 +49,8 @@
 	})
 }
 
-// A replica that hears no majority is told by one that does: its word is the newest, and as old as before.
+// A replica without contact to a majority receives a newer decided state from one that has contact. It must apply the
+// state, but not count it as confirmed by a majority since.
 func TestReceivedStateIsNotConfirmed(t *testing.T) {
 	runCluster(t, 4, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
@@ -61,7 +64,7 @@
 		gen, _, now := f.replicas[3].confirmed()
 		assert.Equal(t, gen, uint64(2))
 		assert.Assert(t, now > age, "%v after %v", now, age)
-		// Whoever has the version before is confirmed no further than it was then, also once the majority is back.
+		// A proxy with the previous version is confirmed only up to that time, also once the majority is reachable again.
 		before := f.replicas[3].confirmedUpTo(1)
 		assert.Assert(t, before < f.replicas[3].now()-time.Second, "%v", before)
 		f.partition(ips(3), ips(1, 2), sim.Open)
@@ -71,7 +74,7 @@
 	})
 }
 
-// confirmedUpTo is the moment up to which a proxy with a version in force is confirmed.
+// confirmedUpTo returns the time up to which a proxy with a generation in force is confirmed; -1 if it is not stored.
 func (r *runningReplica) confirmedUpTo(gen uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -13,35 +13,36 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of proposals.
+// Timeouts of proposals.
 const (
 	attemptTimeout     = 600 * time.Millisecond
-	yieldTime          = 150 * time.Millisecond // to another proposer that has a promise for the same version
-	maxRetryJitter     = 40 * time.Millisecond  // beyond that, by chance, so that two who yield to each other part
-	reachabilityWindow = time.Second            // a voter that was heard since is taken to answer
+	yieldTime          = 150 * time.Millisecond // for another proposer that has a promise for the same version
+	maxRetryJitter     = 40 * time.Millisecond  // random addition to yieldTime, so that two proposers don't keep yielding to each other
+	reachabilityWindow = time.Second            // a voter that reported or connected within it is expected to answer
 )
 
-// stateChange is a change of the state that somebody waits for.
+// stateChange is a change of the decided state whose caller waits for the outcome.
 type stateChange struct {
 	ctx       context.Context
-	apply     func(next *state.State) error // changes a copy of what is decided, whose Version is already the next one
-	config    *peerlink.Configuration       // that it brings; nil: none
-	isCommand bool                          // of an operator: submit sees to it
+	apply     func(next *state.State) error // changes a copy of the decided state whose Version is already the next one
+	config    *peerlink.Configuration       // the new configuration; nil if the change contains none
+	isCommand bool                          // an operator's command: submit retries it, possibly at another replica
 	done      chan error
 }
 
-// decide has a change decided, together with others that wait here. It returns the
-// error of apply, of which a majority has confirmed what it was told, or ErrNoMajority:
-// then the change may be decided or may not.
+// decide proposes a change, together with others that are pending here, and waits for the decision. It returns the
+// error of apply, which was called on a state that a majority has confirmed, or ErrNoMajority: then the change may have
+// been decided or not.
 func (b *Replica) decide(ctx context.Context, config *peerlink.Configuration, apply func(next *state.State) error) error {
 	return b.enqueue(&stateChange{ctx: ctx, apply: withFencing(ctx, apply), config: config, done: make(chan error, 1)})
 }
 
-// decideCommand does so for a command, and gives up with errConcurrentDecision where another replica is faster.
+// decideCommand does the same for a command, and returns errConcurrentDecision if another replica is faster.
 func (b *Replica) decideCommand(ctx context.Context, config *peerlink.Configuration, apply func(next *state.State) error) error {
 	return b.enqueue(&stateChange{ctx: ctx, apply: withFencing(ctx, apply), config: config, isCommand: true, done: make(chan error, 1)})
 }
 
+// enqueue adds a change to the pending ones and waits until it is answered or its context ends.
 func (b *Replica) enqueue(c *stateChange) error {
 	b.mu.Lock()
 	b.pendingChanges = append(b.pendingChanges, c)
@@ -58,7 +59,7 @@
 	}
 }
 
-// runProposer carries out what is pending, one batch after the other.
+// runProposer proposes the pending changes, one batch after the other, until ctx ends.
 func (b *Replica) runProposer(ctx context.Context) {
 	for {
 		select {
@@ -70,20 +71,20 @@
 	}
 }
 
-// proposePending makes attempts until nothing is pending.
+// proposePending makes attempts until nothing is pending. It fails all changes while no majority is reachable.
 func (b *Replica) proposePending(ctx context.Context) {
 	var batch []*stateChange
-	for tries := 0; ctx.Err() == nil; tries++ {
+	for failures := 0; ctx.Err() == nil; failures++ {
 		b.mu.Lock()
 		batch = append(batch, b.pendingChanges...)
 		b.pendingChanges = nil
-		reached := b.isMajorityReachable()
+		reachable := b.isMajorityReachable()
 		b.mu.Unlock()
 		batch = slices.DeleteFunc(batch, func(c *stateChange) bool {
-			if c.ctx.Err() != nil || !reached {
+			if c.ctx.Err() != nil || !reachable {
 				c.done <- ErrNoMajority
 			}
-			return c.ctx.Err() != nil || !reached
+			return c.ctx.Err() != nil || !reachable
 		})
 		if len(batch) == 0 {
 			return
@@ -91,23 +92,24 @@
 		if b.shouldYield() && !b.waitForDecision(ctx) {
 			return
 		}
-		done, again := b.attempt(ctx, batch, tries)
+		done, retryNow := b.attempt(ctx, batch, failures)
 		if done {
-			batch, tries = nil, 0
+			batch, failures = nil, 0
 			continue
 		}
 		batch = b.returnCommands(batch)
-		if !again && !b.waitForDecision(ctx) {
+		if !retryNow && !b.waitForDecision(ctx) {
 			return
 		}
 	}
 }
 
-// errConcurrentDecision tells that a command was not carried out, since another replica has decided something meanwhile: submit
-// looks again.
-var errConcurrentDecision = errors.New("another replica has proposed meanwhile")
+// errConcurrentDecision is the error of a command that was not carried out because another replica has decided a newer
+// version meanwhile: submit retries it.
+var errConcurrentDecision = errors.New("another replica has decided a newer version meanwhile")
 
-// handBack gives commands back to submit where another replica has become the one that proposed last.
+// returnCommands fails the commands of a batch with errConcurrentDecision where another replica that is reachable has
+// become the last proposer: submit then forwards them there. It returns the rest of the batch.
 func (b *Replica) returnCommands(batch []*stateChange) []*stateChange {
 	if b.linkToLastProposer() == nil {
 		return batch
@@ -120,7 +122,7 @@
 	})
 }
 
-// shouldYield tells whether another proposer is likely to decide the next version just now.
+// shouldYield reports whether another proposer is likely to be deciding the next version now.
 func (b *Replica) shouldYield() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,7 +130,8 @@
 	return promised != (quorum.Ballot{}) && promised.Proposer != b.proposerID() && b.now()-b.promisedAt < yieldTime
 }
 
-// waitForDecision waits until the next version is decided, or for a while; false: ctx has ended.
+// waitForDecision waits until the next version is decided, or for yieldTime plus a random time. It returns false if ctx
+// has ended.
 func (b *Replica) waitForDecision(ctx context.Context) bool {
 	t := b.world.NewTimer(yieldTime + rand.N(maxRetryJitter))
 	defer t.Stop()
@@ -141,12 +144,13 @@
 	return true
 }
 
-// isMajorityReachable tells whether a majority of the voters was heard just now; the
-// mutex is held.
+// isMajorityReachable reports whether a majority of the voters is reachable. The caller holds the mutex.
 func (b *Replica) isMajorityReachable() bool {
 	return quorum.IsMajority(b.contents.Record.Decided.Voters, b.isReachable)
 }
 
+// isReachable reports whether the replica with an ID is this one, or is connected and has reported or connected within
+// reachabilityWindow. The caller holds the mutex.
 func (b *Replica) isReachable(id string) bool {
 	if id == b.self.ID {
 		return true
@@ -155,42 +159,42 @@
 	return l != nil && b.now()-max(l.connectedAt, b.lastReports[id].at) < reachabilityWindow
 }
 
-// attempt tries once to decide the next version. It has answered all of the batch
-// where done is true; again tells that the next attempt may begin at once. Whoever has
-// tried more often goes before others.
-func (b *Replica) attempt(ctx context.Context, batch []*stateChange, tries int) (done, again bool) {
+// attempt tries once to decide the next version. If done is true, all changes of the batch are answered; retryNow
+// reports that the next attempt may begin at once. Each failure raises the ballot's round, so that a proposer with more
+// failures takes precedence.
+func (b *Replica) attempt(ctx context.Context, batch []*stateChange, failures int) (done, retryNow bool) {
 	ctx, cancel := b.withTimeout(ctx, attemptTimeout)
 	defer cancel()
 	b.mu.Lock()
 	base := b.contents.Record.Decided
 	select {
-	case <-b.versionLearned: // that is known here
+	case <-b.versionLearned: // the versions learned so far are in base
 	default:
 	}
-	first := base.Proposer == b.proposerID() && b.lastOnePhaseVersion <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
+	onePhase := base.Proposer == b.proposerID() && b.lastOnePhaseVersion <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
 	b.mu.Unlock()
 	next, refused := b.combine(base, batch)
 	if next.SameContent(base) && b.stillLatest(ctx, base) {
 		answerAll(batch, refused)
 		return true, true
 	}
-	if first && !next.SameContent(base) {
+	if onePhase && !next.SameContent(base) {
 		return b.attemptOnePhase(ctx, base, next, batch, refused)
 	}
 	b.mu.Lock()
-	b.highestRound = max(b.highestRound, b.contents.Record.Promised.Round, quorum.FirstRound) + 1 + uint64(tries)
-	p := quorum.NewProposal(base, quorum.Ballot{Round: b.highestRound, Proposer: b.proposerID()})
+	b.highestRound = max(b.highestRound, b.contents.Record.Promised.Round, quorum.FirstRound) + 1 + uint64(failures)
+	proposal := quorum.NewProposal(base, quorum.Ballot{Round: b.highestRound, Proposer: b.proposerID()})
 	b.mu.Unlock()
-	if !b.prepare(ctx, p, base) {
-		return false, b.handleFailedAttempt(p, base)
+	if !b.prepare(ctx, proposal, base) {
+		return false, b.handleFailedAttempt(proposal, base)
 	}
-	inherited := p.InheritedValue() != nil
-	if !inherited && next.SameContent(base) { // a majority has just promised, so base is the newest
+	inherited := proposal.InheritedValue() != nil
+	if !inherited && next.SameContent(base) { // a majority has just promised and reported no newer version: base is the latest
 		answerAll(batch, refused)
 		return true, true
 	}
-	if !b.proposeValue(ctx, p, base, next, batch) {
-		return false, b.handleFailedAttempt(p, base)
+	if !b.proposeValue(ctx, proposal, base, next, batch) {
+		return false, b.handleFailedAttempt(proposal, base)
 	}
 	if inherited {
 		return false, true
@@ -199,21 +203,21 @@
 	return true, true
 }
 
-// attemptOnePhase tries once to decide the version after one that this process proposed, in one phase.
-func (b *Replica) attemptOnePhase(ctx context.Context, base, next state.State, batch []*stateChange, refused map[*stateChange]error) (done, again bool) {
+// attemptOnePhase tries once to decide the version after one that this process proposed, without asking for promises.
+func (b *Replica) attemptOnePhase(ctx context.Context, base, next state.State, batch []*stateChange, refused map[*stateChange]error) (done, retryNow bool) {
 	b.mu.Lock()
 	b.lastOnePhaseVersion = next.Version
 	b.mu.Unlock()
-	p := quorum.NewFirstRoundProposal(base)
-	if !b.proposeValue(ctx, p, base, next, batch) {
-		return false, b.handleFailedAttempt(p, base)
+	proposal := quorum.NewFirstRoundProposal(base)
+	if !b.proposeValue(ctx, proposal, base, next, batch) {
+		return false, b.handleFailedAttempt(proposal, base)
 	}
 	answerAll(batch, refused)
 	return true, true
 }
 
-// announceDecision takes over what an attempt has decided, with its configuration, which a proposer that is no voter has not
-// accepted, and tells all others.
+// announceDecision learns the value that an attempt has decided and sends it to all connected replicas. It stores the
+// value's configuration too, since a proposer that is no voter has not accepted it.
 func (b *Replica) announceDecision(p *quorum.Proposal, config *peerlink.Configuration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -226,38 +230,39 @@
 	}
 }
 
-// proposerSeparator ends the ID of the disk in a proposer's name.
+// proposerSeparator separates the ID of the disk from the start time in a proposer's ID.
 const proposerSeparator = "#"
 
-// proposerID names this life of this process in ballots.
+// proposerID identifies this process, from its start to its end, in ballots.
 func (b *Replica) proposerID() string {
 	return b.self.ID + proposerSeparator + b.startedAt.UTC().Format(time.RFC3339Nano)
 }
 
-// combine applies all changes to what is decided, one after the other; those that
-// do not fit are left out, with their errors.
+// combine applies all changes of a batch to a copy of the decided state, one after the other. It leaves out those whose
+// apply fails, and returns their errors by change.
 func (b *Replica) combine(base state.State, batch []*stateChange) (next state.State, refused map[*stateChange]error) {
 	next, refused = base.Clone(), map[*stateChange]error{}
 	next.Version++
 	next.Proposer = b.proposerID()
 	for _, c := range batch {
-		tried := next.Clone()
-		if err := c.apply(&tried); err != nil {
+		candidate := next.Clone()
+		if err := c.apply(&candidate); err != nil {
 			refused[c] = err
 			continue
 		}
-		next = tried
+		next = candidate
 	}
 	return next, refused
 }
 
+// answerAll ends the wait of all changes' callers, with the errors of refused ones.
 func answerAll(batch []*stateChange, refused map[*stateChange]error) {
 	for _, c := range batch {
 		c.done <- refused[c]
 	}
 }
 
-// prepare asks the voters for promises until a majority has given them.
+// prepare is phase 1: it asks the voters for promises, and reports whether a majority has granted them.
 func (b *Replica) prepare(ctx context.Context, p *quorum.Proposal, base state.State) bool {
 	message := p.PrepareMessage()
 	b.askVoters(ctx, base.Voters, func(string) peerlink.Ask { return peerlink.Ask{Prepare: &message} }, func(r *peerlink.Reply) {
@@ -268,7 +273,8 @@
 	return p.IsPrepared()
 }
 
-// proposeValue has a value accepted, with its configuration where an acceptor lacks that, and announces it once it is decided.
+// proposeValue is phase 2: it asks the voters to accept a value, with its configuration for voters that may lack it,
+// and announces the value if it is decided. It reports whether it is.
 func (b *Replica) proposeValue(ctx context.Context, p *quorum.Proposal, base, next state.State, batch []*stateChange) bool {
 	message := p.ChooseValue(next)
 	config := b.configurationFor(ctx, p, batch)
@@ -298,8 +304,8 @@
 	return p.IsDecided()
 }
 
-// configurationFor is the configuration of the value that is proposed: it came with a
-// change, is here, or is fetched from a voter that has accepted the value.
+// configurationFor returns the configuration of the proposed value: from a change of the batch, from this replica's
+// store, or fetched from a voter that holds it. It returns nil if none of them has it.
 func (b *Replica) configurationFor(ctx context.Context, p *quorum.Proposal, batch []*stateChange) *peerlink.Configuration {
 	id := p.Value().Config
 	for _, c := range batch {
@@ -309,14 +315,14 @@
 	}
 	b.mu.Lock()
 	config := b.contents.Configs[id.Digest]
-	var from []*link
+	var holders []*link
 	for _, v := range p.Value().Voters {
 		if l := b.linkTo(v.ID); l != nil && p.HasConfig(v.ID, id) {
-			from = append(from, l)
+			holders = append(holders, l)
 		}
 	}
 	b.mu.Unlock()
-	for _, l := range from {
+	for _, l := range holders {
 		if config != nil {
 			break
 		}
@@ -325,26 +331,26 @@
 	return config
 }
 
-// askVoters puts a question to voters, this replica among them where it is one, until
-// enough is true, all have answered, or ctx ends.
+// askVoters puts a question to voters, to this replica directly if it is one of them. It passes each reply to take, and
+// returns once enough is true, all have answered, or ctx ends.
 func (b *Replica) askVoters(ctx context.Context, voters []state.Voter, question func(id string) peerlink.Ask, take func(*peerlink.Reply), enough func() bool) {
-	p := b.newPoll()
-	defer p.cancel()
+	poll := b.newPoll()
+	defer poll.cancel()
 	b.mu.Lock()
 	for _, v := range voters {
 		if v.ID != b.self.ID {
-			p.ask(b.linkTo(v.ID), question(v.ID))
+			poll.ask(b.linkTo(v.ID), question(v.ID))
 			continue
 		}
-		p.sentCount++
+		poll.sentCount++
 		own := question(v.ID)
-		b.jobs.Go(func() { p.answers <- pollAnswer{v.ID, b.vote(ctx, &own)} })
+		b.jobs.Go(func() { poll.answers <- pollAnswer{v.ID, b.vote(ctx, &own)} })
 	}
-	left := p.sentCount
+	left := poll.sentCount
 	b.mu.Unlock()
 	for ; left > 0 && !enough(); left-- {
 		select {
-		case a := <-p.answers:
+		case a := <-poll.answers:
 			if a.reply != nil {
 				take(a.reply)
 			}
@@ -354,9 +360,10 @@
 	}
 }
 
-// handleFailedAttempt takes in why an attempt failed, helps those that are behind, and tells
-// whether the next one may begin at once.
-func (b *Replica) handleFailedAttempt(p *quorum.Proposal, base state.State) (again bool) {
+// handleFailedAttempt learns from the replies to a failed attempt: it notes higher ballots, sends the decided state to
+// voters that are behind, and learns or fetches a newer one. It reports whether a newer version is known now, so that
+// the next attempt may begin at once.
+func (b *Replica) handleFailedAttempt(p *quorum.Proposal, base state.State) (retryNow bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.highestRound = max(b.highestRound, p.HigherBallot().Round)
@@ -375,7 +382,7 @@
 	return b.contents.Record.Decided.Version > base.Version
 }
 
-// linkToHolder is a connection to a replica that knows a state; the mutex is held.
+// linkToHolder returns a connection to a replica that knows s, or else to one of its voters. The caller holds the mutex.
 func (b *Replica) linkToHolder(s *state.State) *link {
 	for id, h := range b.lastReports {
 		if l := b.linkTo(id); l != nil && h.report.Version >= s.Version {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -21,83 +21,84 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Replica is one process of control.
+// Replica is one process of control. It takes part in deciding the operators' configuration, and keeps the connected
+// agents up to date.
 type Replica struct {
 	world         world.World
 	log           logr.Logger
-	settings      *settings.Settings                // as told at the start
-	liveSettings  atomic.Pointer[settings.Settings] // as told last; only what may change in service differs
+	settings      *settings.Settings                // as read at the start
+	liveSettings  atomic.Pointer[settings.Settings] // the latest settings; they differ from settings only in what may change without a restart
 	self          peerlink.Hello
 	store         *statestore.Store
-	startedAt     time.Time // of its steady clock
+	startedAt     time.Time // zero of the replica's monotonic clock
 	cloudClient   *http.Client
-	roundWanted   chan struct{} // a round of reports is wanted now
-	censusChanged chan struct{} // the census has changed
-	dutyWakeup    chan struct{} // the duty may have changed
+	roundWanted   chan struct{} // signals that a round of reports is wanted now
+	censusChanged chan struct{} // signals that the census may have changed
+	dutyWakeup    chan struct{} // signals that the holder of the duty may have changed
 	jobs          sync.WaitGroup
-	ctx           context.Context // of all that runs
+	ctx           context.Context // parent of every background job's context
 
 	mu             sync.Mutex
 	leaving        bool
 	seeds          []string                  // inner addresses
-	replicas       map[string]peerlink.Hello // all ever heard of, itself included
-	dialTargets    map[string]*dialTarget    // by inner address
-	links          map[string][]*link        // open ones to other replicas, by name
-	lastQuestionID uint64                    // id of the last question
+	replicas       map[string]peerlink.Hello // by name: all known replicas, this one included
+	dialTargets    map[string]*dialTarget    // by inner address: the replicas to stay connected to
+	links          map[string][]*link        // open connections to other replicas, by name
+	lastQuestionID uint64                    // ID of the last question sent to another replica
 	agents         map[*agent]bool
 	proxies        *proxyRegistry
-	hostRoutes     homing.Roads     // where clients of hosts are sent
-	census         *peerlink.Census // as counted last
-	sentCensus     *peerlink.Census // to the agents that are led here
+	hostRoutes     homing.Roads     // per host, whether clients are sent to its home region
+	census         *peerlink.Census // the latest count
+	sentCensus     *peerlink.Census // the census last sent to the agents that use this replica as upstream
 	censusSentAt   time.Duration
 
-	contents            statestore.Contents      // this replica's record and the configurations in it, as they are to be on disk
-	highestRound        uint64                   // of the highest ballot that was used or heard of
-	lastOnePhaseVersion uint64                   // the newest version that was proposed without promises
-	pendingChanges      []*stateChange           // not proposed yet
-	versionLearned      chan struct{}            // a version was learnt
-	promisedAt          time.Duration            // when the record's promise was given
-	proposerWakeup      chan struct{}            // something is pending
-	lastReports         map[string]lastReport    // reports, by ID
-	firstSeen           map[string]time.Duration // when a life of a replica was first heard of, by name
-	acceptedUndecided   map[string]undecided     // in the last round, by ID: what nobody had decided yet
-	finishInProgress    bool                     // that is being done
-	fetchInProgress     bool                     // a configuration is being fetched
-	voterChange         voterChangeState         // the change of voters that is wanted
-
-	configuration        *peerlink.Configuration    // decided
-	parsedConfiguration  *routeconfig.Configuration // the same
-	ordersInForce        map[string]peerlink.Zone   // orders, decided
-	decidedConfirmed     delivery.Confirmation      // of what is decided: when the round began that told so last
-	majorityContact      delivery.Confirmation      // of a majority that this replica is not behind: when the round began that heard it last
-	newestReported       uint64                     // version that anybody reported in the round before
-	configurationHistory delivery.History           // of configurations in force here
-	contactAlarmedAt     time.Duration              // when it was logged last that this replica is out of touch
+	contents            statestore.Contents      // this replica's record and the configurations that it refers to, as they are written to disk
+	highestRound        uint64                   // round of the highest ballot that was used or seen
+	lastOnePhaseVersion uint64                   // the newest version that this process proposed in one phase, without promises
+	pendingChanges      []*stateChange           // changes that no proposal contains yet
+	versionLearned      chan struct{}            // signals that a newer decided version was learned
+	promisedAt          time.Duration            // when this replica last granted a promise or an acceptance
+	proposerWakeup      chan struct{}            // signals that pendingChanges is not empty
+	lastReports         map[string]lastReport    // by the ID of the replica's disk
+	firstSeen           map[string]time.Duration // by name: when the current incarnation of a replica was first seen
+	acceptedUndecided   map[string]undecided     // by disk ID: values that were accepted and not decided in the last round
+	finishInProgress    bool                     // a proposal that decides such a value is running
+	fetchInProgress     bool                     // a configuration is being fetched from another replica
+	voterChange         voterChangeState         // the wanted change of the voters
+
+	configuration        *peerlink.Configuration    // the decided one
+	parsedConfiguration  *routeconfig.Configuration // configuration, parsed; nil until parsing ends
+	ordersInForce        map[string]peerlink.Zone   // decided orders by subject: a zone, a proxy or a server
+	decidedConfirmed     delivery.Confirmation      // start of the last round in which a majority confirmed the decided state as the latest
+	majorityContact      delivery.Confirmation      // start of the last round in which a majority answered and this replica was not behind
+	newestReported       uint64                     // highest version that another replica reported in the previous round
+	configurationHistory delivery.History           // configurations that have been in force at this replica
+	contactAlarmedAt     time.Duration              // when the loss of contact with a majority was last logged
 	observedLock         lockObservation
 
-	serverList      *peerlink.Servers // the newest that is known
-	listStamp       int64             // of the newest reading, which may have told the same
-	newestReading   lastReading       // the same reading
-	othersReadingAt time.Duration     // when one of another replica's began
-	drainedServers  map[string]bool   // lives that were seen draining
+	serverList      *peerlink.Servers // the newest known list
+	listStamp       int64             // stamp of the newest reading, which may have found the list unchanged
+	newestReading   lastReading       // age and period of the newest reading
+	othersReadingAt time.Duration     // when the newest reading by another replica began
+	drainedServers  map[string]bool   // by ID: server instances that were seen draining
 
-	duty       *lease.Lease // of the list's duty
+	duty       *lease.Lease // the lease on the duty to read the server list
 	ownReading reading
 
-	healthJudge *fit // servers judged by what all proxies saw
+	healthJudge *fit // health verdicts on servers, from the evidence of all proxies
 
-	ops ops // what operators ask beyond the platform's calls
+	ops ops // state of the operators' read-only calls
 }
 
-// New makes a replica; disk is nil where it has none.
-func New(set *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
-	b := &Replica{world: w, log: log, settings: set, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), dutyWakeup: make(chan struct{}, 1),
+// New returns a replica with the state that it finds on disk; disk is nil for a replica without one.
+func New(initial *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
+	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), dutyWakeup: make(chan struct{}, 1),
 		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1), lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{}, dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agent]bool{},
 		ordersInForce: map[string]peerlink.Zone{}, drainedServers: map[string]bool{}}
-	b.liveSettings.Store(set)
-	s := set.Self
+	b.liveSettings.Store(initial)
+	s := initial.Self
 	b.self = peerlink.Hello{Version: peerlink.Version, Role: peerlink.Replica, Name: s.Name, Life: b.startedAt.UnixNano(), IP: s.IP, Zone: s.Zone, Region: s.Region,
-		Voter: s.Voter, Inner: set.Inner(s.IP), Ctl: set.Network.Listen.Ctl, Dir: set.Network.Listen.Dir, Judges: set.Judge.Records}
+		Voter: s.Voter, Inner: initial.Inner(s.IP), Ctl: initial.Network.Listen.Ctl, Dir: initial.Network.Listen.Dir, Judges: initial.Judge.Records}
 	b.restoreFromDisk(disk)
 	b.replicas[s.Name] = b.self
 	b.proxies = newProxyRegistry(b.store.Census(), 0)
@@ -108,12 +109,13 @@
 	return b
 }
 
-// now is the replica's steady clock.
+// now returns the time since the replica's start by its monotonic clock.
 func (b *Replica) now() time.Duration { return b.world.Now().Sub(b.startedAt) }
 
 func (b *Replica) hello() peerlink.Hello { return b.self }
 
-// Run serves until ctx ends, and then leaves in order.
+// Run serves until ctx ends and then shuts down gracefully: it tells its peers, resigns as a voter and flushes its
+// connections. It returns an error if it can't listen.
 func (b *Replica) Run(ctx context.Context) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer b.jobs.Wait()
@@ -151,27 +153,27 @@
 	return nil
 }
 
-// announceLeaving tells everybody that this replica goes.
+// announceLeaving tells all connected replicas and agents that this replica shuts down, and hands its duty over.
 func (b *Replica) announceLeaving() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leaving = true
 	why := "told to end"
 	var duty *peerlink.Duty
-	for _, t := range b.duty.Leave() {
-		duty = &t.Duty
+	for _, message := range b.duty.Leave() {
+		duty = &message.Duty
 	}
 	for _, all := range b.links {
 		for _, l := range all {
 			_ = l.conn.Send(&peerlink.Frame{Leaving: &why, Duty: duty})
 		}
 	}
-	for h := range b.agents {
-		_ = h.conn.Send(&peerlink.Frame{Leaving: &why})
+	for agent := range b.agents {
+		_ = agent.conn.Send(&peerlink.Frame{Leaving: &why})
 	}
 }
 
-// flushConnections lets what was said last be written.
+// flushConnections waits until the frames sent last are written, for at most flushTimeout.
 func (b *Replica) flushConnections() {
 	var all sync.WaitGroup
 	b.mu.Lock()
@@ -180,8 +182,8 @@
 			all.Go(func() { l.conn.Finish(flushTimeout) })
 		}
 	}
-	for h := range b.agents {
-		all.Go(func() { h.conn.Finish(flushTimeout) })
+	for agent := range b.agents {
+		all.Go(func() { agent.conn.Finish(flushTimeout) })
 	}
 	b.mu.Unlock()
 	all.Wait()
--- a/internal/control/judge.go
+++ b/internal/control/server_orders.go
@@ -13,24 +13,26 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// maxServerOrders bounds the orders about servers that are kept.
+// maxServerOrders bounds the number of stored orders about servers.
 const maxServerOrders = 512
 
-// ErrUnknownServer is the error of a word on a server that is in no list.
+// ErrUnknownServer is the error of an order about a server that is not in the list.
 var ErrUnknownServer = errors.New("no such server is listed")
 
+// orderedLevels maps the word of an operator's order about a server to the verdict that it sets.
 var orderedLevels = map[string]serverhealth.Level{api.WordFit: serverhealth.Fit, api.WordUnfit: serverhealth.UnfitRecord, api.WordUnfitAll: serverhealth.UnfitAll}
 
-// OrderVerdict takes an operator's word on a server, which holds for a time over what proxies saw; WordWithdrawn takes it back.
+// OrderVerdict sets an operator's verdict on a server, which overrides the evidence of proxies for a time;
+// api.WordWithdrawn withdraws it.
 func (b *Replica) OrderVerdict(ctx context.Context, id, word string, holds time.Duration) error {
 	_, known := orderedLevels[word]
 	switch {
 	case !nodeName.MatchString(id):
-		return InvalidError{errors.Errorf("%q is no id of a server", id)}
+		return InvalidError{errors.Errorf("%q is not a valid server ID", id)}
 	case !known && word != api.WordWithdrawn:
-		return InvalidError{errors.Errorf("%s: %q is none of fit, unfit, unfit-all, none", api.JudgeWord, word)}
+		return InvalidError{errors.Errorf("%s: %q is not one of fit, unfit, unfit-all, none", api.JudgeWord, word)}
 	case holds <= 0 || holds > api.JudgeMost:
-		return InvalidError{errors.Errorf("%s: more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
+		return InvalidError{errors.Errorf("%s: must be more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
 	}
 	want := peerlink.Zone{Zone: state.ServerSubject(id)}
 	if known {
@@ -40,24 +42,24 @@
 	return err
 }
 
-// checkServerOrder tells why a word on a server can't be taken by what is decided.
+// checkServerOrder returns why an order about a server is refused under the decided state; nil if it is allowed.
 func (b *Replica) checkServerOrder(id string, held state.State) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	words := 0
+	orders := 0
 	for _, z := range held.Orders {
-		if _, is := z.Server(); is {
-			words++
+		if _, isServer := z.Server(); isServer {
+			orders++
 		}
 	}
 	old := held.Order(state.ServerSubject(id))
 	switch {
 	case b.listedServiceOf(id) == "" && old.Count == 0:
 		return errors.WithMessage(ErrUnknownServer, id)
-	case words >= maxServerOrders && old.Count == 0:
-		return Tight{errors.Errorf("words on %d servers are kept already", words)}
+	case orders >= maxServerOrders && old.Count == 0:
+		return Tight{errors.Errorf("orders about %d servers are stored already", orders)}
 	}
-	for name, h := range b.replicas { // one that does not know such orders would keep half of it
+	for name, h := range b.replicas { // a replica that does not know such orders would store only a part of one
 		if h.Voter && !h.Judges {
 			return Tight{errors.Errorf("%s does not judge servers (judge.records)", name)}
 		}
@@ -65,6 +67,8 @@
 	return nil
 }
 
+// listedServiceOf returns the service of a server in the list; "" if the server or the list is unknown. The caller
+// holds the mutex.
 func (b *Replica) listedServiceOf(id string) string {
 	if b.serverList == nil {
 		return ""
@@ -72,19 +76,19 @@
 	return b.serviceOf(id)
 }
 
-// serverOrder is the operators' word in force on a server; the mutex is held.
+// serverOrder returns the latest order about a server and whether it holds now. The caller holds the mutex.
 func (b *Replica) serverOrder(id string) (z peerlink.Zone, holds bool) {
 	z = b.ordersInForce[state.ServerSubject(id)]
 	_, known := orderedLevels[z.Word]
 	return z, known && b.world.Now().UnixMilli() < z.Until
 }
 
-// serverOrders are the operators' words in force, by server; the mutex is held.
+// serverOrders returns the operators' verdicts that hold now, by server. The caller holds the mutex.
 func (b *Replica) serverOrders() map[string]serverhealth.Word {
 	var all map[string]serverhealth.Word
 	for _, z := range b.ordersInForce {
-		id, is := z.Server()
-		if !is {
+		id, isServer := z.Server()
+		if !isServer {
 			continue
 		}
 		if z, holds := b.serverOrder(id); holds {
@@ -97,33 +101,34 @@
 	return all
 }
 
-// ExplainVerdict tells what this replica knows of a server's verdict.
+// ExplainVerdict returns what this replica knows of a server's verdict: its level, the evidence and any operator's
+// order.
 func (b *Replica) ExplainVerdict(id string) *api.Explained {
 	b.healthJudge.work.Lock()
-	said := b.healthJudge.floor.Testimonies(id)
+	testimonies := b.healthJudge.floor.Testimonies(id)
 	b.healthJudge.work.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	x := &api.Explained{Replica: b.self.Name, At: b.world.Now().UTC(), Server: id, Service: b.listedServiceOf(id), Said: []api.Testimony{}}
-	if x.Service != "" {
-		x.Keeper = keeperOf(x.Service, b.judgesThere())
+	explained := &api.Explained{Replica: b.self.Name, At: b.world.Now().UTC(), Server: id, Service: b.listedServiceOf(id), Said: []api.Testimony{}}
+	if explained.Service != "" {
+		explained.Keeper = keeperOf(explained.Service, b.judgesThere())
 	}
 	if b.healthJudge.joined != nil {
-		x.Level = serverhealth.Fit.String()
+		explained.Level = serverhealth.Fit.String()
 	}
 	for _, v := range b.healthJudge.inForce() {
 		if v.Server == id {
-			x.Level, x.Why, x.AgeMS, x.Number, x.Share = v.Level.String(), v.Why, v.Age.Milliseconds(), v.Number, v.Share
-			x.For, x.Against, x.Relapses, x.Trial = v.For, v.Against, v.Relapses, v.Trial
+			explained.Level, explained.Why, explained.AgeMS, explained.Number, explained.Share = v.Level.String(), v.Why, v.Age.Milliseconds(), v.Number, v.Share
+			explained.For, explained.Against, explained.Relapses, explained.Trial = v.For, v.Against, v.Relapses, v.Trial
 		}
 	}
 	if z, holds := b.serverOrder(id); holds {
-		x.Word = api.ServerWord{Word: z.Word, Until: time.UnixMilli(z.Until).UTC(), By: z.By}
+		explained.Word = api.ServerWord{Word: z.Word, Until: time.UnixMilli(z.Until).UTC(), By: z.By}
 	}
-	for _, t := range said {
+	for _, t := range testimonies {
 		c := t.Counts
-		x.Said = append(x.Said, api.Testimony{Proxy: t.Witness, Zone: t.Zone, Record: t.Kind == serverhealth.Record, Confirmed: c[serverhealth.Confirmed],
+		explained.Said = append(explained.Said, api.Testimony{Proxy: t.Witness, Zone: t.Zone, Record: t.Kind == serverhealth.Record, Confirmed: c[serverhealth.Confirmed],
 			TurnedAway: c[serverhealth.TurnedAway], Unclear: c[serverhealth.Unclear], Late: c[serverhealth.Late], WrongID: c[serverhealth.WrongID], Worth: t.Worth})
 	}
-	return x
+	return explained
 }
