--- a/internal/control/agent_updates_test.go
+++ b/internal/control/agent_updates_test.go
@@ -14,7 +14,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// agentFarm is a farm of replicas with agents.
+// agentCluster is a cluster of replicas with agents.
 type crowd struct {
 	*clusterFixture
 	helping sync.Mutex // guards all agents
--- a/internal/control/rest_orders.go
+++ b/internal/control/rest_orders.go
@@ -13,7 +13,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// TooFewAwake is the error of an order to rest that would leave too few proxies awake.
+// TooFewAwakeError is the error of an order to rest that would leave too few proxies awake.
 type Tight struct{ error }
 
 // MinAwake says which parts of the proxies have to stay awake, so that one more may rest.
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkMinAwake returns TooFewAwake if too few proxies would stay awake once name rests under the decided orders.
+// checkMinAwake returns TooFewAwakeError if too few proxies would stay awake once name rests under the decided orders.
 func (r *proxyRegistry) room(now time.Duration, name string, decided state.State, minAwake Floor) error {
 	count := func(zone string) (awakeCount, total int) {
 		for _, other := range r.names() {
