--- a/policy/asking.go
+++ b/policy/asks.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// onAskTimeout asks again, elsewhere, for what was not answered.
+// onAskTimeout handles the requests whose ask has had no reply in time: it asks again or gives up.
 func (g *Gateway) onAskTimeout() {
-	list := g.askTimeouts
+	timeouts := g.askTimeouts
 	g.askTimeouts = nil
-	for _, r := range list {
+	for _, r := range timeouts {
 		switch {
 		case r.done || r.granted || g.pendingAsks[r.tag] != r:
-		case g.now+g.cfg.Resolution <= r.askUntil: // a timer may come a rounding early
+		case g.now+g.cfg.Resolution <= r.askUntil: // rounding may make a timer fire slightly early
 			g.askTimeouts = append(g.askTimeouts, r)
 		case r.heldAtRoot:
 			g.refuse(r)
-		case g.cfg.MultiService != nil: // there may be fewer gateways since it was asked for
+		case g.cfg.MultiService != nil: // the set of gateways may have shrunk since the ask
 			g.unanswered(r)
 		default:
 			g.ask(r)
@@ -21,11 +21,13 @@
 	}
 }
 
+// sendAskEnded tells the root of a request that its attempt has ended or was never made.
 func (g *Gateway) sendAskEnded(r *request) {
 	g.emit(SendPeer{To: r.root, Data: encode(askEnded{r.customer.key, r.tag, !r.unitsTaken})})
 }
 
-// onLoanReply goes on with the request that units were borrowed for. What comes too late for it stays for another.
+// onLoanReply continues the request that units were borrowed for, or asks the next lender if there are none.
+// Units that arrive after the request has ended stay here for other requests.
 func (g *Gateway) onLoanReply(m loanReply) {
 	if c := g.customers[m.Customer]; c != nil {
 		g.advance(c)
@@ -42,6 +44,7 @@
 	}
 }
 
+// onAskReply takes over a root's decision on a request, and what the root says of the customer and its load.
 func (g *Gateway) onAskReply(from int, m askReply) {
 	r := g.pendingAsks[m.Tag]
 	if r == nil || r.root != from || r.done {
@@ -69,7 +72,7 @@
 	}
 }
 
-// grant counts a member's request and tells it to go.
+// grant counts a request that another gateway asked for and tells that gateway to send it.
 func (g *Gateway) grant(r *request) {
 	c := r.customer
 	c.chargeUnits(r, g.now)
@@ -79,24 +82,24 @@
 	g.answer(r, granted)
 }
 
-// addLease keeps a place for a member's request until more is heard of it.
+// addLease counts a granted request as in flight until its gateway reports its end or the lease expires.
 func (g *Gateway) addLease(r *request) {
 	until := g.now + time.Duration(leaseMeans*r.class.mean*float64(time.Second))
 	r.customer.leases[leaseKey{r.root, r.tag}] = leaseEntry{until, r}
 }
 
-// onAsk takes a member's request into the customer's counts as if it had come in here.
+// onAsk handles another gateway's ask: it counts the request as if a client had sent it here.
 func (g *Gateway) onAsk(from int, m askMessage) {
 	c := g.customers[m.Customer]
-	fresh := c == nil
-	if fresh {
+	isNew := c == nil
+	if isNew {
 		c = g.account(m.Customer, g.plans[g.cfg.Plans[m.Plan].Name], int(m.First), int(m.Spread))
 	}
-	// One that counts for a root it can't hear goes by what the root last told.
-	if m.BucketFill != unknownStore && (fresh || len(c.askRoots) > 0) {
+	// A deputy that stands in for an unreachable root uses the bucket fill that the root last reported.
+	if m.BucketFill != unknownStore && (isNew || len(c.askRoots) > 0) {
 		c.bucket = min(c.bucket, float64(m.BucketFill)/250*c.plan.Burst)
 	}
-	if r, v := c.pendingAsk(from, m.Tag); r != nil { // an answer was lost, or the attempt is still out
+	if r, v := c.pendingAsk(from, m.Tag); r != nil { // the reply was lost, or the attempt is still in flight
 		if v == granted {
 			g.addLease(r)
 		}
