--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -19,24 +19,24 @@
 )
 
 // simAgent is an agent on a host of its own, connected to one replica. It applies what it is sent and pings by itself.
-type farmhand struct {
-	f    *clusterFixture
-	mu   sync.Mutex
-	gen  uint64 // number of the newest configuration received
-	sum  uint32 // its checksum
-	list *peerlink.Servers
-	who  *peerlink.Census
-	age  time.Duration // of what is in force, since its last confirmation, by the last Pong
-	ever bool          // the last Pong confirmed what is in force
-	stop context.CancelFunc
-	conn *peerlink.Conn
+type simAgent struct {
+	f            *clusterFixture
+	mu           sync.Mutex
+	held         uint64 // number of the newest configuration received
+	sum          uint32 // its checksum
+	list         *peerlink.Servers
+	census       *peerlink.Census
+	confirmedAge time.Duration // of what is in force, since its last confirmation, by the last Pong
+	confirmed    bool          // the last Pong confirmed what is in force
+	stop         context.CancelFunc
+	conn         *peerlink.Conn
 }
 
 // startAgent starts an agent of proxy-NAME and connects it to a replica.
-func (f *clusterFixture) agent(name string, at int) *farmhand {
+func (f *clusterFixture) startAgent(name string, at int) *simAgent {
 	host := f.net.Host("10.1.0." + name)
 	ctx, stop := context.WithCancel(context.Background())
-	agent := &farmhand{f: f, stop: stop}
+	agent := &simAgent{f: f, stop: stop}
 	dialer := &peerlink.Dialer{Net: host, Log: logr.Discard(), Hello: peerlink.Hello{Role: peerlink.Agent, Name: "proxy-" + name, Life: time.Now().UnixNano(), Region: "r", Front: "10.1.0." + name + ":80"}}
 	start := time.Now()
 	go dialer.Keep(ctx, f.settings(at).Inner(ip(at)), func(_ context.Context, conn *peerlink.Conn, _ *peerlink.Hello) error {
@@ -46,7 +46,7 @@
 		go func() {
 			for {
 				agent.mu.Lock()
-				ping := &peerlink.Ping{Sent: time.Since(start), Ready: true, Upstream: true, Gen: agent.gen, Held: agent.gen, Sum: agent.sum}
+				ping := &peerlink.Ping{Sent: time.Since(start), Ready: true, Upstream: true, Gen: agent.held, Held: agent.held, Sum: agent.sum}
 				agent.mu.Unlock()
 				if conn.Send(&peerlink.Frame{Ping: ping}) != nil {
 					return
@@ -62,18 +62,18 @@
 			agent.mu.Lock()
 			if change := frame.Change; change != nil {
 				if change.Configuration != nil {
-					agent.gen, agent.sum = change.Configuration.Gen, change.Configuration.Sum()
+					agent.held, agent.sum = change.Configuration.Gen, change.Configuration.Sum()
 				}
 				if change.Servers != nil {
 					agent.list = change.Servers.Onto(agent.list)
 				}
 				if change.Census != nil {
-					agent.who = change.Census.Onto(agent.who)
+					agent.census = change.Census.Onto(agent.census)
 				}
-				_ = conn.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: change.No, Gen: agent.gen}})
+				_ = conn.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: change.No, Gen: agent.held}})
 			}
 			if pong := frame.Pong; pong != nil {
-				agent.ever, agent.age = pong.Fresh, time.Since(start)-pong.Sent+pong.Age
+				agent.confirmed, agent.confirmedAge = pong.Fresh, time.Since(start)-pong.Sent+pong.Age
 			}
 			agent.mu.Unlock()
 		}
@@ -82,7 +82,7 @@
 }
 
 // holds returns a function that reports whether a condition holds for what the agent was sent.
-func (a *farmhand) sees(condition func(a *farmhand) bool) func() bool {
+func (a *simAgent) holds(condition func(a *simAgent) bool) func() bool {
 	return func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -109,48 +109,50 @@
 }
 
 // Agents are sent only configurations that a majority has decided, and how recently these were confirmed.
-func TestAgentsHearOfWhatIsHeldByMost(t *testing.T) {
+func TestAgentsGetOnlyDecidedConfigurations(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
-		a, b := f.agent("1", 0), f.agent("2", 2)
+		a, b := f.startAgent("1", 0), f.startAgent("2", 2)
 		defer a.stop()
 		defer b.stop()
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		f.waitFor(100*time.Millisecond, "sent by the replica that took it", a.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
-		f.waitFor(500*time.Millisecond, "sent by another replica", b.sees(func(agent *farmhand) bool { return agent.gen == 2 }))
-		f.waitFor(time.Second, "confirmed", a.sees(func(agent *farmhand) bool { return agent.ever && agent.age < 800*time.Millisecond }))
+		f.waitFor(100*time.Millisecond, "sent by the replica that took it", a.holds(func(agent *simAgent) bool { return agent.held == 2 }))
+		f.waitFor(500*time.Millisecond, "sent by another replica", b.holds(func(agent *simAgent) bool { return agent.held == 2 }))
+		f.waitFor(time.Second, "confirmed", a.holds(func(agent *simAgent) bool { return agent.confirmed && agent.confirmedAge < 800*time.Millisecond }))
 		f.acceptOnOneDisk(0, configurationBody(3, "a"))
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, a.sees(func(agent *farmhand) bool { return agent.gen == 2 })())
+		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.held == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.waitFor(3*time.Second, "sent once a majority can write again", b.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
-		f.waitFor(time.Second, "sent once a majority can write again", a.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		f.waitFor(3*time.Second, "sent once a majority can write again", b.holds(func(agent *simAgent) bool { return agent.held == 3 }))
+		f.waitFor(time.Second, "sent once a majority can write again", a.holds(func(agent *simAgent) bool { return agent.held == 3 }))
 		// A replica that is cut off confirms nothing any more, since it may lack what was decided.
 		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
 		f.replaceUntilAcknowledged(1, configurationBody(4, "a"))
-		assert.Assert(t, a.sees(func(agent *farmhand) bool { return agent.gen == 3 && agent.age > 4*time.Second })())
+		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.held == 3 && agent.confirmedAge > 4*time.Second })())
 		f.partition(ips(0), ips(1, 2), sim.Open)
-		f.waitFor(3*time.Second, "sent after the cut", a.sees(func(agent *farmhand) bool { return agent.gen == 4 && agent.age < time.Second }))
+		f.waitFor(3*time.Second, "sent after the cut", a.holds(func(agent *simAgent) bool { return agent.held == 4 && agent.confirmedAge < time.Second }))
 	})
 }
 
 func TestCensus(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
-		a, b := f.agent("1", 0), f.agent("2", 0)
+		a, b := f.startAgent("1", 0), f.startAgent("2", 0)
 		defer a.stop()
 		counts := func(ready, shares int) func() bool {
-			return a.sees(func(agent *farmhand) bool {
+			return a.holds(func(agent *simAgent) bool {
 				readyCount := 0
-				for _, proxy := range agent.who.Proxies {
+				for _, proxy := range agent.census.Proxies {
 					if proxy.Ready {
 						readyCount++
 					}
 				}
-				return readyCount == ready && agent.who.Shares == shares
+				return readyCount == ready && agent.census.Shares == shares
 			})
 		}
-		f.waitFor(2*time.Second, "both ready", func() bool { return a.sees(func(agent *farmhand) bool { return agent.who != nil })() && counts(2, 2)() })
+		f.waitFor(2*time.Second, "both ready", func() bool {
+			return a.holds(func(agent *simAgent) bool { return agent.census != nil })() && counts(2, 2)()
+		})
 		status, text := f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
@@ -177,7 +179,7 @@
 			{"POST", "Config.Replace", `{"gen":"r1"`, 400},
 			{"POST", "Config.Replace", string(configurationBody(2, "a")), 200},
 			{"POST", "Config.Replace", string(configurationBody(1, "a")), 200},
-			{"POST", "Config.Replace", "x" + string(make([]byte, mostBody)), 413},
+			{"POST", "Config.Replace", "x" + string(make([]byte, maxBodyBytes)), 413},
 			{"GET", "Config.Show", "", 200},
 			{"POST", "Drain.Begin/z1", "", 200},
 			{"POST", "Drain.Begin/z1", "", 200},
@@ -200,14 +202,14 @@
 }
 
 // fakePlatform serves the platform's server list, with one server a page.
-type platform struct {
+type fakePlatform struct {
 	mu      sync.Mutex
 	servers []string // rows in JSON
 	calls   int
 	down    bool // all calls are refused
 }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
@@ -224,17 +226,17 @@
 }
 
 // serverRow returns the row of a server in JSON.
-func row(id, state string) string {
+func serverRow(id, state string) string {
 	return fmt.Sprintf(`["%s","s","10.5.0.1:80","z0","%s"]`, id, state)
 }
 
-func TestListsDutyIsTakenOver(t *testing.T) {
-	platformList := &platform{servers: []string{row("a", "ready"), row("b", "ready")}}
+func TestListLeaseIsTakenOver(t *testing.T) {
+	platformList := &fakePlatform{servers: []string{serverRow("a", "ready"), serverRow("b", "ready")}}
 	runClusterWithPlatform(t, 4, platformList, func(f *clusterFixture) {
-		agent := f.agent("1", 0)
+		agent := f.startAgent("1", 0)
 		defer agent.stop()
 		states := func(want string) func() bool {
-			return agent.sees(func(agent *farmhand) bool {
+			return agent.holds(func(agent *simAgent) bool {
 				got := ""
 				for _, server := range agent.list.List {
 					got += fmt.Sprint(server.ID, " ", server.Draining, ";")
@@ -247,7 +249,7 @@
 			defer platformList.mu.Unlock()
 			platformList.servers = rows
 		}
-		f.waitFor(2*time.Second, "a list", agent.sees(func(agent *farmhand) bool { return agent.list != nil }))
+		f.waitFor(2*time.Second, "a list", agent.holds(func(agent *simAgent) bool { return agent.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
 		platformList.mu.Lock()
 		before := platformList.calls
@@ -256,11 +258,11 @@
 		platformList.mu.Lock()
 		assert.Assert(t, platformList.calls-before <= 2*21, "%d calls", platformList.calls-before) // one replica reads, at most every 500 ms
 		platformList.mu.Unlock()
-		set(row("a", "draining"), row("b", "ready"))
+		set(serverRow("a", "draining"), serverRow("b", "ready"))
 		f.waitFor(time.Second, "drains", states("a true;b false;"))
 		holder := 0
 		for i := 1; i < 4; i++ {
-			if f.replicas[i].holdsNow() {
+			if f.replicas[i].holdsListLease() {
 				holder = i
 			}
 		}
@@ -269,27 +271,27 @@
 		} else {
 			f.kill(holder, true)
 		}
-		set(row("a", "ready"), row("b", "draining"), row("c", "ready"))
+		set(serverRow("a", "ready"), serverRow("b", "draining"), serverRow("c", "ready"))
 		f.waitFor(3*time.Second, "taken over", states("a true;b true;c false;")) // a draining instance never becomes ready again
 	})
 }
 
 // holdsListLease reports whether the replica holds the lease of the server list.
-func (r *runningReplica) holdsNow() bool {
+func (r *runningReplica) holdsListLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duty.Holds()
 }
 
 // An agent that holds another text under the number of the configuration in force is sent the one in force.
-func TestTwinTextIsTold(t *testing.T) {
-	playAgents(t, 3, func(f *crowd) {
+func TestOtherTextOfTheSameNumberIsReplaced(t *testing.T) {
+	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
 		held := f.replicas[0].configurationInForce()
-		agent, stop := f.helper(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
+		agent, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
 		defer stop()
-		f.pass(2*time.Second, agent)
-		assert.Equal(t, string(agent.news().Configuration.Body), string(held.Body))
+		f.pingFor(2*time.Second, agent)
+		assert.Equal(t, string(agent.lastNonCensusChange().Configuration.Body), string(held.Body))
 		assert.Assert(t, !agent.pong.Fresh, "%+v", agent.pong)
 	})
 }
@@ -298,22 +300,22 @@
 // accepting keys that have been revoked, while the next configuration is being sent, while only the agent holds it, or
 // while another text of the same number is in force.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
-	playAgents(t, 3, func(f *crowd) {
+	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		ping := func(gen uint64) peerlink.Ping {
 			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
 		}
-		proxy, stop := f.helper(0, "1", ping(2))
+		proxy, stop := f.startAgentWithPing(0, "1", ping(2))
 		defer stop()
 		newest := func(what string) {
-			f.pass(time.Second, proxy)
+			f.pingFor(time.Second, proxy)
 			assert.Assert(t, proxy.pong.Fresh && proxy.pong.Age < time.Second && proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
 		newest("the newest in force")
 		f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
 		decided := time.Now()
 		outdated := func(what string) {
-			f.pass(time.Second, proxy)
+			f.pingFor(time.Second, proxy)
 			assert.Assert(t, !proxy.pong.Fresh || proxy.pong.Age >= time.Since(decided)-250*time.Millisecond, "%s: %+v, decided %v ago", what, proxy.pong, time.Since(decided))
 			assert.Assert(t, proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
@@ -336,7 +338,7 @@
 
 // The platform's address, its rate and the zones can change while replicas run.
 func TestSettingsChange(t *testing.T) {
-	one, two := &platform{servers: []string{row("a", "ready")}}, &platform{servers: []string{row("b", "ready")}}
+	one, two := &fakePlatform{servers: []string{serverRow("a", "ready")}}, &fakePlatform{servers: []string{serverRow("b", "ready")}}
 	runClusterWithPlatform(t, 3, one, func(f *clusterFixture) {
 		listener, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
 		assert.NilError(t, err)
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -22,29 +22,29 @@
 
 // Bounds of HTTP calls.
 const (
-	mostBody    = 7 << 20 // a frame between replicas has to hold it
-	mostLockAsk = 4 << 10
-	headWithin  = 3 * time.Second
-	callRead    = 10 * time.Second
-	idleWithin  = 30 * time.Second
-	answersFor  = time.Second // for which a client may use the answer to a lookup
-	retryAfter  = "0.2"
-	jsonType    = "application/json"
-	closeWithin = 1500 * time.Millisecond // for calls in flight when the replica stops
+	maxBodyBytes        = 7 << 20 // a frame between replicas has to hold it
+	maxLockRequestBytes = 4 << 10
+	httpHeaderTimeout   = 3 * time.Second
+	httpCallTimeout     = 10 * time.Second
+	httpIdleTimeout     = 30 * time.Second
+	maxLookupTTL        = time.Second // for which a client may use the answer to a lookup
+	retryAfterSeconds   = "0.2"
+	jsonContentType     = "application/json"
+	httpShutdownTimeout = 1500 * time.Millisecond // for calls in flight when the replica stops
 )
 
 // serveHTTP serves the operators' calls and the clients' lookups. It returns a function that shuts both servers down.
 func (b *Replica) serveHTTP(ctx context.Context) (func(), error) {
 	var servers []*http.Server
 	stop := func() {
-		ctx, cancel := b.withTimeout(context.Background(), closeWithin)
+		ctx, cancel := b.withTimeout(context.Background(), httpShutdownTimeout)
 		defer cancel()
 		for _, server := range servers {
 			_ = server.Shutdown(ctx)
 			_ = server.Close()
 		}
 	}
-	for addr, handler := range map[string]http.Handler{b.self.Ctl: b.ctl(), b.self.Dir: b.dir()} {
+	for addr, handler := range map[string]http.Handler{b.self.Ctl: b.operatorHandler(), b.self.Dir: b.directoryHandler()} {
 		if addr == "" {
 			continue
 		}
@@ -53,7 +53,7 @@
 			stop()
 			return nil, errors.Wrap(err, "replica")
 		}
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: headWithin, ReadTimeout: callRead, WriteTimeout: callRead, IdleTimeout: idleWithin}
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: httpHeaderTimeout, ReadTimeout: httpCallTimeout, WriteTimeout: httpCallTimeout, IdleTimeout: httpIdleTimeout}
 		servers = append(servers, server)
 		b.jobs.Go(func() { _ = server.Serve(listener) })
 	}
@@ -61,52 +61,52 @@
 }
 
 // operatorHandler serves the operators' calls.
-func (b *Replica) ctl() http.Handler {
+func (b *Replica) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.ConfigReplace, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		var tooLarge *http.MaxBytesError
 		switch {
 		case errors.As(err, &tooLarge):
-			refuse(w, http.StatusRequestEntityTooLarge, err)
+			writeError(w, http.StatusRequestEntityTooLarge, err)
 		case err != nil:
-			refuse(w, http.StatusServiceUnavailable, err)
+			writeError(w, http.StatusServiceUnavailable, err)
 		default:
 			var done ReplaceResult
-			err := b.noted(r, api.OrderConfig, genOf(body), func(ctx context.Context) (err error) {
+			err := b.runOrder(r, api.OrderConfig, configurationGen(body), func(ctx context.Context) (err error) {
 				done, err = b.Replace(ctx, body)
 				return err
 			})
-			answerReplace(w, done, err)
+			writeReplaceResult(w, done, err)
 		}
 	})
 	mux.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := b.CurrentConfiguration(r.Context())
 		if err != nil {
-			finish(w, err)
+			writeOrderResult(w, err)
 			return
 		}
-		w.Header().Set("Content-Type", jsonType)
+		w.Header().Set("Content-Type", jsonContentType)
 		_, _ = w.Write(configuration.Body)
 	})
 	for path, drain := range map[string]bool{api.DrainBegin: true, api.DrainFinish: false} {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			zone := strings.TrimPrefix(r.URL.Path, path)
-			finish(w, b.noted(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
+			writeOrderResult(w, b.runOrder(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
 		})
 	}
-	b.nodes(mux)
-	b.servers(mux)
-	b.operators(mux)
+	b.addProxyRoutes(mux)
+	b.addServerRoutes(mux)
+	b.addOperatorRoutes(mux)
 	return mux
 }
 
 // addProxyRoutes adds the orders about proxies, and the lock for operators who give a series of orders.
-func (b *Replica) nodes(mux *http.ServeMux) {
+func (b *Replica) addProxyRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+api.NodeRest, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeRest)
-		finish(w, b.noted(r, api.OrderRest, name, func(ctx context.Context) error {
-			minAwake, err := floorOf(r.URL.Query())
+		writeOrderResult(w, b.runOrder(r, api.OrderRest, name, func(ctx context.Context) error {
+			minAwake, err := parseMinAwake(r.URL.Query())
 			if err != nil {
 				return InvalidError{err}
 			}
@@ -115,31 +115,31 @@
 	})
 	mux.HandleFunc("POST "+api.NodeWake, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeWake)
-		finish(w, b.noted(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
+		writeOrderResult(w, b.runOrder(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
 	})
 	for path, take := range map[string]bool{api.LockTake: true, api.LockDrop: false} {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			var request api.LockAsk
-			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostLockAsk)).Decode(&request)
+			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxLockRequestBytes)).Decode(&request)
 			if err != nil || request.Token == "" || take && (request.Who == "" || request.ForMS <= 0) {
-				refuse(w, http.StatusBadRequest, errors.New("lock request is malformed or lacks a token, a name or a duration"))
+				writeError(w, http.StatusBadRequest, errors.New("lock request is malformed or lacks a token, a name or a duration"))
 				return
 			}
 			if take {
 				lock := state.Lock{Token: request.Token, Who: request.Who, Since: request.Since.UnixNano(), For: time.Duration(request.ForMS) * time.Millisecond}
-				finish(w, b.AcquireLock(r.Context(), lock))
+				writeOrderResult(w, b.AcquireLock(r.Context(), lock))
 				return
 			}
-			finish(w, b.ReleaseLock(r.Context(), request.Token))
+			writeOrderResult(w, b.ReleaseLock(r.Context(), request.Token))
 		})
 	}
 }
 
 // addServerRoutes adds the order about servers.
-func (b *Replica) servers(mux *http.ServeMux) {
+func (b *Replica) addServerRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+api.ServerJudge, func(w http.ResponseWriter, r *http.Request) {
 		id, query := strings.TrimPrefix(r.URL.Path, api.ServerJudge), r.URL.Query()
-		finish(w, b.noted(r, api.OrderJudge, id, func(ctx context.Context) error {
+		writeOrderResult(w, b.runOrder(r, api.OrderJudge, id, func(ctx context.Context) error {
 			duration := api.JudgeUsual
 			if text := query.Get(api.JudgeFor); text != "" {
 				seconds, err := strconv.ParseFloat(text, 64)
@@ -154,8 +154,8 @@
 }
 
 // parseMinAwake reads which parts of the proxies have to stay awake.
-func floorOf(query url.Values) (Floor, error) {
-	minAwake := Floor{Zone: api.LeastAwake, All: api.LeastAwake, Force: query.Get(api.RestForce) == "true"}
+func parseMinAwake(query url.Values) (MinAwake, error) {
+	minAwake := MinAwake{Zone: api.LeastAwake, All: api.LeastAwake, Force: query.Get(api.RestForce) == "true"}
 	for name, target := range map[string]*float64{api.RestZone: &minAwake.Zone, api.RestAll: &minAwake.All} {
 		text := query.Get(name)
 		if text == "" {
@@ -171,30 +171,30 @@
 }
 
 // writeOrderResult answers an order.
-func finish(w http.ResponseWriter, err error) {
+func writeOrderResult(w http.ResponseWriter, err error) {
 	if err != nil {
-		refuse(w, statusOf(err), err)
+		writeError(w, httpStatus(err), err)
 		return
 	}
-	w.Header().Set("Content-Type", jsonType)
+	w.Header().Set("Content-Type", jsonContentType)
 	_, _ = io.WriteString(w, "{}\n")
 }
 
 // writeReplaceResult answers a replacement of the configuration with the version that is in force now: it may be a newer
 // one.
-func answerReplace(w http.ResponseWriter, done ReplaceResult, err error) {
+func writeReplaceResult(w http.ResponseWriter, done ReplaceResult, err error) {
 	if err != nil {
-		finish(w, err)
+		writeOrderResult(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", jsonType)
-	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: version(done.Held)})
+	w.Header().Set("Content-Type", jsonContentType)
+	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: apiVersion(done.Held)})
 }
 
 // httpStatus returns the status for an order that failed. 503 says that it's unknown whether the order is in force.
-func statusOf(err error) int {
+func httpStatus(err error) int {
 	var invalid InvalidError
-	var tooFewAwake Tight
+	var tooFewAwake TooFewAwakeError
 	var taken LockTakenError
 	var conflict ConflictError
 	switch {
@@ -211,40 +211,40 @@
 }
 
 // writeError answers with a status and an error in JSON.
-func refuse(w http.ResponseWriter, status int, err error) {
-	w.Header().Set("Content-Type", jsonType)
+func writeError(w http.ResponseWriter, status int, err error) {
+	w.Header().Set("Content-Type", jsonContentType)
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
 }
 
 // directoryHandler serves the clients' lookups of proxies.
-func (b *Replica) dir() http.Handler {
+func (b *Replica) directoryHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.DirLookup, func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		b.mu.Lock()
-		regions := b.regionsFor(query.Get(api.LookupName), query.Get(api.LookupRegion))
+		regions := b.lookupRegions(query.Get(api.LookupName), query.Get(api.LookupRegion))
 		addresses := b.proxies.frontAddresses(regions, query.Get(api.LookupName)+" "+query.Get(api.LookupZone), b.now())
 		b.mu.Unlock()
 		if len(addresses) == 0 {
-			refuse(w, http.StatusServiceUnavailable, errors.New("no proxy is ready"))
+			writeError(w, http.StatusServiceUnavailable, errors.New("no proxy is ready"))
 			return
 		}
 		if len(addresses) > api.MostAddresses {
 			rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 			addresses = addresses[:api.MostAddresses]
 		}
-		w.Header().Set("Content-Type", jsonType)
-		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: addresses, TTLS: min(answersFor, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
+		w.Header().Set("Content-Type", jsonContentType)
+		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: addresses, TTLS: min(maxLookupTTL, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
 	return mux
 }
 
 // lookupRegions returns the regions whose proxies a client in a region gets for a host; the mutex is held.
-func (b *Replica) regionsFor(hostName, region string) []string {
+func (b *Replica) lookupRegions(hostName, region string) []string {
 	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -12,7 +12,7 @@
 )
 
 // joinProxy registers a proxy that is ready at once.
-func join(r *proxyRegistry, name string, now time.Duration) *proxy {
+func joinProxy(r *proxyRegistry, name string, now time.Duration) *proxy {
 	proxy, _ := r.noteConnected(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
 	proxy.ready = true
 	if proxy.firstReadyAt == 0 {
@@ -22,7 +22,7 @@
 }
 
 // heartbeatAll records a heartbeat of all proxies but the one named in except.
-func hearAll(r *proxyRegistry, now time.Duration, except ...string) {
+func heartbeatAll(r *proxyRegistry, now time.Duration, except ...string) {
 	for _, name := range r.names() {
 		if len(except) == 0 || name != except[0] {
 			r.proxies[name].lastHeard = now
@@ -32,29 +32,29 @@
 
 // A leaving proxy that has released its quota shares no longer counts, even if it is heard of later. Its next incarnation
 // joins like a new proxy, and leaves unused the shares that a proxy behind a cut may still use.
-func TestGivenPartsAreOthersAtOnce(t *testing.T) {
+func TestReleasedQuotaSharesAreFreeAtOnce(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b", "c"} {
-		join(r, n, now)
+		joinProxy(r, n, now)
 	}
 	now += 5 * time.Second
-	hearAll(r, now)
+	heartbeatAll(r, now)
 	leaver := r.proxies["a"]
 	leaver.leftAt, leaver.grace, leaver.quotaReleased = now, 6*time.Second, true
 	_, shares, _ := r.members(now)
 	assert.Equal(t, shares, 2)
 
 	now += time.Second
-	hearAll(r, now)
-	join(r, "a", now)
+	heartbeatAll(r, now)
+	joinProxy(r, "a", now)
 	for _, step := range []struct {
 		d      time.Duration
 		but    string
 		silent int
 	}{{0, "", 2}, {handover.HeardBy, "c", 1}, {10 * time.Second, "c", 1}, {11 * time.Second, "", 0}} {
 		if step.d > 0 {
-			hearAll(r, now+step.d, step.but)
+			heartbeatAll(r, now+step.d, step.but)
 		}
 		all, shares, _ := r.members(now + step.d)
 		assert.Equal(t, shares, 3)
@@ -64,11 +64,11 @@
 
 // A proxy that joins others is listed to a growing part of the clients. Proxies that all start at once, and one that comes
 // back after being killed, are listed to all clients at once.
-func TestJoinersRise(t *testing.T) {
+func TestJoiningProxiesAreListedGradually(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	clock := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
-		join(r, n, clock)
+		joinProxy(r, n, clock)
 	}
 	placesWith := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
@@ -82,33 +82,33 @@
 	}
 	assert.Equal(t, placesWith("b", clock), 100) // all started at once
 	clock += 10 * time.Second
-	hearAll(r, clock)
+	heartbeatAll(r, clock)
 	r.proxies["b"].connected = false
-	join(r, "b", clock) // it was killed
+	joinProxy(r, "b", clock) // it was killed
 	assert.Equal(t, placesWith("b", clock), 100)
-	join(r, "e", clock)
+	joinProxy(r, "e", clock)
 	const mid = (handover.RiseAt + handover.RiseFor) / 2
 	assert.Equal(t, placesWith("e", clock), 0)
-	hearAll(r, clock+mid)
+	heartbeatAll(r, clock+mid)
 	half := placesWith("e", clock+mid)
 	assert.Assert(t, half > 25 && half < 75, "%d", half)
-	hearAll(r, clock+handover.RiseFor)
+	heartbeatAll(r, clock+handover.RiseFor)
 	assert.Equal(t, placesWith("e", clock+handover.RiseFor), 100)
 	assert.Equal(t, placesWith("a", clock+handover.RiseFor), 100)
 }
 
 // A joining proxy uses its quota share only once all other proxies have reported that they divide quotas by the new number,
 // however long that takes. A later join doesn't put it back into waiting.
-func TestJoinersWaitForTheOthersWord(t *testing.T) {
+func TestJoiningProxiesWaitForTheOthersShares(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b"} {
-		join(r, n, now).quotaParts = 2
+		joinProxy(r, n, now).quotaParts = 2
 	}
 	now += time.Second
-	join(r, "c", now)
+	joinProxy(r, "c", now)
 	silent := func(name string, after time.Duration) int {
-		hearAll(r, now+after)
+		heartbeatAll(r, now+after)
 		all, _, _ := r.members(now + after)
 		i := slices.IndexFunc(all, func(m peerlink.Member) bool { return m.Hello.Name == name })
 		return all[i].Silent
@@ -121,20 +121,20 @@
 	assert.Equal(t, silent("c", 20*time.Second), 0)
 	now += 21 * time.Second
 	r.proxies["c"].quotaParts = 3
-	join(r, "d", now)
+	joinProxy(r, "d", now)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
 }
 
 // If every proxy leaves at once, clients are sent to those that still accept requests, and to none that has stopped.
-func TestLeaversAreBetterThanNone(t *testing.T) {
+func TestLeavingProxiesAreListedIfNoOtherIsReady(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, name := range []string{"a", "b"} {
-		join(r, name, now)
+		joinProxy(r, name, now)
 	}
 	now += 10 * time.Second
-	hearAll(r, now)
+	heartbeatAll(r, now)
 	leave := func(name string) {
 		r.proxies[name].leftAt, r.proxies[name].grace, r.proxies[name].ready = now, 6*time.Second, false
 	}
@@ -143,10 +143,10 @@
 	leave("b")
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"a", "b"})
 	now += 2 * time.Second
-	hearAll(r, now)
+	heartbeatAll(r, now)
 	r.proxies["a"].quotaReleased = true
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
 	now += time.Second
-	hearAll(r, now)
+	heartbeatAll(r, now)
 	assert.Equal(t, len(r.frontAddresses([]string{"r"}, "p", now)), 0)
 }
--- a/internal/control/latest_list_read.go
+++ b/internal/control/latest_list_read.go
@@ -8,17 +8,17 @@
 
 // latestListRead describes the newest read of the platform's server list that a replica knows of, whether its own or
 // another replica's. Times are those of the replica's monotonic clock.
-type lastReading struct {
-	known  bool
-	began  time.Duration
-	heard  time.Duration // when this replica learned of the read; 0: never
-	period time.Duration // between the starts of two reads; 0: unknown
-	pages  int           // number of calls that the read took; 0: unknown
+type latestListRead struct {
+	known     bool
+	startedAt time.Duration
+	learnedAt time.Duration // when this replica learned of the read; 0: never
+	period    time.Duration // between the starts of two reads; 0: unknown
+	pages     int           // number of calls that the read took; 0: unknown
 }
 
 // update records a read that this replica has just learned of.
-func (r *lastReading) take(reading peerlink.Reading, now time.Duration) {
-	r.known, r.heard, r.began = true, now, now-max(0, reading.Age)
+func (r *latestListRead) update(reading peerlink.Reading, now time.Duration) {
+	r.known, r.learnedAt, r.startedAt = true, now, now-max(0, reading.Age)
 	if reading.Period > 0 {
 		r.period = reading.Period
 	}
@@ -28,9 +28,9 @@
 }
 
 // message returns the read as it is sent to others; nil: none is known.
-func (r *lastReading) tell(now time.Duration) *peerlink.Reading {
+func (r *latestListRead) message(now time.Duration) *peerlink.Reading {
 	if !r.known {
 		return nil
 	}
-	return &peerlink.Reading{Age: now - r.began, Period: r.period, Pages: r.pages}
+	return &peerlink.Reading{Age: now - r.startedAt, Period: r.period, Pages: r.pages}
 }
--- a/internal/control/list_lease.go
+++ b/internal/control/list_lease.go
@@ -11,26 +11,26 @@
 
 // The lease of the server list: its holder reads the list from the platform for all replicas.
 const (
-	listDuty   = "servers"
-	listAfter  = 300 * time.Millisecond // after the start, so that another replica can announce first that it holds the lease
-	listWithin = time.Second            // of one call to the platform
-	listAgain  = 200 * time.Millisecond
+	listLeaseName       = "servers"
+	listLeaseStartDelay = 300 * time.Millisecond // after the start, so that another replica can announce first that it holds the lease
+	listCallTimeout     = time.Second            // of one call to the platform
+	listRetryDelay      = 200 * time.Millisecond
 )
 
 // ownListReads is the state of this replica's own reads of the server list.
-type reading struct {
-	work  lease.TaskTimes
-	again time.Duration // no read before this time, after one that failed
-	took  time.Duration // duration of the last successful read
+type ownListReads struct {
+	work         lease.TaskTimes
+	retryAt      time.Duration // no read before this time, after one that failed
+	lastReadTook time.Duration // duration of the last successful read
 
-	failures uint64 // since the start
-	busy     bool   // a read is under way
+	failureCount uint64 // since the start
+	inProgress   bool   // a read is under way
 }
 
 // runListLease takes part in the lease of the server list and reads the list when it is this replica's turn, until ctx
 // ends.
-func (b *Replica) duties(ctx context.Context) {
-	if !b.sleep(ctx, listAfter) {
+func (b *Replica) runListLease(ctx context.Context) {
+	if !b.sleep(ctx, listLeaseStartDelay) {
 		return
 	}
 	b.mu.Lock()
@@ -38,18 +38,18 @@
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		now, view := b.now(), b.view()
-		b.tellDuty(b.duty.Step(view))
+		now, view := b.now(), b.leaseView()
+		b.sendLeaseMessages(b.duty.Step(view))
 		next := min(b.duty.NextStep(view), now+time.Second)
-		if due := b.due(view); due > now {
+		if due := b.nextListReadAt(view); due > now {
 			next = min(next, due)
-		} else if reads := &b.ownReading; !reads.busy {
-			reads.busy, reads.work.LastOwn = true, now
+		} else if reads := &b.ownReading; !reads.inProgress {
+			reads.inProgress, reads.work.LastOwn = true, now
 			stamp := max(b.world.Now().UnixNano(), b.listStamp+1)
-			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
+			b.jobs.Go(func() { b.readListOnce(ctx, stamp) })
 		}
 		b.mu.Unlock()
-		timer := b.world.NewTimer(max(soon, next-now))
+		timer := b.world.NewTimer(max(minWakeDelay, next-now))
 		select {
 		case <-timer.C():
 		case <-b.dutyWakeup:
@@ -60,48 +60,48 @@
 }
 
 // nextListReadAt returns when this replica reads the list next, as far as it knows now; the mutex is held.
-func (b *Replica) due(view lease.View) time.Duration {
+func (b *Replica) nextListReadAt(view lease.View) time.Duration {
 	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return view.Now + time.Second
 	}
 	work := &b.ownReading.work
-	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.heard, b.othersReadingAt
-	return max(b.ownReading.again, b.duty.NextRun(view, b.ownReading.work))
+	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.learnedAt, b.othersReadingAt
+	return max(b.ownReading.retryAt, b.duty.NextRun(view, b.ownReading.work))
 }
 
 // readListOnce reads the list from the platform and applies it under the given stamp, in nanoseconds.
-func (b *Replica) readOnce(ctx context.Context, stamp int64) {
+func (b *Replica) readListOnce(ctx context.Context, stamp int64) {
 	settings := b.liveSettings.Load()
 	began := b.now()
 	terms := listing.Terms{RatePerS: settings.Provider.Cloud.RatePerS, Drain: settings.Terms.Bounds.Drain}
 	list, pages, err := b.readList(ctx, settings.Provider.Cloud.Address, terms)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	defer b.spurred()
+	defer b.signalLeaseChange()
 	reads := &b.ownReading
-	if reads.busy = false; err != nil {
+	if reads.inProgress = false; err != nil {
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
-		reads.failures++
-		reads.again = b.now() + listAgain
+		reads.failureCount++
+		reads.retryAt = b.now() + listRetryDelay
 		if b.othersReadingAt > reads.work.LastOwn-reads.work.Period {
-			b.tellDuty(b.duty.Yield()) // another replica can read it
+			b.sendLeaseMessages(b.duty.Yield()) // another replica can read it
 		}
 		return
 	}
-	reads.again = 0
-	reads.took = b.now() - began
-	b.log.V(1).Info("list read", "pages", pages, "took", reads.took)
+	reads.retryAt = 0
+	reads.lastReadTook = b.now() - began
+	b.log.V(1).Info("list read", "pages", pages, "took", reads.lastReadTook)
 	servers := &peerlink.Servers{Stamp: stamp, By: b.self.Name, List: list,
-		Reading: peerlink.Reading{Age: reads.took, Period: terms.Period(pages), Pages: pages}}
+		Reading: peerlink.Reading{Age: reads.lastReadTook, Period: terms.Period(pages), Pages: pages}}
 	if b.duty.Holds() {
 		servers.Term = b.duty.Known().Term
 		b.duty.NoteAnnounced(b.now())
 	}
-	b.listed(servers)
+	b.applyList(servers)
 }
 
 // leaseView returns what the lease has to know of this replica and the others; the mutex is held.
-func (b *Replica) view() lease.View {
+func (b *Replica) leaseView() lease.View {
 	voters := b.contents.Record.Decided.Voters
 	view := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.world.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
 	noVoters := len(voters) == 0 // then every replica counts as having a vote
@@ -111,27 +111,27 @@
 	for _, links := range b.links {
 		if link := links[len(links)-1]; !link.leaving {
 			_, isVoter := b.contents.Record.Decided.Voter(link.peer.ID)
-			view.Peers = append(view.Peers, lease.Peer{Seat: link.seat(), Zone: link.peer.Zone, CanVote: noVoters || isVoter})
+			view.Peers = append(view.Peers, lease.Peer{Seat: link.processID(), Zone: link.peer.Zone, CanVote: noVoters || isVoter})
 		}
 	}
 	return view
 }
 
 // processID identifies the replica process at the other end of the link.
-func (l *link) seat() peerlink.Seat { return peerlink.Seat{Name: l.peer.Name, Life: l.peer.Life} }
+func (l *link) processID() peerlink.Seat { return peerlink.Seat{Name: l.peer.Name, Life: l.peer.Life} }
 
 // handleLeaseMessage processes another replica's message about the list lease; the mutex is held.
-func (b *Replica) hearDuty(link *link, message *peerlink.Duty) {
+func (b *Replica) handleLeaseMessage(link *link, message *peerlink.Duty) {
 	before := b.duty.Known()
-	b.tellDuty(b.duty.Receive(b.view(), link.seat(), *message))
+	b.sendLeaseMessages(b.duty.Receive(b.leaseView(), link.processID(), *message))
 	if after := b.duty.Known(); after.Term != before.Term {
 		b.log.Info("list lease changed", "holder", after.Holder.Name, "next", after.Next.Name, "epoch", after.Term.Epoch, "step", after.Term.Step)
 	}
-	b.spurred()
+	b.signalLeaseChange()
 }
 
 // sendLeaseMessages sends messages about the list lease to the replicas they are for; the mutex is held.
-func (b *Replica) tellDuty(messages []lease.Message) {
+func (b *Replica) sendLeaseMessages(messages []lease.Message) {
 	for _, message := range messages {
 		for name, links := range b.links {
 			if message.To == "" || message.To == name {
@@ -142,7 +142,7 @@
 }
 
 // signalLeaseChange makes runListLease check the lease now; the mutex may be held.
-func (b *Replica) spurred() {
+func (b *Replica) signalLeaseChange() {
 	select {
 	case b.dutyWakeup <- struct{}{}:
 	default:
--- a/internal/control/list_lease_test.go
+++ b/internal/control/list_lease_test.go
@@ -20,7 +20,7 @@
 	long := terms.Period(6)
 	assert.Equal(t, long, 1200*ms)
 	self := peerlink.Seat{Name: "a", Life: 1}
-	listLease := lease.New(listDuty, self, "z")
+	listLease := lease.New(listLeaseName, self, "z")
 	view := lease.View{Now: 20 * time.Second, Peers: []lease.Peer{{Seat: peerlink.Seat{Name: "b", Life: 1}}}, VoterCount: 2}
 	due := listLease.NextRun(view, lease.TaskTimes{Period: long, LastKnown: 10 * time.Second})
 	assert.Assert(t, due > 11200*ms && due <= 12500*ms, "%s", due)
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	platformRate = 44               // beyond this, the platform refuses calls
-	pagesOfList  = 60               // 3,000 servers at 50 a page
-	recoverIn    = 15 * time.Second // the setting recover_s
+	platformCallsPerSecond = 44               // beyond this, the platform refuses calls
+	listPages              = 60               // 3,000 servers at 50 a page
+	recoveryTime           = 15 * time.Second // the setting recover_s
 )
 
 // rateLimitedPlatform refuses calls above platformCallsPerSecond.
-type sparing struct {
-	platform
+type rateLimitedPlatform struct {
+	fakePlatform
 	calls   []time.Time // of the last second
 	refused int
 	down    bool
 }
 
-func (s *sparing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *rateLimitedPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	if s.down {
 		s.mu.Unlock()
@@ -33,7 +33,7 @@
 		s.calls = s.calls[1:]
 	}
 	s.calls = append(s.calls, time.Now())
-	over := len(s.calls) > platformRate
+	over := len(s.calls) > platformCallsPerSecond
 	if over {
 		s.refused++
 	}
@@ -42,37 +42,37 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	s.platform.ServeHTTP(w, r)
+	s.fakePlatform.ServeHTTP(w, r)
 }
 
 // Guards against a list of more pages than the platform serves in a second never being read, because each refused call
 // restarted the read.
 func TestListOfMorePagesThanTheRateIsRead(t *testing.T) {
-	p := &sparing{}
-	for i := range pagesOfList {
-		p.servers = append(p.servers, row(longID(i), "ready"))
+	p := &rateLimitedPlatform{}
+	for i := range listPages {
+		p.servers = append(p.servers, serverRow(serverID(i), "ready"))
 	}
 	runClusterWithPlatform(t, 3, p, func(f *clusterFixture) {
-		agent := f.agent("1", 0)
+		agent := f.startAgent("1", 0)
 		defer agent.stop()
-		known := agent.sees(func(agent *farmhand) bool { return agent.list != nil && len(agent.list.List) == pagesOfList })
-		for start := time.Now(); !known() && time.Since(start) < recoverIn; {
+		known := agent.holds(func(agent *simAgent) bool { return agent.list != nil && len(agent.list.List) == listPages })
+		for start := time.Now(); !known() && time.Since(start) < recoveryTime; {
 			time.Sleep(100 * time.Millisecond)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(t, known(), "not known after %v, %d calls refused", recoverIn, p.refused)
+		assert.Assert(t, known(), "not known after %v, %d calls refused", recoveryTime, p.refused)
 	})
 }
 
 // After an outage of the platform, all replicas have a current list in time, although all of them try to read it.
 func TestManyReplicasDoNotKeepEachOtherFromTheListAfterAnOutage(t *testing.T) {
-	p := &sparing{}
+	p := &rateLimitedPlatform{}
 	for i := range 10 {
-		p.servers = append(p.servers, row(longID(i), "ready"))
+		p.servers = append(p.servers, serverRow(serverID(i), "ready"))
 	}
-	setup := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: platformRate}
-	setup.run(longReplicas, p, func(f *clusterFixture) {
+	setup := &clusterFixture{t: t, drainTime: drainTime, cloudRate: platformCallsPerSecond}
+	setup.run(manyReplicas, p, func(f *clusterFixture) {
 		setDown := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 		f.waitFor(time.Minute, "read by all again", func() bool {
 			for _, replica := range f.replicas {
 				replica.mu.Lock()
-				age := replica.now() - replica.newestReading.began
+				age := replica.now() - replica.newestReading.startedAt
 				replica.mu.Unlock()
 				if age > time.Since(restored) {
 					return false
@@ -96,6 +96,6 @@
 		})
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(f.t, time.Since(restored) <= drainWithin, "%v, %d calls refused", time.Since(restored), p.refused)
+		assert.Assert(f.t, time.Since(restored) <= drainTime, "%v, %d calls refused", time.Since(restored), p.refused)
 	})
 }
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -14,10 +14,10 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-var measured = flag.Bool("control.measure", false, "print the figures of docs/measurements/control.md")
+var measuring = flag.Bool("control.measure", false, "print the figures of docs/measurements/control.md")
 
 // summarize returns the median, the 99th percentile and the maximum of some durations as text.
-func spread(durations []time.Duration) string {
+func summarize(durations []time.Duration) string {
 	slices.Sort(durations)
 	value := func(quantile float64) time.Duration {
 		return durations[min(len(durations)-1, int(quantile*float64(len(durations))))].Round(100 * time.Microsecond)
@@ -47,7 +47,7 @@
 
 // timeReplacements replaces the configuration count times, each time at a random one of the given replicas, and returns how
 // long each took until it was acknowledged.
-func (f *clusterFixture) acks(random *rand.Rand, gen *int, count int, replicas ...int) (durations []time.Duration) {
+func (f *clusterFixture) timeReplacements(random *rand.Rand, gen *int, count int, replicas ...int) (durations []time.Duration) {
 	for range count {
 		*gen++
 		text := configurationBody(*gen, "m")
@@ -65,7 +65,7 @@
 // with -control.measure, which also runs it with more seeds.
 func TestMeasure(t *testing.T) {
 	seeds := 1
-	if *measured {
+	if *measuring {
 		seeds = 12
 	}
 	for _, setup := range []struct {
@@ -86,28 +86,28 @@
 					all[i] = i
 				}
 				gen := 1
-				f.acks(random, &gen, 1, 0) // makes the first replica the last proposer
-				calm = append(calm, f.acks(random, &gen, 20, all...)...)
-				f.acks(random, &gen, 1, 0)
+				f.timeReplacements(random, &gen, 1, 0) // makes the first replica the last proposer
+				calm = append(calm, f.timeReplacements(random, &gen, 20, all...)...)
+				f.timeReplacements(random, &gen, 1, 0)
 				f.kill(setup.n-1, true)
-				lost = append(lost, f.acks(random, &gen, 10, all[:setup.n-1]...)...)
+				lost = append(lost, f.timeReplacements(random, &gen, 10, all[:setup.n-1]...)...)
 				f.start(setup.n - 1)
 				time.Sleep(rejoinTimeout)
 				proposer := f.lastProposer()
 				f.kill(proposer, true)
-				killed = append(killed, f.acks(random, &gen, 1, without(all, proposer)...)...)
+				killed = append(killed, f.timeReplacements(random, &gen, 1, without(all, proposer)...)...)
 				f.start(proposer)
 				time.Sleep(rejoinTimeout)
 				proposer = f.lastProposer()
 				f.partition(ips(proposer), ips(without(all, proposer)...), sim.Silent)
-				cut = append(cut, f.acks(random, &gen, 1, without(all, proposer)...)...)
+				cut = append(cut, f.timeReplacements(random, &gen, 1, without(all, proposer)...)...)
 				f.partition(ips(proposer), ips(without(all, proposer)...), sim.Open)
 				time.Sleep(rejoinTimeout)
 				proposer = f.lastProposer()
 				f.disks[proposer].SetLatency(30 * time.Millisecond)
-				slow = append(slow, f.acks(random, &gen, 3, all...)...)
+				slow = append(slow, f.timeReplacements(random, &gen, 3, all...)...)
 				f.disks[proposer].SetLatency(time.Millisecond)
-				if !*measured {
+				if !*measuring {
 					return
 				}
 				f.removed[0] = true
@@ -129,15 +129,15 @@
 				joined = append(joined, time.Since(began))
 			})
 		}
-		if !*measured {
+		if !*measuring {
 			continue
 		}
 		for what, all := range map[string][]time.Duration{"calm": calm, "one lost": lost, "the last proposer loses power": killed,
 			"the last proposer is cut off": cut, "its disk takes 30 ms an operation": slow, "whole after a replacement": whole, "whole after a lost disk": joined} {
-			t.Logf("%s: %s: %s", setup.name, what, spread(all))
+			t.Logf("%s: %s: %s", setup.name, what, summarize(all))
 		}
 	}
-	if *measured {
+	if *measuring {
 		measureCatchUp(t)
 	}
 }
@@ -153,7 +153,7 @@
 			}
 			began := time.Now()
 			f.start(2)
-			f.waitFor(5*time.Second, "caught up", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == uint64(missed+1) })
+			f.waitFor(5*time.Second, "caught up", func() bool { return configIDOf(f.replicas[2].configurationInForce()).Gen == uint64(missed+1) })
 			took := time.Since(began)
 			size := 0
 			names, err := f.disks[0].Mount().List("/data")
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -24,46 +24,46 @@
 )
 
 const (
-	mostLooking = 4                       // calls at once that read what operators ask
-	mostWhat    = 64                      // of the version, zone, proxy or server that an order in the history is about
-	wantsFor    = 10 * time.Second        // for which proxies send their figures after a status call
-	figuresFor  = 3500 * time.Millisecond // older ones aren't shown
+	maxOperatorCalls = 4                       // calls at once that read what operators ask
+	maxSubjectBytes  = 64                      // of the version, zone, proxy or server that an order in the history is about
+	figuresWantedFor = 10 * time.Second        // for which proxies send their figures after a status call
+	maxFiguresAge    = 3500 * time.Millisecond // older ones aren't shown
 )
 
 // operatorState holds what only the operators' read calls need. Nothing of it runs without such calls.
-type ops struct {
-	ring   *logring.Ring
-	orders []api.Order     // a ring buffer
-	next   uint64          // orders recorded so far, which is also the next slot modulo the ring's size
-	note   func(api.Order) // writes an order down; nil: orders are kept in memory only
-	wants  time.Duration   // until when proxies are to send their figures
-	asks   time.Duration   // until when proxies are to send their requests by route
-	since  time.Duration   // since when they are to do so without a pause
+type operatorState struct {
+	logRing                *logring.Ring
+	orders                 []api.Order     // a ring buffer
+	orderCount             uint64          // orders recorded so far, which is also the next slot modulo the ring's size
+	persistOrder           func(api.Order) // writes an order down; nil: orders are kept in memory only
+	figuresWantedUntil     time.Duration   // until when proxies are to send their figures
+	routeCountsWantedUntil time.Duration   // until when proxies are to send their requests by route
+	routeCountsWantedSince time.Duration   // since when they are to do so without a pause
 }
 
 var errBusy = errors.New("too many operator calls at once")
 
 // SetLogRing lets operators read the ring's log lines; it must be called before Run.
-func (b *Replica) ShowLog(ring *logring.Ring) { b.ops.ring = ring }
+func (b *Replica) SetLogRing(ring *logring.Ring) { b.ops.logRing = ring }
 
 // addOperatorRoutes adds the calls by which operators read the replica's state.
-func (b *Replica) operators(mux *http.ServeMux) {
-	slots := make(chan struct{}, mostLooking)
+func (b *Replica) addOperatorRoutes(mux *http.ServeMux) {
+	slots := make(chan struct{}, maxOperatorCalls)
 	add := func(path string, read func(r *http.Request) (any, error)) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case slots <- struct{}{}:
 				defer func() { <-slots }()
 			default:
-				refuse(w, http.StatusServiceUnavailable, errBusy)
+				writeError(w, http.StatusServiceUnavailable, errBusy)
 				return
 			}
 			result, err := read(r)
 			if err != nil {
-				refuse(w, http.StatusBadRequest, err)
+				writeError(w, http.StatusBadRequest, err)
 				return
 			}
-			w.Header().Set("Content-Type", jsonType)
+			w.Header().Set("Content-Type", jsonContentType)
 			if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 				_ = json.NewEncoder(w).Encode(result)
 				return
@@ -77,7 +77,7 @@
 	add(api.OpsStatus, func(r *http.Request) (any, error) { return b.Status(r.Context()), nil })
 	add(api.ServerExplain, func(r *http.Request) (any, error) {
 		id := strings.TrimPrefix(r.URL.Path, api.ServerExplain)
-		if !nodeName.MatchString(id) {
+		if !nodeNamePattern.MatchString(id) {
 			return nil, errors.Errorf("%q is not a server ID", id)
 		}
 		return b.ExplainVerdict(id), nil
@@ -97,37 +97,37 @@
 }
 
 // runOrder runs an order and records its outcome in the history.
-func (b *Replica) noted(r *http.Request, kind, what string, order func(ctx context.Context) error) error {
+func (b *Replica) runOrder(r *http.Request, kind, what string, order func(ctx context.Context) error) error {
 	began, at := b.now(), b.world.Now()
 	err := order(withLockToken(r.Context(), r.URL.Query().Get(api.LockToken)))
-	record := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), mostWhat)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
+	record := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), maxSubjectBytes)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
 	if err != nil {
-		if record.End, record.Why = "unclear", err.Error(); statusOf(err) != http.StatusServiceUnavailable {
+		if record.End, record.Why = "unclear", err.Error(); httpStatus(err) != http.StatusServiceUnavailable {
 			record.End = "refused"
 		}
 		record.Why = record.Why[:min(len(record.Why), api.MostLine)]
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.keepOrder(record)
+	b.recordOrder(record)
 	return err
 }
 
 // recordOrder adds an order or a verdict to the history and has it written down; the mutex is held.
-func (b *Replica) keepOrder(order api.Order) {
-	if b.ops.note != nil {
-		b.ops.note(order)
+func (b *Replica) recordOrder(order api.Order) {
+	if b.ops.persistOrder != nil {
+		b.ops.persistOrder(order)
 	}
 	if len(b.ops.orders) < api.MostOrders {
 		b.ops.orders = append(b.ops.orders, order)
 	} else {
-		b.ops.orders[b.ops.next%api.MostOrders] = order
+		b.ops.orders[b.ops.orderCount%api.MostOrders] = order
 	}
-	b.ops.next++
+	b.ops.orderCount++
 }
 
 // configurationGen returns the version that a configuration's text claims, for the history only.
-func genOf(body []byte) string {
+func configurationGen(body []byte) string {
 	var header struct {
 		Gen string `json:"gen"`
 	}
@@ -136,23 +136,23 @@
 }
 
 // SetOrderPersister sets the function that writes orders down; it must be called before Run.
-func (b *Replica) Notes(note func(api.Order)) { b.ops.note = note }
+func (b *Replica) SetOrderPersister(note func(api.Order)) { b.ops.persistOrder = note }
 
 // RestoreOrders puts the orders of earlier incarnations before those of this one.
-func (b *Replica) Recall(orders []api.Order) {
+func (b *Replica) RestoreOrders(orders []api.Order) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := slices.Concat(orders, b.ops.inOrder())
+	all := slices.Concat(orders, b.ops.oldestFirst())
 	b.ops.orders = all[max(0, len(all)-api.MostOrders):]
-	b.ops.next = uint64(len(b.ops.orders))
+	b.ops.orderCount = uint64(len(b.ops.orders))
 }
 
 // oldestFirst returns the ring's orders, oldest first.
-func (o *ops) inOrder() []api.Order {
+func (o *operatorState) oldestFirst() []api.Order {
 	if len(o.orders) == 0 {
 		return nil
 	}
-	cut := o.next % uint64(len(o.orders))
+	cut := o.orderCount % uint64(len(o.orders))
 	return slices.Concat(o.orders[cut:], o.orders[:cut])
 }
 
@@ -162,7 +162,7 @@
 	defer b.mu.Unlock()
 	history := &api.History{Replica: b.self.Name, Since: b.startedAt.UTC(), Orders: []api.Order{}}
 	if n := uint64(len(b.ops.orders)); n > 0 {
-		history.Lost, history.Orders = b.ops.next-n, b.ops.inOrder()
+		history.Lost, history.Orders = b.ops.orderCount-n, b.ops.oldestFirst()
 	}
 	return history
 }
@@ -170,10 +170,10 @@
 // Log returns the log ring's lines from a line number on.
 func (b *Replica) Log(from uint64) *api.Log {
 	log := &api.Log{Replica: b.self.Name, At: b.world.Now().UTC(), Lines: []api.LogLine{}}
-	if b.ops.ring == nil {
+	if b.ops.logRing == nil {
 		return log
 	}
-	lines, next := b.ops.ring.Lines(from, api.MostLines, api.MostLine)
+	lines, next := b.ops.logRing.Lines(from, api.MostLines, api.MostLine)
 	log.Next = next
 	for _, line := range lines {
 		log.Lines = append(log.Lines, api.LogLine{No: line.No, At: line.At.UTC(), Text: line.Text})
@@ -183,18 +183,18 @@
 
 // Status asks the other replicas for their reports and returns them with everything else that this replica knows.
 func (b *Replica) Status(ctx context.Context) *api.Status {
-	roundCtx, cancel := b.withTimeout(ctx, roundWithin)
-	reports := b.reports(roundCtx, func() bool { return false })
+	roundCtx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	reports := b.requestReports(roundCtx, func() bool { return false })
 	cancel()
 	trouble := b.store.LastError()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, decided := b.now(), b.contents.Record.Decided
-	b.ops.wants = now + wantsFor
+	b.ops.figuresWantedUntil = now + figuresWantedFor
 	status := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.world.Now().UTC(), UpMS: now.Milliseconds(),
 		Voter: b.self.Voter, Eligible: b.isVoter(), Leaving: b.leaving,
 		Voters: len(decided.Voters), Majority: quorum.Majority(len(decided.Voters)),
-		Held: version(highest(b.contents.Record.Report())), Confirmed: version(decided.Config), FreshMS: -1,
+		Held: apiVersion(newestConfig(b.contents.Record.Report())), Confirmed: apiVersion(decided.Config), FreshMS: -1,
 		Replicas: []api.ReplicaView{}, Proxies: []api.ProxyView{}, Zones: []api.ZoneOrder{}, Nodes: []api.NodeOrder{}}
 	if b.decidedConfirmed.IsKnown {
 		status.FreshMS = (now - b.decidedConfirmed.At).Milliseconds()
@@ -207,9 +207,9 @@
 		_, votes := decided.Voter(replica.ID)
 		self := replica.Name == b.self.Name
 		status.Replicas = append(status.Replicas, api.ReplicaView{Name: replica.Name, Zone: replica.Zone, Ctl: replica.Ctl, Voter: replica.Voter,
-			Connected: self || len(b.links[replica.Name]) > 0, Answered: answered || self, Eligible: votes, Held: version(highest(report))})
+			Connected: self || len(b.links[replica.Name]) > 0, Answered: answered || self, Eligible: votes, Held: apiVersion(newestConfig(report))})
 	}
-	b.proxiesTo(status, now)
+	b.addProxyViews(status, now)
 	for _, order := range decided.Orders {
 		name := order.Zone
 		if _, ok := order.Server(); ok {
@@ -226,13 +226,13 @@
 		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
 	duty := b.duty.Known()
-	status.Duties = []api.Duty{{Name: listDuty, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.duty.Rank(b.view())}}
+	status.Duties = []api.Duty{{Name: listLeaseName, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.duty.Rank(b.leaseView())}}
 	status.List = b.listView(now)
 	return status
 }
 
 // newestConfig returns the configuration that a replica has accepted, if it is above the decided one, or else that one.
-func highest(report quorum.Report) state.ConfigID {
+func newestConfig(report quorum.Report) state.ConfigID {
 	if report.Value != nil && report.Value.Config.Above(report.Config) {
 		return report.Value.Config
 	}
@@ -240,7 +240,7 @@
 }
 
 // configIDOf returns the ID of a configuration, which may be nil.
-func idOf(configuration *peerlink.Configuration) state.ConfigID {
+func configIDOf(configuration *peerlink.Configuration) state.ConfigID {
 	if configuration == nil {
 		return state.ConfigID{}
 	}
@@ -248,7 +248,7 @@
 }
 
 // apiVersion returns a configuration's ID as operators see it; the zero version for none.
-func version(id state.ConfigID) api.Version {
+func apiVersion(id state.ConfigID) api.Version {
 	if id.Gen == 0 {
 		return api.Version{}
 	}
@@ -256,10 +256,10 @@
 }
 
 // addProxyViews adds the proxies to a status; the mutex is held.
-func (b *Replica) proxiesTo(status *api.Status, now time.Duration) {
-	agents := map[string]*agent{}
+func (b *Replica) addProxyViews(status *api.Status, now time.Duration) {
+	agents := map[string]*agentConn{}
 	for agent := range b.agents {
-		if other := agents[agent.name]; other == nil || other.life < agent.life {
+		if other := agents[agent.name]; other == nil || other.incarnation < agent.incarnation {
 			agents[agent.name] = agent
 		}
 	}
@@ -271,17 +271,17 @@
 			HeardMS: (now - known.lastHeard).Milliseconds()}
 		view.Ready = view.Alive && known.ready && known.leftAt == 0
 		view.Life, view.ToRest, view.Rests = known.hello.Life, b.proxies.resting[name], view.Alive && known.readyButResting && known.leftAt == 0
-		if figures := known.figures; figures != nil && view.Alive && now-known.figuresAt < figuresFor {
+		if figures := known.figures; figures != nil && view.Alive && now-known.figuresAt < maxFiguresAge {
 			view.Figures = &api.Figures{AgeMS: (now - known.figuresAt).Milliseconds(), Open: figures.Open, Clients: figures.Clients, SpanMS: figures.Span.Milliseconds(),
 				Served: figures.Served, Refused: figures.Refused, Failed: figures.Failed}
 		}
 		if agent := agents[name]; agent != nil {
-			view.Linked, view.Behind = true, agent.no-agent.ack
-			if agent.gen > 0 {
-				view.Gen = fmt.Sprintf("r%d", agent.gen)
+			view.Linked, view.Behind = true, agent.lastSentNumber-agent.lastAckedNumber
+			if agent.versionInForce > 0 {
+				view.Gen = fmt.Sprintf("r%d", agent.versionInForce)
 			}
 		}
-		view.Lags = lags(view, known, status.Confirmed.Gen)
+		view.Lags = lagReason(view, known, status.Confirmed.Gen)
 		status.Proxies = append(status.Proxies, view)
 	}
 	status.Versions = routeconfig.VersionsAt(slices.Values(status.Proxies))
@@ -293,7 +293,7 @@
 }
 
 // lagReason says why a proxy may serve an old configuration; empty: it doesn't.
-func lags(view api.ProxyView, proxy *proxy, confirmed string) string {
+func lagReason(view api.ProxyView, proxy *proxy, confirmed string) string {
 	switch {
 	case proxy.leftAt > 0:
 		return "it leaves"
@@ -302,7 +302,7 @@
 	case !view.Alive:
 		return fmt.Sprintf("silent for %d ms", view.HeardMS)
 	case view.Gen != confirmed:
-		return fmt.Sprintf("%s in force, %d changes not acknowledged", or(view.Gen, "nothing"), view.Behind)
+		return fmt.Sprintf("%s in force, %d changes not acknowledged", orDefault(view.Gen, "nothing"), view.Behind)
 	case view.Behind > 0:
 		return fmt.Sprintf("%d changes not acknowledged", view.Behind)
 	}
@@ -310,7 +310,7 @@
 }
 
 // orDefault returns text, or other if text is empty.
-func or(text, other string) string {
+func orDefault(text, other string) string {
 	if text == "" {
 		return other
 	}
@@ -323,7 +323,7 @@
 	if b.serverList == nil {
 		return view
 	}
-	view.By, view.HeardMS = b.serverList.By, (now - b.newestReading.heard).Milliseconds()
+	view.By, view.HeardMS = b.serverList.By, (now - b.newestReading.learnedAt).Milliseconds()
 	zones := map[string]*api.ServersIn{}
 	for _, server := range b.serverList.List {
 		zone := zones[server.Zone]
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -30,14 +30,14 @@
 }
 
 // The operator interface shows status, history and log, also while a disk is full and a replica is lost.
-func TestWhatOperatorsAreTold(t *testing.T) {
+func TestOperatorEndpoints(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 		f.waitFor(time.Second, "decided everywhere", func() bool {
 			return f.replicas[2].configurationInForce() != nil && f.replicas[2].Status(context.Background()).Confirmed.Gen == "r3"
 		})
 		ring := logring.New(f.net, 4, io.Discard)
-		f.replicas[1].ShowLog(ring)
+		f.replicas[1].SetLogRing(ring)
 		ring.Logger().Info("one", "n", 1)
 		ring.Dump("two")
 		f.disks[2].SetFull(true)
@@ -72,13 +72,13 @@
 
 // Each replica's status shows the list lease's holder, successor and term, also after the holder has gone. It also shows how
 // many proxies have each version in force, with the names of those that may serve an old one.
-func TestDutyAndVersionsAreTold(t *testing.T) {
+func TestStatusShowsLeaseAndVersions(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
-		defer f.agent("1", 1).stop()
-		behind := f.agent("2", 1)
+		defer f.startAgent("1", 1).stop()
+		behind := f.startAgent("2", 1)
 		defer behind.stop()
-		f.waitFor(3*time.Second, "in force", behind.sees(func(agent *farmhand) bool { return agent.gen == 3 }))
+		f.waitFor(3*time.Second, "in force", behind.holds(func(agent *simAgent) bool { return agent.held == 3 }))
 		statusOf := func(of ...int) (status api.Status) {
 			for _, i := range of {
 				before := status
--- a/internal/control/report_rounds.go
+++ b/internal/control/report_rounds.go
@@ -12,35 +12,35 @@
 
 // Times of report rounds.
 const (
-	roundEvery  = 400 * time.Millisecond
-	roundWithin = 300 * time.Millisecond
-	soon        = 20 * time.Millisecond // between a request for work in the background and its start, to join requests
+	reportRoundInterval = 400 * time.Millisecond
+	reportRoundTimeout  = 300 * time.Millisecond
+	minWakeDelay        = 20 * time.Millisecond // between a request for work in the background and its start, to join requests
 )
 
 // lastReport is another replica's last report.
 type lastReport struct {
-	report quorum.Report
-	at     time.Duration
-	left   bool // it announced that it ends, and has not come back since
+	report     quorum.Report
+	receivedAt time.Duration
+	hasLeft    bool // it announced that it ends, and has not come back since
 }
 
 // acceptedProposal is a proposal that a replica accepted on top of its decided version.
-type undecided struct {
+type acceptedProposal struct {
 	version uint64
 	ballot  quorum.Ballot
 }
 
 // runReportRounds runs report rounds periodically, and when kicked, until ctx ends.
-func (b *Replica) compare(ctx context.Context) {
+func (b *Replica) runReportRounds(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := b.now()
-		b.round(ctx)
-		timer := b.world.NewTimer(max(soon, roundEvery-(b.now()-began)))
+		b.runReportRound(ctx)
+		timer := b.world.NewTimer(max(minWakeDelay, reportRoundInterval-(b.now()-began)))
 		select {
 		case <-timer.C():
 		case <-b.roundWanted:
 			timer.Stop()
-			if !b.sleep(ctx, soon) {
+			if !b.sleep(ctx, minWakeDelay) {
 				return
 			}
 		case <-ctx.Done():
@@ -51,22 +51,22 @@
 
 // runReportRound asks all replicas for their reports. It confirms the decided state, sends it to replicas that are behind,
 // resolves proposals whose proposer has failed, and starts changes of the voters.
-func (b *Replica) round(ctx context.Context) {
+func (b *Replica) runReportRound(ctx context.Context) {
 	began, known := b.now(), b.decidedState().Version
-	roundCtx, cancel := b.withTimeout(ctx, roundWithin)
-	reports := b.reports(roundCtx, func() bool { return false })
+	roundCtx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	reports := b.requestReports(roundCtx, func() bool { return false })
 	cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	base := b.contents.Record.Decided
-	b.noteContact(base, reports, began)
+	b.updateContact(base, reports, began)
 	for id, report := range reports {
 		if link := b.linkTo(id); link != nil && report.Version < base.Version {
 			b.sendDecided(link)
 		}
 	}
 	b.store.RetryPending()
-	b.finish(base, reports)
+	b.resolveUndecided(base, reports)
 	b.maintainVoters(known)
 	b.forgetSilentReplicas()
 }
@@ -75,7 +75,7 @@
 // by a round's reports; the mutex is held. It is in touch if a majority of the voters answered and it has every version
 // that was reported in the previous round. Being in touch doesn't need a confirmation, since no round can confirm that
 // nothing newer is decided while the next version is being accepted.
-func (b *Replica) noteContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
+func (b *Replica) updateContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
 		b.decidedConfirmed = delivery.Confirmation{IsKnown: true, At: max(b.decidedConfirmed.At, began)}
 	}
@@ -92,13 +92,13 @@
 // resolveUndecided starts a ballot if a replica reported the same accepted proposal in two rounds in a row, without a
 // decision: its proposer may have failed. The ballot decides on that value or finds that it wasn't chosen. The mutex is
 // held.
-func (b *Replica) finish(base state.State, reports map[string]quorum.Report) {
+func (b *Replica) resolveUndecided(base state.State, reports map[string]quorum.Report) {
 	before := b.acceptedUndecided
-	b.acceptedUndecided = map[string]undecided{}
+	b.acceptedUndecided = map[string]acceptedProposal{}
 	stale := false
 	for id, report := range reports {
 		if report.Version == base.Version && report.Accepted != (quorum.Ballot{}) {
-			b.acceptedUndecided[id] = undecided{report.Version, report.Accepted}
+			b.acceptedUndecided[id] = acceptedProposal{report.Version, report.Accepted}
 			stale = stale || before[id] == b.acceptedUndecided[id]
 		}
 	}
@@ -116,14 +116,14 @@
 
 // requestReports asks all connected replicas for their reports until enough returns true, all have answered, or ctx ends.
 // It returns the reports by replica ID, this replica's among them.
-func (b *Replica) reports(ctx context.Context, enough func() bool) map[string]quorum.Report {
+func (b *Replica) requestReports(ctx context.Context, enough func() bool) map[string]quorum.Report {
 	all := map[string]quorum.Report{}
-	b.collect(ctx, all, enough)
+	b.collectReports(ctx, all, enough)
 	return all
 }
 
 // collectReports is requestReports that adds to all, which enough may look at.
-func (b *Replica) collect(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
+func (b *Replica) collectReports(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
 	poll := b.newPoll()
 	defer poll.cancel()
 	b.mu.Lock()
@@ -141,7 +141,7 @@
 			report := *answer.reply.Report
 			all[report.ID] = report
 			b.mu.Lock()
-			b.lastReports[report.ID] = lastReport{report: report, at: b.now()}
+			b.lastReports[report.ID] = lastReport{report: report, receivedAt: b.now()}
 			b.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -150,18 +150,18 @@
 }
 
 // isStillLatest reports whether a majority confirms that nothing above base is decided except changes of the voters.
-func (b *Replica) stillLatest(ctx context.Context, base state.State) bool {
-	ctx, cancel := b.withTimeout(ctx, roundWithin)
+func (b *Replica) isStillLatest(ctx context.Context, base state.State) bool {
+	ctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
 	defer cancel()
 	reports := map[string]quorum.Report{}
 	latest := func() bool { return quorum.IsLatest(base, reports) }
-	b.collect(ctx, reports, latest)
+	b.collectReports(ctx, reports, latest)
 	return latest()
 }
 
 // confirmedState returns the decided state once a majority of its voters has confirmed that nothing above it was decided
 // when confirmedState was called. It returns ErrNoMajority if no majority can be reached.
-func (b *Replica) confirm(ctx context.Context) (state.State, error) {
+func (b *Replica) confirmedState(ctx context.Context) (state.State, error) {
 	b.mu.Lock()
 	reached := b.isMajorityReachable()
 	b.mu.Unlock()
@@ -174,8 +174,8 @@
 		base = b.decidedState()
 		return quorum.IsLatest(base, reports)
 	}
-	roundCtx, cancel := b.withTimeout(ctx, roundWithin)
-	b.collect(roundCtx, reports, latest)
+	roundCtx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	b.collectReports(roundCtx, reports, latest)
 	cancel()
 	if latest() {
 		return base, nil
--- a/internal/control/report_rounds_test.go
+++ b/internal/control/report_rounds_test.go
@@ -22,7 +22,7 @@
 		for _, id := range answering {
 			reports[id] = quorum.Report{Version: version}
 		}
-		replica.noteContact(base, reports, at)
+		replica.updateContact(base, reports, at)
 		return replica.majorityContact.IsKnown && replica.majorityContact.At == at
 	}
 	assert.Assert(t, !inTouchAfter(4), "nobody has answered")
--- a/internal/control/rest_orders.go
+++ b/internal/control/rest_orders.go
@@ -14,17 +14,17 @@
 )
 
 // TooFewAwakeError is the error of an order to rest that would leave too few proxies awake.
-type Tight struct{ error }
+type TooFewAwakeError struct{ error }
 
 // MinAwake says which parts of the proxies have to stay awake, so that one more may rest.
-type Floor = peerlink.Floor
+type MinAwake = peerlink.Floor
 
-var nodeName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+var nodeNamePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 // Rest orders a proxy to rest, which means that no clients are sent to it. If two replicas get such orders at the same
 // time, one is decided first, and the other is checked against it.
-func (b *Replica) Rest(ctx context.Context, name string, minAwake Floor) error {
-	if !nodeName.MatchString(name) {
+func (b *Replica) Rest(ctx context.Context, name string, minAwake MinAwake) error {
+	if !nodeNamePattern.MatchString(name) {
 		return InvalidError{errors.Errorf("%q is not a proxy name", name)}
 	}
 	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name), Drain: true}, Floor: &minAwake})
@@ -38,7 +38,7 @@
 }
 
 // checkRestOrder returns an error if a proxy must not rest, or can't be woken, under the decided state.
-func (b *Replica) allowsRest(name string, command *peerlink.Command, decided state.State) error {
+func (b *Replica) checkRestOrder(name string, command *peerlink.Command, decided state.State) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, known := decided.Order(command.Order.Zone), b.proxies.proxies[name] != nil
@@ -54,18 +54,18 @@
 	if old.Drain || command.Floor.Force {
 		return nil
 	}
-	return b.proxies.room(b.now(), name, decided, *command.Floor)
+	return b.proxies.checkMinAwake(b.now(), name, decided, *command.Floor)
 }
 
 // setResting records whether a proxy is to rest.
-func (r *proxyRegistry) rest(name string, rests bool) {
+func (r *proxyRegistry) setResting(name string, rests bool) {
 	if delete(r.resting, name); rests {
 		r.resting[name] = true
 	}
 }
 
 // checkMinAwake returns TooFewAwakeError if too few proxies would stay awake once name rests under the decided orders.
-func (r *proxyRegistry) room(now time.Duration, name string, decided state.State, minAwake Floor) error {
+func (r *proxyRegistry) checkMinAwake(now time.Duration, name string, decided state.State, minAwake MinAwake) error {
 	count := func(zone string) (awakeCount, total int) {
 		for _, other := range r.names() {
 			proxy, rests := r.proxies[other], decided.Order(state.NodeSubject(other)).Drain
@@ -82,7 +82,7 @@
 		if awakeCount >= int(math.Ceil(fraction*float64(total)-1e-9)) {
 			return nil
 		}
-		return Tight{errors.New(fmt.Sprintf("%d of %d proxies %s would stay awake, and %g of them have to", awakeCount, total, where, fraction))}
+		return TooFewAwakeError{errors.New(fmt.Sprintf("%d of %d proxies %s would stay awake, and %g of them have to", awakeCount, total, where, fraction))}
 	}
 	awakeCount, total := count("")
 	if err := check("of all", minAwake.All, awakeCount, total); err != nil {
--- a/internal/control/rest_orders_test.go
+++ b/internal/control/rest_orders_test.go
@@ -14,14 +14,14 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-var half = Floor{Zone: 0.5, All: 0.5}
+var halfAwake = MinAwake{Zone: 0.5, All: 0.5}
 
 // startProxies starts the agents of four proxies in one zone, each connected to all replicas.
-func (f *clusterFixture) proxies() (stop func()) {
-	var agents []*farmhand
+func (f *clusterFixture) startProxies() (stop func()) {
+	var agents []*simAgent
 	for _, name := range []string{"1", "2", "3", "4"} {
 		for i := range f.replicas {
-			agents = append(agents, f.agent(name, i))
+			agents = append(agents, f.startAgent(name, i))
 		}
 	}
 	f.waitFor(5*time.Second, "proxies", func() bool {
@@ -37,7 +37,7 @@
 }
 
 // restingCount returns how many proxies are ordered to rest, by a replica's status.
-func (f *clusterFixture) resting(i int) (n int) {
+func (f *clusterFixture) restingCount(i int) (n int) {
 	for _, o := range f.replicas[i].Status(context.Background()).Nodes {
 		if o.Rests {
 			n++
@@ -50,28 +50,28 @@
 func TestTooFewAwake(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
-		defer f.proxies()()
+		defer f.startProxies()()
 		ctx := context.Background()
-		var tooFewAwake Tight
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", half))
-		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", half)) // it is resting already
+		var tooFewAwake TooFewAwakeError
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", halfAwake))
+		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", halfAwake)) // it is resting already
 		results := make(chan error, 2)
 		for i, n := range []string{"proxy-2", "proxy-3"} {
-			go func() { results <- f.replicas[i].Rest(ctx, n, half) }()
+			go func() { results <- f.replicas[i].Rest(ctx, n, halfAwake) }()
 		}
 		a, b := <-results, <-results
 		assert.Assert(t, errors.As(a, &tooFewAwake) || errors.As(b, &tooFewAwake), "%v, %v", a, b)
-		assert.Assert(t, f.resting(2) <= 2)
-		if f.resting(2) < 2 {
-			assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-2", half))
+		assert.Assert(t, f.restingCount(2) <= 2)
+		if f.restingCount(2) < 2 {
+			assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-2", halfAwake))
 		}
-		err := f.replicas[0].Rest(ctx, "proxy-4", half)
+		err := f.replicas[0].Rest(ctx, "proxy-4", halfAwake)
 		assert.Assert(t, errors.As(err, &tooFewAwake), "%v", err)
 		assert.Error(t, err, "1 of 4 proxies of all would stay awake, and 0.5 of them have to")
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-4", Floor{Force: true}))
-		assert.Assert(t, errors.Is(f.replicas[0].Rest(ctx, "proxy-9", half), ErrUnknownProxy))
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-4", MinAwake{Force: true}))
+		assert.Assert(t, errors.Is(f.replicas[0].Rest(ctx, "proxy-9", halfAwake), ErrUnknownProxy))
 		assert.Assert(t, errors.Is(f.replicas[0].Wake(ctx, "proxy-9"), ErrUnknownProxy))
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", Floor{Force: true})) // an order may be forced for a proxy that is not known yet
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", MinAwake{Force: true})) // an order may be forced for a proxy that is not known yet
 		assert.NilError(t, f.replicas[1].Wake(ctx, "proxy-9"))
 		url := "http://" + ip(0) + ":8200" + api.NodeRest
 		for path, want := range map[string]int{"proxy-1?zone=2": 400, "a%20b": 400, "proxy-8": 404, "proxy-1": 200, "proxy-1?lock=x": 423} {
@@ -83,14 +83,14 @@
 
 // If the control replicas are split into two halves, neither half acknowledges orders. Afterwards all replicas agree on one
 // outcome.
-func TestRestInHalves(t *testing.T) {
+func TestRestOrdersInASplitCore(t *testing.T) {
 	runCluster(t, 4, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
-		defer f.proxies()()
+		defer f.startProxies()()
 		ctx := context.Background()
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", half))
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", halfAwake))
 		f.partition(ips(0, 1), ips(2, 3), sim.Silent)
-		assert.Assert(t, f.replicas[0].Rest(ctx, "proxy-2", half) != nil)
+		assert.Assert(t, f.replicas[0].Rest(ctx, "proxy-2", halfAwake) != nil)
 		assert.Assert(t, f.replicas[3].Wake(ctx, "proxy-1") != nil)
 		assert.Assert(t, f.replicas[0].AcquireLock(ctx, state.Lock{Token: "a", Who: "ana", For: time.Second}) != nil)
 		assert.Assert(t, f.replicas[3].AcquireLock(ctx, state.Lock{Token: "b", Who: "ben", For: time.Second}) != nil)
@@ -111,16 +111,16 @@
 		f.waitFor(5*time.Second, "take orders again", func() bool { return f.replicas[2].Wake(ctx, "proxy-1") == nil })
 		assert.NilError(t, f.replicas[2].Wake(ctx, "proxy-2"))
 		f.waitFor(2*time.Second, "agree", same)
-		assert.Equal(t, f.resting(1), 0)
+		assert.Equal(t, f.restingCount(1), 0)
 	})
 }
 
 // An order to rest is still in force after all replicas have lost power.
-func TestRestOutlivesReplicas(t *testing.T) {
+func TestRestOrderSurvivesPowerLoss(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
-		defer f.proxies()()
-		assert.NilError(t, f.replicas[0].Rest(context.Background(), "proxy-2", half))
+		defer f.startProxies()()
+		assert.NilError(t, f.replicas[0].Rest(context.Background(), "proxy-2", halfAwake))
 		f.killAll(true)
 		time.Sleep(time.Second)
 		f.startAll()
--- a/internal/control/server_list.go
+++ b/internal/control/server_list.go
@@ -8,21 +8,21 @@
 
 // applyList applies a server list that this replica has read or another replica has sent. A list without servers says that
 // the previous one is still valid. The mutex is held.
-func (b *Replica) listed(servers *peerlink.Servers) {
+func (b *Replica) applyList(servers *peerlink.Servers) {
 	if servers.Stamp <= b.listStamp {
 		return
 	}
 	b.listStamp = servers.Stamp
-	if b.newestReading.take(servers.Reading, b.now()); servers.By != b.self.Name {
-		b.othersReadingAt = b.newestReading.began
+	if b.newestReading.update(servers.Reading, b.now()); servers.By != b.self.Name {
+		b.othersReadingAt = b.newestReading.startedAt
 	}
 	if len(servers.List) > 0 {
-		servers = b.sober(servers)
+		servers = b.withKnownDraining(servers)
 		if b.serverList == nil || servers.Since(b.serverList) != nil {
 			stored := *servers
 			stored.Term, stored.Reading = peerlink.Term{}, peerlink.Reading{} // whoever is sent this list later gets the term and age of that time
 			b.serverList = &stored
-			b.tellList()
+			b.sendListToFollowers()
 		}
 	}
 	if servers.By != b.self.Name {
@@ -34,12 +34,12 @@
 		duty = &greeting
 	}
 	for _, links := range b.links {
-		links[len(links)-1].list(servers, duty)
+		links[len(links)-1].sendList(servers, duty)
 	}
 }
 
 // sendList sends another replica a list that was read, as a difference to what it was sent before.
-func (l *link) list(servers *peerlink.Servers, duty *peerlink.Duty) {
+func (l *link) sendList(servers *peerlink.Servers, duty *peerlink.Duty) {
 	message := &peerlink.Servers{Stamp: servers.Stamp, By: servers.By, Part: true}
 	reading := servers.Reading
 	if len(servers.List) > 0 {
@@ -56,7 +56,7 @@
 }
 
 // handlePeerList applies a list from another replica, unless the lease has since passed to a third one; the mutex is held.
-func (b *Replica) listTold(link *link, servers *peerlink.Servers) {
+func (b *Replica) handlePeerList(link *link, servers *peerlink.Servers) {
 	term, reading := servers.Term, servers.Reading
 	if whole := servers.Onto(link.receivedList); whole != nil {
 		link.receivedList, servers = whole, whole
@@ -65,12 +65,12 @@
 	}
 	servers.Reading = reading
 	if b.duty.AcceptsTerm(term) {
-		b.listed(servers)
+		b.applyList(servers)
 	}
 }
 
 // withKnownDraining marks servers that were seen draining before as draining: an instance never stops draining.
-func (b *Replica) sober(servers *peerlink.Servers) *peerlink.Servers {
+func (b *Replica) withKnownDraining(servers *peerlink.Servers) *peerlink.Servers {
 	marked := *servers
 	marked.List = slices.Clone(servers.List)
 	draining := make(map[string]bool, len(b.drainedServers))
