--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -54,7 +54,7 @@
 			}
 		}()
 		for {
-			fr, err := c.Receive()
+			frame, err := conn.Receive()
 			if err != nil {
 				return err
 			}
@@ -63,8 +63,8 @@
 				if ch.Configuration != nil {
 					h.held, h.sum = ch.Configuration.Gen, ch.Configuration.Sum()
 				}
-				if ch.Servers != nil {
-					h.list = ch.Servers.Onto(h.list)
+				if change.Servers != nil {
+					agent.list = change.Servers.Onto(agent.list)
 				}
 				if ch.Census != nil {
 					h.census = ch.Census.Onto(h.census)
@@ -74,37 +74,37 @@
 			if po := fr.Pong; po != nil {
 				h.confirmed, h.confirmedAge = po.Fresh, time.Since(began)-po.Sent+po.Age
 			}
-			h.mu.Unlock()
+			agent.mu.Unlock()
 		}
 	})
-	return h
+	return agent
 }
 
 // holds tells whether something holds of what the agent was told.
 func (h *simAgent) holds(what func(h *simAgent) bool) func() bool {
 	return func() bool {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return what(h)
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		return condition(a)
 	}
 }
 
-// get calls a replica's ctl or dir.
-func (f *clusterFixture) call(method, url string, text []byte) (int, string) {
+// call sends an HTTP request and returns the status and body of the response; status 0 if there was none.
+func (f *clusterFixture) call(method, url string, body []byte) (int, string) {
 	f.t.Helper()
-	p := f.net.Host("10.9.0.1")
-	defer p.Kill()
-	c := &http.Client{Transport: &http.Transport{DialContext: p.Dial, DisableKeepAlives: true}}
-	req, err := http.NewRequest(method, url, bytes.NewReader(text))
+	host := f.net.Host("10.9.0.1")
+	defer host.Kill()
+	client := &http.Client{Transport: &http.Transport{DialContext: host.Dial, DisableKeepAlives: true}}
+	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	assert.NilError(f.t, err)
-	res, err := c.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer res.Body.Close()
-	got, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	got, err := io.ReadAll(response.Body)
 	assert.NilError(f.t, err)
-	return res.StatusCode, string(got)
+	return response.StatusCode, string(got)
 }
 
 // An agent hears of what a majority holds and of nothing else, and how fresh that is.
@@ -154,21 +154,21 @@
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
 		b.stop()
-		f.waitFor(2*time.Second, "one left", is(1, 2)) // the silent one may be passing
+		f.waitFor(2*time.Second, "one left", counts(1, 2)) // the silent one still has its share: it may be serving requests behind a cut
 		_, text = f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80"],"ttl_s":1}`+"\n")
 		f.kill(0, true)
 		f.start(0)
-		f.waitFor(3*time.Second, "back", is(1, 2)) // a restart forgets no proxy
+		f.waitFor(3*time.Second, "back", counts(1, 2)) // a restarted replica still knows all proxies
 		time.Sleep(62 * time.Second)
-		assert.Assert(t, is(1, 1)())
+		assert.Assert(t, counts(1, 1)())
 	})
 }
 
 func TestCtl(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
-		at := "http://" + ip(1) + ":8200/-/"
-		for _, c := range []struct {
+		base := "http://" + ip(1) + ":8200/-/"
+		for _, call := range []struct {
 			method, path, text string
 			status             int
 		}{
@@ -184,16 +184,16 @@
 			{"POST", "Drain.Begin/nowhere", "", 404},
 			{"GET", "Drain.Begin/z1", "", 405},
 		} {
-			status, text := f.call(c.method, at+c.path, []byte(c.text))
-			assert.Equal(t, status, c.status, "%s: %s", c.path, text)
-			if c.path == "Config.Show" && status == 200 {
+			status, text := f.call(call.method, base+call.path, []byte(call.text))
+			assert.Equal(t, status, call.status, "%s: %s", call.path, text)
+			if call.path == "Config.Show" && status == 200 {
 				assert.Equal(t, text, string(configurationBody(2, "a")))
 			}
 		}
-		f.replicas[1].stop() // an order in flight is finished, then nobody is served
+		f.replicas[1].stop() // orders in flight are finished, then no calls are served
 		assert.NilError(t, <-f.replicas[1].done)
 		f.replicas[1].done <- nil
-		status, _ := f.call("GET", at+"Config.Show", nil)
+		status, _ := f.call("GET", base+"Config.Show", nil)
 		assert.Equal(t, status, 0)
 	})
 }
@@ -201,9 +201,9 @@
 // fakePlatform is the platform's list, of one page for each server.
 type fakePlatform struct {
 	mu      sync.Mutex
-	servers []string // rows
+	servers []string // rows in JSON
 	calls   int
-	down    bool
+	down    bool // all calls are refused
 }
 
 func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -234,22 +234,22 @@
 		states := func(want string) func() bool {
 			return h.holds(func(h *simAgent) bool {
 				got := ""
-				for _, s := range h.list.List {
-					got += fmt.Sprint(s.ID, " ", s.Draining, ";")
+				for _, server := range agent.list.List {
+					got += fmt.Sprint(server.ID, " ", server.Draining, ";")
 				}
 				return got == want
 			})
 		}
 		set := func(rows ...string) {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.servers = rows
+			platformList.mu.Lock()
+			defer platformList.mu.Unlock()
+			platformList.servers = rows
 		}
 		f.waitFor(2*time.Second, "a list", h.holds(func(h *simAgent) bool { return h.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
-		p.mu.Lock()
-		before := p.calls
-		p.mu.Unlock()
+		platformList.mu.Lock()
+		before := platformList.calls
+		platformList.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		p.mu.Lock()
 		assert.Assert(t, p.calls-before <= 2*21, "%d calls", p.calls-before) // one replica asks
@@ -263,7 +263,7 @@
 			}
 		}
 		if holder == 0 {
-			f.partition(ips(0), []string{"10.8.0.1"}, sim.Silent) // it only loses the platform
+			f.partition(ips(0), []string{"10.8.0.1"}, sim.Silent) // the holder only loses its connection to the platform
 		} else {
 			f.kill(holder, true)
 		}
@@ -291,13 +291,13 @@
 	})
 }
 
-// What a proxy has in force is confirmed for as long as it was the newest, and from the decision of the next one on no
-// more. While that is on its way, in force of another text, or held by the agent alone, the proxy goes on with keys that
-// may have been taken away.
+// What a proxy has in force is confirmed only up to the decision of the next configuration. Otherwise a proxy would go on
+// accepting keys that have been revoked, while the next configuration is being sent, while only the agent holds it, or
+// while another text of the same number is in force.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
 	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		in := func(gen uint64) peerlink.Ping {
+		ping := func(gen uint64) peerlink.Ping {
 			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
 		}
 		proxy, stop := f.startAgentWithPing(0, "1", in(2))
@@ -314,54 +314,54 @@
 			assert.Assert(t, !proxy.pong.Fresh || proxy.pong.Age >= time.Since(decided)-250*time.Millisecond, "%s: %+v, decided %v ago", what, proxy.pong, time.Since(decided))
 			assert.Assert(t, proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
-		outdated("the next on its way")
+		outdated("the next being sent")
 		assert.Assert(t, proxy.pong.Fresh && proxy.pong.Age < time.Since(decided)+800*time.Millisecond, "confirmed until then: %+v", proxy.pong)
-		held, other := in(3), in(3)
+		held, other := ping(3), ping(3)
 		held.Gen = 2
 		proxy.ping = held
-		outdated("the next held by the agent")
+		outdated("the next held by the agent only")
 		other.Sum++
 		proxy.ping = other
 		outdated("another text in force")
 		assert.Assert(t, !proxy.pong.Fresh, "%+v", proxy.pong)
-		proxy.ping = in(3)
+		proxy.ping = ping(3)
 		newest("the next in force")
 		proxy.ping.Gen, proxy.ping.Held = 4, 4
 		newest("one above in force")
 	})
 }
 
-// The platform's address, the zones and the rate change in service.
+// The platform's address, its rate and the zones can change while replicas run.
 func TestSettingsChange(t *testing.T) {
 	one, two := &fakePlatform{servers: []string{serverRow("a", "ready")}}, &fakePlatform{servers: []string{serverRow("b", "ready")}}
 	runClusterWithPlatform(t, 3, one, func(f *clusterFixture) {
-		ln, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
+		listener, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
 		assert.NilError(t, err)
-		s := &http.Server{Handler: two}
-		defer s.Close()
-		go func() { _ = s.Serve(ln) }()
-		lists := func(id string) func() bool {
+		server := &http.Server{Handler: two}
+		defer server.Close()
+		go func() { _ = server.Serve(listener) }()
+		hasList := func(id string) func() bool {
 			return func() bool {
-				for _, r := range f.replicas {
-					r.mu.Lock()
-					is := r.serverList != nil && len(r.serverList.List) == 1 && r.serverList.List[0].ID == id
-					r.mu.Unlock()
-					if !is {
+				for _, replica := range f.replicas {
+					replica.mu.Lock()
+					matches := replica.serverList != nil && len(replica.serverList.List) == 1 && replica.serverList.List[0].ID == id
+					replica.mu.Unlock()
+					if !matches {
 						return false
 					}
 				}
 				return true
 			}
 		}
-		f.waitFor(2*time.Second, "the first list", lists("a"))
+		f.waitFor(2*time.Second, "the first list", hasList("a"))
 		assert.ErrorIs(t, f.replicas[0].Drain(context.Background(), "z9", true), ErrUnknownZone)
-		for i, r := range f.replicas {
+		for i, replica := range f.replicas {
 			next := f.settings(i)
 			next.Provider.Cloud = settings.Cloud{Address: "10.8.0.2:80", RatePerS: 8}
 			next.Network.Zones["z9"] = "r"
-			r.SetSettings(next)
+			replica.SetSettings(next)
 		}
-		f.waitFor(2*time.Second, "the other list", lists("b"))
+		f.waitFor(2*time.Second, "the other list", hasList("b"))
 		assert.NilError(t, f.replicas[0].Drain(context.Background(), "z9", true))
 		time.Sleep(2 * time.Second)
 		two.mu.Lock()
@@ -371,6 +371,6 @@
 		two.mu.Lock()
 		calls := two.calls - before
 		two.mu.Unlock()
-		assert.Assert(t, calls >= 9 && calls <= 11, "%d calls", calls) // one a second
+		assert.Assert(t, calls >= 9 && calls <= 11, "%d calls", calls) // one a second: the rate changed too
 	})
 }
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -20,7 +20,7 @@
 	"pepperfall.example/pepperfall/internal/dataplane/homing"
 )
 
-// Bounds of calls.
+// Bounds of HTTP calls.
 const (
 	maxBodyBytes        = 7 << 20 // a frame has to hold it
 	maxLockRequestBytes = 4 << 10
@@ -33,22 +33,22 @@
 	httpShutdownTimeout = 1500 * time.Millisecond // for calls in flight at the end
 )
 
-// serveHTTP serves ctl and dir; what it returns ends that in order.
+// serveHTTP serves the operators' calls and the clients' lookups. It returns a function that shuts both servers down.
 func (b *Replica) serveHTTP(ctx context.Context) (func(), error) {
-	var all []*http.Server
+	var servers []*http.Server
 	stop := func() {
 		ctx, cancel := b.withTimeout(context.Background(), httpShutdownTimeout)
 		defer cancel()
-		for _, s := range all {
-			_ = s.Shutdown(ctx)
-			_ = s.Close()
+		for _, server := range servers {
+			_ = server.Shutdown(ctx)
+			_ = server.Close()
 		}
 	}
 	for addr, h := range map[string]http.Handler{b.self.Ctl: b.operatorHandler(), b.self.Dir: b.directoryHandler()} {
 		if addr == "" {
 			continue
 		}
-		ln, err := b.world.Listen(ctx, "tcp", addr)
+		listener, err := b.world.Listen(ctx, "tcp", addr)
 		if err != nil {
 			stop()
 			return nil, errors.Wrap(err, "replica")
@@ -80,8 +80,8 @@
 			writeReplaceResult(w, done, err)
 		}
 	})
-	m.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
-		p, err := b.CurrentConfiguration(r.Context())
+	mux.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
+		configuration, err := b.CurrentConfiguration(r.Context())
 		if err != nil {
 			writeOrderResult(w, err)
 			return
@@ -90,7 +90,7 @@
 		_, _ = w.Write(p.Body)
 	})
 	for path, drain := range map[string]bool{api.DrainBegin: true, api.DrainFinish: false} {
-		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
+		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			zone := strings.TrimPrefix(r.URL.Path, path)
 			writeOrderResult(w, b.runOrder(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
 		})
@@ -110,10 +110,10 @@
 			if err != nil {
 				return InvalidError{err}
 			}
-			return b.Rest(ctx, name, least)
+			return b.Rest(ctx, name, minAwake)
 		}))
 	})
-	m.HandleFunc("POST "+api.NodeWake, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+api.NodeWake, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeWake)
 		writeOrderResult(w, b.runOrder(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
 	})
@@ -146,9 +146,9 @@
 				if err != nil || !(s > 0 && s <= api.JudgeMost.Seconds()) {
 					return InvalidError{errors.Errorf("%s: %q is no number of seconds up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
 				}
-				holds = time.Duration(s * float64(time.Second))
+				duration = time.Duration(seconds * float64(time.Second))
 			}
-			return b.OrderVerdict(ctx, id, q.Get(api.JudgeWord), holds)
+			return b.OrderVerdict(ctx, id, query.Get(api.JudgeWord), duration)
 		}))
 	})
 }
@@ -161,13 +161,13 @@
 		if text == "" {
 			continue
 		}
-		part, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(part >= 0 && part <= 1) {
-			return least, errors.Errorf("%s: %q is no part from 0 to 1", name, text)
+		fraction, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(fraction >= 0 && fraction <= 1) {
+			return minAwake, errors.Errorf("%s: %q is not a fraction from 0 to 1", name, text)
 		}
-		*to = part
+		*target = fraction
 	}
-	return least, nil
+	return minAwake, nil
 }
 
 // writeOrderResult answers an order.
@@ -201,7 +201,7 @@
 		return http.StatusBadRequest
 	case errors.Is(err, ErrUnknownZone), errors.Is(err, ErrUnknownProxy), errors.Is(err, ErrUnknownServer):
 		return http.StatusNotFound
-	case errors.As(err, &tight), errors.As(err, &conflict):
+	case errors.As(err, &tooFewAwake), errors.As(err, &conflict):
 		return http.StatusConflict
 	case errors.As(err, &taken):
 		return http.StatusLocked
@@ -231,14 +231,14 @@
 			writeError(w, http.StatusServiceUnavailable, errors.New("no node is ready"))
 			return
 		}
-		if len(fronts) > api.MostAddresses {
-			rand.Shuffle(len(fronts), func(i, j int) { fronts[i], fronts[j] = fronts[j], fronts[i] })
-			fronts = fronts[:api.MostAddresses]
+		if len(addresses) > api.MostAddresses {
+			rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+			addresses = addresses[:api.MostAddresses]
 		}
 		w.Header().Set("Content-Type", jsonContentType)
 		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(maxLookupTTL, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
-	return m
+	return mux
 }
 
 // lookupRegions are those in which clients of a host and a region are told proxies; the mutex is held.
@@ -246,13 +246,13 @@
 	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
-	homes, bound, free := b.parsedConfiguration.HomesOf(name)
-	if len(homes) == 0 || slices.Contains(homes, region) {
+	homeRegions, bound, free := b.parsedConfiguration.HomesOf(hostName)
+	if len(homeRegions) == 0 || slices.Contains(homeRegions, region) {
 		return []string{region}
 	}
-	host, now := homing.Host(routeconfig.Bare(name)), b.now()
+	host, now := homing.Host(routeconfig.Bare(hostName)), b.now()
 	if !b.hostRoutes.Home(host, bound, free, func() homing.Heads { return b.proxies.sumHostCounts(host, now) }, now) {
 		return []string{region}
 	}
-	return homes // else every bound body would go from one region to the other
+	return homeRegions // otherwise every body of a bound request would be sent from one region to another
 }
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -45,7 +45,8 @@
 	s.fakePlatform.ServeHTTP(w, r)
 }
 
-// A list of more pages than the platform answers in a second was never read: each refusal began it anew.
+// Guards against a list of more pages than the platform serves in a second never being read, because each refused call
+// restarted the read.
 func TestListOfMorePagesThanTheRateIsRead(t *testing.T) {
 	p := &rateLimitedPlatform{}
 	for i := range listPages {
@@ -64,6 +65,7 @@
 	})
 }
 
+// After an outage of the platform, all replicas have a current list in time, although all of them try to read it.
 func TestManyReplicasDoNotKeepEachOtherFromTheListAfterAnOutage(t *testing.T) {
 	p := &rateLimitedPlatform{}
 	for i := range 10 {
@@ -77,10 +79,10 @@
 			p.down, p.refused = down, 0
 		}
 		time.Sleep(10 * time.Second)
-		goes(true)
+		setDown(true)
 		time.Sleep(8 * time.Second)
-		goes(false)
-		back := time.Now()
+		setDown(false)
+		restored := time.Now()
 		f.waitFor(time.Minute, "read by all again", func() bool {
 			for _, r := range f.replicas {
 				r.mu.Lock()
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -22,10 +22,10 @@
 	at := func(q float64) time.Duration {
 		return all[min(len(all)-1, int(q*float64(len(all))))].Round(100 * time.Microsecond)
 	}
-	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", at(0.5), at(0.99), all[len(all)-1].Round(100*time.Microsecond), len(all))
+	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", value(0.5), value(0.99), durations[len(durations)-1].Round(100*time.Microsecond), len(durations))
 }
 
-// linkToLastProposer is where the replica runs that proposed what is decided.
+// linkToLastProposer returns the replica that proposed the decided state, or the first one if that is gone.
 func (f *clusterFixture) lastProposer() int {
 	for _, i := range f.runningIndexes() {
 		if f.replicas[i].proposerID() == f.replicas[i].decidedState().Proposer {
@@ -35,6 +35,7 @@
 	return f.runningIndexes()[0]
 }
 
+// without returns all elements but one.
 func without(all []int, one int) (rest []int) {
 	for _, i := range all {
 		if i != one {
@@ -50,35 +51,36 @@
 		*gen++
 		text := configurationBody(*gen, "m")
 		began := time.Now()
-		for f.replace(at[rnd.IntN(len(at))], text) != nil {
+		for f.replace(replicas[random.IntN(len(replicas))], text) != nil {
 			time.Sleep(50 * time.Millisecond)
 		}
-		all = append(all, time.Since(began))
-		time.Sleep(time.Duration(50+rnd.IntN(400)) * time.Millisecond)
+		durations = append(durations, time.Since(began))
+		time.Sleep(time.Duration(50+random.IntN(400)) * time.Millisecond)
 	}
-	return all
+	return durations
 }
 
-// TestMeasure prints how long orders take, calm and in trouble; it runs with -control.measure.
+// TestMeasure measures how long replacements of the configuration take, with and without faults. It prints the figures only
+// with -control.measure, which also runs it with more seeds.
 func TestMeasure(t *testing.T) {
 	seeds := 1
 	if *measuring {
 		seeds = 12
 	}
-	for _, x := range []struct {
-		name string
-		n    int
-		way  time.Duration
+	for _, setup := range []struct {
+		name    string
+		n       int
+		latency time.Duration
 	}{{"3 in a region", 3, time.Millisecond}, {"4 over regions", 4, 20 * time.Millisecond}, {"5 over regions", 5, 20 * time.Millisecond}} {
 		var calm, lost, killed, cut, slow, whole, joined []time.Duration
 		for seed := range seeds {
-			runCluster(t, x.n, func(f *clusterFixture) {
-				f.net.Set(sim.Faults{Least: x.way, Most: x.way})
+			runCluster(t, setup.n, func(f *clusterFixture) {
+				f.net.Set(sim.Faults{Least: setup.latency, Most: setup.latency})
 				for _, d := range f.disks {
 					d.SetLatency(time.Millisecond)
 				}
-				rnd := rand.New(rand.NewPCG(uint64(seed), 9))
-				all := make([]int, x.n)
+				random := rand.New(rand.NewPCG(uint64(seed), 9))
+				all := make([]int, setup.n)
 				for i := range all {
 					all[i] = i
 				}
@@ -110,15 +112,19 @@
 				f.removed[0] = true
 				f.kill(0, true)
 				time.Sleep(time.Second)
-				next := f.startReplacement()
+				replacement := f.startReplacement()
 				began := time.Now()
-				f.waitFor(4*rejoinTimeout, "whole", func() bool { return f.countVoting() == x.n && len(f.replicas[next].decidedState().Voters) == x.n })
+				f.waitFor(4*rejoinTimeout, "whole", func() bool {
+					return f.countVoting() == setup.n && len(f.replicas[replacement].decidedState().Voters) == setup.n
+				})
 				whole = append(whole, time.Since(began))
 				began = time.Now()
-				f.kill(next, true)
-				f.disks[next].Wipe()
-				f.start(next)
-				f.waitFor(4*rejoinTimeout, "whole", func() bool { return f.countVoting() == x.n && len(f.replicas[next].decidedState().Voters) == x.n })
+				f.kill(replacement, true)
+				f.disks[replacement].Wipe()
+				f.start(replacement)
+				f.waitFor(4*rejoinTimeout, "whole", func() bool {
+					return f.countVoting() == setup.n && len(f.replicas[replacement].decidedState().Voters) == setup.n
+				})
 				joined = append(joined, time.Since(began))
 			})
 		}
@@ -135,7 +141,7 @@
 	}
 }
 
-// measureCatchUp prints how long a replica needs that missed some changes.
+// measureCatchUp prints how long a replica that missed changes takes to catch up.
 func measureCatchUp(t *testing.T) {
 	for _, missed := range []int{10, 100, 1000} {
 		runCluster(t, 3, func(f *clusterFixture) {
--- a/internal/control/figures_test.go
+++ b/internal/control/metrics_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// metricValue is one of a replica's figures.
+// metricValue returns the value of one of the replica's metrics; -1 if there is none of this name.
 func (r *runningReplica) metricValue(name string) float64 {
 	for _, f := range r.collectMetrics() {
 		if f.Name == name {
@@ -20,7 +20,7 @@
 	return -1
 }
 
-// The figures tell a replica that is cut off from one that is not, and an agent that lacks a change.
+// The metrics show that a replica is cut off, and that an agent lacks the configuration in force.
 func TestMetricsShowWhoIsBehind(t *testing.T) {
 	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
@@ -32,7 +32,7 @@
 		assert.Assert(t, cut.metricValue("control_touch_age_seconds") < 1 && cut.metricValue("control_voters_reached") == 3 && cut.metricValue("control_agents_following") == 1 &&
 			cut.metricValue("control_agents_behind") == 0 && cut.metricValue("control_configuration") == 2)
 		f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
-		f.pingFor(2*time.Second, agent) // it is told, and goes on to say that it holds what it held
+		f.pingFor(2*time.Second, agent) // it is sent the new one, but goes on reporting the old one
 		assert.Assert(t, cut.metricValue("control_agents_behind") == 1 && cut.metricValue("control_agents_behind_longest_seconds") >= 2, "%v", cut.collectMetrics())
 		f.partition(ips(0), ips(1, 2), sim.Silent)
 		f.pingFor(3*time.Second, agent)
