--- a/policy/admit.go
+++ b/policy/admit.go
@@ -1,7 +1,5 @@
 package policy
 
-// Arrival, admission, holding, release and refusal of requests, and the periodic tick.
-
 import (
 	"cmp"
 	"math"
@@ -38,8 +36,7 @@
 	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
 	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
 	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < pressedFor
-	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayAwaitUnits(r) ||
-		r.isRetry && (bucketLow || serversBusy) {
+	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayAwaitUnits(r) || r.isRetry && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
 	}
@@ -64,7 +61,7 @@
 	return c.plan.HardRate == 0 || !r.usesOwnCeiling() || c.ceiling >= r.units
 }
 
-// mayAwaitUnits reports whether a request may wait for its customer's units: no more than refill in time.
+// mayWait reports whether a request may wait for its customer's units: no more may than refill in time.
 func (g *Gateway) mayAwaitUnits(r *request) bool {
 	if g.cfg.MultiService == nil || g.borrows || g.demand(r.customer) > r.customer.plan.Rate {
 		return false // demand exceeds the quota: waiting would only delay later requests
@@ -86,8 +83,7 @@
 	return inFlight, held
 }
 
-// underCap reports whether one more attempt of the customer fits under its cap on attempts in flight. A new
-// request is limited to this gateway's part of the free room by demand, at least one place.
+// underCap reports whether one more attempt fits the cap. Arrivals get this gateway's part by demand, or one.
 func (g *Gateway) underCap(c *customer, arrival bool) bool {
 	if c.plan.MaxInFlight == 0 {
 		return true
@@ -195,8 +191,7 @@
 	return true
 }
 
-// releaseHeld sends held requests after an attempt ended: the customer's own while they stay under its cap,
-// then those of other customers that wait for a server, the longest wait first.
+// releaseHeld sends held requests after an attempt ended: the customer's own, then others', oldest first.
 func (g *Gateway) releaseHeld(c *customer) {
 	if g.cfg.MultiService != nil {
 		g.serve()
--- a/policy/api.go
+++ b/policy/api.go
@@ -80,7 +80,8 @@
 	FailFactor   float64       // a cold server fails if it is sent this multiple of its capacity
 	FailTime     time.Duration // for at least this long
 
-	MultiService *MultiService // set if gateways serve many services; classes and plans then come with ConfigUpdate; nil: one service
+	// MultiService is set if gateways serve many services; classes and plans then come with ConfigUpdate.
+	MultiService *MultiService
 }
 
 // MultiService holds the further settings of a gateway that serves many services.
@@ -105,7 +106,7 @@
 const (
 	OK            Code = iota
 	Error              // the server answered with an error
-	Full               // the server rejected it, since its queue is full
+	Full               // the server rejected it for lack of capacity
 	TimedOut           // no answer came in time
 	ConnectFailed      // no connection to the server was made
 	Reset              // the connection broke before the answer
@@ -126,7 +127,7 @@
 	Customer     string
 	Plan         string
 	Class        string
-	Units        float64
+	Units        float64       // its cost in units of the customer's quota and ceiling
 	Remaining    time.Duration // time until the client gives up
 	FirstGateway int           // number of the first gateway that the customer uses
 	GatewayCount int           // how many it uses at least, counted up from FirstGateway and round; this one is among them
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -15,7 +15,7 @@
 	gatewayCount    int                     // number of its gateways, counted up from the first and round
 	noLenderAt      time.Duration           // when none of the gateways asked had units to lend; 0: never
 	owners          []int                   // the gateways to borrow ceiling units from, those of this region first
-	askRoots        []int                   // root and deputy to ask for each request; empty where this gateway sums the counts itself
+	askRoots        []int                   // root and deputy to ask for each request; empty where this gateway sums the counts
 	fittingShare    float64                 // share of its demand that fits its limits, as its root said
 	fittingShareAt  time.Duration           // when the root said so
 	countsForOthers bool                    // this gateway is its root or deputy and other gateways ask here
@@ -154,7 +154,7 @@
 	}
 }
 
-// addCustomer adds a customer to the tables. Reports can't tell apart two customers of the same short hash: their
+// registerCustomer adds a customer to the tables. Reports can't tell apart two customers of the same short hash: their
 // entries are ignored.
 func (g *Gateway) addCustomer(c *customer) {
 	g.customers[c.key] = c
--- a/policy/events.go
+++ b/policy/events.go
@@ -72,7 +72,8 @@
 		s := g.servers[m.ID]
 		if s == nil {
 			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverBits)
-			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictKeep, verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
+			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictKeep,
+				verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
 				planFull: map[*planState]time.Duration{}, watchers: g.watchersOf(h)}
 			g.servers[m.ID] = s
 			g.serverList = append(g.serverList, s)
@@ -170,8 +171,10 @@
 		cl = &class{Class: Class{LatencyTarget: ev.Remaining, Effect: Unsafe}, mean: g.meanLatency}
 	}
 	g.advance(c)
-	r := &request{id: ev.ID, customer: c, class: cl, service: ev.Service, regions: ev.Regions, serverGroup: ev.Service, priority: ev.Priority, waitedBefore: ev.WaitedBefore, maxAttempts: ev.MaxAttempts, effect: max(cl.Effect, ev.Effect), units: ev.Units, arrivedAt: g.now, isRetry: ev.Retry,
-		deadline: g.now + ev.Remaining}
+	r := &request{id: ev.ID, customer: c, class: cl, service: ev.Service, regions: ev.Regions,
+		serverGroup: ev.Service, priority: ev.Priority, waitedBefore: ev.WaitedBefore,
+		maxAttempts: ev.MaxAttempts, effect: max(cl.Effect, ev.Effect), units: ev.Units,
+		arrivedAt: g.now, isRetry: ev.Retry, deadline: g.now + ev.Remaining}
 	if len(ev.Regions) > 0 {
 		r.serverGroup += "|" + strings.Join(ev.Regions, ",")
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -179,9 +179,10 @@
 // askFor returns the ask for a request.
 func (g *Gateway) askFor(r *request) askMessage {
 	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
-	m := askMessage{Customer: c.key, First: uint16(c.firstGateway), Spread: uint16(c.gatewayCount), Plan: c.plan.index,
-		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
-		Tag: r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
+	m := askMessage{Customer: c.key, First: uint16(c.firstGateway), Spread: uint16(c.gatewayCount),
+		Plan: c.plan.index, Class: byte(r.class.index), Units: uint16(r.units),
+		RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
+		Tag:         r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
 	if r.isRetry {
 		m.Flags |= flagRepeat
 	}
@@ -196,14 +197,17 @@
 
 // requestFrom returns the request that another gateway asks for.
 func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
-	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
+	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name],
+		effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
 		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRepeat != 0,
 		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
 
 // ejectionBits returns a bit for each class to eject the server from, whether this differs from the current
 // state of any class, whether any class is to be ejected, and when the current ejection ends.
-func (s *server) ejectionBits(shouldEject func(class int, v *classHealth) bool) (bits byte, changed, anyEjected bool, until time.Duration) {
+func (s *server) ejectionBits(shouldEject func(class int, v *classHealth) bool) (
+	bits byte, changed, anyEjected bool, until time.Duration,
+) {
 	for i := range s.classes {
 		v := &s.classes[i]
 		eject := shouldEject(i, v)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,11 +1,8 @@
 package policy
 
-// Retries at other servers, their budget, and when to advise clients to retry.
-
 import "time"
 
-// mayRetry decides whether a request gets another attempt and charges the service's retry budget, which keeps
-// retries from adding to an overload. usable decides at which servers.
+// mayRetry decides whether to retry a request. It charges the retry budget, which limits retries in overload.
 func (g *Gateway) mayRetry(r *request, code Code) bool {
 	if r.maxAttempts > 0 && r.attempts >= r.maxAttempts ||
 		r.mayHaveRun && (r.effect == Unsafe || r.effect == Keyed && g.now-r.ranAt >= r.class.DedupWindow) ||
