--- a/internal/control/compare.go
+++ b/internal/control/report_rounds.go
@@ -10,59 +10,59 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of rounds.
+// Times of report rounds.
 const (
 	reportRoundInterval = 400 * time.Millisecond
 	reportRoundTimeout  = 300 * time.Millisecond
-	minWakeDelay        = 20 * time.Millisecond // between a wish for a round and the round
+	minWakeDelay        = 20 * time.Millisecond // between a request for work in the background and its start, to join requests
 )
 
 // lastReport is another replica's last report.
 type lastReport struct {
 	report     quorum.Report
 	receivedAt time.Duration
-	hasLeft    bool // it said that it ends, and has not come back since
+	hasLeft    bool // it announced that it ends, and has not come back since
 }
 
-// acceptedProposal is what a replica had accepted above the version that it knew.
+// acceptedProposal is a proposal that a replica accepted on top of its decided version.
 type acceptedProposal struct {
 	version uint64
 	ballot  quorum.Ballot
 }
 
-// runReportRounds asks the others how far they are, ever again.
+// runReportRounds runs report rounds periodically, and when kicked, until ctx ends.
 func (b *Replica) runReportRounds(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := b.now()
 		b.runReportRound(ctx)
-		t := b.world.NewTimer(max(minWakeDelay, reportRoundInterval-(b.now()-began)))
+		timer := b.world.NewTimer(max(minWakeDelay, reportRoundInterval-(b.now()-began)))
 		select {
-		case <-t.C():
+		case <-timer.C():
 		case <-b.roundWanted:
-			t.Stop()
+			timer.Stop()
 			if !b.sleep(ctx, minWakeDelay) {
 				return
 			}
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 		}
 	}
 }
 
-// runReportRound compares how far all are: it confirms what is decided, helps those that
-// are behind, finishes what a proposer has left behind, and sees to the voters.
+// runReportRound asks all replicas for their reports. It confirms the decided state, sends it to replicas that are behind,
+// resolves proposals whose proposer has failed, and starts changes of the voters.
 func (b *Replica) runReportRound(ctx context.Context) {
 	began, known := b.now(), b.decidedState().Version
-	rctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
-	reports := b.requestReports(rctx, func() bool { return false })
+	roundCtx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	reports := b.requestReports(roundCtx, func() bool { return false })
 	cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	base := b.contents.Record.Decided
 	b.updateContact(base, reports, began)
-	for id, m := range reports {
-		if l := b.linkTo(id); l != nil && m.Version < base.Version {
-			b.sendDecided(l)
+	for id, report := range reports {
+		if link := b.linkTo(id); link != nil && report.Version < base.Version {
+			b.sendDecided(link)
 		}
 	}
 	b.store.RetryPending()
@@ -71,10 +71,10 @@
 	b.forgetSilentReplicas()
 }
 
-// updateContact takes in what a round that began at a moment says of this replica's
-// own standing; the mutex is held. One that a majority answers is in touch unless it
-// lacks what somebody knew in the round before. That nothing newer is decided can't
-// be told while the next version is being accepted.
+// updateContact updates when this replica last confirmed the decided state and when it was last in touch with a majority,
+// by a round's reports; the mutex is held. It is in touch if a majority of the voters answered and it has every version
+// that was reported in the previous round. Being in touch doesn't need a confirmation, since no round can confirm that
+// nothing newer is decided while the next version is being accepted.
 func (b *Replica) updateContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
 		b.decidedConfirmed = delivery.Confirmation{IsKnown: true, At: max(b.decidedConfirmed.At, began)}
@@ -84,24 +84,25 @@
 		b.majorityContact = delivery.Confirmation{IsKnown: true, At: began}
 	}
 	b.newestReported = 0
-	for _, m := range reports {
-		b.newestReported = max(b.newestReported, m.Version)
+	for _, report := range reports {
+		b.newestReported = max(b.newestReported, report.Version)
 	}
 }
 
-// resolveUndecided has a value decided, or found not to be, that somebody accepted and that
-// nobody has seen to for a whole round; the mutex is held.
+// resolveUndecided starts a ballot if a replica reported the same accepted proposal in two rounds in a row, without a
+// decision: its proposer may have failed. The ballot decides on that value or finds that it wasn't chosen. The mutex is
+// held.
 func (b *Replica) resolveUndecided(base state.State, reports map[string]quorum.Report) {
 	before := b.acceptedUndecided
 	b.acceptedUndecided = map[string]acceptedProposal{}
-	left := false
-	for id, m := range reports {
-		if m.Version == base.Version && m.Accepted != (quorum.Ballot{}) {
-			b.acceptedUndecided[id] = acceptedProposal{m.Version, m.Accepted}
-			left = left || before[id] == b.acceptedUndecided[id]
+	stale := false
+	for id, report := range reports {
+		if report.Version == base.Version && report.Accepted != (quorum.Ballot{}) {
+			b.acceptedUndecided[id] = acceptedProposal{report.Version, report.Accepted}
+			stale = stale || before[id] == b.acceptedUndecided[id]
 		}
 	}
-	if !left || b.finishInProgress || b.leaving {
+	if !stale || b.finishInProgress || b.leaving {
 		return
 	}
 	b.finishInProgress = true
@@ -113,33 +114,34 @@
 	})
 }
 
-// requestReports asks all replicas that are connected how far they are, until enough is
-// true, all have answered, or ctx ends. They go by ID, this one's among them.
+// requestReports asks all connected replicas for their reports until enough returns true, all have answered, or ctx ends.
+// It returns the reports by replica ID, this replica's among them.
 func (b *Replica) requestReports(ctx context.Context, enough func() bool) map[string]quorum.Report {
 	all := map[string]quorum.Report{}
 	b.collectReports(ctx, all, enough)
 	return all
 }
 
+// collectReports is requestReports that adds to all, which enough may look at.
 func (b *Replica) collectReports(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
-	p := b.newPoll()
-	defer p.cancel()
+	poll := b.newPoll()
+	defer poll.cancel()
 	b.mu.Lock()
 	all[b.self.ID] = b.contents.Record.Report()
 	for _, links := range b.links {
-		p.ask(links[len(links)-1], peerlink.Ask{Report: true})
+		poll.ask(links[len(links)-1], peerlink.Ask{Report: true})
 	}
 	b.mu.Unlock()
-	for left := p.sentCount; left > 0 && !enough(); left-- {
+	for left := poll.sentCount; left > 0 && !enough(); left-- {
 		select {
-		case a := <-p.answers:
-			if a.reply == nil || a.reply.Report == nil {
+		case answer := <-poll.answers:
+			if answer.reply == nil || answer.reply.Report == nil {
 				continue
 			}
-			m := *a.reply.Report
-			all[m.ID] = m
+			report := *answer.reply.Report
+			all[report.ID] = report
 			b.mu.Lock()
-			b.lastReports[m.ID] = lastReport{report: m, receivedAt: b.now()}
+			b.lastReports[report.ID] = lastReport{report: report, receivedAt: b.now()}
 			b.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -147,7 +149,7 @@
 	}
 }
 
-// isStillLatest tells whether a majority says that nothing but other voters is decided above base.
+// isStillLatest reports whether a majority confirms that nothing above base is decided except changes of the voters.
 func (b *Replica) isStillLatest(ctx context.Context, base state.State) bool {
 	ctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
 	defer cancel()
@@ -157,8 +159,8 @@
 	return latest()
 }
 
-// confirmedState returns what is decided once a majority of its voters has said that
-// nothing was decided above it when confirm was called; else ErrNoMajority.
+// confirmedState returns the decided state once a majority of its voters has confirmed that nothing above it was decided
+// when confirmedState was called. It returns ErrNoMajority if no majority can be reached.
 func (b *Replica) confirmedState(ctx context.Context) (state.State, error) {
 	b.mu.Lock()
 	reached := b.isMajorityReachable()
@@ -172,13 +174,13 @@
 		base = b.decidedState()
 		return quorum.IsLatest(base, reports)
 	}
-	rctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
-	b.collectReports(rctx, reports, latest)
+	roundCtx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	b.collectReports(roundCtx, reports, latest)
 	cancel()
 	if latest() {
 		return base, nil
 	}
-	// Something may be decided above it, or is about to be: ballots tell.
+	// A newer state may be decided or about to be: a ballot settles that.
 	if err := b.decide(ctx, nil, func(*state.State) error { return nil }); err != nil {
 		return state.State{}, err
 	}
