--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -41,7 +41,7 @@
 	offset atomic.Int64
 }
 
-func (j *skewedHost) Now() time.Time { return j.Host.Now().Add(time.Duration(j.offset.Load())) }
+func (h *skewedHost) Now() time.Time { return h.Host.Now().Add(time.Duration(h.offset.Load())) }
 
 // runningReplica is a replica and what the fixture needs to end it.
 type runningReplica struct {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -283,7 +283,7 @@
 	}
 	voters := slices.Clone(base.Voters)
 	for _, v := range message.Value.Voters {
-		if _, is := base.Voter(v.ID); !is {
+		if _, isVoter := base.Voter(v.ID); !isVoter {
 			voters = append(voters, v)
 		}
 	}
@@ -331,9 +331,9 @@
 	return config
 }
 
-// askVoters puts a question to voters, to this replica directly if it is one of them. It passes each reply to take, and
-// returns once enough is true, all have answered, or ctx ends.
-func (b *Replica) askVoters(ctx context.Context, voters []state.Voter, question func(id string) peerlink.Ask, take func(*peerlink.Reply), enough func() bool) {
+// askVoters puts a question to voters, to this replica directly if it is one of them. It passes each reply to
+// handle, and returns once enough is true, all have answered, or ctx ends.
+func (b *Replica) askVoters(ctx context.Context, voters []state.Voter, question func(id string) peerlink.Ask, handle func(*peerlink.Reply), enough func() bool) {
 	poll := b.newPoll()
 	defer poll.cancel()
 	b.mu.Lock()
@@ -352,7 +352,7 @@
 		select {
 		case a := <-poll.answers:
 			if a.reply != nil {
-				take(a.reply)
+				handle(a.reply)
 			}
 		case <-ctx.Done():
 			return
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -67,7 +67,7 @@
 	voterChange         voterChangeState         // the wanted change of the voters
 
 	configuration        *peerlink.Configuration    // the decided one
-	parsedConfiguration  *routeconfig.Configuration // configuration, parsed; nil until parsing ends
+	parsedConfiguration  *routeconfig.Configuration // configuration, parsed; an earlier one, or nil, until parsing ends
 	ordersInForce        map[string]peerlink.Zone   // decided orders by subject: a zone, a proxy or a server
 	decidedConfirmed     delivery.Confirmation      // start of the last round in which a majority confirmed the decided state as the latest
 	majorityContact      delivery.Confirmation      // start of the last round in which a majority answered and this replica was not behind
