--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -28,7 +28,7 @@
 		}
 	case policy.Refuse:
 		if c := l.calls[a.ID]; c != nil {
-			l.finish(c, command{refuse: true, retryAfter: a.RetryAfter, over: a.Over})
+			l.finish(c, command{refuse: true, retryAfter: a.RetryAfter, over: a.OverQuota})
 		}
 	case policy.Fail:
 		if c := l.calls[a.ID]; c != nil {
@@ -36,13 +36,13 @@
 		}
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{at: l.clock.now() + max(0, a.After), token: a.Token})
-	case policy.Tell:
+	case policy.SendPeer:
 		if l.tell != nil {
 			l.tell(a.To, a.Data)
 		}
 	case policy.Watch:
 		// The list is watched from the start, asked for or not.
-	case policy.Give:
+	case policy.OfferUnits:
 		if l.give != nil {
 			l.give(a)
 		}
@@ -53,7 +53,7 @@
 
 func (l *loop) send(s policy.Send) {
 	c, now := l.calls[s.ID], l.clock.now()
-	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.Moot, Over: c == nil}
+	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
 	if c != nil {
 		moot.Attempt = c.attempts
 		c.attempts++
@@ -68,7 +68,7 @@
 	}
 	a.writeBy, a.once = a.deadline, c.effect == policy.Unsafe
 	if c.ranAt > 0 && c.effect == policy.Keyed {
-		a.writeBy = min(a.writeBy, c.ranAt+c.class.Window)
+		a.writeBy = min(a.writeBy, c.ranAt+c.class.DedupWindow)
 	}
 	c.out = a
 	c.cmd <- command{attempt: a}
--- a/internal/dataplane/node/booked.go
+++ b/internal/dataplane/node/booked.go
@@ -59,7 +59,7 @@
 		return nil, &unusable{status: 503, text: "no id could be made for the request"}
 	}
 	r.id = c.name
-	c.Customer, c.Plan, c.Class, c.Units, c.First, c.Spread = k.Number, k.Plan, k.Class.Name, k.Units, k.First, k.Spread
+	c.Customer, c.Plan, c.Class, c.Units, c.FirstGateway, c.GatewayCount = k.Number, k.Plan, k.Class.Name, k.Units, k.First, k.Spread
 	c.Retry, c.Effect = k.Retry, c.effect
 	return c, nil
 }
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -272,7 +272,7 @@
 		return says(c, r, "200 OK", "", "x")
 	})
 	cfg := testConfig(t, newRegistry(t, serving("s-00000001", app.Addr())).Addr())
-	cfg.Settings.Plans[0].Open = 1 // the second waits for the first
+	cfg.Settings.Plans[0].MaxInFlight = 1 // the second waits for the first
 	n := start(t, cfg)
 	n.put(tableOf(t, cfg, "rev1", nil))
 	answers := make(chan *http.Response, 2)
--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -153,7 +153,7 @@
 
 // peers checks the addresses of the other edge nodes.
 func (c *Config) peers(list []string, all string) error {
-	if !c.Settings.CanTell {
+	if !c.Settings.CanMessagePeers {
 		return nil
 	}
 	for i, p := range list {
--- a/internal/dataplane/node/configured_test.go
+++ b/internal/dataplane/node/configured_test.go
@@ -122,7 +122,7 @@
 		t.Errorf("%v", back)
 	}
 	booted := target{UID: "x", State: "SERVING", BootMS: float64(c.anchor.UnixMilli())}
-	if s := booted.server(); !s.HasStart || now-s.Start < 0 || now-s.Start > time.Minute {
+	if s := booted.server(); !s.HasStartTime || now-s.StartTime < 0 || now-s.StartTime > time.Minute {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/dataplane/node/discovery.go
+++ b/internal/dataplane/node/discovery.go
@@ -77,7 +77,7 @@
 // Unix epoch, so a start time needs no shift.
 func (t *target) server() policy.Server {
 	return policy.Server{ID: serverID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: targetStates[t.State],
-		HasStart: t.BootMS > 0, Start: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
+		HasStartTime: t.BootMS > 0, StartTime: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
 }
 
 const (
@@ -91,7 +91,7 @@
 // discovery follows the list of app servers.
 type discovery struct {
 	clock world.Clock
-	tell  func(*serverList, policy.MembersKind)
+	tell  func(*serverList, policy.ServerListKind)
 	http  http.Client
 	known *serverList // the list held at the start; nil: none is
 	pace  pace        // run's
@@ -102,7 +102,7 @@
 }
 
 // newDiscovery returns what follows the list at the address, from a known list on.
-func newDiscovery(w world.World, addr string, known *serverList, tell func(*serverList, policy.MembersKind)) *discovery {
+func newDiscovery(w world.World, addr string, known *serverList, tell func(*serverList, policy.ServerListKind)) *discovery {
 	return &discovery{clock: w, addr: addr, known: known, tell: tell, moved: func() {}, http: http.Client{
 		Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: watchWait, DialContext: w.Dial},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -165,7 +165,7 @@
 				slog.Warn("discovery does not answer; the list held stays in force", "err", err)
 			}
 			down = true
-			d.tell(nil, policy.AskFailed)
+			d.tell(nil, policy.WatchFailed)
 			world.Sleep(ctx, d.clock, d.pace.failed())
 			continue
 		}
@@ -180,9 +180,9 @@
 		rev = l.Rev
 		switch {
 		case l.All || !have:
-			d.tell(l, policy.Whole)
+			d.tell(l, policy.CompleteList)
 		case len(l.Targets) > 0:
-			d.tell(l, policy.Changes)
+			d.tell(l, policy.ChangedServers)
 		}
 		have = true
 	}
--- a/internal/dataplane/node/estate.go
+++ b/internal/dataplane/node/estate.go
@@ -68,7 +68,7 @@
 type Estate struct {
 	node       *Node
 	cfg        EstateConfig
-	field      *policy.Field
+	field      *policy.MultiService
 	serverList *serverlist.ServerList // the loop's
 
 	estate *estate
@@ -80,9 +80,9 @@
 
 // NewEstate opens the sockets of an edge node of the system.
 func NewEstate(cfg EstateConfig) (*Estate, error) {
-	field := &policy.Field{RetryEarn: cfg.RetryRatio * budgetPart, ColdPart: coldPart, ColdSpan: coldSpan, Report: estateReport}
-	set := policy.Settings{Gateways: 1, Zone: cfg.Zone, Resolution: time.Millisecond, CanCancel: true, CanTell: true,
-		MailPerSecond: estateMail, LargestUnits: 1, MaxRetryAfter: time.Second, Field: field}
+	field := &policy.MultiService{RetryBudgetPerAttempt: cfg.RetryRatio * budgetPart, ColdShare: coldPart, ColdWindow: coldSpan, ReportInterval: estateReport}
+	set := policy.Settings{Gateways: 1, Zone: cfg.Zone, Resolution: time.Millisecond, CanCancel: true, CanMessagePeers: true,
+		MessagesPerSecond: estateMail, MaxRequestUnits: 1, MaxRetryAfter: time.Second, MultiService: field}
 	g, err := policy.New(set, cfg.Seed)
 	if err != nil {
 		return nil, errors.WithMessage(err, "settings")
@@ -95,7 +95,7 @@
 	n.loop.lookEvery = estateLook
 	n.server = newServer(clk, set, up, n.loop.events, int(clientPart*float64(cfg.Sockets)))
 	e := &Estate{node: n, cfg: cfg, field: field, serverList: &serverlist.ServerList{Terms: serverListTerms(&cfg)}}
-	field.RetryCap = e.retryCap
+	field.MaxRetryBudget = e.retryCap
 	e.estate = &estate{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
 	e.estate.freshFor.Store(int64(freshFor(&cfg)))
 	n.server.estate, n.server.over, n.server.failed = e.estate, n.loop.over, cfg.Failed
@@ -188,8 +188,8 @@
 }
 
 // terms are the module's classes and plans for a configuration.
-func (e *Estate) terms(p *routeconfig.Configuration, classes map[string]*policy.Class) policy.Terms {
-	var t policy.Terms
+func (e *Estate) terms(p *routeconfig.Configuration, classes map[string]*policy.Class) policy.ConfigUpdate {
+	var t policy.ConfigUpdate
 	for _, name := range slices.Sorted(maps.Keys(classes)) { // their order numbers them
 		t.Classes = append(t.Classes, *classes[name])
 	}
@@ -199,7 +199,7 @@
 			more := e.cfg.QuotaExcess * excessPart
 			pl.Rate, pl.Burst = max(n.RatePerS*(1+more), 0.01), max(n.Burst*(1+more), 1)
 			pl.HardRate, pl.HardBurst = pl.Rate, pl.Burst+e.cfg.QuotaSlack*excessPart
-			pl.HardStart = (e.cfg.QuotaExcess*(n.RatePerS*e.cfg.QuotaWindow.Seconds()+n.Burst) + e.cfg.QuotaSlack) * startPart
+			pl.HardInitial = (e.cfg.QuotaExcess*(n.RatePerS*e.cfg.QuotaWindow.Seconds()+n.Burst) + e.cfg.QuotaSlack) * startPart
 		}
 		t.Plans = append(t.Plans, pl)
 	}
@@ -234,7 +234,7 @@
 	e.node.peers.meet(to)
 	e.estate.shares.Store(int64(shares))
 	e.in(func(l *loop) {
-		e.yields.peers = policy.Peers{Me: me, Gateways: numbers, Shares: shares, Regions: regions, Less: less}
+		e.yields.peers = policy.GatewaySet{Me: me, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: less}
 		e.share(l)
 		e.members(l)
 	})
@@ -259,22 +259,22 @@
 		return
 	}
 	list := &serverList{All: true}
-	ev := policy.Members{Kind: policy.Whole}
+	ev := policy.ServerList{Kind: policy.CompleteList}
 	for _, s := range e.serverList.Lives() {
 		t := target{UID: s.ID, Endpoint: s.Address, State: "SERVING"}
 		if s.MostOut > 0 {
 			t.mostIdle = max(1, int(idleConns*float64(s.MostOut)/float64(max(1, e.estate.shares.Load()))))
 		}
 		m := policy.Server{ID: serverID(s.ID), Zone: s.Zone, Region: s.Region, Service: s.Service, Slots: max(1, s.Slots),
-			ColdUntil: s.ColdUntil, ColdSends: s.ColdSends}
+			ColdUntil: s.ColdUntil, ColdSendRate: s.ColdSends}
 		if s.Closed {
 			t.State, m.State = "DRAINING", policy.Draining
 		}
 		switch {
 		case s.Region != e.cfg.Region:
-			m.Far = farRegion
+			m.ExtraLatency = farRegion
 		case s.Zone != e.cfg.Zone:
-			m.Far = farZone
+			m.ExtraLatency = farZone
 		}
 		list.Targets = append(list.Targets, t)
 		ev.Servers = append(ev.Servers, m)
--- a/internal/dataplane/node/fit.go
+++ b/internal/dataplane/node/fit.go
@@ -67,14 +67,14 @@
 			e.trusts(l)
 		}
 		for id, t := range e.fit.trusts {
-			t.Try = false // told once
+			t.Trial = false // told once
 			e.fit.trusts[id] = t
 		}
 	})
 }
 
 // trusts tells the module how far servers are trusted.
-func (e *Estate) trusts(l *loop) { l.decide(policy.Trusts{Servers: e.fit.trusts}) }
+func (e *Estate) trusts(l *loop) { l.decide(policy.TrustUpdate{Servers: e.fit.trusts}) }
 
 // note notes how an attempt ended, where that says anything of its server.
 func (e *Estate) note(o outcome) {
@@ -90,7 +90,7 @@
 
 // outcomeOf is what the end of an attempt says of its server; false: nothing.
 func outcomeOf(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
-	aim := o.c.class.Aim
+	aim := o.c.class.LatencyTarget
 	switch {
 	case o.fault != nil || o.End == verdict.Unfit: // the client's fault
 		return 0, false
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -8,7 +8,7 @@
 
 // yields is how an estate's parts are given up and taken over.
 type yields struct {
-	peers policy.Peers // as told last; Gateways 0: not told
+	peers policy.GatewaySet // as told last; Gateways 0: not told
 	stage handover.Stage
 	taker handover.Taker
 	giver *handover.Giver // nil: nothing is given up
@@ -22,9 +22,9 @@
 		return
 	}
 	p := y.peers
-	p.Barren = y.stage >= handover.Cool
+	p.NoColdSends = y.stage >= handover.Cool
 	if y.stage >= handover.Shut {
-		p.Less = 1
+		p.UnusedShare = 1
 	}
 	l.decide(p)
 }
@@ -80,7 +80,7 @@
 	y := &e.yields
 	switch y.stage = stage; stage {
 	case handover.Shut:
-		l.decide(policy.Yield{}) // before its parts are told to be none
+		l.decide(policy.Relinquish{}) // before its parts are told to be none
 		y.giver = handover.NewGiver(y.taker.Life, y.lots, l.clock.now())
 	case handover.Late:
 		l.finishAll()
@@ -101,8 +101,8 @@
 }
 
 // gave notes units that the module has given up; it runs on the loop.
-func (e *Estate) gave(a policy.Give) {
-	e.yields.lots = append(e.yields.lots, handover.Lot{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Takers: a.To})
+func (e *Estate) gave(a policy.OfferUnits) {
+	e.yields.lots = append(e.yields.lots, handover.Lot{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Takers: a.Candidates})
 }
 
 // handed takes in what another edge node says about what is handed over.
@@ -132,7 +132,7 @@
 	}
 	answer, shares := y.taker.Hear(m)
 	for _, s := range shares {
-		l.decide(policy.Given{Customer: s.Key, Units: s.Units})
+		l.decide(policy.UnitsReceived{Customer: s.Key, Units: s.Units})
 	}
 	if answer != nil {
 		e.node.peers.tell(from, answer.Encode())
--- a/internal/dataplane/node/leave_test.go
+++ b/internal/dataplane/node/leave_test.go
@@ -73,7 +73,7 @@
 				}
 				for i, e := range all { // two hold what one may, one has used its units up
 					e.in(func(l *loop) {
-						l.decide(policy.Given{Customer: policy.KeyOf("t"), Units: []uint16{4, 0, 4}[i]})
+						l.decide(policy.UnitsReceived{Customer: policy.KeyOf("t"), Units: []uint16{4, 0, 4}[i]})
 					})
 				}
 				time.Sleep(time.Second)
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -25,7 +25,7 @@
 
 type listed struct {
 	list *serverList
-	kind policy.MembersKind
+	kind policy.ServerListKind
 }
 
 // loop owns the Gateway and the state of all open requests. Others hand it
@@ -36,8 +36,8 @@
 	up      *upstream
 	tell    func(to int, data []byte)
 	mustAsk bool
-	onList  func(kind policy.MembersKind)
-	give    func(policy.Give)
+	onList  func(kind policy.ServerListKind)
+	give    func(policy.OfferUnits)
 	note    func(outcome) // of how attempts end; nil: nobody does
 
 	lookEvery time.Duration
@@ -139,7 +139,7 @@
 	case o.spent: // there is nothing to send again
 		l.answer(c, command{retryAfter: refusedWait})
 	}
-	ev.Over = l.calls[c.ID] == nil
+	ev.Final = l.calls[c.ID] == nil
 	l.decide(ev)
 }
 
@@ -149,7 +149,7 @@
 		return
 	}
 	l.finish(c, command{late: true})
-	l.decide(policy.Gone{ID: c.ID})
+	l.decide(policy.ClientGone{ID: c.ID})
 }
 
 // finishAll answers all that is open as at its deadline.
@@ -176,7 +176,7 @@
 			c.abandon()
 		}
 		l.left.Add(1)
-		l.decide(policy.Gone{ID: id})
+		l.decide(policy.ClientGone{ID: id})
 	}
 	heap.Push(&l.timers, &timer{at: l.clock.now() + l.lookEvery, look: true})
 }
@@ -217,12 +217,12 @@
 func (l *loop) members(m listed) {
 	if m.list == nil {
 		if l.mustAsk {
-			l.decide(policy.Members{Kind: policy.AskFailed})
+			l.decide(policy.ServerList{Kind: policy.WatchFailed})
 		}
 		return
 	}
-	l.up.update(m.list, m.kind != policy.Changes)
-	ev := policy.Members{Kind: m.kind}
+	l.up.update(m.list, m.kind != policy.ChangedServers)
+	ev := policy.ServerList{Kind: m.kind}
 	for i := range m.list.Targets {
 		ev.Servers = append(ev.Servers, m.list.Targets[i].server())
 	}
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -65,7 +65,7 @@
 	clk := newClock(w)
 	up := &upstream{clock: clk, network: w, limit: cfg.DialTimeout,
 		idleFor: time.Duration(idlePart * float64(cfg.ConnIdle)), grace: cfg.DrainGrace,
-		most: int(serverPart * float64(cfg.Sockets)), fields: cfg.Settings.ReportNames,
+		most: int(serverPart * float64(cfg.Sockets)), fields: cfg.Settings.LoadReportNames,
 		servers: map[policy.ServerID]*appServer{}}
 	n := &Node{cfg: cfg, world: w, up: up, loop: newLoop(clk, g, up), platformDiscovery: cfg.Discovery,
 		stop: stopping{stopShutIdle, stopAccept, stopMost}}
@@ -74,13 +74,13 @@
 	if cfg.Random == nil {
 		n.server.booked.random = rand.Reader
 	}
-	n.loop.mustAsk = cfg.Settings.MustAsk
-	n.loop.onList = func(kind policy.MembersKind) {
+	n.loop.mustAsk = cfg.Settings.MustWatch
+	n.loop.onList = func(kind policy.ServerListKind) {
 		switch kind {
-		case policy.Whole:
+		case policy.CompleteList:
 			n.server.ready.Store(true)
-		case policy.Remembered: // has to do while discovery is silent
-			if cfg.Settings.MustAsk {
+		case policy.CachedList: // has to do while discovery is silent
+			if cfg.Settings.MustWatch {
 				n.server.ready.Store(true)
 				break // its answer is not to be had at once
 			}
@@ -90,7 +90,7 @@
 			}()
 		}
 	}
-	if cfg.Settings.CanTell {
+	if cfg.Settings.CanMessagePeers {
 		n.peers, err = listenPeers(w, cfg.PeerListen, cfg.Peers, cfg.PeersAll, func(from int, data []byte) {
 			select {
 			case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
@@ -122,10 +122,10 @@
 			cfg.Known = nil
 		}
 	}
-	n.disc = newDiscovery(w, cfg.Discovery, cfg.Known, func(l *serverList, kind policy.MembersKind) {
+	n.disc = newDiscovery(w, cfg.Discovery, cfg.Known, func(l *serverList, kind policy.ServerListKind) {
 		n.loop.events <- listed{l, kind}
 	})
-	if cfg.Settings.MustAsk {
+	if cfg.Settings.MustWatch {
 		n.disc.pace = sharedPace(cfg.Settings.Gateways, cfg.Seed)
 	}
 	return n, nil
@@ -147,7 +147,7 @@
 	defer end()
 	defer n.closePeers()
 	if k := n.cfg.Known; k != nil {
-		n.loop.events <- listed{k, policy.Remembered}
+		n.loop.events <- listed{k, policy.CachedList}
 	}
 	go n.loop.run(ctx.Done())
 	go n.disc.run(ctx)
--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -176,7 +176,7 @@
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("a")) }))
 	t.Cleanup(app.Close)
 	cfg := testConfig(t, strings.TrimPrefix(agent.URL, "http://"))
-	cfg.Settings.MustAsk, cfg.Settings.Gateways = true, 1
+	cfg.Settings.MustWatch, cfg.Settings.Gateways = true, 1
 	cfg.Known = &serverList{Rev: 41, All: true, Targets: []target{serving("s-00000001", strings.TrimPrefix(app.URL, "http://"))}}
 	n := start(t, cfg)
 	if resp, body := ask(t, request(n.url, "lookup", time.Second)); resp.StatusCode != http.StatusOK || body != "a" {
@@ -196,7 +196,7 @@
 	}))
 	t.Cleanup(agent.Close)
 	clock := &stoppedClock{slept: make(chan time.Duration, 100)}
-	d := newDiscovery(clock, strings.TrimPrefix(agent.URL, "http://"), nil, func(*serverList, policy.MembersKind) {})
+	d := newDiscovery(clock, strings.TrimPrefix(agent.URL, "http://"), nil, func(*serverList, policy.ServerListKind) {})
 	d.pace = sharedPace(300, 1)
 	want := sharedPace(300, 1)
 	ctx, end := context.WithCancel(context.Background())
--- a/internal/dataplane/node/passing.go
+++ b/internal/dataplane/node/passing.go
@@ -93,7 +93,7 @@
 		}
 		for _, s := range r.Split {
 			name := className(r, s.Backend)
-			t.classes[name] = &policy.Class{Name: name, Aim: r.Target, Deadline: r.Timeout, Effect: effectOf(r)}
+			t.classes[name] = &policy.Class{Name: name, LatencyTarget: r.Target, Deadline: r.Timeout, Effect: effectOf(r)}
 		}
 	}
 	e.tilled.Store(t)
@@ -150,7 +150,7 @@
 		return nil, unsent(404, 0, "no route")
 	}
 	c := &call{arrived: now, cmd: make(chan command, 1), estate: &passing{}}
-	c.Units, c.Spread, c.Prio = 1, int(e.shares.Load()), route.Prio
+	c.Units, c.GatewayCount, c.Priority = 1, int(e.shares.Load()), route.Prio
 	if t.configuration.Keyed() {
 		tenant := t.configuration.Tenant(string(r.get(fieldKey)))
 		switch {
@@ -163,10 +163,10 @@
 			return nil, unready("control is out of reach")
 		case tenant != nil:
 			c.estate.tenant, c.Customer, c.Plan = tenant.Name, tenant.Name, tenant.Name
-			c.Homes, c.Prio = tenant.Homes, tenant.Rank(route)
+			c.Regions, c.Priority = tenant.Homes, tenant.Rank(route)
 		}
 	}
-	if c.Homes = both(c.Homes, route.Homes); c.Homes != nil && len(c.Homes) == 0 {
+	if c.Regions = both(c.Regions, route.Homes); c.Regions != nil && len(c.Regions) == 0 {
 		return nil, unready("no region may serve this")
 	}
 	if host, is := t.boundHosts[route]; is {
@@ -184,12 +184,12 @@
 			return nil, unsent(400, 0, fieldDeadline+": no whole milliseconds")
 		}
 		c.budget = min(c.budget, max(0, time.Duration(ms)*time.Millisecond-clientWay))
-		c.Spent = t.spent(route, int64(ms))
+		c.WaitedBefore = t.spent(route, int64(ms))
 	}
 	t.routes[route].asked.Add(1)
 	c.Service = e.draw(route)
 	c.class = t.classes[className(route, c.Service)]
-	c.Class, c.effect, c.Effect, c.Tries = c.class.Name, c.class.Effect, c.class.Effect, route.Tries
+	c.Class, c.effect, c.Effect, c.MaxAttempts = c.class.Name, c.class.Effect, c.class.Effect, route.Tries
 	return c, nil
 }
 
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -142,7 +142,7 @@
 
 // terms reads the units that a request takes and the customer's set.
 func (s *server) terms(r *policy.Request, text string) error {
-	r.Units, r.Spread = 1, s.settings.Gateways
+	r.Units, r.GatewayCount = 1, s.settings.Gateways
 	if text == "" {
 		return nil
 	}
@@ -153,14 +153,14 @@
 		ok := n > 0
 		switch k {
 		case "units":
-			ok = ok && !units && x >= 1 && float64(x) <= max(s.settings.LargestUnits, 1)
+			ok = ok && !units && x >= 1 && float64(x) <= max(s.settings.MaxRequestUnits, 1)
 			r.Units, units = float64(x), true
 		case "spread":
 			ok = ok && !spread && x >= 1 && x <= s.settings.Gateways
-			r.Spread, spread = x, true
+			r.GatewayCount, spread = x, true
 		case "first":
 			ok = ok && !first && x < s.settings.Gateways
-			r.First, first = x, true
+			r.FirstGateway, first = x, true
 		}
 		if !ok {
 			return fmt.Errorf("X-Call-Terms: %q is no whole number, out of range or there twice", k)
--- a/internal/dataplane/node/retune.go
+++ b/internal/dataplane/node/retune.go
@@ -22,7 +22,7 @@
 // retryCap is how many further tries for a service this edge node may save up; on the loop.
 func (e *Estate) retryCap(service string) float64 {
 	p := &e.yields.peers
-	return handover.Tries(max(e.cfg.RetrySlack*budgetPart, min(1, e.cfg.RetrySlack)), p.Shares, p.Gateways, p.Me, service)
+	return handover.Tries(max(e.cfg.RetrySlack*budgetPart, min(1, e.cfg.RetrySlack)), p.CeilingParts, p.Gateways, p.Me, service)
 }
 
 // Retune takes over the bounds of cfg, its zones' regions and the list's lag while the edge node serves. What it was
@@ -34,7 +34,7 @@
 		e.cfg.Listen, e.cfg.Peer, e.cfg.Zone, e.cfg.Region, e.cfg.Seed, e.cfg.Sockets, e.cfg.World = old.Listen, old.Peer, old.Zone, old.Region, old.Seed, old.Sockets, old.World
 		e.cfg.Given, e.cfg.Failed = old.Given, old.Failed
 		e.estate.freshFor.Store(int64(freshFor(&cfg)))
-		e.field.RetryEarn = cfg.RetryRatio * budgetPart
+		e.field.RetryBudgetPerAttempt = cfg.RetryRatio * budgetPart
 		e.serverList.Retell(serverListTerms(&cfg))
 		if t := e.estate.tilled.Load(); t != nil {
 			l.decide(e.terms(t.configuration, t.classes))
--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -34,7 +34,7 @@
 		assert.Assert(t, a.StatusCode == 200 && a.body == "yes")
 		r.Confirm(0)
 		assert.Equal(t, r.ask("/act/", "").StatusCode, 200)
-		assert.Assert(t, r.cfg.Zone == "a" && r.serverList.Terms.Slack == 7 && r.field.RetryCap("x") == 10*budgetPart)
+		assert.Assert(t, r.cfg.Zone == "a" && r.serverList.Terms.Slack == 7 && r.field.MaxRetryBudget("x") == 10*budgetPart)
 		began := time.Now()
 		r.stop()
 		r.ended <- <-r.ended
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -20,7 +20,7 @@
 	clk := newClock(world.Real{})
 	l := newLoop(clk, g, nil)
 	now := clk.now()
-	c := &call{Request: policy.Request{ID: 1}, class: &policy.Class{Name: "loan", Effect: policy.Keyed, Window: 2 * time.Second}, effect: policy.Keyed,
+	c := &call{Request: policy.Request{ID: 1}, class: &policy.Class{Name: "loan", Effect: policy.Keyed, DedupWindow: 2 * time.Second}, effect: policy.Keyed,
 		due: now + 10*time.Second, cmd: make(chan command, 1)}
 	l.calls[1] = c
 	return l, c, now
@@ -62,7 +62,7 @@
 			t.Errorf("%s: sent all the same: %+v", name, cmd)
 		default:
 		}
-		if o, ok := l.queue[0].(policy.Outcome); len(l.queue) != 1 || !ok || o.Code != policy.Moot {
+		if o, ok := l.queue[0].(policy.Outcome); len(l.queue) != 1 || !ok || o.Code != policy.NoRetry {
 			t.Errorf("%s: the module is told %+v, want one moot outcome", name, l.queue)
 		}
 	}
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -97,7 +97,7 @@
 		"a copy behind":     {stays(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits", 2)), policy.OK, false},
 		"noise behind":      {stays("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits\x88\xdb"), policy.OK, false},
 		"unreadable report": {stays("HTTP/1.1 200 OK\r\nX-Load: \xff=,NaN\r\nContent-Length: 4\r\n\r\nhits"), policy.OK, true},
-		"unfit request":     {standin.Answer("400 No", "", ""), policy.Moot, true},
+		"unfit request":     {standin.Answer("400 No", "", ""), policy.NoRetry, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newApp(t, c.do)
--- a/internal/dataplane/proxy/fit.go
+++ b/internal/dataplane/proxy/fit.go
@@ -114,10 +114,10 @@
 	all, rounds := map[string]policy.Trust{}, map[string]uint32{}
 	if f.verdicts != nil {
 		for _, v := range f.verdicts.List {
-			t := policy.Trust{Level: policy.Level(v.Level.Aged(now - f.heard))}
+			t := policy.Trust{Level: policy.TrustLevel(v.Level.Aged(now - f.heard))}
 			if round, had := f.tried[v.Server]; v.Trial && t.Level > policy.Trusted {
-				if t.Try = !had || round != v.Round; t.Try {
-					t.Try = slices.Contains(serverhealth.Trialists(&v, f.proxies, max(leastTriers, len(f.proxies)/trialPart)), self)
+				if t.Trial = !had || round != v.Round; t.Trial {
+					t.Trial = slices.Contains(serverhealth.Trialists(&v, f.proxies, max(leastTriers, len(f.proxies)/trialPart)), self)
 				}
 				rounds[v.Server] = v.Round
 			}
--- a/internal/dataplane/proxy/fit_test.go
+++ b/internal/dataplane/proxy/fit_test.go
@@ -25,14 +25,14 @@
 	tell(time.Second, 1)
 	for i := range 3 {
 		got, _ := at(time.Second + time.Duration(i)*heartbeat)
-		assert.Equal(t, got, policy.Trust{Level: policy.NoTrust, Try: i == 0})
+		assert.Equal(t, got, policy.Trust{Level: policy.TrialsOnly, Trial: i == 0})
 	}
 	tell(2*time.Second, 2)
 	got, _ := at(2 * time.Second)
-	assert.Assert(t, got.Try)
+	assert.Assert(t, got.Trial)
 	f.hears(&peerlink.Frame{Pong: &peerlink.Pong{}}, 30*time.Second) // the agent has no lead that judges
 	got, _ = at(2*time.Second + serverhealth.Stale + 1)
-	assert.Equal(t, got.Level, policy.Doubted)
+	assert.Equal(t, got.Level, policy.Suspect)
 	got, changed := at(2*time.Second + serverhealth.Expired + 1)
 	assert.Assert(t, got.Level == policy.Trusted && changed) // told once more, that it is trusted again
 	_, changed = at(2*time.Second + serverhealth.Expired + 2)
--- a/internal/dataplane/routing/careful.go
+++ b/internal/dataplane/routing/careful.go
@@ -46,7 +46,7 @@
 	if effect == policy.Safe {
 		return effect
 	}
-	until := now + k.Deadline + k.Class.Window
+	until := now + k.Deadline + k.Class.DedupWindow
 	if t != nil {
 		if now < t.until {
 			until = max(until, t.until)
--- a/internal/dataplane/routing/read_test.go
+++ b/internal/dataplane/routing/read_test.go
@@ -17,9 +17,9 @@
 // What is drawn is the same in every run, unless -rapid.seed says otherwise.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-var settings = policy.Settings{Gateways: 4, LargestUnits: 6,
+var settings = policy.Settings{Gateways: 4, MaxRequestUnits: 6,
 	Classes: []policy.Class{{Name: "holdings-lookup", Deadline: time.Second, Effect: policy.Safe},
-		{Name: "loan-request", Deadline: 4 * time.Second, Effect: policy.Keyed, Window: 2500 * time.Millisecond}},
+		{Name: "loan-request", Deadline: 4 * time.Second, Effect: policy.Keyed, DedupWindow: 2500 * time.Millisecond}},
 	Plans: []policy.Plan{{Name: "municipal"}, {Name: "scolar"}}}
 
 func routes() []routebook.Route {
@@ -231,7 +231,7 @@
 					want = policy.Unsafe
 				}
 				if want != policy.Safe {
-					past = append(past, try{k.Number + k.Key, k.Class.Name, max(reach, now+k.Deadline+k.Class.Window), want})
+					past = append(past, try{k.Number + k.Key, k.Class.Name, max(reach, now+k.Deadline+k.Class.DedupWindow), want})
 				}
 			}
 			if got := c.Hold(now, k); got != want {
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -73,7 +73,7 @@
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
 	for _, r := range b.Routes() {
 		c := t.classes[wire.Word(r.Class)]
-		most := max(set.LargestUnits, 1)
+		most := max(set.MaxRequestUnits, 1)
 		switch {
 		case c == nil:
 			fault("%s: operation %s: the settings have no class %q", r.Place, r.Operation, r.Class)
--- a/internal/dataplane/verdict/verdict.go
+++ b/internal/dataplane/verdict/verdict.go
@@ -48,8 +48,8 @@
 }{
 	Broken: {"broken off", MayHave, policy.Reset}, Silent: {"no answer", MayHave, policy.TimedOut},
 	Recalled: {"given up", MayHave, policy.Cancelled}, Unsent: {"not sent", Not, policy.ConnectFailed},
-	Moot: {"too late to send", Not, policy.Moot}, Declined: {"refused", Refused, policy.Full},
-	Unfit: {"at fault", Refused, policy.Moot}, Failed: {"failed", Has, policy.Error}, Served: {"served", Has, policy.OK},
+	Moot: {"too late to send", Not, policy.NoRetry}, Declined: {"refused", Refused, policy.Full},
+	Unfit: {"at fault", Refused, policy.NoRetry}, Failed: {"failed", Has, policy.Error}, Served: {"served", Has, policy.OK},
 }
 
 // Verdict is an attempt's end with its cause, as an error. The zero value is that of an attempt that may have run.
--- a/internal/dataplane/wire/decode.go
+++ b/internal/dataplane/wire/decode.go
@@ -133,12 +133,12 @@
 	case "MEMBERSHIP":
 		kind, known := memberKinds[f.text()]
 		f.skip() // the list's version
-		m := policy.Members{Kind: kind}
+		m := policy.ServerList{Kind: kind}
 		page := f.text()
 		if f.err == nil && !known {
 			return it, false, d.fail("MEMBERSHIP: unknown kind")
 		}
-		if f.err == nil && kind != policy.AskFailed {
+		if f.err == nil && kind != policy.WatchFailed {
 			n, err := strconv.Atoi(page)
 			list, have := d.tables[n]
 			if err != nil || !have {
@@ -148,7 +148,7 @@
 		}
 		it.Event = m
 	case "INGRESS":
-		r := policy.Request{ID: f.id(), Spread: f.int(), Class: f.text(), First: f.int(), Remaining: f.ms()}
+		r := policy.Request{ID: f.id(), GatewayCount: f.int(), Class: f.text(), FirstGateway: f.int(), Remaining: f.ms()}
 		r.Units = f.num()
 		r.Retry = f.int()&2 != 0
 		r.Customer = f.text()
@@ -162,13 +162,13 @@
 		f.skip() // the meter's figure: peers' totals are what counts here
 		o.Latency = f.ms()
 		o.Server = f.server()
-		o.Over = f.bool()
-		o.Actual = f.num()
+		o.Final = f.bool()
+		o.ActualUnits = f.num()
 		o.Code = f.code()
 		o.Load = f.row()
 		it.Event = o
 	case "LAPSED":
-		it.Event = policy.Gone{ID: f.id()}
+		it.Event = policy.ClientGone{ID: f.id()}
 	case "ELAPSED":
 		it.Event = policy.Timer{Token: f.text()}
 	case "WHISPER":
@@ -192,8 +192,8 @@
 	return it, true, nil
 }
 
-var memberKinds = map[string]policy.MembersKind{"changes": policy.Changes, "all": policy.Whole,
-	"remembered": policy.Remembered, "refused": policy.AskFailed}
+var memberKinds = map[string]policy.ServerListKind{"changes": policy.ChangedServers, "all": policy.CompleteList,
+	"remembered": policy.CachedList, "refused": policy.WatchFailed}
 
 var states = map[string]policy.State{"Running": policy.Running, "Stopping": policy.Draining,
 	"Deleted": policy.Removed}
@@ -201,7 +201,7 @@
 var codes = map[string]policy.Code{"OK": policy.OK, "INTERNAL": policy.Error,
 	"RESOURCE_EXHAUSTED": policy.Full, "DEADLINE_EXCEEDED": policy.TimedOut,
 	"UNAVAILABLE": policy.ConnectFailed, "ABORTED": policy.Reset, "CANCELLED": policy.Cancelled,
-	"TOO_LATE": policy.Moot}
+	"TOO_LATE": policy.NoRetry}
 
 func (d *Decoder) table(f *parser) error {
 	page, n := f.int(), f.int()
@@ -222,7 +222,7 @@
 			return d.fail("a list entry starts with M, not %q", clip(s))
 		}
 		start := e.num()
-		sv := policy.Server{HasStart: start > 0, Start: duration(start), Weight: e.num(), Zone: e.text()}
+		sv := policy.Server{HasStartTime: start > 0, StartTime: duration(start), Weight: e.num(), Zone: e.text()}
 		sv.Cell = e.int()
 		state, known := states[e.text()]
 		e.skip() // the machine's kind
--- a/internal/dataplane/wire/encode.go
+++ b/internal/dataplane/wire/encode.go
@@ -41,7 +41,7 @@
 		b = append(b, ' ')
 		b = append(b, a.Token...)
 		b = appendMS(b, a.After)
-	case policy.Tell:
+	case policy.SendPeer:
 		start("POST")
 		b = append(b, ' ')
 		b = strconv.AppendInt(b, int64(a.To), 10)
--- a/internal/dataplane/wire/settings.go
+++ b/internal/dataplane/wire/settings.go
@@ -35,8 +35,8 @@
 var effects = map[string]policy.Effect{"repeatable": policy.Safe, "by_key": policy.Keyed,
 	"once": policy.Unsafe}
 
-var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll,
-	"zone": policy.GroupZone, "cell": policy.GroupCell}
+var groups = map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll,
+	"zone": policy.DedupZone, "cell": policy.DedupCell}
 
 func settings(pairs []string) (policy.Settings, error) {
 	f := facts{m: make(map[string]string, len(pairs))}
@@ -53,20 +53,20 @@
 	s := policy.Settings{
 		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
 		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
-		CanCancel: f.bool("caps.cancel"), CanTell: f.bool("caps.peers"),
-		MailPerSecond: f.num("family_info.mail_per_s"), LargestUnits: f.num("family_info.largest"),
-		MustAsk:       f.m["discovery"] == "ask",
+		CanCancel: f.bool("caps.cancel"), CanMessagePeers: f.bool("caps.peers"),
+		MessagesPerSecond: f.num("family_info.mail_per_s"), MaxRequestUnits: f.num("family_info.largest"),
+		MustWatch:     f.m["discovery"] == "ask",
 		SizeKnown:     f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
 		CrossZoneCost: f.num("charges.cross_zone"),
-		AnswerSlack:   f.ms("rules.answer_slack_ms"), ColdShare: f.num("rules.cold_share"),
-		WarmWithin: f.ms("rules.warm_within_ms"), FallMultiple: f.num("rules.fall_multiple"),
-		FallTime: f.ms("rules.fall_ms"),
+		AnswerGrace:   f.ms("rules.answer_slack_ms"), MinColdShare: f.num("rules.cold_share"),
+		WarmupTime: f.ms("rules.warm_within_ms"), FailFactor: f.num("rules.fall_multiple"),
+		FailTime: f.ms("rules.fall_ms"),
 	}
 	if f.bool("caps.retry_after") {
 		s.MaxRetryAfter = f.ms("caps.max_retry_after_ms")
 	}
 	if names := f.m["report.names"]; names != "" {
-		s.ReportNames = strings.Split(names, ",")
+		s.LoadReportNames = strings.Split(names, ",")
 	}
 	count := func(key string) int {
 		n := f.int(key)
@@ -83,15 +83,15 @@
 		if (!known || !grouped) && f.err == nil {
 			f.err = fmt.Errorf("%ssemantics or %sgroup: unknown", k, k)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
-			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, Group: group,
-			Window: f.ms(k + "window_ms"), Stream: f.bool(k + "stream")})
+		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], LatencyTarget: f.ms(k + "aim_ms"),
+			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, DedupScope: group,
+			DedupWindow: f.ms(k + "window_ms"), Streaming: f.bool(k + "stream")})
 	}
 	for i := range count("plans.count") {
 		k := "plans." + strconv.Itoa(i) + "."
 		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.num(k + "rate"),
-			Burst: f.num(k + "store_size"), Open: f.int(k + "parallel"),
-			BeyondEarns: f.num(k + "beyond_earns"), BeyondCosts: f.num(k + "beyond_costs"),
+			Burst: f.num(k + "store_size"), MaxInFlight: f.int(k + "parallel"),
+			OverQuotaEarnings: f.num(k + "beyond_earns"), OverQuotaCharge: f.num(k + "beyond_costs"),
 			HardRate: f.num(k + "hard_rate"), HardBurst: f.num(k + "hard_burst")})
 	}
 	return s, f.err
--- a/internal/dataplane/wire/wire_test.go
+++ b/internal/dataplane/wire/wire_test.go
@@ -33,16 +33,16 @@
 `
 	const id = 0x365762575d3a91c4
 	servers := []policy.Server{{ID: 7, Zone: "room-a", Cell: 3, Weight: 1},
-		{ID: 8, Zone: "room-b", Cell: 4, State: policy.Draining, HasStart: true, Start: 6100 * ms, Weight: 1.5}}
+		{ID: 8, Zone: "room-b", Cell: 4, State: policy.Draining, HasStartTime: true, StartTime: 6100 * ms, Weight: 1.5}}
 	want := []any{
-		policy.Members{Kind: policy.Remembered, Servers: servers},
-		policy.Members{Kind: policy.AskFailed},
-		policy.Request{ID: id, Spread: 3, Class: "lookup", First: 1, Remaining: 240 * ms, Units: 2,
+		policy.ServerList{Kind: policy.CachedList, Servers: servers},
+		policy.ServerList{Kind: policy.WatchFailed},
+		policy.Request{ID: id, GatewayCount: 3, Class: "lookup", FirstGateway: 1, Remaining: 240 * ms, Units: 2,
 			Retry: true, Customer: "acct:k", Plan: "basic"},
-		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Over: true, Actual: 3,
+		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Final: true, ActualUnits: 3,
 			Load: []float64{1, 0.5}},
 		policy.Started{ID: id, Attempt: 1, Server: 7},
-		policy.Gone{ID: id},
+		policy.ClientGone{ID: id},
 		policy.Timer{Token: "tick"},
 		policy.PeerMessage{From: 2, Data: []byte("hi 7")},
 		nil, nil, Kill{},
@@ -99,10 +99,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Me != 1 || s.Gateways != 3 || s.Resolution != 2*ms || s.MaxRetryAfter != 500*ms || !s.MustAsk ||
-		!s.SizeKnown || len(s.ReportNames) != 2 || s.Classes[0].Aim != 80500*time.Microsecond ||
-		s.Classes[0].Effect != policy.Keyed || s.Classes[0].Group != policy.GroupCell ||
-		s.Plans[0].Rate != 0.7 || s.Plans[0].Open != 2 {
+	if s.Me != 1 || s.Gateways != 3 || s.Resolution != 2*ms || s.MaxRetryAfter != 500*ms || !s.MustWatch ||
+		!s.SizeKnown || len(s.LoadReportNames) != 2 || s.Classes[0].LatencyTarget != 80500*time.Microsecond ||
+		s.Classes[0].Effect != policy.Keyed || s.Classes[0].DedupScope != policy.DedupCell ||
+		s.Plans[0].Rate != 0.7 || s.Plans[0].MaxInFlight != 2 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -114,7 +114,7 @@
 		"PUSH_BACK n/1 0000000000000001 5.000": policy.Refuse{ID: 1, RetryAfter: 5 * ms},
 		"REPORT_FAILURE n/1 0000000000000001":  policy.Fail{ID: 1},
 		"SET_ALARM n/1 tick 5.000":             policy.SetTimer{Token: "tick", After: 5 * ms},
-		"POST n/1 2 aGkgNw==":                  policy.Tell{To: 2, Data: []byte("hi 7")},
+		"POST n/1 2 aGkgNw==":                  policy.SendPeer{To: 2, Data: []byte("hi 7")},
 		"LISTEN n/1 1":                         policy.Watch{},
 		"SAY_LOG n/1 two lines":                policy.Log{Text: "two\nlines"},
 	} {
--- a/internal/edgefleet/daemon/books.go
+++ b/internal/edgefleet/daemon/books.go
@@ -126,7 +126,7 @@
 	if b.compile == nil {
 		return nil, fmt.Errorf("%s: routes: %w", l.Path, errNoCompiler)
 	}
-	text, warnings, err := b.compile(ctx, l, max(b.cfg.Settings.LargestUnits, 1))
+	text, warnings, err := b.compile(ctx, l, max(b.cfg.Settings.MaxRequestUnits, 1))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/edgefleet/daemon/daemon.go
+++ b/internal/edgefleet/daemon/daemon.go
@@ -90,7 +90,7 @@
 		}
 	}
 	if file.Members.On {
-		if !cfg.Settings.CanTell {
+		if !cfg.Settings.CanMessagePeers {
 			lines, _ := conffile.Lines(loaded.Text)
 			fmt.Fprintf(o.Stderr, "pepperfall: operator file:\n%v\n", conffile.Fault{File: o.Operator, Line: lines.Of("members.on"),
 				Key: "members.on", Text: "the platform gives this edge node no peers"})
--- a/internal/edgefleet/supervisor/books.go
+++ b/internal/edgefleet/supervisor/books.go
@@ -58,7 +58,7 @@
 		if compile == nil {
 			return "", errors.New("nothing here compiles descriptions")
 		}
-		if l.Book, warnings, err = compile(ctx, op, max(set.LargestUnits, 1)); err != nil {
+		if l.Book, warnings, err = compile(ctx, op, max(set.MaxRequestUnits, 1)); err != nil {
 			return "", err
 		}
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -18,38 +18,38 @@
 	Unsafe               // must not run twice
 )
 
-// Group says which servers drop repeats of a keyed request.
-type Group int
+// DedupScope says which servers drop repeats of a keyed request.
+type DedupScope int
 
 // The groups.
 const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
+	DedupAll  DedupScope = iota // all servers
+	DedupZone                   // those of one zone
+	DedupCell                   // those of one cell
 )
 
 // Class holds the settings of a class of request.
 type Class struct {
-	Name     string
-	Aim      time.Duration // an answer within it earns full worth
-	Deadline time.Duration // a client waits this long, over all its tries
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long repeats are remembered
-	Stream   bool          // the answer is a stream, announced by Started
+	Name          string
+	LatencyTarget time.Duration // an answer within it earns full worth
+	Deadline      time.Duration // a client waits this long, over all its tries
+	Effect        Effect
+	DedupScope    DedupScope    // for Keyed
+	DedupWindow   time.Duration // for Keyed: how long repeats are remembered
+	Streaming     bool          // the answer is a stream, announced by Started
 }
 
 // Plan holds the quotas of each customer on a plan, over all gateways.
 type Plan struct {
-	Name        string
-	Rate        float64 // units a second; 0: no rate quota
-	Burst       float64 // most units the quota's store holds
-	Open        int     // most attempts out at once; 0: no such quota
-	BeyondEarns float64 // share of the worth earned beyond the quota
-	BeyondCosts float64 // share of the worth charged beyond the quota
-	HardRate    float64 // units a second of the hard ceiling; 0: none
-	HardBurst   float64 // most units the ceiling's store holds
-	HardStart   float64 // of them, units that all gateways have together when they start
+	Name              string
+	Rate              float64 // units a second; 0: no rate quota
+	Burst             float64 // most units the quota's store holds
+	MaxInFlight       int     // most attempts out at once; 0: no such quota
+	OverQuotaEarnings float64 // share of the worth earned beyond the quota
+	OverQuotaCharge   float64 // share of the worth charged beyond the quota
+	HardRate          float64 // units a second of the hard ceiling; 0: none
+	HardBurst         float64 // most units the ceiling's store holds
+	HardInitial       float64 // of them, units that all gateways have together when they start
 }
 
 // Settings is what a gateway is told at its start.
@@ -60,34 +60,34 @@
 	Classes  []Class
 	Plans    []Plan
 
-	Resolution    time.Duration // least time between two events in sequence
-	MaxAttempts   int           // attempts allowed for one request; 0: any number
-	CanCancel     bool          // Cancel is permitted
-	CanTell       bool          // Tell is permitted
-	MailPerSecond float64       // peer messages a gateway takes in a second
-	LargestUnits  float64       // most units of one request
-	MaxRetryAfter time.Duration // longest advice clients heed; 0: no advice
-	MustAsk       bool          // server changes come only to those that Watch
-	SizeKnown     bool          // Server.Weight is the size of the machine
-	CrossZoneCost float64       // charge for an attempt that crosses zones
-	ReportNames   []string      // names of the values in Load
-
-	AnswerSlack  time.Duration // final answers are in time this long after a deadline
-	ColdShare    float64       // a starting server has at least this share of its capacity
-	WarmWithin   time.Duration // and all of it this long after its start
-	FallMultiple float64       // a cold server falls when sent this multiple of its capacity
-	FallTime     time.Duration // for this long
-
-	Field *Field // set where gateways serve many services, for customers told with Terms; nil: one service
+	Resolution        time.Duration // least time between two events in sequence
+	MaxAttempts       int           // attempts allowed for one request; 0: any number
+	CanCancel         bool          // Cancel is permitted
+	CanMessagePeers   bool          // Tell is permitted
+	MessagesPerSecond float64       // peer messages a gateway takes in a second
+	MaxRequestUnits   float64       // most units of one request
+	MaxRetryAfter     time.Duration // longest advice clients heed; 0: no advice
+	MustWatch         bool          // server changes come only to those that Watch
+	SizeKnown         bool          // Server.Weight is the size of the machine
+	CrossZoneCost     float64       // charge for an attempt that crosses zones
+	LoadReportNames   []string      // names of the values in Load
+
+	AnswerGrace  time.Duration // final answers are in time this long after a deadline
+	MinColdShare float64       // a starting server has at least this share of its capacity
+	WarmupTime   time.Duration // and all of it this long after its start
+	FailFactor   float64       // a cold server falls when sent this multiple of its capacity
+	FailTime     time.Duration // for this long
+
+	MultiService *MultiService // set where gateways serve many services, for customers told with Terms; nil: one service
 }
 
-// Field holds what a gateway of many services goes by beside its settings.
-type Field struct {
-	RetryEarn float64                      // of a service's budget of further attempts, earned by each first attempt here
-	RetryCap  func(service string) float64 // most of it that is kept
-	ColdPart  float64                      // share of its capacity that a cold server has
-	ColdSpan  time.Duration                // a cold server's sends are counted over this
-	Report    time.Duration                // between two reports to a peer
+// MultiService holds what a gateway of many services goes by beside its settings.
+type MultiService struct {
+	RetryBudgetPerAttempt float64                      // of a service's budget of further attempts, earned by each first attempt here
+	MaxRetryBudget        func(service string) float64 // most of it that is kept
+	ColdShare             float64                      // share of its capacity that a cold server has
+	ColdWindow            time.Duration                // a cold server's sends are counted over this
+	ReportInterval        time.Duration                // between two reports to a peer
 }
 
 // Names of load report values the module understands.
@@ -108,32 +108,32 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NoRetry
 )
 
 // NeverRan reports whether the code proves that the attempt never ran.
-func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == Moot }
+func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == NoRetry }
 
 // Event is something a gateway is told.
 type Event interface{ event() }
 
 // Request is a client's try. Exactly one final answer is owed for it.
 type Request struct {
-	ID        RequestID
-	Customer  string
-	Plan      string
-	Class     string
-	Units     float64
-	Remaining time.Duration // until the client gives up this try
-	First     int           // the customer comes in through Spread gateways, at least
-	Spread    int           // one, counted round from First; this one is among them
-	Retry     bool          // the client marked it as a repeat
-	Effect    Effect        // asks for more care than its class does; less counts for nothing
-	Service   string        // only its servers can run it; empty: all can
-	Homes     []string      // only servers of these regions may run it; empty: all may
-	Tries     int           // servers it may be sent to; 0: Settings.MaxAttempts
-	Prio      int           // its rank among those that wait for a server, 0 the first; where many services are served
-	Spent     time.Duration // how long its client has waited before this try, as far as that is known
+	ID           RequestID
+	Customer     string
+	Plan         string
+	Class        string
+	Units        float64
+	Remaining    time.Duration // until the client gives up this try
+	FirstGateway int           // the customer comes in through Spread gateways, at least
+	GatewayCount int           // one, counted round from First; this one is among them
+	Retry        bool          // the client marked it as a repeat
+	Effect       Effect        // asks for more care than its class does; less counts for nothing
+	Service      string        // only its servers can run it; empty: all can
+	Regions      []string      // only servers of these regions may run it; empty: all may
+	MaxAttempts  int           // servers it may be sent to; 0: Settings.MaxAttempts
+	Priority     int           // its rank among those that wait for a server, 0 the first; where many services are served
+	WaitedBefore time.Duration // how long its client has waited before this try, as far as that is known
 }
 
 // Started tells that the answer of a streamed class has begun.
@@ -145,18 +145,18 @@
 
 // Outcome tells how an attempt ended; there is one for each Send.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // attempts of a request count from 0
-	Server  ServerID
-	Code    Code
-	Latency time.Duration
-	Over    bool      // the request has its final answer
-	Actual  float64   // true units, where they are settled afterwards; else 0
-	Load    []float64 // load report, as Settings.ReportNames; or nil
+	ID          RequestID
+	Attempt     int // attempts of a request count from 0
+	Server      ServerID
+	Code        Code
+	Latency     time.Duration
+	Final       bool      // the request has its final answer
+	ActualUnits float64   // true units, where they are settled afterwards; else 0
+	Load        []float64 // load report, as Settings.LoadReportNames; or nil
 }
 
-// Gone tells that the client left; nothing more is owed for the request.
-type Gone struct{ ID RequestID }
+// ClientGone tells that the client left; nothing more is owed for the request.
+type ClientGone struct{ ID RequestID }
 
 // Timer tells that a timer set by SetTimer has run out.
 type Timer struct{ Token string }
@@ -179,80 +179,80 @@
 
 // Server is one line of the server list.
 type Server struct {
-	ID       ServerID
-	Zone     string
-	Cell     int
-	State    State
-	HasStart bool
-	Start    time.Duration // time of its last start, where HasStart
-	Weight   float64
-
-	Service   string
-	Region    string
-	Slots     int           // requests it works on at a time; 0: not told
-	Far       time.Duration // the latency that sending there is held to cost beside its own
-	ColdUntil time.Duration // until then it bears ColdSends a second, from all gateways
-	ColdSends float64
+	ID           ServerID
+	Zone         string
+	Cell         int
+	State        State
+	HasStartTime bool
+	StartTime    time.Duration // time of its last start, where HasStartTime
+	Weight       float64
+
+	Service      string
+	Region       string
+	Slots        int           // requests it works on at a time; 0: not told
+	ExtraLatency time.Duration // the latency that sending there is held to cost beside its own
+	ColdUntil    time.Duration // until then it bears ColdSendRate a second, from all gateways
+	ColdSendRate float64
 }
 
-// MembersKind says what a Members event holds.
-type MembersKind int
+// ServerListKind says what a Members event holds.
+type ServerListKind int
 
 // The kinds of Members event.
 const (
-	Changes    MembersKind = iota // changed servers only
-	Whole                         // the whole list; a server not in it is gone
-	Remembered                    // a whole list, as last held; may be old
-	AskFailed                     // Watch failed; keep the list
+	ChangedServers ServerListKind = iota // changed servers only
+	CompleteList                         // the whole list; a server not in it is gone
+	CachedList                           // a whole list, as last held; may be old
+	WatchFailed                          // Watch failed; keep the list
 )
 
-// Members brings the server list or changes to it.
-type Members struct {
-	Kind    MembersKind
+// ServerList brings the server list or changes to it.
+type ServerList struct {
+	Kind    ServerListKind
 	Servers []Server
 }
 
-// Terms replaces the classes and plans of the same names, and adds the others.
-type Terms struct {
+// ConfigUpdate replaces the classes and plans of the same names, and adds the others.
+type ConfigUpdate struct {
 	Classes []Class
 	Plans   []Plan
 }
 
-// Peers tells how many gateways there may be from now on, and which number this one has.
-type Peers struct {
+// GatewaySet tells how many gateways there may be from now on, and which number this one has.
+type GatewaySet struct {
 	Me, Gateways int
-	Shares       int      // in how many parts ceilings are divided; 0: as many as there are numbers
+	CeilingParts int      // in how many parts ceilings are divided; 0: as many as there are numbers
 	Regions      []string // where each is, by number; "": none has the number; no list: not known
-	Less         float64  // part of its own parts that this one must leave unused, 1 all; then cold servers are others' too
-	Barren       bool     // it sends nothing to cold servers
+	UnusedShare  float64  // part of its own parts that this one must leave unused, 1 all; then cold servers are others' too
+	NoColdSends  bool     // it sends nothing to cold servers
 }
 
-// Yield has the gateway stop to use what it holds of ceilings: it answers with a Give for each customer that has
+// Relinquish has the gateway stop to use what it holds of ceilings: it answers with a Give for each customer that has
 // units left, but for those that held requests need. It is the last but for what is held and out.
-type Yield struct{}
+type Relinquish struct{}
 
-// Level is how far a server is trusted, by what all gateways saw.
-type Level int
+// TrustLevel is how far a server is trusted, by what all gateways saw.
+type TrustLevel int
 
 // The levels. A higher one is stricter.
 const (
-	Trusted  Level = iota
-	Doubted        // what may not run twice goes elsewhere first
-	NoRecord       // nothing that may not run twice, but for trials
-	NoTrust        // nothing, but for trials
+	Trusted    TrustLevel = iota
+	Suspect               // what may not run twice goes elsewhere first
+	SafeOnly              // nothing that may not run twice, but for trials
+	TrialsOnly            // nothing, but for trials
 )
 
 // Trust is how far one server is trusted.
 type Trust struct {
-	Level Level
-	Try   bool // one request is to try it: of those that may not run twice, at NoTrust of the others
+	Level TrustLevel
+	Trial bool // one request is to try it: of those that may not run twice, at TrialsOnly of the others
 }
 
-// Trusts replaces all that was told of trust before; servers that are not in it are trusted.
-type Trusts struct{ Servers map[ServerID]Trust }
+// TrustUpdate replaces all that was told of trust before; servers that are not in it are trusted.
+type TrustUpdate struct{ Servers map[ServerID]Trust }
 
-// Given brings units that another gateway has given up.
-type Given struct {
+// UnitsReceived brings units that another gateway has given up.
+type UnitsReceived struct {
 	Customer uint64
 	Units    uint16
 }
@@ -277,7 +277,7 @@
 type Refuse struct {
 	ID         RequestID
 	RetryAfter time.Duration // advice to the client; 0: none
-	Over       bool          // it is beyond its customer's quota
+	OverQuota  bool          // it is beyond its customer's quota
 }
 
 // Fail is the final answer that promises nothing.
@@ -289,17 +289,17 @@
 	After time.Duration
 }
 
-// Tell sends at most 256 bytes to another gateway; it may be lost.
-type Tell struct {
+// SendPeer sends at most 256 bytes to another gateway; it may be lost.
+type SendPeer struct {
 	To   int
 	Data []byte
 }
 
-// Give tells of units that are not used here any more, and who may have them, the best first.
-type Give struct {
-	Customer uint64
-	Units    uint16
-	To       []int
+// OfferUnits tells of units that are not used here any more, and who may have them, the best first.
+type OfferUnits struct {
+	Customer   uint64
+	Units      uint16
+	Candidates []int
 }
 
 // Watch asks for the server list and its changes from now on.
@@ -308,25 +308,25 @@
 // Log writes a line for the operators.
 type Log struct{ Text string }
 
-func (Request) event()     {}
-func (Started) event()     {}
-func (Outcome) event()     {}
-func (Gone) event()        {}
-func (Timer) event()       {}
-func (PeerMessage) event() {}
-func (Members) event()     {}
-func (Terms) event()       {}
-func (Peers) event()       {}
-func (Yield) event()       {}
-func (Given) event()       {}
-func (Trusts) event()      {}
-
-func (Send) action()     {}
-func (Cancel) action()   {}
-func (Refuse) action()   {}
-func (Fail) action()     {}
-func (SetTimer) action() {}
-func (Tell) action()     {}
-func (Watch) action()    {}
-func (Give) action()     {}
-func (Log) action()      {}
+func (Request) event()       {}
+func (Started) event()       {}
+func (Outcome) event()       {}
+func (ClientGone) event()    {}
+func (Timer) event()         {}
+func (PeerMessage) event()   {}
+func (ServerList) event()    {}
+func (ConfigUpdate) event()  {}
+func (GatewaySet) event()    {}
+func (Relinquish) event()    {}
+func (UnitsReceived) event() {}
+func (TrustUpdate) event()   {}
+
+func (Send) action()       {}
+func (Cancel) action()     {}
+func (Refuse) action()     {}
+func (Fail) action()       {}
+func (SetTimer) action()   {}
+func (SendPeer) action()   {}
+func (Watch) action()      {}
+func (OfferUnits) action() {}
+func (Log) action()        {}
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -8,23 +8,23 @@
 // An ask that comes twice counts once, and is answered twice: the first answer
 // may be lost.
 func TestRepeatedAskCountsOnce(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
-	m := encode(ask{Customer: keyOf("k"), Spread: 50, Plan: 1, Units: 4, Left: 2000, Tag: 9, Thin: 250, Fill: unknownStore})
+	m := encode(askMessage{Customer: keyOf("k"), Spread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
 	for range 3 {
 		w.do(roots[0], PeerMessage{From: 99, Data: m})
 	}
-	if got := w.gs[roots[0]].customers[keyOf("k")].passed; got != 4 || w.told != 3 {
+	if got := w.gs[roots[0]].customers[keyOf("k")].passedUnits; got != 4 || w.told != 3 {
 		t.Errorf("%d units counted, %d answers", got, w.told)
 	}
 }
 
 // A try without time left is refused at once: it can't wait for its root.
 func TestNoTimeLeftIsRefused(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	for i := range 20 {
-		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, Spread: 100})
+		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, GatewayCount: 100})
 	}
 	if w.final != 20 || len(w.sends) > 0 {
 		t.Errorf("%d refused, %d sent", w.final, len(w.sends))
@@ -33,8 +33,8 @@
 
 // Times are rounded on their way: a timer that comes a little before its time
 // must not leave a request with no timer at all.
-func TestTimerARoundingEarly(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+func TestEarlyTimerIsSetAgain(t *testing.T) {
+	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	i := 0
@@ -42,13 +42,13 @@
 		i++
 	}
 	acts := w.gs[i].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
-		Remaining: time.Second, Spread: 50}, nil)
-	timers := of[SetTimer](acts)
+		Remaining: time.Second, GatewayCount: 50}, nil)
+	timers := actionsOf[SetTimer](acts)
 	if len(timers) != 1 {
 		t.Fatalf("got %v", acts)
 	}
 	acts = w.gs[i].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
-	if len(of[Tell](acts)) != 1 || len(of[SetTimer](acts)) != 1 {
+	if len(actionsOf[SendPeer](acts)) != 1 || len(actionsOf[SetTimer](acts)) != 1 {
 		t.Errorf("not asked again: %v", acts)
 	}
 }
@@ -56,7 +56,7 @@
 // The message that an attempt has ended may be lost: its place is free all the same,
 // long before the lease runs out.
 func TestLostEndFreesItsPlace(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	i := 0
@@ -65,7 +65,7 @@
 	}
 	w.request(i, 1, "k", "open", "safe", 50)
 	w.pass(60*ms, nil)
-	if len(w.sends) != 1 || w.gs[roots[0]].customers[keyOf("k")].out != 1 {
+	if len(w.sends) != 1 || w.gs[roots[0]].customers[keyOf("k")].inFlight != 1 {
 		t.Fatalf("%d sent", len(w.sends))
 	}
 	lost := false
@@ -77,7 +77,7 @@
 		return false
 	}
 	w.pass(120*ms, nil)
-	if out := w.gs[roots[0]].customers[keyOf("k")].out; !lost || out != 0 {
+	if out := w.gs[roots[0]].customers[keyOf("k")].inFlight; !lost || out != 0 {
 		t.Errorf("%d places taken after the end, lost %v", out, lost)
 	}
 }
@@ -85,29 +85,29 @@
 // A held ask whose answer was lost is answered again: were its gateway to hear
 // nothing it would ask the deputy, which grants places that are taken.
 func TestHeldAskIsAnsweredAgain(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	_, root, _ := w.member("open")
 	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third ask is held
-		m := ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, Left: 2000, Tag: uint32(min(tag, 2)), Thin: 250, Fill: unknownStore}
+		m := askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 2000, Tag: uint32(min(tag, 2)), AskChance: 250, BucketFill: unknownStore}
 		w.do(root, PeerMessage{From: 99, Data: encode(m)})
-		if c := w.gs[root].customers[keyOf("k")]; c.out+len(c.held) != want || w.told != tag+1 {
-			t.Fatalf("ask %d: %d granted, %d held, %d answers", tag, c.out, len(c.held), w.told)
+		if c := w.gs[root].customers[keyOf("k")]; c.inFlight+len(c.held) != want || w.told != tag+1 {
+			t.Fatalf("ask %d: %d granted, %d held, %d answers", tag, c.inFlight, len(c.held), w.told)
 		}
 	}
-	if a := decode(w.mail[3].data).(answer); a.Verdict != waits {
+	if a := decode(w.mail[3].data).(askReply); a.Verdict != heldAtRoot {
 		t.Errorf("answered %d", a.Verdict)
 	}
 }
 
 // A gateway that gives up a held try says so: its root neither grants it later nor
 // keeps a place that it has just granted.
-func TestGivenUpNeedsNoPlace(t *testing.T) {
+func TestAbandonedRequestFreesItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		held bool
 	}{{"held at the root", true}, {"the grant was lost", false}} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newManyGateways(t, 100, fleet(10))
+			w := newManyGateways(t, 100, testServers(10))
 			w.takes = time.Hour
 			i, root, _ := w.member("open")
 			for id := range 3 {
@@ -115,24 +115,24 @@
 			}
 			w.pass(100*ms, nil)
 			k := w.gs[root].customers[keyOf("k")]
-			if k.out != 2 || len(k.held) != 1 {
-				t.Fatalf("%d granted, %d held", k.out, len(k.held))
+			if k.inFlight != 2 || len(k.held) != 1 {
+				t.Fatalf("%d granted, %d held", k.inFlight, len(k.held))
 			}
 			want := 2
 			if !c.held { // a place is free, and the message about it never comes
 				w.lose = func(from, _ int) bool { return from == root }
 				s := w.sends[0]
-				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Final: true})
 				w.pass(40*ms, nil)
-				if k.out != 2 || len(k.held) != 0 {
-					t.Fatalf("%d granted, %d held after an end", k.out, len(k.held))
+				if k.inFlight != 2 || len(k.held) != 0 {
+					t.Fatalf("%d granted, %d held after an end", k.inFlight, len(k.held))
 				}
 				want = 1
 			}
-			w.do(i, Gone{ID: 3})
+			w.do(i, ClientGone{ID: 3})
 			w.pass(40*ms, nil)
-			if k.out != want || len(k.held) != 0 {
-				t.Errorf("%d places taken, %d held after the client left", k.out, len(k.held))
+			if k.inFlight != want || len(k.held) != 0 {
+				t.Errorf("%d places taken, %d held after the client left", k.inFlight, len(k.held))
 			}
 		})
 	}
@@ -141,32 +141,32 @@
 // An attempt that outlasts its lease keeps its place: its gateway says that it is
 // still out.
 func TestLeaseIsRenewed(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	w.takes = 4 * time.Second
 	i, root, _ := w.member("open")
 	w.request(i, 1, "k", "open", "safe", 50)
 	for at := range 38 {
 		w.pass(100*ms, nil)
-		if out := w.gs[root].customers[keyOf("k")].out; out != 1 {
+		if out := w.gs[root].customers[keyOf("k")].inFlight; out != 1 {
 			t.Fatalf("%d places taken after %d00 ms", out, at+1)
 		}
 	}
 	w.pass(400*ms, nil)
-	if out := w.gs[root].customers[keyOf("k")].out; out != 0 {
+	if out := w.gs[root].customers[keyOf("k")].inFlight; out != 0 {
 		t.Errorf("%d places taken after the end", out)
 	}
 }
 
 // A root whose answers are lost keeps no place for what its deputy grants then, and
 // one that answers nothing is left alone for a while.
-func TestSilentRootIsLeftAlone(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+func TestSilentRootIsNotAsked(t *testing.T) {
+	w := newManyGateways(t, 100, testServers(10))
 	i, root, deputy := w.member("open")
 	w.lose = func(from, _ int) bool { return from == root }
 	w.request(i, 1, "k", "open", "safe", 50)
 	w.pass(600*ms, nil)
-	if len(w.sends) != 1 || w.gs[root].customers[keyOf("k")].out != 0 {
-		t.Fatalf("%d sent, %d places taken at the silent root", len(w.sends), w.gs[root].customers[keyOf("k")].out)
+	if len(w.sends) != 1 || w.gs[root].customers[keyOf("k")].inFlight != 0 {
+		t.Fatalf("%d sent, %d places taken at the silent root", len(w.sends), w.gs[root].customers[keyOf("k")].inFlight)
 	}
 	w.mail = nil
 	w.request(i, 2, "k", "open", "safe", 50)
@@ -183,15 +183,15 @@
 
 // Under a cap alone room comes when attempts end: a repeat is advised as soon,
 // though a large fleet's ticks are longer.
-func TestAdviceUnderACapAlone(t *testing.T) {
+func TestRetryAfterWithoutRateQuota(t *testing.T) {
 	for _, c := range []struct {
 		plan string
 		most time.Duration
 	}{{"open", 120 * ms}, {"rate", 500 * ms}} {
-		w := newManyGateways(t, 100, fleet(10))
+		w := newManyGateways(t, 100, testServers(10))
 		g := w.gs[0]
-		r := &request{c: g.account(keyOf("k"), g.plans[c.plan], 0, 100), units: 1}
-		if got := g.advice(r); got > c.most || got <= 0 {
+		r := &request{customer: g.account(keyOf("k"), g.plans[c.plan], 0, 100), units: 1}
+		if got := g.retryAfter(r); got > c.most || got <= 0 {
 			t.Errorf("plan %s: advised after %v, want %v at most", c.plan, got, c.most)
 		}
 	}
@@ -200,34 +200,34 @@
 // An attempt that outlasts its aim still has its place: how long servers take,
 // not the aim, says when one not told of as ended is taken for over.
 func TestLeaseOutlastsASlowAttempt(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
 	root := w.gs[roots[0]]
 	root.classes["safe"].mean = 0.5 // servers take that long of 800 ms
-	m := encode(ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, Left: 3000, Tag: 9, Thin: 250, Fill: unknownStore})
+	m := encode(askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 3000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
 	w.do(roots[0], PeerMessage{From: 99, Data: m})
 	w.pass(1200*ms, nil)
-	if out := root.customers[keyOf("k")].out; out != 1 {
+	if out := root.customers[keyOf("k")].inFlight; out != 1 {
 		t.Errorf("%d places taken after 1.2 s, want 1", out)
 	}
 	w.pass(4*time.Second, nil)
-	if out := root.customers[keyOf("k")].out; out != 0 {
+	if out := root.customers[keyOf("k")].inFlight; out != 0 {
 		t.Errorf("%d places taken after 5.2 s, want 0", out)
 	}
 }
 
 // A root's own clients count for as much of a cap as those of other gateways.
-func TestOwnAsksCountLikeOthers(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+func TestOwnRequestsCountLikeAsks(t *testing.T) {
+	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
 	root := w.gs[roots[0]]
-	m := ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 4, Left: 2000, Tag: 9, Thin: 250, Fill: unknownStore}
+	m := askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore}
 	w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
-	other := root.customers[keyOf("k")].places
-	w.do(roots[0], Request{ID: 1, Customer: "k", Plan: "open", Class: "safe", Units: 4, Remaining: 2 * time.Second, Spread: 50})
-	if own := root.customers[keyOf("k")].places - other; own != other || own <= 0 {
+	other := root.customers[keyOf("k")].slotDemand
+	w.do(roots[0], Request{ID: 1, Customer: "k", Plan: "open", Class: "safe", Units: 4, Remaining: 2 * time.Second, GatewayCount: 50})
+	if own := root.customers[keyOf("k")].slotDemand - other; own != other || own <= 0 {
 		t.Errorf("an own request counts %v, another gateway's %v", own, other)
 	}
 }
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -8,25 +8,25 @@
 // What is lent of a ceiling is on its way for a while. Until it has arrived the
 // lender's part must not fill up again over it: lender, way and borrower
 // together would hold more than the ceiling.
-func TestLentPartDoesNotFillAtOnce(t *testing.T) {
-	s := base()
+func TestLentUnitsInTransitAreNotRefilled(t *testing.T) {
+	s := testSettings()
 	s.Plans = []Plan{{Name: "hard", HardRate: 100, HardBurst: 20}}
-	w := newWorld(t, s, fleet(8))
+	w := newTestGateway(t, s, testServers(8))
 	w.now += time.Second
-	w.spend(1, "hard")
-	w.pass(time.Second) // the part, 10, is full again
-	w.hear(1, 1, 1, true)
+	w.requestMany(1, "hard")
+	w.advance(time.Second) // the part, 10, is full again
+	w.report(1, 1, 1, true)
 	c := w.g.customers[keyOf("c")]
-	if len(c.set) != 1 || c.ceiling < 9.9 {
-		t.Fatalf("%d peers, a part of %.1f: want 1 and 10", len(c.set), c.ceiling)
+	if len(c.views) != 1 || c.ceiling < 9.9 {
+		t.Fatalf("%d peers, a part of %.1f: want 1 and 10", len(c.views), c.ceiling)
 	}
-	c.set[0].rate = 400 // what the peer asks, over demandSpan
+	c.views[0].demand = 400 // what the peer asks, over demandSpan
 	w.g.lend(c, 50*ms)
-	lent := c.lent
+	lent := c.onLoan
 	if lent < 2 {
 		t.Fatalf("%.2f lent: the test asks for too little", lent)
 	}
-	c.set[0].rate = 0
+	c.views[0].demand = 0
 	for range 4 {
 		w.g.now += 50 * ms // 2.5 units come in this time
 		w.g.lend(c, 50*ms)
@@ -45,10 +45,10 @@
 
 // A root that has just started presumes less than a whole store: it can't know
 // what the one before it has granted.
-func TestFreshRootGrantsLessThanAStore(t *testing.T) {
-	w := newManyGateways(t, 300, fleet(40))
+func TestRestartedRootGrantsLessThanABucket(t *testing.T) {
+	w := newManyGateways(t, 300, testServers(40))
 	g := w.gs[0]
-	if !g.tree {
+	if !g.usesRoots {
 		t.Fatal("300 gateways report from all to all")
 	}
 	roots, _ := g.roots(g.account(keyOf("k"), g.plans["rate"], 0, 200))
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -9,12 +9,12 @@
 // The sum of the gateways' parts never passes the ceiling, whatever is asked
 // and however often they restart.
 func TestCeilingHoldsOverRestarts(t *testing.T) {
-	s := base()
+	s := testSettings()
 	level, worst := 20.0, 20.0
-	var gs [2]*world
+	var gs [2]*testGateway
 	for i := range gs {
 		s.Me = i
-		gs[i] = newWorld(t, s, fleet(8))
+		gs[i] = newTestGateway(t, s, testServers(8))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 3000 {
@@ -23,23 +23,23 @@
 			w.now += 4 * ms
 			if i == 1600+200*k || i == 2300+150*k {
 				s.Me = k
-				n := newWorld(t, s, fleet(8))
-				n.now, n.ids = w.now, w.ids
+				n := newTestGateway(t, s, testServers(8))
+				n.now, n.lastID = w.now, w.lastID
 				g, _ := New(s, uint64(i))
 				n.g = g
-				n.do(Members{Kind: Remembered, Servers: fleet(8)})
+				n.do(ServerList{Kind: CachedList, Servers: testServers(8)})
 				gs[k], w = n, n
 			}
 			var acts []Action
 			if i > 1000 && (rng.IntN(2) == k || i%1000 < 300) {
-				_, acts = w.ask("safe", "hard", "c", 1)
-				for _, x := range of[Send](acts) {
+				_, acts = w.request("safe", "hard", "c", 1)
+				for _, x := range actionsOf[Send](acts) {
 					level--
-					w.end(x, 0, OK)
+					w.finish(x, 0, OK)
 				}
 			}
-			if w.now-w.g.lastTick >= w.g.tick {
-				for _, tell := range of[Tell](w.do(Timer{Token: "tick"})) {
+			if w.now-w.g.lastTick >= w.g.tickInterval {
+				for _, tell := range actionsOf[SendPeer](w.do(Timer{Token: "tick"})) {
 					if rng.IntN(5) > 0 {
 						gs[tell.To].do(PeerMessage{From: k, Data: tell.Data})
 					}
@@ -60,11 +60,11 @@
 // a customer that comes in through one gateway would be held to half of it. With
 // reports late or lost, and the demand wandering, the ceiling holds all the same.
 func TestCeilingIsLent(t *testing.T) {
-	s := base()
-	var gs [2]*world
+	s := testSettings()
+	var gs [2]*testGateway
 	for i := range gs {
 		s.Me = i
-		gs[i] = newWorld(t, s, fleet(8))
+		gs[i] = newTestGateway(t, s, testServers(8))
 	}
 	type mail struct {
 		at       time.Duration
@@ -85,23 +85,23 @@
 		for k, w := range gs {
 			w.now += 4 * ms
 			if k == busy && rng.IntN(12) == 0 { // 20 units a second
-				_, acts := w.ask("safe", "hard", "c", 1)
-				for _, x := range of[Send](acts) {
+				_, acts := w.request("safe", "hard", "c", 1)
+				for _, x := range actionsOf[Send](acts) {
 					level--
-					w.end(x, 0, OK)
+					w.finish(x, 0, OK)
 					if i > start {
 						passed++
 					}
 				}
 			} else if i < 100 {
-				_, acts := w.ask("safe", "hard", "c", 1)
-				for _, x := range of[Send](acts) {
+				_, acts := w.request("safe", "hard", "c", 1)
+				for _, x := range actionsOf[Send](acts) {
 					level--
-					w.end(x, 0, OK)
+					w.finish(x, 0, OK)
 				}
 			}
-			if w.now-w.g.lastTick >= w.g.tick {
-				for _, tell := range of[Tell](w.do(Timer{Token: "tick"})) {
+			if w.now-w.g.lastTick >= w.g.tickInterval {
+				for _, tell := range actionsOf[SendPeer](w.do(Timer{Token: "tick"})) {
 					if rng.IntN(13) > 0 {
 						post = append(post, mail{w.now + 36*ms, k, tell.To, tell.Data})
 					}
--- a/policy/duties.go
+++ b/policy/duties.go
@@ -7,14 +7,14 @@
 // roots are the gateways that sum a customer's counts: as few as can take in what its gateways ask
 // of them, all where reports go from all to all. The deputy steps in for a root that is silent.
 func (g *Gateway) roots(c *customer) (nums []int, deputy int) {
-	k := c.spread
-	if g.tree {
-		asks := rootPeak * c.plan.Rate * 2 / (1 + g.set.LargestUnits)
-		k = min(max(1, int(math.Ceil(asks/max(1, g.set.MailPerSecond*rootMail)))), c.spread)
+	k := c.gatewayCount
+	if g.usesRoots {
+		asks := rootPeak * c.plan.Rate * 2 / (1 + g.cfg.MaxRequestUnits)
+		k = min(max(1, int(math.Ceil(asks/max(1, g.cfg.MessagesPerSecond*rootMail)))), c.gatewayCount)
 	}
-	base, step := int(c.key>>33)%c.spread, max(1, c.spread/(k+1))
+	base, step := int(c.key>>33)%c.gatewayCount, max(1, c.gatewayCount/(k+1))
 	for i := range k + 1 {
-		deputy = (c.first + (base+i*step)%c.spread) % g.set.Gateways
+		deputy = (c.firstGateway + (base+i*step)%c.gatewayCount) % g.cfg.Gateways
 		if i < k {
 			nums = append(nums, deputy)
 		}
@@ -22,11 +22,11 @@
 	return nums, deputy
 }
 
-// watchers names the gateways that judge a server: in a small fleet each judges for itself.
-func (g *Gateway) watchers(h uint32) [2]int {
-	if !g.tree {
-		return [2]int{g.set.Me, g.set.Me}
+// watchersOf names the gateways that judge a server: in a small fleet each judges for itself.
+func (g *Gateway) watchersOf(h uint32) [2]int {
+	if !g.usesRoots {
+		return [2]int{g.cfg.Me, g.cfg.Me}
 	}
-	n := uint32(g.set.Gateways)
+	n := uint32(g.cfg.Gateways)
 	return [2]int{int(h % n), int((h + 1) % n)}
 }
--- a/policy/effect_test.go
+++ b/policy/effect_test.go
@@ -5,7 +5,7 @@
 // A request may ask for more care than its class does, and never for less:
 // after an attempt that may have run it is sent again, and refused, by the more
 // careful of the two.
-func TestMoreCarefulThanItsClass(t *testing.T) {
+func TestStricterEffectDecides(t *testing.T) {
 	for _, c := range []struct {
 		class  string
 		effect Effect
@@ -14,25 +14,25 @@
 		{"safe", Safe, true}, {"safe", Unsafe, false}, {"all", Safe, true}, {"all", Unsafe, false},
 		{"cell", Safe, true}, {"cell", Unsafe, false}, {"once", Safe, false}, {"once", Keyed, false},
 	} {
-		w := newWorld(t, base(), fleet(8))
-		acts := w.do(Request{ID: 1, Customer: "1", Plan: "free", Class: c.class, Units: 1, Remaining: 2e9, Spread: 1, Effect: c.effect})
-		sent := find[Send](acts)
+		w := newTestGateway(t, testSettings(), testServers(8))
+		acts := w.do(Request{ID: 1, Customer: "1", Plan: "free", Class: c.class, Units: 1, Remaining: 2e9, GatewayCount: 1, Effect: c.effect})
+		sent := findActions[Send](acts)
 		if len(sent) != 1 {
 			t.Fatalf("%s with %d: %v", c.class, c.effect, acts)
 		}
 		w.now += 5 * ms
 		acts = w.do(Outcome{ID: 1, Server: sent[0].Server, Code: Reset, Latency: 5 * ms})
-		if got := len(find[Send](acts)) == 1; got != c.again {
+		if got := len(findActions[Send](acts)) == 1; got != c.again {
 			t.Errorf("%s with %d: sent again %v, want %v: %v", c.class, c.effect, got, c.again, acts)
 		}
-		if !c.again && (len(find[Fail](acts)) != 1 || len(find[Refuse](acts)) != 0) {
+		if !c.again && (len(findActions[Fail](acts)) != 1 || len(findActions[Refuse](acts)) != 0) {
 			t.Errorf("%s with %d: %v, want a failure, since it may have run", c.class, c.effect, acts)
 		}
 	}
 }
 
-// find picks the actions of a kind.
-func find[A Action](acts []Action) (list []A) {
+// findActions picks the actions of a kind.
+func findActions[A Action](acts []Action) (list []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
 			list = append(list, a)
--- a/policy/events.go
+++ b/policy/events.go
@@ -9,177 +9,177 @@
 
 // Handle takes one event at a time and appends what is to be done to out.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
-	g.now, g.acts = now, out
-	if !g.begun {
-		g.begun, g.start, g.lastTick = true, now, now
-		g.do(SetTimer{Token: "tick", After: time.Duration(g.rng.Int64N(int64(g.tick))) + 1})
-		g.watch()
+	g.now, g.actions = now, out
+	if !g.started {
+		g.started, g.startedAt, g.lastTick = true, now, now
+		g.emit(SetTimer{Token: "tick", After: time.Duration(g.rng.Int64N(int64(g.tickInterval))) + 1})
+		g.watchServers()
 	}
 	switch ev := ev.(type) {
 	case Request:
-		g.onRequest(g.arrive(ev))
+		g.handleRequest(g.newRequest(ev))
 	case Outcome:
 		g.onOutcome(ev)
 	case Started:
-		if r := g.reqs[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.srv != nil {
-			r.stream = true
+		if r := g.requests[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.server != nil {
+			r.streams = true
 		}
-	case Gone:
-		if r := g.reqs[ev.ID]; r != nil {
-			g.close(r)
+	case ClientGone:
+		if r := g.requests[ev.ID]; r != nil {
+			g.finish(r)
 		}
 	case Timer:
 		if ev.Token == "ask" {
-			g.onAskTimer()
+			g.onAskTimeout()
 		} else if ev.Token == "age" {
-			g.ageAll()
+			g.refuseOverdue()
 		} else if ev.Token == "tick" && now > g.lastTick {
 			g.onTick()
 		}
 	case PeerMessage:
-		g.onPeer(ev)
-	case Members:
-		g.onMembers(ev)
-	case Terms:
+		g.onPeerMessage(ev)
+	case ServerList:
+		g.onServerList(ev)
+	case ConfigUpdate:
 		g.onTerms(ev)
-	case Peers:
+	case GatewaySet:
 		g.onPeers(ev)
-	case Yield:
+	case Relinquish:
 		g.onYield()
-	case Given:
+	case UnitsReceived:
 		g.onGiven(ev)
-	case Trusts:
-		for _, s := range g.fleet {
+	case TrustUpdate:
+		for _, s := range g.serverList {
 			s.trust = ev.Servers[s.ID]
 		}
 	}
-	out, g.acts = g.acts, nil
+	out, g.actions = g.actions, nil
 	return out
 }
 
-func (g *Gateway) onMembers(ev Members) {
-	if ev.Kind == AskFailed {
-		g.asked = false
+func (g *Gateway) onServerList(ev ServerList) {
+	if ev.Kind == WatchFailed {
+		g.watching = false
 		return
 	}
-	if ev.Kind != Changes {
-		for _, s := range g.fleet {
-			s.leave(g.now)
+	if ev.Kind != ChangedServers {
+		for _, s := range g.serverList {
+			s.markRemoved(g.now)
 		}
 	}
 	for _, m := range ev.Servers {
 		s := g.servers[m.ID]
 		if s == nil {
 			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverBits)
-			s = &server{hash: uint16(h), slow: 1, pace: 1, verdicts: verdictKeep, verdictAt: g.now, by: make([]record, len(g.set.Classes)),
-				fullAt: map[*quota]time.Duration{}, watchers: g.watchers(h)}
+			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictKeep, verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
+				planFull: map[*planState]time.Duration{}, watchers: g.watchersOf(h)}
 			g.servers[m.ID] = s
-			g.fleet = append(g.fleet, s)
-		} else if m.HasStart && m.Start != s.Start {
-			s.slow, s.pace = 1, 1
-			clear(s.by)
+			g.serverList = append(g.serverList, s)
+		} else if m.HasStartTime && m.StartTime != s.StartTime {
+			s.slowdown, s.sharedSlowdown = 1, 1
+			clear(s.classes)
 		}
-		if m.ColdUntil > s.ColdUntil || m.ColdSends != s.ColdSends {
-			s.colds = g.coldSends(m)
+		if m.ColdUntil > s.ColdUntil || m.ColdSendRate != s.ColdSendRate {
+			s.coldSendQuota = g.coldSends(m)
 		}
 		if s.Server = m; m.State == Removed {
-			s.leave(g.now)
+			s.markRemoved(g.now)
 		} else {
-			s.goneAt = 0
+			s.removedAt = 0
 		}
 	}
-	g.count()
-	for _, s := range g.fleet {
+	g.countServers()
+	for _, s := range g.serverList {
 		g.prefer(s)
 	}
-	slices.SortFunc(g.fleet, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(g.serverList, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (g *Gateway) onPeer(ev PeerMessage) {
-	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.Me {
+func (g *Gateway) onPeerMessage(ev PeerMessage) {
+	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.cfg.Me {
 		return
 	}
-	g.intake, g.deaf = g.intake+1, 0
-	g.peer(ev.From).missed = 0
+	g.recentMessages, g.unansweredAsks = g.recentMessages+1, 0
+	g.peerAt(ev.From).missed = 0
 	switch m := decode(ev.Data).(type) {
-	case ask:
-		if int(m.Plan) < len(g.set.Plans) && int(m.Class) < len(g.set.Classes) && m.Spread > 0 {
+	case askMessage:
+		if int(m.Plan) < len(g.cfg.Plans) && int(m.Class) < len(g.cfg.Classes) && m.Spread > 0 {
 			g.onAsk(ev.From, m)
 		}
-	case want:
+	case loanRequest:
 		g.onWant(ev.From, m)
-	case lent:
-		g.onLent(m)
-	case answer:
-		g.onAnswer(ev.From, m)
-	case ended:
-		g.onEnded(ev.From, m)
-	case sight:
+	case loanReply:
+		g.onLoanReply(m)
+	case askReply:
+		g.onAskReply(ev.From, m)
+	case askEnded:
+		g.onAskEnded(ev.From, m)
+	case outcomeReport:
 		s := g.servers[ServerID(m.Server)]
-		if s != nil && slices.Contains(s.watchers[:], g.set.Me) && int(m.Class) < len(s.by) {
-			g.gather(s, int(m.Class), Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
+		if s != nil && slices.Contains(s.watchers[:], g.cfg.Me) && int(m.Class) < len(s.classes) {
+			g.gather(s, int(m.Class), Code(m.Code), time.Duration(m.LatencyMS)*time.Millisecond)
 		}
-	case verdict:
-		g.onVerdict(m)
+	case serverVerdict:
+		g.onServerVerdict(m)
 	case report:
-		g.onReport(g.peer(ev.From), m)
+		g.onReport(g.peerAt(ev.From), m)
 	}
 }
 
-func (g *Gateway) close(r *request) {
-	r.over = true
-	if i := slices.Index(r.c.held, r); i >= 0 {
-		g.unhold(r.c, i)
+func (g *Gateway) finish(r *request) {
+	r.done = true
+	if i := slices.Index(r.customer.held, r); i >= 0 {
+		g.dequeue(r.customer, i)
 	}
-	if r.remote || r.srv != nil {
+	if r.remote || r.server != nil {
 		return
 	}
-	delete(g.reqs, r.id)
-	delete(g.asks, r.tag)
-	if r.granted && (r.c.plan.Open > 0 || !r.counted) {
-		g.tellEnd(r) // twice: a place is worth more than a message, of which some are lost
-		g.tellEnd(r)
-	} else if r.waits {
-		g.tellEnd(r) // it needs no place any more
+	delete(g.requests, r.id)
+	delete(g.pendingAsks, r.tag)
+	if r.granted && (r.customer.plan.MaxInFlight > 0 || !r.unitsTaken) {
+		g.sendAskEnded(r) // twice: a place is worth more than a message, of which some are lost
+		g.sendAskEnded(r)
+	} else if r.heldAtRoot {
+		g.sendAskEnded(r) // it needs no place any more
 	}
-	r.granted, r.waits = false, false
+	r.granted, r.heldAtRoot = false, false
 }
 
-// customer finds the customer of a request.
-func (g *Gateway) customer(r *Request) *customer {
+// customerOf finds the customer of a request.
+func (g *Gateway) customerOf(r *Request) *customer {
 	key := keyOf(r.Customer)
 	if c := g.customers[key]; c != nil {
 		return c
 	}
 	plan := g.plans[r.Plan]
 	if plan == nil {
-		plan = &quota{Plan: Plan{Name: r.Plan}}
+		plan = &planState{Plan: Plan{Name: r.Plan}}
 		g.plans[r.Plan] = plan // Terms may tell of it yet
 	}
-	return g.account(key, plan, r.First, r.Spread)
+	return g.account(key, plan, r.FirstGateway, r.GatewayCount)
 }
 
-// arrive enters a client's request. One of a class not in the settings is taken for unsafe.
-func (g *Gateway) arrive(ev Request) *request {
-	c, cl := g.customer(&ev), g.classes[ev.Class]
+// newRequest enters a client's request. One of a class not in the settings is taken for unsafe.
+func (g *Gateway) newRequest(ev Request) *request {
+	c, cl := g.customerOf(&ev), g.classes[ev.Class]
 	if cl == nil {
-		cl = &class{Class: Class{Aim: ev.Remaining, Effect: Unsafe}, mean: g.mean}
+		cl = &class{Class: Class{LatencyTarget: ev.Remaining, Effect: Unsafe}, mean: g.meanLatency}
 	}
 	g.advance(c)
-	r := &request{id: ev.ID, c: c, cl: cl, service: ev.Service, homes: ev.Homes, needs: ev.Service, prio: ev.Prio, spent: ev.Spent, tries: ev.Tries, effect: max(cl.Effect, ev.Effect), units: ev.Units, arrived: g.now, repeat: ev.Retry,
+	r := &request{id: ev.ID, customer: c, class: cl, service: ev.Service, regions: ev.Regions, serverGroup: ev.Service, priority: ev.Priority, waitedBefore: ev.WaitedBefore, maxAttempts: ev.MaxAttempts, effect: max(cl.Effect, ev.Effect), units: ev.Units, arrivedAt: g.now, isRetry: ev.Retry,
 		deadline: g.now + ev.Remaining}
-	if len(ev.Homes) > 0 {
-		r.needs += "|" + strings.Join(ev.Homes, ",")
+	if len(ev.Regions) > 0 {
+		r.serverGroup += "|" + strings.Join(ev.Regions, ",")
 	}
-	if r.tries == 0 {
-		r.tries = g.set.MaxAttempts
+	if r.maxAttempts == 0 {
+		r.maxAttempts = g.cfg.MaxAttempts
 	}
-	g.reqs[r.id], c.seen = r, g.now
+	g.requests[r.id], c.lastRequestAt = r, g.now
 	return r
 }
 
-func (g *Gateway) onVerdict(m verdict) {
+func (g *Gateway) onServerVerdict(m serverVerdict) {
 	if s := g.servers[ServerID(m.Server)]; s != nil {
-		g.rule(s, m.Pace, func(class int, _ *record) bool { return m.Bad>>class&1 == 1 })
+		g.applyVerdict(s, m.Slowdown, func(class int, _ *classHealth) bool { return m.EjectedBits>>class&1 == 1 })
 	}
 }
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -16,14 +16,14 @@
 
 // fieldSet are the settings of a gateway of many services before it is told anything.
 func fieldSet() Settings {
-	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanTell: true, MailPerSecond: 40,
-		LargestUnits: 1, MaxRetryAfter: time.Second,
-		Field: &Field{RetryEarn: 0.14, RetryCap: func(string) float64 { return 3 }, ColdPart: 0.5, ColdSpan: 1150 * ms, Report: 250 * ms}}
+	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanMessagePeers: true, MessagesPerSecond: 40,
+		MaxRequestUnits: 1, MaxRetryAfter: time.Second,
+		MultiService: &MultiService{RetryBudgetPerAttempt: 0.14, MaxRetryBudget: func(string) float64 { return 3 }, ColdShare: 0.5, ColdWindow: 1150 * ms, ReportInterval: 250 * ms}}
 }
 
-func fieldTerms(plans ...Plan) Terms {
-	return Terms{Plans: plans, Classes: []Class{{Name: "safe", Aim: 500 * ms, Deadline: 2 * time.Second},
-		{Name: "once", Aim: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
+func fieldTerms(plans ...Plan) ConfigUpdate {
+	return ConfigUpdate{Plans: plans, Classes: []Class{{Name: "safe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second},
+		{Name: "once", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
 }
 
 func fieldServers(n int, service string) (l []Server) {
@@ -74,7 +74,7 @@
 			case 3:
 				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
 				for i := range m.gs[:len(m.gs)-1] {
-					m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, 0)
+					m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, 0)
 				}
 				m.start(len(m.gs)-1, 0)
 			}
@@ -178,18 +178,18 @@
 			servers, by[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
-		m.code = func(Send) Code { return Code(m.rnd.IntN(int(Moot))) }
+		m.code = func(Send) Code { return Code(m.rnd.IntN(int(NoRetry))) }
 		asked := map[RequestID]Request{}
 		m.pass(4*time.Second, func() {
 			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rnd.IntN(2)], Service: []string{"s", "t"}[m.rnd.IntN(2)],
-				Homes: [][]string{nil, {"r"}, {"r", "q"}}[m.rnd.IntN(3)], Tries: 1 + m.rnd.IntN(3)}
+				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rnd.IntN(3)], MaxAttempts: 1 + m.rnd.IntN(3)}
 			asked[m.ids+1] = r
 			m.ask(m.rnd.IntN(2), r)
 		})
 		for _, s := range m.sends {
 			r, at := asked[s.ID], by[s.Server]
-			if at.Service != r.Service || len(r.Homes) > 0 && !slices.Contains(r.Homes, at.Region) || at.State != Running ||
-				m.tries[s.ID] > r.Tries {
+			if at.Service != r.Service || len(r.Regions) > 0 && !slices.Contains(r.Regions, at.Region) || at.State != Running ||
+				m.tries[s.ID] > r.MaxAttempts {
 				t.Fatalf("%+v was sent %d times, to %+v", r, m.tries[s.ID], at)
 			}
 		}
@@ -205,16 +205,16 @@
 		m := newServiceGateways(n, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
 		for k := range 3 {
-			cold[0].ColdSends = rapid.Float64Range(0, 60).Draw(t, "bears")
+			cold[0].ColdSendRate = rapid.Float64Range(0, 60).Draw(t, "bears")
 			if k == 2 {
 				n++
 				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
 				m.start(n-1, 0)
 			}
 			for i := range m.gs {
-				m.do(i, Members{Kind: Whole, Servers: cold})
+				m.do(i, ServerList{Kind: CompleteList, Servers: cold})
 				if k == 2 {
-					m.do(i, Peers{Me: i, Gateways: n})
+					m.do(i, GatewaySet{Me: i, Gateways: n})
 				}
 			}
 			m.pass(1200*ms, nil) // what went before counts for those
@@ -225,8 +225,8 @@
 				}
 			})
 			most := m.most(time.Second, func(sending) bool { return true })
-			if float64(most) > cold[0].ColdSends || most == 0 && cold[0].ColdSends >= 2 {
-				t.Fatalf("%d sent in a second by %d gateways to a server that bears %.1f", most, n, cold[0].ColdSends)
+			if float64(most) > cold[0].ColdSendRate || most == 0 && cold[0].ColdSendRate >= 2 {
+				t.Fatalf("%d sent in a second by %d gateways to a server that bears %.1f", most, n, cold[0].ColdSendRate)
 			}
 		}
 	})
@@ -253,7 +253,7 @@
 	}
 	ask := func(service string, n int) {
 		for range n {
-			m.ask(0, Request{Customer: "t", Class: "safe", Service: service, Tries: 2})
+			m.ask(0, Request{Customer: "t", Class: "safe", Service: service, MaxAttempts: 2})
 			m.pass(20*ms, nil)
 		}
 	}
@@ -273,9 +273,9 @@
 // A server that fails is left, whatever number its requests' class has.
 func TestLateClassesAreJudged(t *testing.T) {
 	m := newServiceGateways(1, 1, fieldServers(4, "s"))
-	var many Terms
+	var many ConfigUpdate
 	for i := range 12 {
-		many.Classes = append(many.Classes, Class{Name: fmt.Sprint("late", i), Aim: 500 * ms, Deadline: 2 * time.Second})
+		many.Classes = append(many.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
 	}
 	m.do(0, many)
 	m.code = func(s Send) Code {
@@ -284,7 +284,7 @@
 		}
 		return OK
 	}
-	m.pass(10*time.Second, func() { m.ask(0, Request{Customer: "t", Class: "late11", Service: "s", Tries: 1}) })
+	m.pass(10*time.Second, func() { m.ask(0, Request{Customer: "t", Class: "late11", Service: "s", MaxAttempts: 1}) })
 	hits := 0
 	for _, s := range m.sends[len(m.sends)/2:] {
 		if s.Server == 100 {
@@ -309,7 +309,7 @@
 		return OK
 	}
 	m.pass(10*time.Second, func() {
-		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", Tries: 2})
+		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", MaxAttempts: 2})
 	})
 	assert.Assert(t, len(lost) >= 8, "%d lost", len(lost))
 	recalled := map[string]int{}
@@ -330,18 +330,18 @@
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 	g := m.gs[0]
 	c := g.customers[keyOf("t")]
-	assert.Equal(t, c.n, 3.0)
+	assert.Equal(t, c.parts, 3.0)
 	for _, x := range []struct {
-		Peers
+		GatewaySet
 		others []int
-	}{{Peers{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {Peers{Me: 1, Gateways: 3}, []int{0, 2}}, {Peers{Me: 0, Gateways: 2}, []int{1}}} {
-		g.Handle(m.now, x.Peers, nil)
+	}{{GatewaySet{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {GatewaySet{Me: 1, Gateways: 3}, []int{0, 2}}, {GatewaySet{Me: 0, Gateways: 2}, []int{1}}} {
+		g.Handle(m.now, x.GatewaySet, nil)
 		var at []int
-		for _, v := range c.set {
-			at = append(at, v.p.num)
+		for _, v := range c.views {
+			at = append(at, v.peer.index)
 		}
 		slices.Sort(at)
 		assert.DeepEqual(t, at, x.others)
-		assert.Equal(t, c.n, float64(x.Gateways))
+		assert.Equal(t, c.parts, float64(x.Gateways))
 	}
 }
--- a/policy/hold_test.go
+++ b/policy/hold_test.go
@@ -6,20 +6,20 @@
 )
 
 func TestHoldsBeyondTheCapInOrder(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
+	w := newTestGateway(t, testSettings(), testServers(8))
 	var sent []Send
 	for range 4 {
-		_, acts := w.ask("safe", "open", "c", 1)
-		sent = append(sent, of[Send](acts)...)
+		_, acts := w.request("safe", "open", "c", 1)
+		sent = append(sent, actionsOf[Send](acts)...)
 		w.now += ms
 	}
-	w.hear(1, 1, 1, true)
-	sent = append(sent, of[Send](w.pass(60*ms))...)
+	w.report(1, 1, 1, true)
+	sent = append(sent, actionsOf[Send](w.advance(60*ms))...)
 	if len(sent) != 2 {
 		t.Fatalf("%d attempts out under a cap of 2", len(sent))
 	}
-	w.hear(1, 1, 2, true)
-	next := of[Send](w.end(sent[0], 0, OK))
+	w.report(1, 1, 2, true)
+	next := actionsOf[Send](w.finish(sent[0], 0, OK))
 	if len(next) != 1 || next[0].ID != 3 {
 		t.Fatalf("the oldest held was not released: %v", next)
 	}
@@ -27,56 +27,56 @@
 
 // One that has waited for a quarter of its aim is answered while a client's retry can
 // still help; what starts later is mostly late.
-func TestHeldForAQuarterOfItsAim(t *testing.T) {
-	w := newWorld(t, base(), fleet(4))
+func TestHeldForAQuarterOfItsLatencyTarget(t *testing.T) {
+	w := newTestGateway(t, testSettings(), testServers(4))
 	for range 2 { // one has this gateway's part of the cap
-		w.ask("safe", "open", "c", 1)
+		w.request("safe", "open", "c", 1)
 	}
-	if early := of[Refuse](w.pass(175 * ms)); len(early) > 0 {
+	if early := actionsOf[Refuse](w.advance(175 * ms)); len(early) > 0 {
 		t.Errorf("refused early: %v", early)
 	}
-	if late := of[Refuse](w.pass(75 * ms)); len(late) != 1 || late[0].ID != 2 {
+	if late := actionsOf[Refuse](w.advance(75 * ms)); len(late) != 1 || late[0].ID != 2 {
 		t.Errorf("%v after a quarter of the aim, want the second refused", late)
 	}
 }
 
-func TestPeersAttemptsFillTheCap(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
+func TestPeersAttemptsCountTowardsTheCap(t *testing.T) {
+	w := newTestGateway(t, testSettings(), testServers(8))
 	s := w.send("safe", "open")
-	w.end(s, 0, OK)
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, store: unknownStore})
-	if _, acts := w.ask("safe", "open", "c", 1); len(acts) != 0 {
+	w.finish(s, 0, OK)
+	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, store: unknownStore})
+	if _, acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
 		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
 	}
-	w.hear(1, 1, 2, true)
-	if got := of[Send](w.pass(100 * ms)); len(got) != 1 {
+	w.report(1, 1, 2, true)
+	if got := actionsOf[Send](w.advance(100 * ms)); len(got) != 1 {
 		t.Fatalf("the peer has none out, yet %v", got)
 	}
 }
 
-func TestRepeatsYieldWhilePressed(t *testing.T) {
-	w := newWorld(t, base(), fleet(1))
+func TestRetriesAreRefusedWhileServersAreBusy(t *testing.T) {
+	w := newTestGateway(t, testSettings(), testServers(1))
 	for range 50 {
-		w.ask("safe", "free", "c", 1)
+		w.request("safe", "free", "c", 1)
 	}
-	w.ids++
-	acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "free", Class: "safe", Units: 1,
-		Remaining: 2 * time.Second, Spread: 2, Retry: true})
-	if r := of[Refuse](acts); len(r) != 1 || r[0].RetryAfter < 2*w.g.tick {
+	w.lastID++
+	acts := w.do(Request{ID: w.lastID, Customer: "c", Plan: "free", Class: "safe", Units: 1,
+		Remaining: 2 * time.Second, GatewayCount: 2, Retry: true})
+	if r := actionsOf[Refuse](acts); len(r) != 1 || r[0].RetryAfter < 2*w.g.tickInterval {
 		t.Fatalf("got %v", acts)
 	}
 }
 
 // Load no report tells of shows in the latencies; the gateway then lets in a
 // part of the requests.
-func TestStrainClosesTheGate(t *testing.T) {
+func TestHighLatencyReducesAdmission(t *testing.T) {
 	let := func(latency time.Duration) (n int) {
-		w := newWorld(t, base(), fleet(20))
+		w := newTestGateway(t, testSettings(), testServers(20))
 		for i := range 400 {
-			w.pass(25 * ms)
-			_, acts := w.ask("safe", "free", "c", 1)
-			for _, s := range of[Send](acts) {
-				w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Latency: latency})
+			w.advance(25 * ms)
+			_, acts := w.request("safe", "free", "c", 1)
+			for _, s := range actionsOf[Send](acts) {
+				w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Final: true, Latency: latency})
 				if i >= 200 {
 					n++
 				}
@@ -90,32 +90,32 @@
 }
 
 // A server that turns one plan away stays in use for the others.
-func TestTurnedAwayIsForThePlanOnly(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+func TestRejectionConcernsOnePlan(t *testing.T) {
+	w := newTestGateway(t, testSettings(), testServers(2))
 	for range 200 {
-		w.end(w.send("safe", "free"), 0, OK)
-		w.pass(200 * ms)
+		w.finish(w.send("safe", "free"), 0, OK)
+		w.advance(200 * ms)
 	}
 	first := 0
 	for range 20 {
 		s := w.send("safe", "free")
 		if s.Server == 1 {
 			first++
-			next := of[Send](w.end(s, 0, Full))
-			w.end(next[0], 1, OK)
+			next := actionsOf[Send](w.finish(s, 0, Full))
+			w.finish(next[0], 1, OK)
 		} else {
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
-		w.pass(20 * ms)
+		w.advance(20 * ms)
 	}
 	others := 0
 	for range 20 {
-		_, acts := w.ask("safe", "rate", "d", 0)
-		for _, s := range of[Send](acts) {
+		_, acts := w.request("safe", "rate", "d", 0)
+		for _, s := range actionsOf[Send](acts) {
 			if s.Server == 1 {
 				others++
 			}
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
 	}
 	if first != 1 || others < 3 {
@@ -124,15 +124,15 @@
 }
 
 // A low store is left to first tries.
-func TestRepeatsYieldWhenTheStoreIsLow(t *testing.T) {
+func TestRetriesAreRefusedWhileTheBucketIsLow(t *testing.T) {
 	for spent, want := range map[int]int{0: 1, 8: 0} {
-		w := newWorld(t, base(), fleet(8))
-		w.hear(1, 1, 1, true)
-		w.spend(spent, "rate")
-		w.ids++
-		acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
-			Remaining: 2 * time.Second, Spread: 2, Retry: true})
-		if n := len(of[Send](acts)); n != want {
+		w := newTestGateway(t, testSettings(), testServers(8))
+		w.report(1, 1, 1, true)
+		w.requestMany(spent, "rate")
+		w.lastID++
+		acts := w.do(Request{ID: w.lastID, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
+			Remaining: 2 * time.Second, GatewayCount: 2, Retry: true})
+		if n := len(actionsOf[Send](acts)); n != want {
 			t.Errorf("%d repeats passed after %d of 10 units, want %d", n, spent, want)
 		}
 	}
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -10,55 +10,55 @@
 )
 
 func (g *Gateway) onOutcome(ev Outcome) {
-	r := g.reqs[ev.ID]
-	if r == nil || r.srv == nil || ev.Attempt != r.attempts-1 {
+	r := g.requests[ev.ID]
+	if r == nil || r.server == nil || ev.Attempt != r.attempts-1 {
 		return
 	}
-	s, c := r.srv, r.c
+	s, c := r.server, r.customer
 	g.advance(c)
-	c.fresh = repeatTicks
-	g.ended(r, ev.Code)
+	c.reportsLeft = repeatTicks
+	g.endAttempt(r, ev.Code)
 	g.judge(s, r, ev)
-	if ev.Code == OK && ev.Actual > 0 && ev.Actual != r.units {
-		c.settle(ev.Actual - r.units)
+	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
+		c.adjustUnits(ev.ActualUnits - r.units)
 	}
 	switch {
-	case r.over || ev.Over || ev.Code == OK:
-		g.close(r)
-	case ev.Code == Moot || g.now >= r.deadline || !g.again(r, ev.Code):
+	case r.done || ev.Final || ev.Code == OK:
+		g.finish(r)
+	case ev.Code == NoRetry || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
 		g.refuse(r)
-	case !g.room(c, false) || !g.try(r):
+	case !g.underCap(c, false) || !g.trySend(r):
 		g.hold(r)
 	}
-	g.release(c)
+	g.releaseHeld(c)
 }
 
 // judge learns from an outcome: latency, errors, load reports.
 func (g *Gateway) judge(s *server, r *request, ev Outcome) {
 	g.hears(s, ev.Load)
-	if ev.Code != Moot && ev.Code != Cancelled {
-		g.sight(s, r.cl, ev.Code, ev.Latency)
+	if ev.Code != NoRetry && ev.Code != Cancelled {
+		g.sight(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.strain += strainOwn * (min(1, ev.Latency.Seconds()/r.cl.Aim.Seconds()) - g.strain)
+		g.lateness += strainOwn * (min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.lateness)
 	}
 	switch ev.Code {
 	case OK:
-		if v := g.record(s, r.cl); v != nil {
-			v.okAt = g.now
+		if v := g.healthOf(s, r.class); v != nil {
+			v.lastOK = g.now
 		}
-		base := g.stretch(s, r.load) / g.coldness(s)
+		base := g.stretch(s, r.loadAtSend) / g.coldness(s)
 		lat := ev.Latency.Seconds() / base
-		s.slow += g.own * (min(lat/r.cl.mean, mostPace) - s.slow)
-		g.mean += learnMean * (r.cl.mean - g.mean)
-		r.cl.seen++ // the first outcomes count for more
-		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(lat, mostLatency*r.cl.mean) - r.cl.mean)
+		s.slowdown += g.ownOutcomeWeight * (min(lat/r.class.mean, mostPace) - s.slowdown)
+		g.meanLatency += learnMean * (r.class.mean - g.meanLatency)
+		r.class.outcomes++ // the first outcomes count for more
+		r.class.mean += max(learnMean, 1/(r.class.outcomes+1)) * (min(lat, mostLatency*r.class.mean) - r.class.mean)
 	case Full:
 		// It may turn away one plan only: this one goes elsewhere for a while.
-		if s.fullAt[r.c.plan] = g.now + fullFor; g.set.Field != nil {
-			s.fullAt[r.c.plan], s.fullTill = 0, g.now+fullBrief // its queue is full, for whomever
+		if s.planFull[r.customer.plan] = g.now + fullFor; g.cfg.MultiService != nil {
+			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+fullBrief // its queue is full, for whomever
 		}
-		g.strain += strainOwn * (1 - g.strain)
+		g.lateness += strainOwn * (1 - g.lateness)
 	}
 }
 
@@ -67,70 +67,70 @@
 		return // not in the settings
 	}
 	for i, w := range s.watchers {
-		if i > 0 && (code != ConnectFailed || !g.tree) {
+		if i > 0 && (code != ConnectFailed || !g.usesRoots) {
 			break
 		}
-		if w == g.set.Me {
-			g.gather(s, cl.no, code, latency)
+		if w == g.cfg.Me {
+			g.gather(s, cl.index, code, latency)
 			continue
 		}
 		ms := uint16(min(max(0, latency.Milliseconds()), math.MaxUint16))
-		g.do(Tell{To: w, Data: encode(sight{uint32(s.ID), byte(cl.no), byte(code), ms})})
+		g.emit(SendPeer{To: w, Data: encode(outcomeReport{uint32(s.ID), byte(cl.index), byte(code), ms})})
 	}
 }
 
 // gather adds an outcome to what the fleet knows of a server. One that turns
 // requests away is taken for very slow: it gets few more until it answers.
 func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
-	cl := g.classes[g.set.Classes[class].Name]
-	v, mean := g.record(s, cl), cl.mean
+	cl := g.classes[g.cfg.Classes[class].Name]
+	v, mean := g.healthOf(s, cl), cl.mean
 	seen := min(latency.Seconds()/mean/g.coldness(s), mostPace)
 	switch code {
 	case OK:
-		v.errs *= 1 - sightWeight
-		if v.bad {
-			v.errs, v.wait = v.errs*trialWorth, 0
+		v.errorRate *= 1 - sightWeight
+		if v.ejected {
+			v.errorRate, v.trialBackoff = v.errorRate*trialWorth, 0
 		}
 	case Full:
 		seen = mostPace
 	case ConnectFailed:
-		s.fail(2 * sightWeight)
+		s.recordFailure(2 * sightWeight)
 	default:
-		s.fail(sightWeight / 2) // it may fail other classes too
-		v.errs += sightWeight / 2 * (1 - v.errs)
-		seen = max(seen, s.pace)
+		s.recordFailure(sightWeight / 2) // it may fail other classes too
+		v.errorRate += sightWeight / 2 * (1 - v.errorRate)
+		seen = max(seen, s.sharedSlowdown)
 	}
-	s.pace += paceLearn * (seen - s.pace)
+	s.sharedSlowdown += paceLearn * (seen - s.sharedSlowdown)
 	g.tell(s)
 }
 
 // tell tells all gateways what has changed of a server that this one watches, and again what still keeps it
 // out of use. Each goes to every gateway, so all watchers together keep to a part of the mail.
 func (g *Gateway) tell(s *server) {
-	each := g.set.MailPerSecond * verdictMail / float64(max(1, len(g.fleet)))
-	s.verdicts = min(verdictKeep, s.verdicts+each*(g.now-s.verdictAt).Seconds())
-	s.verdictAt = g.now
-	if g.set.Field != nil {
-		s.verdicts = verdictKeep // they are told to none
+	each := g.cfg.MessagesPerSecond * verdictMail / float64(max(1, len(g.serverList)))
+	s.verdictTokens = min(verdictKeep, s.verdictTokens+each*(g.now-s.verdictTokensAt).Seconds())
+	s.verdictTokensAt = g.now
+	if g.cfg.MultiService != nil {
+		s.verdictTokens = verdictKeep // they are told to none
 	}
-	first := s.watchers[0] == g.set.Me
-	if !first || !g.tree {
-		s.pace = s.slow // the second knows only what it can't reach
+	first := s.watchers[0] == g.cfg.Me
+	if !first || !g.usesRoots {
+		s.sharedSlowdown = s.slowdown // the second knows only what it can't reach
 	}
-	isBad := func(_ int, v *record) bool {
-		return v.errs > sightLimit || v.bad && (!first || v.errs > sightLimit/2)
+	isBad := func(_ int, v *classHealth) bool {
+		return v.errorRate > sightLimit || v.ejected && (!first || v.errorRate > sightLimit/2)
 	}
-	bits, news, any, until := s.masks(isBad)
-	change := g.tree && max(s.pace/s.slow, s.slow/s.pace) > paceStep
+	bits, news, any, until := s.ejectionBits(isBad)
+	change := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > paceStep
 	again := first && any && until-g.now < verdictLife/4
-	if s.verdicts < 1 || !news && !change && !again {
+	if s.verdictTokens < 1 || !news && !change && !again {
 		return
 	}
-	m := verdict{Server: uint32(s.ID), Bad: bits, Pace: small(16 * (4 + math.Log2(max(s.pace, leastPace))))}
-	g.rule(s, m.Pace, isBad)
-	if g.tree {
-		s.verdicts--
-		g.do(Tell{To: -1, Data: encode(m)})
+	m := serverVerdict{Server: uint32(s.ID), EjectedBits: bits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, leastPace))))}
+	g.applyVerdict(s, m.Slowdown, isBad)
+	if g.usesRoots {
+		s.verdictTokens--
+		g.emit(SendPeer{To: -1, Data: encode(m)})
 	}
 }
 
@@ -138,27 +138,27 @@
 // called back. Guards against servers that take work and answer none; harms when all slow down at once,
 // within the budget.
 func (g *Gateway) silence(s *server) {
-	for _, r := range slices.Clone(s.oldest) {
-		if r.granted && r.c.plan.Open > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.cl.mean {
+	for _, r := range slices.Clone(s.attempts) {
+		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.class.mean {
 			r.askedAt = g.now // its place is still taken
-			g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
+			g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.cl), leastLate*r.cl.Aim.Seconds())
-		v := g.record(s, r.cl)
-		patient := g.set.Field == nil || r.effect != Safe || age < lostAnswer // if others were since
-		if age < overdue || r.over || r.quit || r.stream || patient && v != nil && v.okAt > r.sentAt {
+		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.class), leastLate*r.class.LatencyTarget.Seconds())
+		v := g.healthOf(s, r.class)
+		patient := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswer // if others were since
+		if age < overdue || r.done || r.cancelled || r.streams || patient && v != nil && v.lastOK > r.sentAt {
 			continue
 		}
-		r.quit = true
-		g.sight(s, r.cl, TimedOut, g.now-r.sentAt)
-		if g.set.CanCancel && r.effect == Safe && g.budgets[r.service] >= 1 &&
-			(r.tries == 0 || r.attempts < r.tries) {
-			g.do(Cancel{ID: r.id, Attempt: r.attempts - 1})
+		r.cancelled = true
+		g.sight(s, r.class, TimedOut, g.now-r.sentAt)
+		if g.cfg.CanCancel && r.effect == Safe && g.retryBudgets[r.service] >= 1 &&
+			(r.maxAttempts == 0 || r.attempts < r.maxAttempts) {
+			g.emit(Cancel{ID: r.id, Attempt: r.attempts - 1})
 		}
 	}
 }
 
 // mayTry tells whether a request may go to a server that is out of use, to see whether it is well again.
 func (g *Gateway) mayTry(r *request) bool {
-	return r.attempts == 0 && (r.effect != Unsafe || g.set.Field != nil)
+	return r.attempts == 0 && (r.effect != Unsafe || g.cfg.MultiService != nil)
 }
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -18,7 +18,7 @@
 		{"far above", 2, 1 << 30, 85}, {"far above, mail lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newManyGateways(t, 300, fleet(40))
+			w := newManyGateways(t, 300, testServers(40))
 			n := 0
 			w.lose = func(int, int) bool { n++; return n%c.lost == 0 }
 			asked := 0
@@ -45,7 +45,7 @@
 // A root that answers nothing must not stop its customers: the deputy counts
 // for it.
 func TestDeputyStepsIn(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(20))
+	w := newManyGateways(t, 100, testServers(20))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	w.lose = func(from, to int) bool { return to == roots[0] || from == roots[0] }
@@ -64,12 +64,12 @@
 // Least parts of one each would let hundreds of gateways push a cold server
 // over together.
 func TestColdShareIsBoundedOverTheFleet(t *testing.T) {
-	servers := fleet(20)
-	servers[0].HasStart, servers[0].Start = true, 10*time.Second
+	servers := testServers(20)
+	servers[0].HasStartTime, servers[0].StartTime = true, 10*time.Second
 	w := newManyGateways(t, 300, servers)
 	for _, g := range w.gs { // the warm ones are all slow
-		for _, s := range g.fleet[1:] {
-			s.slow = mostPace
+		for _, s := range g.serverList[1:] {
+			s.slowdown = mostPace
 		}
 	}
 	id := 0
@@ -95,9 +95,9 @@
 // With most of a fleet replaced at once its cold servers carry what they surely
 // can: were they left idle, the few warm ones would be crushed.
 func TestColdServersCarryTheirPart(t *testing.T) {
-	servers := fleet(60)
+	servers := testServers(60)
 	for i := range 36 {
-		servers[i].HasStart, servers[i].Start = true, 10*time.Second
+		servers[i].HasStartTime, servers[i].StartTime = true, 10*time.Second
 	}
 	w := newManyGateways(t, 100, servers)
 	for id := range 1000 {
@@ -122,10 +122,10 @@
 
 // replaced is a fleet of 60 servers after 36 of them were replaced by cold ones.
 func replaced() []Server {
-	l := fleet(60)
+	l := testServers(60)
 	for i := range 36 {
 		l[i].ID += 1000
-		l[i].HasStart, l[i].Start = true, 10*time.Second
+		l[i].HasStartTime, l[i].StartTime = true, 10*time.Second
 	}
 	return l
 }
@@ -168,7 +168,7 @@
 // Loan servers hold few connections: one that refuses some has run nothing, and the
 // request goes elsewhere. Hardly any is turned away for it.
 func TestRefusedConnectionsFailNothing(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(60))
+	w := newManyGateways(t, 100, testServers(60))
 	w.code = func(i int) Code {
 		if i%10 == 0 {
 			return ConnectFailed
@@ -197,7 +197,7 @@
 // are used again; all together go to each server alike, and when those few are gone
 // the others serve.
 func TestGatewaysGoToFewServersEach(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(60))
+	w := newManyGateways(t, 100, testServers(60))
 	id := 0
 	ask := func(rounds int) {
 		for range rounds {
@@ -224,14 +224,14 @@
 		}
 	}
 	var gone []Server
-	for _, s := range w.gs[0].fleet {
-		if s.part > 1 {
+	for _, s := range w.gs[0].serverList {
+		if s.share > 1 {
 			l := s.Server
 			l.State = Removed
 			gone = append(gone, l)
 		}
 	}
-	w.do(0, Members{Kind: Changes, Servers: gone})
+	w.do(0, ServerList{Kind: ChangedServers, Servers: gone})
 	before := len(w.sends)
 	w.request(0, 1<<40, "k", "free", "safe", 100)
 	if len(gone) < 8 || len(w.sends) != before+1 {
@@ -242,18 +242,18 @@
 // A watcher hears of one class failing on a server and tells all; the other
 // classes still go there.
 func TestWatcherTellsOfOneClass(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	s := w.gs[0].servers[3]
 	id := 0
 	for range 6 {
 		for i := range 12 {
 			from := (s.watchers[0] + 1 + i) % 100
-			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{shortVersion}}) // foreign: nothing
+			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{messageVersion}}) // foreign: nothing
 			g := w.gs[from]
 			w.do(s.watchers[0], PeerMessage{From: from,
-				Data: encode(sight{uint32(s.ID), byte(g.classes["safe"].no), byte(Error), 5})})
+				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
 			w.do(s.watchers[0], PeerMessage{From: from,
-				Data: encode(sight{uint32(s.ID), byte(g.classes["once"].no), byte(OK), 80})})
+				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["once"].index), byte(OK), 80})})
 		}
 	}
 	w.pass(100*ms, nil)
@@ -282,22 +282,22 @@
 // The watcher may be lost with the server: one that can't be reached is told
 // to a second.
 func TestSecondWatcherTellsOfUnreachable(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	s := w.gs[0].servers[3]
 	w.lose = func(from, to int) bool { return from == s.watchers[0] || to == s.watchers[0] }
 	cl := w.gs[70].classes["safe"]
 	for range 6 {
-		w.gs[70].now, w.gs[70].acts = w.now, nil
+		w.gs[70].now, w.gs[70].actions = w.now, nil
 		w.gs[70].sight(w.gs[70].servers[3], cl, ConnectFailed, 250*ms)
-		acts := w.gs[70].acts
-		for _, a := range of[Tell](acts) {
+		acts := w.gs[70].actions
+		for _, a := range actionsOf[SendPeer](acts) {
 			if a.To == s.watchers[1] {
 				w.do(a.To, PeerMessage{From: 70, Data: a.Data})
 			}
 		}
 	}
 	w.pass(100*ms, nil)
-	if v := w.gs[20].record(w.gs[20].servers[3], cl); !v.bad {
+	if v := w.gs[20].healthOf(w.gs[20].servers[3], cl); !v.ejected {
 		t.Error("a gateway far off has not heard of it")
 	}
 }
@@ -305,7 +305,7 @@
 // A customer that has a cap alone and asks far more than fits must not drown its
 // root: each gateway takes in what its mail bears, and most of the cap is used.
 func TestCapAloneDoesNotDrownItsRoot(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(40))
+	w := newManyGateways(t, 100, testServers(40))
 	second, got := time.Duration(0), map[int]int{}
 	lost := 0
 	w.lose = func(_, to int) bool {
@@ -313,7 +313,7 @@
 			second = w.now / time.Second
 			clear(got)
 		}
-		if got[to]++; got[to] > int(base().MailPerSecond) {
+		if got[to]++; got[to] > int(testSettings().MessagesPerSecond) {
 			if w.now > 13*time.Second {
 				lost++ // before, no gateway has been told what part fits
 			}
@@ -342,7 +342,7 @@
 // hundred gateways keeps it and uses most of it. Two roots that hear of each other
 // twice a second could not hold five places between them.
 func TestCapWithARateIsHeldByOneRoot(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(40))
+	w := newManyGateways(t, 100, testServers(40))
 	w.takes = 300 * ms
 	asked, beyond := 0, 0
 	w.pass(20*time.Second, func(at time.Duration) {
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -13,34 +13,34 @@
 )
 
 func TestStrayInputChangesNothing(t *testing.T) {
-	w := newWorld(t, base(), fleet(3))
+	w := newTestGateway(t, testSettings(), testServers(3))
 	s := w.send("safe", "free")
 	for _, ev := range []Event{
 		Outcome{ID: 99, Server: 1, Code: OK}, Outcome{ID: s.ID, Attempt: 4, Server: s.Server, Code: Error},
-		Gone{ID: 98}, Timer{Token: "other"}, Started{ID: 97},
+		ClientGone{ID: 98}, Timer{Token: "other"}, Started{ID: 97},
 		PeerMessage{From: 1, Data: []byte("rubbish")}, PeerMessage{From: 1}, PeerMessage{From: -3},
-		PeerMessage{From: 55, Data: (&report{}).encode()}, Members{Kind: AskFailed},
+		PeerMessage{From: 55, Data: (&report{}).encode()}, ServerList{Kind: WatchFailed},
 	} {
 		if acts := w.do(ev); len(acts) != 0 {
 			t.Errorf("%#v led to %v", ev, acts)
 		}
 	}
-	w.end(s, 0, OK)
-	if acts := w.end(s, 0, OK); len(acts) != 0 || w.g.fleet[0].out+w.g.fleet[1].out+w.g.fleet[2].out != 0 {
+	w.finish(s, 0, OK)
+	if acts := w.finish(s, 0, OK); len(acts) != 0 || w.g.serverList[0].inFlight+w.g.serverList[1].inFlight+w.g.serverList[2].inFlight != 0 {
 		t.Errorf("a second outcome led to %v", acts)
 	}
 }
 
-func TestNewNamesTheKey(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"Resolution":     func(s *Settings) { s.Resolution = 0 },
 		"Plans":          func(s *Settings) { s.Plans = nil },
 		"Plans[1].Name":  func(s *Settings) { s.Plans[1].Name = "" },
 		"Plans[1].Rate":  func(s *Settings) { s.Plans[1].Rate = -1 },
-		"Classes[0].Aim": func(s *Settings) { s.Classes[0].Aim = 0 },
+		"Classes[0].Aim": func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
 		"Me":             func(s *Settings) { s.Me = 2 },
 	} {
-		s := base()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), key+":") {
 			t.Errorf("%s: %v", key, err)
@@ -50,14 +50,14 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
-		w := newWorld(t, base(), fleet(5))
+		w := newTestGateway(t, testSettings(), testServers(5))
 		for i := range 300 {
-			_, acts := w.ask("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
+			_, acts := w.request("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
 			all = append(all, acts...)
-			for _, s := range of[Send](acts) {
-				all = append(all, w.end(s, 0, Code(i%3))...)
+			for _, s := range actionsOf[Send](acts) {
+				all = append(all, w.finish(s, 0, Code(i%3))...)
 			}
-			all = append(all, w.pass(20*ms)...)
+			all = append(all, w.advance(20*ms)...)
 		}
 		return all
 	}
@@ -71,8 +71,8 @@
 		customers: []entry{{hash: 3}, {hash: 5}}}).encode())
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w := newWorld(t, base(), fleet(2))
-		w.ask("safe", "hard", "c", 1)
+		w := newTestGateway(t, testSettings(), testServers(2))
+		w.request("safe", "hard", "c", 1)
 		w.do(PeerMessage{From: 1, Data: b})
 		if m, ok := decodeReport(b); ok {
 			if len(b) > maxMessage {
@@ -86,7 +86,7 @@
 }
 
 // The decision files are those that the deployment names.
-func TestModuleKeepsItsLimits(t *testing.T) {
+func TestDecisionFilesKeepTheirLimits(t *testing.T) {
 	var deployed struct{ Policy []string }
 	b, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // Tuned values are in values.go: the other files hold no times and no shares.
-func TestOtherFilesHoldNoTunedValue(t *testing.T) {
+func TestTuningConstantsAreInOneFile(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/policy/line.go
+++ b/policy/line.go
@@ -10,7 +10,7 @@
 
 // late tells whether a request can't be answered within its aim any more, by a server of usual pace.
 func (g *Gateway) late(r *request) bool {
-	return (g.now-r.arrived+r.spent).Seconds()+r.cl.mean > r.cl.Aim.Seconds()
+	return (g.now-r.arrivedAt+r.waitedBefore).Seconds()+r.class.mean > r.class.LatencyTarget.Seconds()
 }
 
 // rank orders those who wait for the same servers: who can still meet the aim, then by the operator's
@@ -22,19 +22,19 @@
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(a.prio, b.prio), cmp.Compare(a.arrived, b.arrived))
+	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.arrivedAt, b.arrivedAt))
 }
 
 // first tells whether a request that has just come may be tried ahead of all that wait: none of its
 // customer waits for units, and none that goes before it for the same servers.
 func (g *Gateway) first(r *request) bool {
-	if g.set.Field == nil {
-		return len(r.c.held) == 0
+	if g.cfg.MultiService == nil {
+		return len(r.customer.held) == 0
 	}
 	for _, c := range g.waiting {
 		for _, o := range c.held {
-			same := o.needs == r.needs && o.attempts == 0 && !o.beyond
-			if o.beyond && c == r.c || same && g.rank(o, r) <= 0 {
+			same := o.serverGroup == r.serverGroup && o.attempts == 0 && !o.overQuota
+			if o.overQuota && c == r.customer || same && g.rank(o, r) <= 0 {
 				return false
 			}
 		}
@@ -52,19 +52,19 @@
 	slices.SortStableFunc(line, g.rank)
 	full, short := map[string]bool{}, map[*customer]bool{}
 	for _, r := range line {
-		needs := r.needs
+		needs := r.serverGroup
 		if g.late(r) {
 			needs += "|late"
 		}
-		if full[needs] || full[r.needs] || short[r.c] && !r.counted {
+		if full[needs] || full[r.serverGroup] || short[r.customer] && !r.unitsTaken {
 			continue
 		}
-		if r.beyond = !g.within(r); r.beyond {
-			short[r.c] = true // its units come to it in arrival order
-		} else if !g.room(r.c, false) || !g.try(r) {
+		if r.overQuota = !g.hasUnits(r); r.overQuota {
+			short[r.customer] = true // its units come to it in arrival order
+		} else if !g.underCap(r.customer, false) || !g.trySend(r) {
 			full[needs] = r.attempts == 0
 		} else {
-			g.unhold(r.c, slices.Index(r.c.held, r))
+			g.dequeue(r.customer, slices.Index(r.customer.held, r))
 		}
 	}
 }
--- a/policy/line_test.go
+++ b/policy/line_test.go
@@ -25,9 +25,9 @@
 	g, err := New(fieldSet(), 7)
 	assert.NilError(t, err)
 	b := &booth{t: t, g: g, now: time.Second, refused: map[RequestID]time.Duration{}, tries: map[RequestID]int{}}
-	b.do(Members{Kind: Whole, Servers: servers})
+	b.do(ServerList{Kind: CompleteList, Servers: servers})
 	b.do(fieldTerms(Plan{Name: "t"}, Plan{Name: "u"}))
-	b.do(Peers{Gateways: 1})
+	b.do(GatewaySet{Gateways: 1})
 	for range 40 { // it learns that an answer takes 100 ms
 		id := b.ask(Request{Service: servers[0].Service})
 		b.pass(100 * ms)
@@ -52,7 +52,7 @@
 
 func (b *booth) ask(r Request) RequestID {
 	b.ids++
-	r.ID, r.Units, r.Spread, r.Remaining = b.ids, 1, 1, 2*time.Second
+	r.ID, r.Units, r.GatewayCount, r.Remaining = b.ids, 1, 1, 2*time.Second
 	if r.Customer == "" {
 		r.Customer = "t"
 	}
@@ -64,7 +64,7 @@
 func (b *booth) end(id RequestID) {
 	for _, s := range b.sent {
 		if s.ID == id {
-			b.do(Outcome{ID: id, Attempt: b.tries[id], Server: s.Server, Latency: 100 * ms, Over: true})
+			b.do(Outcome{ID: id, Attempt: b.tries[id], Server: s.Server, Latency: 100 * ms, Final: true})
 			return
 		}
 	}
@@ -94,9 +94,9 @@
 func (b *booth) fill(service string, homes ...string) (out []RequestID) {
 	for {
 		n := len(b.sent)
-		id := b.ask(Request{Customer: "u", Service: service, Homes: homes})
+		id := b.ask(Request{Customer: "u", Service: service, Regions: homes})
 		if len(b.sent) == n {
-			b.do(Gone{ID: id})
+			b.do(ClientGone{ID: id})
 			return out
 		}
 		out = append(out, id)
@@ -139,15 +139,15 @@
 func TestWhoWaitsGoesByAimRankAndArrival(t *testing.T) {
 	b := newBooth(t, oneSlot(1, "s", "r"))
 	out := b.fill("s")
-	late := b.ask(Request{Service: "s", Spent: 480 * ms})
-	third := b.ask(Request{Service: "s", Prio: 2})
-	first := b.ask(Request{Service: "s", Prio: 0, Customer: "u"})
-	second := b.ask(Request{Service: "s", Prio: 1})
+	late := b.ask(Request{Service: "s", WaitedBefore: 480 * ms})
+	third := b.ask(Request{Service: "s", Priority: 2})
+	first := b.ask(Request{Service: "s", Priority: 0, Customer: "u"})
+	second := b.ask(Request{Service: "s", Priority: 1})
 	n := len(b.sent)
 	for _, id := range out {
 		b.end(id)
 	}
-	fresh := b.ask(Request{Service: "s", Prio: 2})
+	fresh := b.ask(Request{Service: "s", Priority: 2})
 	for _, id := range []RequestID{first, second, third, fresh} {
 		b.end(id)
 	}
@@ -160,11 +160,11 @@
 	out := b.fill("s")
 	b.end(out[0])
 	n := len(b.sent)
-	late := b.ask(Request{Service: "s", Spent: 450 * ms})
+	late := b.ask(Request{Service: "s", WaitedBefore: 450 * ms})
 	fresh := b.ask(Request{Service: "s"})
 	assert.DeepEqual(t, b.order()[n:], []RequestID{fresh})
 	second := b.ask(Request{Service: "s"})
-	b.do(Members{Kind: Whole, Servers: []Server{oneSlot(1, "s", "r"), oneSlot(2, "s", "r")}})
+	b.do(ServerList{Kind: CompleteList, Servers: []Server{oneSlot(1, "s", "r"), oneSlot(2, "s", "r")}})
 	b.pass(50 * ms)
 	assert.DeepEqual(t, b.order()[n:], []RequestID{fresh, second, late})
 }
@@ -186,7 +186,7 @@
 // Where requests bound to a region find no room, those with a choice go to the other regions.
 func TestWhoHasAChoiceLeavesRoomToWhoHasNone(t *testing.T) {
 	far := oneSlot(2, "s", "q")
-	far.Far = 250 * ms
+	far.ExtraLatency = 250 * ms
 	b := newBooth(t, oneSlot(1, "s", "r"), far)
 	near := func() (n int) {
 		for _, s := range b.sent {
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -4,17 +4,17 @@
 
 // sumLoads sums the peers' attempts out at each server; old counts are let go.
 func (g *Gateway) sumLoads() {
-	if g.set.Field != nil {
+	if g.cfg.MultiService != nil {
 		g.usualLoads()
 	}
-	if g.tree || g.wide {
+	if g.usesRoots || g.borrows {
 		return // reports tell of no servers
 	}
-	for _, s := range g.fleet {
-		s.heard = 0
+	for _, s := range g.serverList {
+		s.peerInFlight = 0
 		for _, p := range g.peers {
 			if p != nil && !g.silent(p) {
-				s.heard += p.outs[s.hash]
+				s.peerInFlight += p.inFlight[s.hash]
 			}
 		}
 	}
@@ -22,8 +22,8 @@
 
 // hears takes in the load that a server tells of with an answer.
 func (g *Gateway) hears(s *server, load []float64) {
-	if len(load) == 3 && g.set.Field != nil {
-		s.others, s.othersAt, s.told = max(0, load[0]+load[1]-float64(s.out)), g.now, true
+	if len(load) == 3 && g.cfg.MultiService != nil {
+		s.otherInFlight, s.otherInFlightAt, s.hasLoadReport = max(0, load[0]+load[1]-float64(s.inFlight)), g.now, true
 	}
 }
 
@@ -31,10 +31,10 @@
 // Where it wore off to nothing, each gateway would go to the servers that it has heard nothing of for longest: all
 // of them to all, by turns. So it goes to those that had room when they last answered it, which few others know.
 func (g *Gateway) otherLoad(s *server) float64 {
-	if !s.told {
-		return s.usual
+	if !s.hasLoadReport {
+		return s.typicalInFlight
 	}
-	return s.usual + (s.others-s.usual)*math.Exp(-(g.now-s.othersAt).Seconds()/toldSpan.Seconds())
+	return s.typicalInFlight + (s.otherInFlight-s.typicalInFlight)*math.Exp(-(g.now-s.otherInFlightAt).Seconds()/toldSpan.Seconds())
 }
 
 // usualLoads takes what is usual at the servers of a service in a region: the mean of what each told last, the
@@ -44,17 +44,17 @@
 	type group struct{ service, region string }
 	type mean struct{ sum, weight, latest float64 }
 	all := map[group]mean{}
-	for _, s := range g.fleet {
-		if s.told && s.State == Running {
+	for _, s := range g.serverList {
+		if s.hasLoadReport && s.State == Running {
 			k := group{s.Service, s.Region}
-			w, m := math.Exp(-(g.now-s.othersAt).Seconds()/usualSpan.Seconds()), all[k]
-			all[k] = mean{m.sum + w*s.others, m.weight + w, max(m.latest, w)}
+			w, m := math.Exp(-(g.now-s.otherInFlightAt).Seconds()/usualSpan.Seconds()), all[k]
+			all[k] = mean{m.sum + w*s.otherInFlight, m.weight + w, max(m.latest, w)}
 		}
 	}
-	for _, s := range g.fleet {
-		s.usual = 0
+	for _, s := range g.serverList {
+		s.typicalInFlight = 0
 		if m := all[group{s.Service, s.Region}]; m.weight > 0 {
-			s.usual = m.sum / m.weight * m.latest
+			s.typicalInFlight = m.sum / m.weight * m.latest
 		}
 	}
 }
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -9,85 +9,85 @@
 )
 
 // span is the time from one report to the next.
-func (g *Gateway) span() time.Duration { return g.tick * time.Duration(g.every) }
+func (g *Gateway) span() time.Duration { return g.tickInterval * time.Duration(g.reportTicks) }
 
 // urgent orders a report, busiest first: held, and units not told yet, against
 // what may be used at once; then those not told for longest.
 func (g *Gateway) urgent(c *customer) float64 {
-	units := float64(c.passed-c.toldUnits) / (c.plan.Burst + 1)
-	return float64(len(c.held)) + units + untold*float64(g.ticks-c.told)
+	units := float64(c.passedUnits-c.reportedUnits) / (c.plan.Burst + 1)
+	return float64(len(c.held)) + units + untold*float64(g.tickCount-c.reportedTick)
 }
 
 // ask sends a request to the customer's root, again if that or the answer is lost, and then to the
 // deputy. Where none answers, or nobody was heard for long, this gateway decides alone.
 func (g *Gateway) ask(r *request) {
-	c := r.c
-	deaf := g.deaf >= deafAsks && r.asked > 0
-	if delete(g.asks, r.tag); deaf || r.asked > rootAsks || g.now+2*g.set.Resolution >= r.deadline {
-		if r.waits || g.now >= r.deadline || !g.within(r) || !g.alone(r) || !g.try(r) {
+	c := r.customer
+	deaf := g.unansweredAsks >= deafAsks && r.askCount > 0
+	if delete(g.pendingAsks, r.tag); deaf || r.askCount > rootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
+		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.alone(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
 		return
 	}
-	to := c.ask[0]
-	if p := g.peer(to); r.asked >= rootAsks || p.missed >= rootAsks && g.now-p.missedAt < rootRest {
-		to = c.ask[1]
+	to := c.askRoots[0]
+	if p := g.peerAt(to); r.askCount >= rootAsks || p.missed >= rootAsks && g.now-p.missedAt < rootRest {
+		to = c.askRoots[1]
 	}
-	if to == g.set.Me {
+	if to == g.cfg.Me {
 		g.admit(r)
 		return
 	}
-	if r.asked > 0 {
-		p := g.peer(r.root)
-		p.missed, p.missedAt, g.deaf = p.missed+1, g.now, g.deaf+1
-		g.heard -= learn * g.heard
+	if r.askCount > 0 {
+		p := g.peerAt(r.root)
+		p.missed, p.missedAt, g.unansweredAsks = p.missed+1, g.now, g.unansweredAsks+1
+		g.answeredShare -= learn * g.answeredShare
 	}
-	if r.asked == 0 {
-		r.own = c.ceiling >= r.units
+	if r.askCount == 0 {
+		r.ownCeiling = c.ceiling >= r.units
 	}
-	if r.asked == 0 || r.root != to { // the same name when the same root is asked again
-		if r.asked > 0 {
-			g.tellEnd(r) // it may have granted it
+	if r.askCount == 0 || r.root != to { // the same name when the same root is asked again
+		if r.askCount > 0 {
+			g.sendAskEnded(r) // it may have granted it
 		}
 		g.nextTag++
 		r.tag = g.nextTag
 	}
 	r.root, r.askedAt = to, g.now
-	r.asked++
-	wait := max(leastReply, time.Duration(replySpread*float64(g.reply)))
-	r.until = min(g.now+wait, r.deadline-2*g.set.Resolution)
-	g.asks[r.tag] = r
-	g.asking = append(g.asking, r)
-	g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
-	g.do(SetTimer{Token: "ask", After: r.until - g.now})
+	r.askCount++
+	wait := max(leastReply, time.Duration(replySpread*float64(g.meanReplyTime)))
+	r.askUntil = min(g.now+wait, r.deadline-2*g.cfg.Resolution)
+	g.pendingAsks[r.tag] = r
+	g.askTimeouts = append(g.askTimeouts, r)
+	g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
+	g.emit(SetTimer{Token: "ask", After: r.askUntil - g.now})
 }
 
 // alone tells whether a request may pass though no root answers. Where nobody is heard no more of each
 // plan passes here than the roots let pass, which holds the load and, while demand stays, the quotas.
 func (g *Gateway) alone(r *request) bool {
-	if g.deaf < deafAsks { // others are heard: it is flooded roots that do not answer
-		return g.rng.Float64() < math.Pow(g.heard, unheardPower)
+	if g.unansweredAsks < deafAsks { // others are heard: it is flooded roots that do not answer
+		return g.rng.Float64() < math.Pow(g.answeredShare, unheardPower)
 	}
-	q := r.c.plan
-	seen := 1 - math.Exp(-(g.now-g.start).Seconds()/thinSpan.Seconds())
-	most := q.agreed.sum(g.now, thinSpan, 0) / seen * demandSpan.Seconds() / thinSpan.Seconds()
-	if r.repeat || q.Open > 0 {
+	q := r.customer.plan
+	seen := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/thinSpan.Seconds())
+	most := q.passedGranted.add(g.now, thinSpan, 0) / seen * demandSpan.Seconds() / thinSpan.Seconds()
+	if r.isRetry || q.MaxInFlight > 0 {
 		most *= aloneCareful
 	}
-	return q.alone.sum(g.now, demandSpan, 0)+r.units/2 <= most
+	return q.passedAlone.add(g.now, demandSpan, 0)+r.units/2 <= most
 }
 
 // answer tells the asking gateway a root's verdict, and what part of such asks fits. Under a cap
 // that follows from the places that are asked for and from what the root's mail still bears.
 func (g *Gateway) answer(r *request, v byte) {
-	fill := small(250 * max(0, r.c.store) / max(1, r.c.plan.Burst))
+	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
 	part := 1.0
-	if r.c.plan.Open > 0 {
-		left := max(askedLeast, 1-g.intake/demandSpan.Seconds()/max(1, g.set.MailPerSecond))
-		part = min(1, left*float64(r.c.plan.Open)*demandSpan.Seconds()/r.c.places)
+	if r.customer.plan.MaxInFlight > 0 {
+		left := max(askedLeast, 1-g.recentMessages/demandSpan.Seconds()/max(1, g.cfg.MessagesPerSecond))
+		part = min(1, left*float64(r.customer.plan.MaxInFlight)*demandSpan.Seconds()/r.customer.slotDemand)
 	}
-	if r.c.plan.Rate > 0 && r.c.store < retryReserve*r.c.plan.Burst {
-		part = min(part, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
+	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
+		part = min(part, r.customer.plan.Rate*demandSpan.Seconds()/max(r.customer.demand, 1))
 	}
-	g.do(Tell{To: r.root, Data: encode(answer{r.tag, v, fill, small(100 * g.strain), small(250 * part)})})
+	g.emit(SendPeer{To: r.root, Data: encode(askReply{r.tag, v, fill, toByte(100 * g.lateness), toByte(250 * part)})})
 }
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -34,14 +34,14 @@
 	t.Helper()
 	c := &manyGateways{t: t, now: 10 * time.Second, takes: 50 * ms, attempts: map[RequestID]int{}, lose: func(int, int) bool { return false }}
 	for i := range n {
-		s := base()
+		s := testSettings()
 		s.Me, s.Gateways = i, n
 		g, err := New(s, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.gs = append(c.gs, g)
-		c.do(i, Members{Kind: Remembered, Servers: servers})
+		c.do(i, ServerList{Kind: CachedList, Servers: servers})
 	}
 	return c
 }
@@ -49,7 +49,7 @@
 func (c *manyGateways) do(i int, ev Event) {
 	for _, a := range c.gs[i].Handle(c.now, ev, nil) {
 		switch a := a.(type) {
-		case Tell:
+		case SendPeer:
 			if len(a.Data) > 256 || a.To >= len(c.gs) || a.To == i {
 				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
 			}
@@ -92,7 +92,7 @@
 				code = c.code(c.over)
 			}
 			c.attempts[s.ID]++
-			c.do(c.from[c.over], Outcome{ID: s.ID, Attempt: c.attempts[s.ID] - 1, Server: s.Server, Code: code, Latency: c.takes, Over: code == OK})
+			c.do(c.from[c.over], Outcome{ID: s.ID, Attempt: c.attempts[s.ID] - 1, Server: s.Server, Code: code, Latency: c.takes, Final: code == OK})
 		}
 		if step != nil {
 			step(c.now)
@@ -102,7 +102,7 @@
 
 func (c *manyGateways) request(i int, id RequestID, customer, plan, class string, spread int) {
 	c.do(i, Request{ID: id, Customer: customer, Plan: plan, Class: class, Units: 1,
-		Remaining: 2 * time.Second, Spread: spread})
+		Remaining: 2 * time.Second, GatewayCount: spread})
 }
 
 // member is a gateway of 50 that is neither the root nor the deputy of customer k
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -9,70 +9,70 @@
 
 // The short messages of a large fleet. On the wire: version, kind, fields.
 
-// ask asks a customer's root to count a request.
-type ask struct {
-	Customer      uint64
-	First, Spread uint16
-	Plan, Class   byte
-	Units, Left   uint16 // Left: milliseconds until the client gives up
-	Tag           uint32
-	Thin          byte // with what chance it was asked for, 250 certain
-	Fill          byte // of the store as last heard, 250 full
-	Flags         byte
+// askMessage asks a customer's root to count a request.
+type askMessage struct {
+	Customer           uint64
+	First, Spread      uint16
+	Plan, Class        byte
+	Units, RemainingMS uint16 // Left: milliseconds until the client gives up
+	Tag                uint32
+	AskChance          byte // with what chance it was asked for, 250 certain
+	BucketFill         byte // of the store as last heard, 250 full
+	Flags              byte
 }
 
 const (
-	flagRepeat byte = 1 << iota // a client's repeat
-	flagOwn                     // its units of the ceiling come out of the sender's part
+	flagRepeat     byte = 1 << iota // a client's repeat
+	flagOwnCeiling                  // its units of the ceiling come out of the sender's part
 )
 
-// answer is the root's.
-type answer struct {
-	Tag           uint32
-	Verdict, Fill byte
-	Strain        byte // the root's latency over aim, 100 alike
-	Part          byte // of what is asked for fits, 250 all
+// askReply is the root's.
+type askReply struct {
+	Tag                 uint32
+	Verdict, BucketFill byte
+	Lateness            byte // the root's latency over aim, 100 alike
+	FittingShare        byte // of what is asked for fits, 250 all
 }
 
 const (
 	granted byte = iota
 	refused
-	waits // held at the root, another answer follows
+	heldAtRoot // held at the root, another answer follows
 )
 
-// ended tells the root that a granted attempt is over, or was never made.
-type ended struct {
+// askEnded tells the root that a granted attempt is over, or was never made.
+type askEnded struct {
 	Customer uint64
 	Tag      uint32
 	Unused   bool
 }
 
-// sight tells a server's watcher of an outcome.
-type sight struct {
-	Server  uint32
-	Class   byte
-	Code    byte
-	Latency uint16 // milliseconds
+// outcomeReport tells a server's watcher of an outcome.
+type outcomeReport struct {
+	Server    uint32
+	Class     byte
+	Code      byte
+	LatencyMS uint16 // milliseconds
 }
 
-// verdict is the watcher's on a server and class, for all.
-type verdict struct {
-	Server uint32
-	Bad    byte // a bit for each of the first classes
-	Pace   byte // latency against the fleet's: 16 * (4 + its log2)
+// serverVerdict is the watcher's on a server and class, for all.
+type serverVerdict struct {
+	Server      uint32
+	EjectedBits byte // a bit for each of the first classes
+	Slowdown    byte // latency against the fleet's: 16 * (4 + its log2)
 }
 
-const shortVersion = 3
+const messageVersion = 3
 
-// want asks an owner of a customer's ceiling for units of it.
-type want struct {
+// loanRequest asks an owner of a customer's ceiling for units of it.
+type loanRequest struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
 }
 
-// lent brings them; none: they are not there.
-type lent struct {
+// loanReply brings them; none: they are not there.
+type loanReply struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
@@ -81,20 +81,20 @@
 func encode(m any) []byte {
 	var kind byte
 	switch m.(type) {
-	case answer:
+	case askReply:
 		kind = 1
-	case ended:
+	case askEnded:
 		kind = 2
-	case sight:
+	case outcomeReport:
 		kind = 3
-	case verdict:
+	case serverVerdict:
 		kind = 4
-	case want:
+	case loanRequest:
 		kind = 5
-	case lent:
+	case loanReply:
 		kind = 6
 	}
-	b, err := binary.Append([]byte{shortVersion, kind}, binary.BigEndian, m)
+	b, err := binary.Append([]byte{messageVersion, kind}, binary.BigEndian, m)
 	if err != nil {
 		panic(err) // not a message of this file
 	}
@@ -103,7 +103,7 @@
 
 // decode reads a message; it is nil for anything but a whole, well-formed one.
 func decode(b []byte) any {
-	if len(b) < 2 || b[0] != shortVersion {
+	if len(b) < 2 || b[0] != messageVersion {
 		if m, ok := decodeReport(b); ok {
 			return m
 		}
@@ -111,24 +111,24 @@
 	}
 	switch b[1] {
 	case 0:
-		return fixed[ask](b[2:])
+		return decodeFixed[askMessage](b[2:])
 	case 1:
-		return fixed[answer](b[2:])
+		return decodeFixed[askReply](b[2:])
 	case 2:
-		return fixed[ended](b[2:])
+		return decodeFixed[askEnded](b[2:])
 	case 3:
-		return fixed[sight](b[2:])
+		return decodeFixed[outcomeReport](b[2:])
 	case 4:
-		return fixed[verdict](b[2:])
+		return decodeFixed[serverVerdict](b[2:])
 	case 5:
-		return fixed[want](b[2:])
+		return decodeFixed[loanRequest](b[2:])
 	case 6:
-		return fixed[lent](b[2:])
+		return decodeFixed[loanReply](b[2:])
 	}
 	return nil
 }
 
-func fixed[T any](b []byte) any {
+func decodeFixed[T any](b []byte) any {
 	var m T
 	if n, err := binary.Decode(b, binary.BigEndian, &m); err != nil || n != len(b) {
 		return nil
@@ -136,80 +136,80 @@
 	return m
 }
 
-// onEnded frees what a member's attempt held, and gives back what it never used.
+// onAskEnded frees what a member's attempt held, and gives back what it never used.
 // One that is held here is given up there: it needs no place any more.
-func (g *Gateway) onEnded(from int, m ended) {
+func (g *Gateway) onAskEnded(from int, m askEnded) {
 	c := g.customers[m.Customer]
 	if c == nil {
 		return
 	}
-	l, ok := c.leases[lease{from, m.Tag}]
+	l, ok := c.leases[leaseKey{from, m.Tag}]
 	if !ok {
-		if i := slices.IndexFunc(c.held, func(r *request) bool { return r.from(from, m.Tag) }); i >= 0 {
-			g.unhold(c, i)
+		if i := slices.IndexFunc(c.held, func(r *request) bool { return r.isAskFrom(from, m.Tag) }); i >= 0 {
+			g.dequeue(c, i)
 		}
 		return
 	}
-	delete(c.leases, lease{from, m.Tag})
-	c.count(g.now, -1)
+	delete(c.leases, leaseKey{from, m.Tag})
+	c.addInFlight(g.now, -1)
 	g.advance(c)
 	if m.Unused {
-		c.store = min(c.plan.Burst, c.store+l.r.units)
+		c.bucket = min(c.plan.Burst, c.bucket+l.request.units)
 	}
-	g.release(c)
+	g.releaseHeld(c)
 }
 
-func (g *Gateway) record(s *server, cl *class) *record {
+func (g *Gateway) healthOf(s *server, cl *class) *classHealth {
 	if cl.Name == "" {
 		return nil
 	}
-	for g.set.Field != nil && cl.no >= len(s.by) {
-		s.by = append(s.by, record{})
+	for g.cfg.MultiService != nil && cl.index >= len(s.classes) {
+		s.classes = append(s.classes, classHealth{})
 	}
-	if cl.no >= len(s.by) {
+	if cl.index >= len(s.classes) {
 		return nil
 	}
-	return &s.by[cl.no]
+	return &s.classes[cl.index]
 }
 
-// askOf makes the message that asks for a request.
-func (g *Gateway) askOf(r *request) ask {
-	c, left := r.c, (r.deadline - g.now).Milliseconds()
-	m := ask{Customer: c.key, First: uint16(c.first), Spread: uint16(c.spread), Plan: c.plan.no,
-		Class: byte(r.cl.no), Units: uint16(r.units), Left: uint16(min(max(0, left), math.MaxUint16)),
-		Tag: r.tag, Fill: unknownStore, Thin: small(250 * r.asks)}
-	if r.repeat {
+// askFor makes the message that asks for a request.
+func (g *Gateway) askFor(r *request) askMessage {
+	c, left := r.customer, (r.deadline - g.now).Milliseconds()
+	m := askMessage{Customer: c.key, First: uint16(c.firstGateway), Spread: uint16(c.gatewayCount), Plan: c.plan.index,
+		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, left), math.MaxUint16)),
+		Tag: r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
+	if r.isRetry {
 		m.Flags |= flagRepeat
 	}
-	if r.own {
-		m.Flags |= flagOwn
+	if r.ownCeiling {
+		m.Flags |= flagOwnCeiling
 	}
-	if c.told > 0 {
-		m.Fill = small(250 * max(0, c.store) / max(1, c.plan.Burst))
+	if c.reportedTick > 0 {
+		m.BucketFill = toByte(250 * max(0, c.bucket) / max(1, c.plan.Burst))
 	}
 	return m
 }
 
-// requestOf makes the request that another gateway asks for.
-func (g *Gateway) requestOf(c *customer, from int, m ask) *request {
-	return &request{c: c, cl: g.classes[g.set.Classes[m.Class].Name], effect: g.set.Classes[m.Class].Effect, units: float64(m.Units), arrived: g.now,
-		deadline: g.now + time.Duration(m.Left)*time.Millisecond, repeat: m.Flags&flagRepeat != 0,
-		own: m.Flags&flagOwn != 0, remote: true, root: from, tag: m.Tag}
+// requestFrom makes the request that another gateway asks for.
+func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
+	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
+		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRepeat != 0,
+		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
 
-// masks gives a bit for each of the first classes that is to be out of use, and tells whether that is news
+// ejectionBits gives a bit for each of the first classes that is to be out of use, and tells whether that is news
 // of any class, whether any is out of use now, and until when.
-func (s *server) masks(isBad func(class int, v *record) bool) (bits byte, news, any bool, until time.Duration) {
-	for i := range s.by {
-		v := &s.by[i]
+func (s *server) ejectionBits(isBad func(class int, v *classHealth) bool) (bits byte, news, any bool, until time.Duration) {
+	for i := range s.classes {
+		v := &s.classes[i]
 		bad := isBad(i, v)
-		if v.bad {
-			until = v.until
+		if v.ejected {
+			until = v.ejectedUntil
 		}
 		if bad {
 			bits |= 1 << i
 		}
-		news, any = news || bad != v.bad, any || bad
+		news, any = news || bad != v.ejected, any || bad
 	}
 	return bits, news, any, until
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,17 +18,17 @@
 		code  Code
 		want  int
 	}{
-		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", Moot, refused},
+		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", NoRetry, refused},
 		{"once", Error, failed}, {"once", TimedOut, failed}, {"once", Full, again},
-		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", Moot, refused},
+		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", NoRetry, refused},
 		{"cell", Error, again}, {"cell", Full, again}, {"all", Reset, again},
 	} {
 		t.Run(fmt.Sprint(c.class, c.code), func(t *testing.T) {
-			w := newWorld(t, base(), fleet(4))
+			w := newTestGateway(t, testSettings(), testServers(4))
 			s := w.send(c.class, "free")
 			w.now += 20 * ms
-			acts := w.end(s, 0, c.code)
-			sends, ref, fail := of[Send](acts), of[Refuse](acts), of[Fail](acts)
+			acts := w.finish(s, 0, c.code)
+			sends, ref, fail := actionsOf[Send](acts), actionsOf[Refuse](acts), actionsOf[Fail](acts)
 			got := -1
 			switch {
 			case len(sends) == 1 && len(ref)+len(fail) == 0:
@@ -53,14 +53,14 @@
 }
 
 func TestKeyedOutsideWindowFails(t *testing.T) {
-	w := newWorld(t, base(), fleet(4))
-	w.ids++
-	acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "free", Class: "cell", Units: 1,
-		Remaining: 5 * time.Second, Spread: 2})
-	s := of[Send](acts)[0]
+	w := newTestGateway(t, testSettings(), testServers(4))
+	w.lastID++
+	acts := w.do(Request{ID: w.lastID, Customer: "c", Plan: "free", Class: "cell", Units: 1,
+		Remaining: 5 * time.Second, GatewayCount: 2})
+	s := actionsOf[Send](acts)[0]
 	w.now += 2100 * ms
-	acts = w.end(s, 0, Error)
-	if len(of[Fail](acts)) != 1 || len(of[Send](acts))+len(of[Refuse](acts)) != 0 {
+	acts = w.finish(s, 0, Error)
+	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts))+len(actionsOf[Refuse](acts)) != 0 {
 		t.Fatalf("a keyed request past its window was not failed: %v", acts)
 	}
 }
@@ -70,8 +70,8 @@
 func TestOneFinalAnswerInTime(t *testing.T) {
 	for _, plan := range []string{"free", "rate", "open", "hard", "both"} {
 		for _, remaining := range []time.Duration{10 * ms, 60 * ms, 300 * ms, 2 * time.Second} {
-			w := newWorld(t, base(), fleet(2))
-			w.pass(time.Second)
+			w := newTestGateway(t, testSettings(), testServers(2))
+			w.advance(time.Second)
 			owed := map[RequestID]time.Duration{}
 			out := map[RequestID]Send{}
 			tries := map[RequestID]int{}
@@ -104,15 +104,15 @@
 			for i := 0; i < 1500; i++ {
 				w.now += 2 * ms
 				if i < 200 && i%4 == 0 {
-					w.ids++
-					owed[w.ids] = w.now + remaining
-					note(w.do(Request{ID: w.ids, Customer: "c", Plan: plan, Class: "safe", Units: 1,
-						Remaining: remaining, Spread: 2}))
+					w.lastID++
+					owed[w.lastID] = w.now + remaining
+					note(w.do(Request{ID: w.lastID, Customer: "c", Plan: plan, Class: "safe", Units: 1,
+						Remaining: remaining, GatewayCount: 2}))
 				}
-				if w.now-w.g.lastTick >= w.g.tick {
+				if w.now-w.g.lastTick >= w.g.tickInterval {
 					note(w.do(Timer{Token: "tick"}))
 				}
-				for id := RequestID(1); id <= w.ids; id++ {
+				for id := RequestID(1); id <= w.lastID; id++ {
 					due, owes := owed[id]
 					s, sent := out[id]
 					if owes && sent && w.now >= due {
@@ -131,11 +131,11 @@
 	}
 }
 
-func TestStreamIsNotCalledBack(t *testing.T) {
-	w := newWorld(t, base(), fleet(1))
+func TestStreamIsNotCancelled(t *testing.T) {
+	w := newTestGateway(t, testSettings(), testServers(1))
 	s := w.send("stream", "free")
 	w.do(Started{ID: s.ID, Server: s.Server})
-	if acts := w.pass(10 * time.Second); len(of[Cancel](acts))+len(of[Fail](acts))+len(of[Refuse](acts)) > 0 {
+	if acts := w.advance(10 * time.Second); len(actionsOf[Cancel](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Refuse](acts)) > 0 {
 		t.Fatal("a begun stream was ended")
 	}
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -136,21 +136,21 @@
 // since the last. It tells too whether the sender's totals were not known, or
 // began at nothing: then what was passed counts from there.
 func (v *peerView) read(e entry, inc uint32, now time.Duration) (passed, lent float64, met bool) {
-	quiet := now-v.at > anewFor
-	if met = !v.heard || v.inc != inc || e.anew && quiet; met {
-		v.passed, v.got = 0, e.given
-		if !v.heard && !e.anew {
-			v.passed = e.passed
+	quiet := now-v.reportedAt > anewFor
+	if met = !v.reported || v.incarnation != inc || e.anew && quiet; met {
+		v.passedUnits, v.borrowedTotal = 0, e.given
+		if !v.reported && !e.anew {
+			v.passedUnits = e.passed
 		}
 	}
-	passed = float64(int8(e.passed - v.passed)) // settled units may take it back
+	passed = float64(int8(e.passed - v.passedUnits)) // settled units may take it back
 	if quiet {
 		passed = max(0, passed)
 	} else {
-		lent = float64(e.given-v.got) / lendScale
+		lent = float64(e.given-v.borrowedTotal) / lendScale
 	}
-	v.heard, v.inc, v.passed, v.got = true, inc, e.passed, e.given
-	v.at, v.rate = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
-	v.out, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
+	v.reported, v.incarnation, v.passedUnits, v.borrowedTotal = true, inc, e.passed, e.given
+	v.reportedAt, v.demand = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
+	v.inFlight, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
 	return passed, lent, met
 }
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -8,13 +8,13 @@
 func TestNothingNewToDrainingOrGone(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ev   Members
+		ev   ServerList
 	}{
-		{"draining", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Draining}}}},
-		{"removed", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Removed}}}},
-		{"not in the whole list", Members{Kind: Whole, Servers: fleet(4)[1:]}},
+		{"draining", ServerList{Kind: ChangedServers, Servers: []Server{{ID: 1, State: Draining}}}},
+		{"removed", ServerList{Kind: ChangedServers, Servers: []Server{{ID: 1, State: Removed}}}},
+		{"not in the whole list", ServerList{Kind: CompleteList, Servers: testServers(4)[1:]}},
 	} {
-		w := newWorld(t, base(), fleet(4))
+		w := newTestGateway(t, testSettings(), testServers(4))
 		w.do(c.ev)
 		for range 100 {
 			s := w.send("safe", "free")
@@ -22,15 +22,15 @@
 				t.Fatalf("%s: sent", c.name)
 			}
 			w.now += 30 * ms
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
 	}
 }
 
 func TestColdServerBudget(t *testing.T) {
-	servers := fleet(4)
-	servers[0].HasStart, servers[0].Start = true, time.Second
-	w := newWorld(t, base(), servers)
+	servers := testServers(4)
+	servers[0].HasStartTime, servers[0].StartTime = true, time.Second
+	w := newTestGateway(t, testSettings(), servers)
 	cold, warm := 0, 0
 	for range 100 {
 		w.now += 10 * ms
@@ -38,7 +38,7 @@
 			cold++
 		} else {
 			warm++
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
 	}
 	if each := float64(warm) / 3; float64(cold) > 0.2*2*each {
@@ -48,10 +48,10 @@
 
 func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
 	for _, code := range []Code{Error, ConnectFailed, Reset} {
-		w := newWorld(t, base(), fleet(6))
+		w := newTestGateway(t, testSettings(), testServers(6))
 		to := func(bad bool, n int) (hits int) {
 			for range n {
-				w.pass(25 * ms)
+				w.advance(25 * ms)
 				s := w.send("safe", "free")
 				for k := 0; ; k++ {
 					hit := s.Server == 1
@@ -59,10 +59,10 @@
 						hits++
 					}
 					if !hit || !bad {
-						w.end(s, k, OK)
+						w.finish(s, k, OK)
 						break
 					}
-					again := of[Send](w.end(s, k, code))
+					again := actionsOf[Send](w.finish(s, k, code))
 					if len(again) == 0 {
 						break
 					}
@@ -84,12 +84,12 @@
 
 // When all servers fail alike, verdicts against them are not heeded.
 func TestSharedFailureDoesNotEmptyTheFleet(t *testing.T) {
-	w := newWorld(t, base(), fleet(9))
+	w := newTestGateway(t, testSettings(), testServers(9))
 	late := map[ServerID]int{}
 	for i := range 300 {
 		w.now += 25 * ms
 		s := w.send("once", "free") // fails the test when there is none
-		w.end(s, 0, Error)
+		w.finish(s, 0, Error)
 		if i >= 200 {
 			late[s.Server]++
 		}
@@ -100,20 +100,20 @@
 }
 
 func TestHungServerIsLeft(t *testing.T) {
-	w := newWorld(t, base(), fleet(6))
+	w := newTestGateway(t, testSettings(), testServers(6))
 	called, late := 0, 0
 	for i := range 300 {
 		s := w.send("safe", "free")
 		if s.Server != 1 {
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		} else if i > 150 {
 			late++
 		}
-		for _, a := range w.pass(25 * ms) {
+		for _, a := range w.advance(25 * ms) {
 			if c, ok := a.(Cancel); ok {
 				called++
-				for _, s := range of[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
-					w.end(s, c.Attempt+1, OK)
+				for _, s := range actionsOf[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
+					w.finish(s, c.Attempt+1, OK)
 				}
 			}
 		}
@@ -124,15 +124,15 @@
 }
 
 func TestAsksForTheListWhereItMust(t *testing.T) {
-	s := base()
-	s.MustAsk = true
+	s := testSettings()
+	s.MustWatch = true
 	g, _ := New(s, 1)
-	w := &world{t: t, g: g, now: time.Second}
-	if n := len(of[Watch](w.do(Members{Kind: Remembered}))); n != 1 {
+	w := &testGateway{t: t, g: g, now: time.Second}
+	if n := len(actionsOf[Watch](w.do(ServerList{Kind: CachedList}))); n != 1 {
 		t.Fatalf("%d asks at the start", n)
 	}
-	w.do(Members{Kind: AskFailed})
-	if n := len(of[Watch](w.pass(3 * time.Second))); n != 1 {
+	w.do(ServerList{Kind: WatchFailed})
+	if n := len(actionsOf[Watch](w.advance(3 * time.Second))); n != 1 {
 		t.Fatalf("%d asks after a failed one", n)
 	}
 }
@@ -140,32 +140,32 @@
 // App servers that are gone leave nothing behind, and those there are share the
 // budget of a cold one.
 func TestGoneServersAreForgotten(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 200 {
 		w.now += 20 * ms
-		w.do(Members{Kind: Changes, Servers: []Server{
+		w.do(ServerList{Kind: ChangedServers, Servers: []Server{
 			{ID: ServerID(i + 3), Zone: "a", Weight: 1}, {ID: ServerID(i + 2), State: Removed}}})
 	}
-	w.pass(forgetAfter + 2*time.Second)
-	if len(w.g.fleet) != 2 || len(w.g.servers) != 2 || w.g.live != 2 || w.g.size != 1 {
-		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.fleet), len(w.g.servers), w.g.live, w.g.size)
+	w.advance(forgetAfter + 2*time.Second)
+	if len(w.g.serverList) != 2 || len(w.g.servers) != 2 || w.g.runningServers != 2 || w.g.meanWeight != 1 {
+		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.serverList), len(w.g.servers), w.g.runningServers, w.g.meanWeight)
 	}
 }
 
 // With the warm servers full, the cold one still gets no more than its budget.
 func TestColdBudgetHoldsUnderLoad(t *testing.T) {
-	servers := fleet(4)
-	servers[0].HasStart, servers[0].Start = true, time.Second
-	w := newWorld(t, base(), servers)
+	servers := testServers(4)
+	servers[0].HasStartTime, servers[0].StartTime = true, time.Second
+	w := newTestGateway(t, testSettings(), servers)
 	cold := 0
 	for range 60 {
 		w.now += 10 * ms
-		_, acts := w.ask("once", "free", "c", 1)
+		_, acts := w.request("once", "free", "c", 1)
 		for len(acts) > 0 {
 			s, more := acts[0], []Action(nil)
 			if s, ok := s.(Send); ok && s.Server == 1 {
 				cold++
-				more = w.end(s, 0, OK)
+				more = w.finish(s, 0, OK)
 			}
 			acts = append(acts[1:], more...)
 		}
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -60,9 +60,9 @@
 		panic(err)
 	}
 	m.gs[i], m.told[i] = g, 0
-	m.do(i, Members{Kind: Whole, Servers: m.servers})
+	m.do(i, ServerList{Kind: CompleteList, Servers: m.servers})
 	m.do(i, fieldTerms(m.plans...))
-	m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, late)
+	m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, late)
 }
 
 func (m *serviceGateways) tell(i int, ev Event, late time.Duration) {
@@ -70,12 +70,12 @@
 }
 
 func (m *serviceGateways) do(i int, ev Event) {
-	if p, ok := ev.(Peers); ok {
+	if p, ok := ev.(GatewaySet); ok {
 		m.told[i] = p.Gateways
 	}
 	for _, a := range m.gs[i].Handle(m.now, ev, nil) {
 		switch a := a.(type) {
-		case Tell:
+		case SendPeer:
 			if m.gs[a.To] != nil && m.rnd.Float64() >= m.lost {
 				m.way = append(m.way, arrival{m.upTo(40 * ms), m.gs[a.To], PeerMessage{From: i, Data: a.Data}})
 			}
@@ -88,7 +88,7 @@
 				continue
 			}
 			m.way = append(m.way, arrival{m.now + m.takes, m.gs[i], Outcome{ID: a.ID, Attempt: k, Server: a.Server,
-				Code: code, Latency: m.takes, Over: code == OK}})
+				Code: code, Latency: m.takes, Final: code == OK}})
 		case Cancel:
 			m.recalls[a.ID] = m.now
 		}
@@ -100,7 +100,7 @@
 		return
 	}
 	m.ids++
-	r.ID, r.Units, r.Remaining, r.Spread = m.ids, 1, 2*time.Second, m.told[i]
+	r.ID, r.Units, r.Remaining, r.GatewayCount = m.ids, 1, 2*time.Second, m.told[i]
 	m.do(i, r)
 }
 
--- a/policy/split_test.go
+++ b/policy/split_test.go
@@ -12,7 +12,7 @@
 
 // While no gateway hears another, what passed before by the roots' answers goes on passing, and not
 // much more: neither does a cut stop customers far below their quotas, nor does it lift quotas.
-func TestSplitPassesWhatPassedBefore(t *testing.T) {
+func TestPartitionPassesWhatPassedBefore(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		customers   int // that ask 200 times a second together
@@ -24,7 +24,7 @@
 		{"inside the quota, then five times as much", 40, 5, 0.6, 1.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, random := newManyGateways(t, 60, fleet(20)), rand.New(rand.NewPCG(1, 2))
+			w, random := newManyGateways(t, 60, testServers(20)), rand.New(rand.NewPCG(1, 2))
 			asked, before, during, often := 0, 0, 0, 2
 			ask := func(time.Duration) {
 				for range often {
@@ -46,7 +46,7 @@
 			}
 			w.lose = func(int, int) bool { return false }
 			w.pass(3*time.Second, ask)
-			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.deaf >= deafAsks }); n >= 0 {
+			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.unansweredAsks >= deafAsks }); n >= 0 {
 				t.Errorf("gateway %d still takes itself for cut off 3 s after the heal", n)
 			}
 		})
@@ -55,8 +55,8 @@
 
 // A gateway that is cut off asks for each request once and then answers: asking three times and
 // then the deputy costs a client more time than it has.
-func TestSplitAnswersSoon(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(20))
+func TestPartitionAnswersSoon(t *testing.T) {
+	w := newManyGateways(t, 60, testServers(20))
 	i, _, _ := w.member("rate")
 	for id := range 20 {
 		w.request(i, RequestID(id+1), "k", "rate", "safe", 50)
@@ -76,10 +76,10 @@
 }
 
 // All parts of a hard ceiling that gateways hold make one whole at most, for each plan and set.
-func TestPartsOfACeilingMakeOneWhole(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(1))
+func TestPartsAddUpToTheCeiling(t *testing.T) {
+	w := newManyGateways(t, 60, testServers(1))
 	for _, g := range w.gs {
-		g.plans["ceil"] = &quota{Plan: Plan{Name: "ceil", Rate: 10, Burst: 20, HardRate: 20, HardBurst: 40}}
+		g.plans["ceil"] = &planState{Plan: Plan{Name: "ceil", Rate: 10, Burst: 20, HardRate: 20, HardBurst: 40}}
 	}
 	for _, plan := range []string{"ceil", "hard"} {
 		for _, spread := range []int{1, 2, 3, 7, 50, 60} {
@@ -88,7 +88,7 @@
 				name := fmt.Sprint(plan, spread)
 				c := w.gs[i].account(keyOf(name), w.gs[i].plans[plan], 5, spread)
 				if member := (i-5+60)%60 < spread; member {
-					sum += 1 / c.n
+					sum += 1 / c.parts
 				}
 			}
 			if sum > 1+1e-9 {
@@ -103,13 +103,13 @@
 
 // Whatever is lost, said twice or late, whoever starts anew and whoever asks: all gateways together
 // stay under a hard ceiling, and one that is cut off serves from its own part of it.
-func TestSplitKeepsTheCeiling(t *testing.T) {
+func TestPartitionKeepsTheCeiling(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, burst, spread = 20.0, 40.0, 6
-		w := newManyGateways(t, 60, fleet(20))
+		w := newManyGateways(t, 60, testServers(20))
 		plan := Plan{Name: "rate", Rate: 200, Burst: 400, HardRate: rate, HardBurst: burst} // the ceiling alone binds
 		start := func(i int) {
-			s := base()
+			s := testSettings()
 			s.Me, s.Gateways = i, 60
 			s.Plans[1] = plan
 			g, err := New(s, rapid.Uint64().Draw(rt, "seed"))
@@ -117,7 +117,7 @@
 				rt.Fatal(err)
 			}
 			w.gs[i] = g
-			w.do(i, Members{Kind: Remembered, Servers: fleet(20)})
+			w.do(i, ServerList{Kind: CachedList, Servers: testServers(20)})
 		}
 		for i := range 60 {
 			start(i)
@@ -146,7 +146,7 @@
 				if int(now/ms/10)%every == 0 {
 					n++
 					w.do(rapid.IntRange(0, spread-1).Draw(rt, "at"), Request{ID: RequestID(n), Customer: "k",
-						Plan: "rate", Class: "safe", Units: 2, Remaining: 2 * time.Second, Spread: spread})
+						Plan: "rate", Class: "safe", Units: 2, Remaining: 2 * time.Second, GatewayCount: spread})
 				}
 				store = min(burst, store+rate*(now-at).Seconds())
 				at = now
@@ -163,30 +163,30 @@
 
 // A member that has units of a ceiling left uses its own before its root's.
 func TestOwnPartOfACeilingIsUsedFirst(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(20))
+	w := newManyGateways(t, 60, testServers(20))
 	for _, g := range w.gs {
 		g.plans["rate"].HardRate, g.plans["rate"].HardBurst = 20, 40
 	}
 	i, root, _ := w.member("rate")
 	w.pass(10*time.Second, nil)
 	left := func(at int) float64 { return w.gs[at].customers[keyOf("k")].ceiling }
-	w.do(i, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 0.25, Remaining: 2 * time.Second, Spread: 50})
+	w.do(i, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 0.25, Remaining: 2 * time.Second, GatewayCount: 50})
 	own := left(i)
 	w.pass(100*ms, nil)
-	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].n-1e-9 {
+	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].parts-1e-9 {
 		t.Errorf("%d sent, %.2f of %.2f left here, %.2f at the root", len(w.sends), left(i), own, left(root))
 	}
 	w.request(i, 2, "k", "rate", "safe", 50) // more than is left here
 	w.pass(100*ms, nil)
-	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].n-0.5 {
+	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].parts-0.5 {
 		t.Errorf("%d sent, %.2f left at the root", len(w.sends), left(root))
 	}
 }
 
 // Cut off from the start of trouble on, a member serves a customer under a hard ceiling from its own
 // part, which roots don't hold.
-func TestSplitServesUnderACeiling(t *testing.T) {
-	w := newManyGateways(t, 60, fleet(20))
+func TestPartitionServesUnderACeiling(t *testing.T) {
+	w := newManyGateways(t, 60, testServers(20))
 	for _, g := range w.gs {
 		g.plans["rate"].HardRate, g.plans["rate"].HardBurst = 20, 40
 	}
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestQuotaBoundsWhatPasses(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.hear(1, 1, 1, true)
-	if n := w.spend(40, "rate"); n < 5 || n > 10 {
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.report(1, 1, 1, true)
+	if n := w.requestMany(40, "rate"); n < 5 || n > 10 {
 		t.Fatalf("%d units passed of a store of 10", n)
 	}
 }
@@ -17,32 +17,32 @@
 func TestHeardUnitsAreTakenOff(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(w *world)
+		tell func(w *testGateway)
 		most int
 	}{
-		{"told", func(w *world) {
-			w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+		{"told", func(w *testGateway) {
+			w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
 		}, 2},
-		{"repeated", func(w *world) {
+		{"repeated", func(w *testGateway) {
 			for range 3 {
-				w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+				w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
 			}
 		}, 6},
-		{"lost, then told", func(w *world) {
-			w.hear(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
-			w.hear(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+		{"lost, then told", func(w *testGateway) {
+			w.report(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+			w.report(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
 		}, 2},
-		{"restarted", func(w *world) {
-			w.hear(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+		{"restarted", func(w *testGateway) {
+			w.report(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
 		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, base(), fleet(8))
-			w.spend(1, "rate")
-			w.pass(600 * ms)
-			w.hear(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
+			w := newTestGateway(t, testSettings(), testServers(8))
+			w.requestMany(1, "rate")
+			w.advance(600 * ms)
+			w.report(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
 			c.tell(w)
-			if n := w.spend(30, "rate"); n > c.most || n == 0 && c.most > 3 {
+			if n := w.requestMany(30, "rate"); n > c.most || n == 0 && c.most > 3 {
 				t.Fatalf("%d units passed, at most %d are left", n, c.most)
 			}
 		})
@@ -50,26 +50,26 @@
 }
 
 func TestRestartAdoptsPeersStore(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "rate")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
-	if n := w.spend(20, "rate"); n > 1 {
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.requestMany(1, "rate")
+	w.report(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
+	if n := w.requestMany(20, "rate"); n > 1 {
 		t.Fatalf("%d units passed though a peer knows of one", n)
 	}
 }
 
 func TestSilentPeerNeitherFreesNorBlocks(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "open")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
-	w.pass(3 * time.Second)
-	if n := w.spend(1, "open"); n != 1 {
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.requestMany(1, "open")
+	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
+	w.advance(3 * time.Second)
+	if n := w.requestMany(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
 	}
-	_, a := w.ask("safe", "open", "c", 1)
-	_, b := w.ask("safe", "open", "c", 1)
-	acts := append(append(a, b...), w.pass(100*ms)...)
-	if n := len(of[Send](acts)); n > 1 {
+	_, a := w.request("safe", "open", "c", 1)
+	_, b := w.request("safe", "open", "c", 1)
+	acts := append(append(a, b...), w.advance(100*ms)...)
+	if n := len(actionsOf[Send](acts)); n > 1 {
 		t.Fatalf("a silent peer's room was freed: %d out", n)
 	}
 }
@@ -77,13 +77,13 @@
 // A client refused for its quota is told when the store will have what it asks
 // for: told to wait for longer it would come back too late to be served.
 func TestAdviceFollowsTheStore(t *testing.T) {
-	set := base()
+	set := testSettings()
 	set.MaxRetryAfter = 5 * time.Second
-	w := newWorld(t, set, fleet(3))
-	w.spend(40, "rate")
+	w := newTestGateway(t, set, testServers(3))
+	w.requestMany(40, "rate")
 	for units, want := range map[float64]time.Duration{1: 400 * ms, 4: 700 * ms} { // of 10 a second, 3 kept back
-		_, acts := w.ask("safe", "rate", "c", units)
-		r := of[Refuse](acts)
+		_, acts := w.request("safe", "rate", "c", units)
+		r := actionsOf[Refuse](acts)
 		if len(r) != 1 || r[0].RetryAfter < want-100*ms || r[0].RetryAfter > want+200*ms {
 			t.Errorf("%v units: %v, want about %v", units, acts, want)
 		}
@@ -91,25 +91,25 @@
 }
 
 func TestSettledUnitsComeOff(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.hear(1, 1, 1, true)
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.report(1, 1, 1, true)
 	s := w.send("safe", "rate")
-	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Actual: 9})
-	if n := w.spend(5, "rate"); n > 1 {
+	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Final: true, ActualUnits: 9})
+	if n := w.requestMany(5, "rate"); n > 1 {
 		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
 	}
 }
 
 // A peer cut off or never heard leaves this gateway its part, not the whole.
 func TestUnheardPeerKeepsItsPart(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "rate")
-	w.pass(60 * time.Second)
-	w.spend(10, "rate")
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.requestMany(1, "rate")
+	w.advance(60 * time.Second)
+	w.requestMany(10, "rate")
 	n := 0
 	for range 100 {
-		w.pass(100 * ms)
-		n += w.spend(3, "rate")
+		w.advance(100 * ms)
+		n += w.requestMany(3, "rate")
 	}
 	if n < 50 || n > 85 {
 		t.Fatalf("%d of 100 units passed beside a peer never heard", n)
@@ -119,20 +119,20 @@
 // A customer is forgotten once a fresh start comes to the same; the store must
 // be full by then, and what others do with it must not be lost sight of.
 func TestIdleCustomersAreForgotten(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 50 {
-		_, acts := w.ask("safe", "rate", fmt.Sprint(i), 1)
-		w.end(of[Send](acts)[0], 0, OK)
+		_, acts := w.request("safe", "rate", fmt.Sprint(i), 1)
+		w.finish(actionsOf[Send](acts)[0], 0, OK)
 		w.now += 20 * ms
 	}
 	c := w.g.customers[keyOf("7")]
-	c.store = -500 // settled: not full for long
-	w.pass(forgetAfter + 3*time.Second)
-	w.spend(1, "rate")
+	c.bucket = -500 // settled: not full for long
+	w.advance(forgetAfter + 3*time.Second)
+	w.requestMany(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
 		t.Fatalf("%d customers known, want 2", n)
 	}
-	if n := len(w.g.customers) + len(w.g.ring) + len(w.g.byHash) + len(w.g.peers[1].views); n != 8 {
+	if n := len(w.g.customers) + len(w.g.customerList) + len(w.g.customersByHash) + len(w.g.peers[1].views); n != 8 {
 		t.Fatalf("%d places still name customers, want 8", n)
 	}
 }
@@ -140,17 +140,17 @@
 // A gateway that forgot a customer begins its total anew: peers must take the
 // new units off, and give none of the old ones back.
 func TestTotalThatBeginsAnewGrantsNothing(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
-	w.spend(1, "rate")
+	w := newTestGateway(t, testSettings(), testServers(2))
+	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	seq := uint32(0)
 	say := func(passed byte, anew bool) float64 {
 		seq++
 		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: anew, store: unknownStore}}}
 		w.g.advance(c)
-		before := c.store
+		before := c.bucket
 		w.do(PeerMessage{From: 1, Data: m.encode()})
-		return before - c.store
+		return before - c.bucket
 	}
 	if d := say(3, true); d != 3 {
 		t.Errorf("%v units taken off at the first word of a fresh total of 3", d)
@@ -158,7 +158,7 @@
 	if d := say(5, true); d != 2 {
 		t.Errorf("%v units taken off when the total goes from 3 to 5", d)
 	}
-	w.pass(anewFor + time.Second)
+	w.advance(anewFor + time.Second)
 	if d := say(1, true); d != 1 {
 		t.Errorf("%v units taken off when a total begins anew with 1", d)
 	}
@@ -166,13 +166,13 @@
 
 // What a peer just met says of the store is heeded: it may be full here only.
 func TestPeerJustMetTellsOfItsStore(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
-	w.pass(5 * time.Second)
-	w.spend(1, "rate")
+	w := newTestGateway(t, testSettings(), testServers(2))
+	w.advance(5 * time.Second)
+	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, store: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
-	if c.store > 2 {
-		t.Errorf("%v units in the store that a peer holds to have 2", c.store)
+	if c.bucket > 2 {
+		t.Errorf("%v units in the store that a peer holds to have 2", c.bucket)
 	}
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -10,20 +10,20 @@
 // forget drops the servers that are gone for good and the customers for whom a
 // fresh start would come to the same.
 func (g *Gateway) forget() {
-	g.fleet = slices.DeleteFunc(g.fleet, func(s *server) bool {
-		if s.State != Removed || s.out > 0 || g.now-s.goneAt < forgetAfter {
+	g.serverList = slices.DeleteFunc(g.serverList, func(s *server) bool {
+		if s.State != Removed || s.inFlight > 0 || g.now-s.removedAt < forgetAfter {
 			return false
 		}
 		delete(g.servers, s.ID)
 		return true
 	})
-	g.ring = slices.DeleteFunc(g.ring, func(c *customer) bool {
+	g.customerList = slices.DeleteFunc(g.customerList, func(c *customer) bool {
 		if !g.spent(c) {
 			return false
 		}
 		delete(g.customers, c.key)
-		for _, v := range c.set {
-			v.p.views = slices.DeleteFunc(v.p.views, func(o *peerView) bool { return o == v })
+		for _, v := range c.views {
+			v.peer.views = slices.DeleteFunc(v.peer.views, func(o *peerView) bool { return o == v })
 		}
 		g.unname(c)
 		return true
@@ -33,27 +33,27 @@
 // spent tells whether nothing is left of a customer: its store and its ceiling
 // are full again, nobody has anything out or held, and nothing is left to tell.
 func (g *Gateway) spent(c *customer) bool {
-	if c.out > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.news() || c.area > 0 ||
-		g.now-c.seen < forgetAfter {
+	if c.inFlight > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.news() || c.inFlightSeconds > 0 ||
+		g.now-c.lastRequestAt < forgetAfter {
 		return false
 	}
-	for _, v := range c.set {
-		if v.out > 0 || v.held > 0 || v.heard && g.now-v.at < forgetAfter {
+	for _, v := range c.views {
+		if v.inFlight > 0 || v.held > 0 || v.reported && g.now-v.reportedAt < forgetAfter {
 			return false
 		}
 	}
 	g.advance(c)
-	return (c.plan.Rate == 0 || c.store >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.n)
+	return (c.plan.Rate == 0 || c.bucket >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.parts)
 }
 
 // unname takes a customer's short hash out; another of the same hash has it for
 // itself then.
 func (g *Gateway) unname(c *customer) {
-	if g.byHash[c.hash] == c {
-		delete(g.byHash, c.hash)
+	if g.customersByHash[c.hash] == c {
+		delete(g.customersByHash, c.hash)
 		return
 	}
-	delete(g.byHash, c.hash)
+	delete(g.customersByHash, c.hash)
 	var other *customer
 	n := 0
 	for _, o := range g.customers {
@@ -63,24 +63,24 @@
 	}
 	switch {
 	case n == 1:
-		g.byHash[c.hash] = other
+		g.customersByHash[c.hash] = other
 	case n > 1:
-		g.byHash[c.hash] = nil
+		g.customersByHash[c.hash] = nil
 	}
 }
 
 // newGateway returns a gateway with empty tables.
 func newGateway(s Settings, seed uint64) *Gateway {
-	g := &Gateway{set: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		classes: map[string]*class{}, plans: map[string]*quota{}, customers: map[uint64]*customer{},
-		asks:   map[uint32]*request{},
-		byHash: map[uint32]*customer{}, budgets: map[string]float64{}, reqs: map[RequestID]*request{}, servers: map[ServerID]*server{}}
-	g.inc, g.every = g.rng.Uint32(), 1
+	g := &Gateway{cfg: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		classes: map[string]*class{}, plans: map[string]*planState{}, customers: map[uint64]*customer{},
+		pendingAsks:     map[uint32]*request{},
+		customersByHash: map[uint32]*customer{}, retryBudgets: map[string]float64{}, requests: map[RequestID]*request{}, servers: map[ServerID]*server{}}
+	g.incarnation, g.reportTicks = g.rng.Uint32(), 1
 	for i, p := range s.Plans {
-		g.plans[p.Name] = &quota{Plan: p, no: byte(i)}
+		g.plans[p.Name] = &planState{Plan: p, index: byte(i)}
 	}
 	for i, c := range s.Classes {
-		g.classes[c.Name] = &class{Class: c, no: i}
+		g.classes[c.Name] = &class{Class: c, index: i}
 	}
 	g.peers = make([]*peer, s.Gateways)
 	return g
@@ -88,6 +88,6 @@
 
 func (g *Gateway) allPeers() {
 	for i := range g.peers {
-		g.peer(i)
+		g.peerAt(i)
 	}
 }
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -10,13 +10,13 @@
 )
 
 // onTerms takes over classes and plans. What was learned of them stays.
-func (g *Gateway) onTerms(ev Terms) {
+func (g *Gateway) onTerms(ev ConfigUpdate) {
 	for _, p := range ev.Plans {
 		if q := g.plans[p.Name]; q != nil {
 			q.Plan = p
 		} else {
-			g.plans[p.Name] = &quota{Plan: p, no: byte(len(g.set.Plans))}
-			g.set.Plans = append(g.set.Plans, p)
+			g.plans[p.Name] = &planState{Plan: p, index: byte(len(g.cfg.Plans))}
+			g.cfg.Plans = append(g.cfg.Plans, p)
 		}
 	}
 	for _, cl := range ev.Classes {
@@ -24,32 +24,32 @@
 			c.Class = cl
 			continue
 		}
-		g.classes[cl.Name] = &class{Class: cl, no: len(g.set.Classes), mean: cl.Aim.Seconds() / firstGuess}
-		g.set.Classes = append(g.set.Classes, cl)
-		g.minAim = min(g.minAim, cl.Aim.Seconds())
+		g.classes[cl.Name] = &class{Class: cl, index: len(g.cfg.Classes), mean: cl.LatencyTarget.Seconds() / firstGuess}
+		g.cfg.Classes = append(g.cfg.Classes, cl)
+		g.minTarget = min(g.minTarget, cl.LatencyTarget.Seconds())
 	}
-	for _, c := range g.ring {
-		g.cap(c, c.plan.HardBurst/c.n)
+	for _, c := range g.customerList {
+		g.cap(c, c.plan.HardBurst/c.parts)
 	}
 }
 
 // cap lets go of what a customer's ceiling holds beyond its part. Where all was given up, what is left is for those
 // that are held.
 func (g *Gateway) cap(c *customer, most float64) {
-	if g.less < 1 {
+	if g.unusedShare < 1 {
 		c.ceiling = min(c.ceiling, most)
 	}
 }
 
 // onPeers takes over another number of gateways.
-func (g *Gateway) onPeers(ev Peers) {
-	g.set.Me, g.set.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
-	g.regionOf = ev.Regions
-	g.parts, g.less, g.barren = ev.Shares, ev.Less, ev.Barren || ev.Less > 0
+func (g *Gateway) onPeers(ev GatewaySet) {
+	g.cfg.Me, g.cfg.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
+	g.gatewayRegions = ev.Regions
+	g.ceilingParts, g.unusedShare, g.noColdSends = ev.CeilingParts, ev.UnusedShare, ev.NoColdSends || ev.UnusedShare > 0
 	g.regions = slices.Compact(slices.Sorted(slices.Values(ev.Regions)))
 	g.regions = slices.DeleteFunc(g.regions, func(r string) bool { return r == "" })
-	g.wide = g.set.Field != nil && max(g.set.Gateways, g.parts) > wideBeyond && len(g.regions) > 0
-	for len(g.peers) < g.set.Gateways {
+	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > wideBeyond && len(g.regions) > 0
+	for len(g.peers) < g.cfg.Gateways {
 		g.peers = append(g.peers, nil)
 	}
 	g.allPeers()
@@ -58,16 +58,16 @@
 			p.views = nil
 		}
 	}
-	for _, c := range g.ring {
+	for _, c := range g.customerList {
 		g.remake(c)
 	}
-	for _, s := range g.fleet {
-		s.watchers, s.colds = [2]int{ev.Me, ev.Me}, g.coldSends(s.Server)
+	for _, s := range g.serverList {
+		s.watchers, s.coldSendQuota = [2]int{ev.Me, ev.Me}, g.coldSends(s.Server)
 	}
 }
 
 // planOf finds the plan of a customer by its key, where each has its own.
-func (g *Gateway) planOf(key uint64) *quota {
+func (g *Gateway) planOf(key uint64) *planState {
 	for name, q := range g.plans {
 		if keyOf(name) == key {
 			return q
@@ -78,50 +78,50 @@
 
 // remake gives a customer's counts another number of gateways.
 func (g *Gateway) remake(c *customer) {
-	c.spread, c.n = g.set.Gateways, g.ownOf(float64(g.shares()))
-	if g.wide {
+	c.gatewayCount, c.parts = g.cfg.Gateways, g.ownOf(float64(g.shares()))
+	if g.borrows {
 		g.deal(c)
-		c.set = nil
-		g.cap(c, max(1, c.plan.HardBurst/c.n))
+		c.views = nil
+		g.cap(c, max(1, c.plan.HardBurst/c.parts))
 		return
 	}
-	g.cap(c, c.plan.HardBurst/c.n)
-	c.set = slices.DeleteFunc(c.set, func(v *peerView) bool { return g.gone(v.p) })
+	g.cap(c, c.plan.HardBurst/c.parts)
+	c.views = slices.DeleteFunc(c.views, func(v *peerView) bool { return g.gone(v.peer) })
 	var missing []int
-	for i := range g.set.Gateways {
-		if p := g.peer(i); !g.gone(p) && c.view(p) == nil {
+	for i := range g.cfg.Gateways {
+		if p := g.peerAt(i); !g.gone(p) && c.viewOf(p) == nil {
 			missing = append(missing, i)
 		}
 	}
-	g.views(c, missing)
+	g.addViews(c, missing)
 }
 
 // ownOf is the number of parts of which one is this gateway's, where so many were without what it leaves unused.
-func (g *Gateway) ownOf(n float64) float64 { return n / max(leastPart, 1-g.less) }
+func (g *Gateway) ownOf(n float64) float64 { return n / max(leastPart, 1-g.unusedShare) }
 
 // onYield gives up what is held here of ceilings.
 func (g *Gateway) onYield() {
-	g.less, g.barren = 1, true
-	clear(g.budgets)
-	for _, c := range g.ring {
+	g.unusedShare, g.noColdSends = 1, true
+	clear(g.retryBudgets)
+	for _, c := range g.customerList {
 		if g.advance(c); c.plan.HardRate > 0 {
-			n := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.set.LargestUnits))
+			n := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.cfg.MaxRequestUnits))
 			c.ceiling -= n
 			if to := g.heirs(c); n > 0 && len(to) > 0 {
-				g.do(Give{Customer: c.key, Units: uint16(min(n, math.MaxUint16)), To: to})
+				g.emit(OfferUnits{Customer: c.key, Units: uint16(min(n, math.MaxUint16)), Candidates: to})
 			}
 		}
-		c.n = g.ownOf(float64(g.shares()))
+		c.parts = g.ownOf(float64(g.shares()))
 	}
-	for _, s := range g.fleet {
-		s.colds = 0
+	for _, s := range g.serverList {
+		s.coldSendQuota = 0
 	}
 }
 
 // heirs are the gateways that may take over what a customer has here: of this region, by rendezvous, as owners are.
 func (g *Gateway) heirs(c *customer) (list []int) {
-	for i, r := range g.regionOf {
-		if i != g.set.Me && g.set.Me < len(g.regionOf) && r == g.regionOf[g.set.Me] {
+	for i, r := range g.gatewayRegions {
+		if i != g.cfg.Me && g.cfg.Me < len(g.gatewayRegions) && r == g.gatewayRegions[g.cfg.Me] {
 			list = append(list, i)
 		}
 	}
@@ -132,27 +132,27 @@
 // lenders are the gateways to ask, where reports go from all to all, for the units that a request lacks here though its
 // customer as a whole has some: those of this region first, then those that are asked for least.
 func (g *Gateway) lenders(r *request) (list []int) {
-	dry := r.c.dryAt > 0 && g.now-r.c.dryAt < dryFor
-	if g.set.Field == nil || g.less >= 1 || dry || g.allowance(r.c) < r.units {
+	dry := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < dryFor
+	if g.cfg.MultiService == nil || g.unusedShare >= 1 || dry || g.allowance(r.customer) < r.units {
 		return nil
 	}
 	far := func(v *peerView) int {
-		if v.p.num < len(g.regionOf) && g.regionOf[v.p.num] == g.regionOf[g.set.Me] {
+		if v.peer.index < len(g.gatewayRegions) && g.gatewayRegions[v.peer.index] == g.gatewayRegions[g.cfg.Me] {
 			return 0
 		}
 		return 1
 	}
-	slices.SortFunc(r.c.set, func(a, b *peerView) int { return cmp.Or(far(a)-far(b), cmp.Compare(a.rate, b.rate)) })
-	for _, v := range r.c.set {
-		if !g.silent(v.p) && len(list) < lendersMost {
-			list = append(list, v.p.num)
+	slices.SortFunc(r.customer.views, func(a, b *peerView) int { return cmp.Or(far(a)-far(b), cmp.Compare(a.demand, b.demand)) })
+	for _, v := range r.customer.views {
+		if !g.silent(v.peer) && len(list) < lendersMost {
+			list = append(list, v.peer.index)
 		}
 	}
 	return list
 }
 
 // tired tells whether a request has been waiting for so long that no further lender is asked for it.
-func (g *Gateway) tired(r *request) bool { return g.now-r.arrived > g.patience(r)/2 }
+func (g *Gateway) tired(r *request) bool { return g.now-r.arrivedAt > g.maxHold(r)/2 }
 
 const (
 	heirsMost   = 3 // that are asked whether they take over
@@ -160,62 +160,62 @@
 )
 
 // onGiven takes units over, as far as there is room: all parts together stay one whole.
-func (g *Gateway) onGiven(ev Given) {
+func (g *Gateway) onGiven(ev UnitsReceived) {
 	c := g.customers[ev.Customer]
 	if c == nil {
 		plan := g.planOf(ev.Customer)
 		if plan == nil {
 			return
 		}
-		c = g.account(ev.Customer, plan, 0, g.set.Gateways)
+		c = g.account(ev.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
-	c.seen = g.now
-	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n-c.lent, c.ceiling+float64(ev.Units)))
+	c.lastRequestAt = g.now
+	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+float64(ev.Units)))
 }
 
 // gone tells whether a peer's number is no peer's any more: it is this gateway's, or none's.
 func (g *Gateway) gone(p *peer) bool {
-	return p.num == g.set.Me || p.num >= g.set.Gateways || len(g.regionOf) > p.num && g.regionOf[p.num] == ""
+	return p.index == g.cfg.Me || p.index >= g.cfg.Gateways || len(g.gatewayRegions) > p.index && g.gatewayRegions[p.index] == ""
 }
 
 // shares is in how many parts ceilings are divided.
 func (g *Gateway) shares() int {
-	if g.parts > 0 {
-		return g.parts
+	if g.ceilingParts > 0 {
+		return g.ceilingParts
 	}
-	return g.set.Gateways
+	return g.cfg.Gateways
 }
 
 // New returns a gateway that has seen nothing yet. The seed feeds its random
 // choices; equal settings, seeds and events give equal actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	g := newGateway(s, seed)
-	g.minAim = math.Inf(1)
+	g.minTarget = math.Inf(1)
 	for _, c := range g.classes {
-		c.mean = c.Aim.Seconds() / firstGuess
-		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.Aim.Seconds())
-	}
-	mail := max(s.MailPerSecond*mailShare, 1)
-	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
-	g.own, g.gate, g.heard = learn, 1, 1
-	g.nextTag, g.reply = g.rng.Uint32(), leastReply
-	if g.tree = g.tick > treeBeyond*maxTick && s.CanTell && s.Field == nil; g.tree {
-		g.own = 0 // what the watchers tell is more than what this gateway sees
+		c.mean = c.LatencyTarget.Seconds() / firstGuess
+		g.meanLatency, g.minTarget = max(g.meanLatency, c.mean), min(g.minTarget, c.LatencyTarget.Seconds())
+	}
+	mail := max(s.MessagesPerSecond*mailShare, 1)
+	g.tickInterval = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
+	g.ownOutcomeWeight, g.admitShare, g.answeredShare = learn, 1, 1
+	g.nextTag, g.meanReplyTime = g.rng.Uint32(), leastReply
+	if g.usesRoots = g.tickInterval > treeBeyond*maxTick && s.CanMessagePeers && s.MultiService == nil; g.usesRoots {
+		g.ownOutcomeWeight = 0 // what the watchers tell is more than what this gateway sees
 	} else {
 		g.allPeers()
 	}
-	g.tick = max(min(max(g.tick, minTick), maxTick), s.Resolution)
+	g.tickInterval = max(min(max(g.tickInterval, minTick), maxTick), s.Resolution)
 	g.setField()
 	return g, nil
 }
 
 // setField starts what many services need: short ticks, on which only some reports go.
 func (g *Gateway) setField() {
-	if f := g.set.Field; f != nil {
-		g.every, g.tick = uint32(max(1, f.Report/fieldTick)), fieldTick
+	if f := g.cfg.MultiService; f != nil {
+		g.reportTicks, g.tickInterval = uint32(max(1, f.ReportInterval/fieldTick)), fieldTick
 	}
 }
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -5,11 +5,11 @@
 // trusted tells whether a request may go to a server, if only as a trial.
 func (s *server) trusted(r *request) bool {
 	l := s.trust.Level
-	return l <= Doubted || l == NoRecord && r.effect == Safe || s.tries(r)
+	return l <= Suspect || l == SafeOnly && r.effect == Safe || s.tries(r)
 }
 
 // tries tells whether a request may go to a server as a trial: the first attempt of one that shows what is
 // to be shown next. Of a server that is trusted with nothing these are requests that may run again, at first.
 func (s *server) tries(r *request) bool {
-	return s.trust.Try && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == NoTrust)
+	return s.trust.Trial && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == TrialsOnly)
 }
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -29,9 +29,9 @@
 			list[i].Slots = 2
 		}
 		tell(fieldTerms(Plan{Name: "p"}))
-		tell(Peers{Gateways: 1})
-		tell(Members{Kind: Whole, Servers: list})
-		trust := Trusts{Servers: map[ServerID]Trust{list[0].ID: {Level: Level(rapid.IntRange(0, 3).Draw(t, "level")), Try: rapid.Bool().Draw(t, "try")}, list[1].ID: {Level: Doubted}}}
+		tell(GatewaySet{Gateways: 1})
+		tell(ServerList{Kind: CompleteList, Servers: list})
+		trust := TrustUpdate{Servers: map[ServerID]Trust{list[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, list[1].ID: {Level: Suspect}}}
 		tell(trust)
 		bad := trust.Servers[list[0].ID]
 		trials := 0
@@ -41,13 +41,13 @@
 			for _, s := range tell(Request{ID: id, Customer: "c", Plan: "p", Class: class, Units: 1, Remaining: 2 * time.Second, Service: "desk"}) {
 				once := class == "once"
 				switch {
-				case s.Server == list[0].ID && (bad.Level == NoTrust || bad.Level == NoRecord && once):
+				case s.Server == list[0].ID && (bad.Level == TrialsOnly || bad.Level == SafeOnly && once):
 					trials++
-					assert.Assert(t, bad.Try && once == (bad.Level == NoRecord))
+					assert.Assert(t, bad.Trial && once == (bad.Level == SafeOnly))
 				case s.Server == list[1].ID && once:
 					t.Fatal("to a doubted one, though others have room")
 				}
-				tell(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Over: true})
+				tell(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Final: true})
 			}
 		}
 		assert.Assert(t, trials <= 1, "%d trials", trials)
--- a/policy/usual_test.go
+++ b/policy/usual_test.go
@@ -12,7 +12,7 @@
 
 // Each of 60 gateways sends a request every 100 ms on an average, so it hears of each of 40 servers every 4 s: too
 // seldom to know their load. They are busy for nine tenths, and hardly a request waits for a slot for long.
-func TestFewOutcomesEach(t *testing.T) {
+func TestRareLoadReports(t *testing.T) {
 	const gates, servers, slots, work = 60, 40, 3, 180 * ms
 	type due struct {
 		at time.Duration
@@ -76,14 +76,14 @@
 		g, err := New(fieldSet(), uint64(i))
 		assert.NilError(t, err)
 		terms := fieldTerms()
-		terms.Classes[0].Aim, terms.Classes[0].Deadline = 5*time.Second, 20*time.Second // all is sent at once
-		for _, ev := range []Event{terms, Peers{Me: i, Gateways: gates, Shares: gates, Regions: regions}, Members{Kind: Whole, Servers: list}} {
+		terms.Classes[0].LatencyTarget, terms.Classes[0].Deadline = 5*time.Second, 20*time.Second // all is sent at once
+		for _, ev := range []Event{terms, GatewaySet{Me: i, Gateways: gates, CeilingParts: gates, Regions: regions}, ServerList{Kind: CompleteList, Servers: list}} {
 			handle(g, ev)
 		}
 		var ask func()
 		ask = func() {
 			id, asked = id+1, asked+1
-			handle(g, Request{ID: id, Customer: "t", Plan: "t", Class: "safe", Service: "s", Units: 1, Remaining: 20 * time.Second, Tries: 1})
+			handle(g, Request{ID: id, Customer: "t", Plan: "t", Class: "safe", Service: "s", Units: 1, Remaining: 20 * time.Second, MaxAttempts: 1})
 			later(time.Duration(rnd.ExpFloat64()*float64(100*ms)), ask)
 		}
 		later(time.Duration(rnd.ExpFloat64()*float64(100*ms)), ask)
--- a/policy/wide_test.go
+++ b/policy/wide_test.go
@@ -17,7 +17,7 @@
 	}
 	for i, g := range m.gs {
 		if g != nil {
-			m.do(i, Peers{Me: i, Gateways: len(regions), Shares: shares, Regions: regions})
+			m.do(i, GatewaySet{Me: i, Gateways: len(regions), CeilingParts: shares, Regions: regions})
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		part := m.demand(25, 10*time.Second)
 		assert.Assert(t, part > 0.97, "seed %d: %.3f passed", seed, part)
 
-		owner := m.gs[0].customers[keyOf("t")].near[0]
+		owner := m.gs[0].customers[keyOf("t")].owners[0]
 		m.gs[owner] = nil
 		m.demand(25, time.Second)
 		part = m.demand(25, 10*time.Second)
@@ -117,19 +117,19 @@
 		m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 	}
 	for i := range m.gs {
-		m.do(i, Peers{Me: i, Gateways: i + 1, Shares: 2, Regions: twoRegions(i + 1)})
+		m.do(i, GatewaySet{Me: i, Gateways: i + 1, CeilingParts: 2, Regions: twoRegions(i + 1)})
 	}
 	part := m.demand(4, 2*time.Second)
 	assert.Assert(t, part > 0, "nothing passes")
 	for i, g := range m.gs {
-		assert.Equal(t, len(g.asks), 0, "gateway %d", i)
+		assert.Equal(t, len(g.pendingAsks), 0, "gateway %d", i)
 	}
 }
 
 // heldNow is how many requests wait at all gateways.
 func (m *serviceGateways) heldNow() (n int) {
 	for _, g := range m.gs {
-		for _, c := range g.ring {
+		for _, c := range g.customerList {
 			n += len(c.held)
 		}
 	}
@@ -148,7 +148,7 @@
 
 	m = newServiceGateways(1, 1, fieldServers(3, "a"), limited(40, 40)) // nobody is there to lend
 	m.demand(20, 4*time.Second)
-	for _, c := range m.gs[0].ring {
+	for _, c := range m.gs[0].customerList {
 		c.ceiling = 0
 	}
 	sent := len(m.sends)
@@ -167,7 +167,7 @@
 		m.demand(3, 30*time.Second) // all parts fill up
 		m.sends = nil
 		for range 10 {
-			m.gs[0].ring[0].ceiling = 0
+			m.gs[0].customerList[0].ceiling = 0
 			m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 			m.pass(300*ms, nil)
 		}
@@ -181,7 +181,7 @@
 // Gateways that start anew have a part of what the rule leaves free at once, for what was held back meanwhile.
 func TestStartHasRoom(t *testing.T) {
 	plan := limited(100, 100)
-	plan.HardStart = 40
+	plan.HardInitial = 40
 	m := newServiceGateways(4, 1, fieldServers(3, "a"), plan)
 	m.demand(60, 4*time.Second)
 	for i := range m.gs {
