--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -7,38 +7,38 @@
 
 const ms = time.Millisecond
 
-// world drives gateways step by step: it keeps the clock and remembers actions.
-type world struct {
-	t   *testing.T
-	g   *Gateway
-	now time.Duration
-	ids RequestID
+// testGateway drives gateways step by step: it keeps the clock and remembers actions.
+type testGateway struct {
+	t      *testing.T
+	g      *Gateway
+	now    time.Duration
+	lastID RequestID
 }
 
-func base() Settings {
+func testSettings() Settings {
 	return Settings{Me: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
-		CanTell: true, MailPerSecond: 60, LargestUnits: 4, MaxRetryAfter: 500 * ms,
+		CanMessagePeers: true, MessagesPerSecond: 60, MaxRequestUnits: 4, MaxRetryAfter: 500 * ms,
 		Classes: []Class{
-			{Name: "safe", Aim: 800 * ms, Deadline: 3 * time.Second},
-			{Name: "cell", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: GroupCell,
-				Window: 2 * time.Second},
-			{Name: "all", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Window: 2 * time.Second},
-			{Name: "once", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Unsafe},
-			{Name: "stream", Aim: 800 * ms, Deadline: 3 * time.Second, Stream: true},
+			{Name: "safe", LatencyTarget: 800 * ms, Deadline: 3 * time.Second},
+			{Name: "cell", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, DedupScope: DedupCell,
+				DedupWindow: 2 * time.Second},
+			{Name: "all", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, DedupWindow: 2 * time.Second},
+			{Name: "once", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Unsafe},
+			{Name: "stream", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Streaming: true},
 		},
 		Plans: []Plan{
 			{Name: "free"},
 			{Name: "rate", Rate: 10, Burst: 10},
-			{Name: "open", Open: 2},
+			{Name: "open", MaxInFlight: 2},
 			{Name: "hard", HardRate: 10, HardBurst: 20},
-			{Name: "both", Rate: 10, Burst: 10, Open: 2},
-			{Name: "wide", Rate: 30, Burst: 60, Open: 5},
+			{Name: "both", Rate: 10, Burst: 10, MaxInFlight: 2},
+			{Name: "wide", Rate: 30, Burst: 60, MaxInFlight: 5},
 		},
-		AnswerSlack: 8 * ms, ColdShare: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2,
-		FallTime: time.Second}
+		AnswerGrace: 8 * ms, MinColdShare: 0.2, WarmupTime: 10 * time.Second, FailFactor: 2,
+		FailTime: time.Second}
 }
 
-func fleet(n int) []Server {
+func testServers(n int) []Server {
 	var l []Server
 	for i := range n {
 		l = append(l, Server{ID: ServerID(i + 1), Zone: "a", Cell: i / 2, Weight: 1})
@@ -46,35 +46,35 @@
 	return l
 }
 
-func newWorld(t *testing.T, s Settings, servers []Server) *world {
+func newTestGateway(t *testing.T, s Settings, servers []Server) *testGateway {
 	t.Helper()
 	g, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, g: g, now: time.Second}
-	w.do(Members{Kind: Remembered, Servers: servers})
+	w := &testGateway{t: t, g: g, now: time.Second}
+	w.do(ServerList{Kind: CachedList, Servers: servers})
 	return w
 }
 
-func (w *world) do(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
+func (w *testGateway) do(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
 
-// pass lets time go by, with the gateway's ticks, and returns what was done.
-func (w *world) pass(d time.Duration) (acts []Action) {
+// advance lets time go by, with the gateway's ticks, and returns what was done.
+func (w *testGateway) advance(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
-		w.now += min(w.g.tick, end-w.now)
+		w.now += min(w.g.tickInterval, end-w.now)
 		acts = append(acts, w.do(Timer{Token: "tick"})...)
 	}
 	return acts
 }
 
-func (w *world) ask(class, plan, customer string, units float64) (RequestID, []Action) {
-	w.ids++
-	return w.ids, w.do(Request{ID: w.ids, Customer: customer, Plan: plan, Class: class, Units: units,
-		Remaining: 2 * time.Second, Spread: 2})
+func (w *testGateway) request(class, plan, customer string, units float64) (RequestID, []Action) {
+	w.lastID++
+	return w.lastID, w.do(Request{ID: w.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
+		Remaining: 2 * time.Second, GatewayCount: 2})
 }
 
-func of[T Action](acts []Action) (l []T) {
+func actionsOf[T Action](acts []Action) (l []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
 			l = append(l, x)
@@ -83,23 +83,23 @@
 	return l
 }
 
-func (w *world) end(s Send, attempt int, code Code) []Action {
+func (w *testGateway) finish(s Send, attempt int, code Code) []Action {
 	return w.do(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
-		Over: code == OK})
+		Final: code == OK})
 }
 
-func (w *world) send(class, plan string) Send {
+func (w *testGateway) send(class, plan string) Send {
 	w.t.Helper()
-	_, acts := w.ask(class, plan, "c", 1)
-	s := of[Send](acts)
+	_, acts := w.request(class, plan, "c", 1)
+	s := actionsOf[Send](acts)
 	if len(s) != 1 {
 		w.t.Fatalf("want one Send, got %v", acts)
 	}
 	return s[0]
 }
 
-// hear gives a gateway a peer's report.
-func (w *world) hear(from int, inc, seq uint32, complete bool, entries ...entry) {
+// report gives a gateway a peer's report.
+func (w *testGateway) report(from int, inc, seq uint32, complete bool, entries ...entry) {
 	m := report{inc: inc, seq: seq, complete: complete, customers: entries}
 	w.do(PeerMessage{From: from, Data: m.encode()})
 }
@@ -108,14 +108,14 @@
 	return shortOf(keyOf(name))
 }
 
-// spend asks for n requests of one unit and counts those passed.
-func (w *world) spend(n int, plan string) int {
+// requestMany asks for n requests of one unit and counts those passed.
+func (w *testGateway) requestMany(n int, plan string) int {
 	passed := 0
 	for range n {
-		_, acts := w.ask("safe", plan, "c", 1)
-		for _, s := range of[Send](acts) {
+		_, acts := w.request("safe", plan, "c", 1)
+		for _, s := range actionsOf[Send](acts) {
 			passed++
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
 	}
 	return passed
--- a/policy/yield_test.go
+++ b/policy/yield_test.go
@@ -9,17 +9,17 @@
 	"pepperfall.example/pepperfall/internal/dataplane/handover"
 )
 
-// gives are what a gateway gives up when it is told to.
-func gives(g *Gateway, now time.Duration) (all []Give) {
-	for _, a := range g.Handle(now, Yield{}, nil) {
-		if v, ok := a.(Give); ok {
+// relinquish are what a gateway gives up when it is told to.
+func relinquish(g *Gateway, now time.Duration) (all []OfferUnits) {
+	for _, a := range g.Handle(now, Relinquish{}, nil) {
+		if v, ok := a.(OfferUnits); ok {
 			all = append(all, v)
 		}
 	}
 	return all
 }
 
-func allCeilings(m *serviceGateways) (sum float64) {
+func sumCeilings(m *serviceGateways) (sum float64) {
 	for _, g := range m.gs {
 		if c := g.customers[keyOf("t")]; c != nil {
 			g.advance(c)
@@ -31,22 +31,22 @@
 
 // What one that leaves gives up is off there before it is on elsewhere, it passes nothing more of it, and all parts
 // stay under the ceiling; those left have the whole again.
-func TestYieldedUnitsAreInOneHand(t *testing.T) {
+func TestRelinquishedUnitsAreNotHeldTwice(t *testing.T) {
 	for _, n := range []int{4, 30} {
 		m := newServiceGateways(n, 1, fieldServers(3, "a"), limited(40, 40))
 		m.spread(twoRegions(n))
 		m.demand(25, 20*time.Second)
-		before, leaver := allCeilings(m), 0
+		before, leaver := sumCeilings(m), 0
 		if n > wideBeyond {
-			leaver = m.gs[0].customers[keyOf("t")].near[0]
+			leaver = m.gs[0].customers[keyOf("t")].owners[0]
 		}
 		g := m.gs[leaver]
-		list := gives(g, m.now)
-		assert.Assert(t, len(list) == 1 && list[0].Units > 0 && len(list[0].To) > 0, "%d gateways: %v", n, list)
-		assert.Assert(t, allCeilings(m) <= before-float64(list[0].Units)+1e-6)
+		list := relinquish(g, m.now)
+		assert.Assert(t, len(list) == 1 && list[0].Units > 0 && len(list[0].Candidates) > 0, "%d gateways: %v", n, list)
+		assert.Assert(t, sumCeilings(m) <= before-float64(list[0].Units)+1e-6)
 		sent := len(m.sends)
-		m.gs[list[0].To[0]].Handle(m.now, Given{list[0].Customer, list[0].Units}, nil)
-		assert.Assert(t, allCeilings(m) <= before+1e-6)
+		m.gs[list[0].Candidates[0]].Handle(m.now, UnitsReceived{list[0].Customer, list[0].Units}, nil)
+		assert.Assert(t, sumCeilings(m) <= before+1e-6)
 		for range 20 {
 			m.ask(leaver, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 		}
@@ -57,17 +57,17 @@
 			}
 		}
 		assert.Assert(t, served <= 1, "%d gateways: %d passed at one that has stopped", n, served)
-		assert.Equal(t, len(g.budgets), 0)
+		assert.Equal(t, len(g.retryBudgets), 0)
 	}
 }
 
 // Units for requests that are held here stay: each has its place to the end.
-func TestHeldKeepTheirUnits(t *testing.T) {
+func TestHeldRequestsKeepTheirUnits(t *testing.T) {
 	m := newServiceGateways(2, 1, fieldServers(1, "a"), limited(40, 40))
 	m.spread([]string{"r", "r"})
 	m.pass(10*time.Second, nil)
 	g := m.gs[0]
-	for _, s := range g.fleet {
+	for _, s := range g.serverList {
 		s.Slots = 1
 	}
 	m.code = func(Send) Code { return Full }
@@ -77,48 +77,48 @@
 	c := g.customers[keyOf("t")]
 	free := 0
 	for _, r := range c.held {
-		if !r.counted {
+		if !r.unitsTaken {
 			free++
 		}
 	}
-	gives(g, m.now)
-	m.do(0, Peers{Me: 0, Gateways: 2, Shares: 2, Regions: []string{"r", "r"}, Less: 1, Barren: true})
+	relinquish(g, m.now)
+	m.do(0, GatewaySet{Me: 0, Gateways: 2, CeilingParts: 2, Regions: []string{"r", "r"}, UnusedShare: 1, NoColdSends: true})
 	assert.Assert(t, free > 0 && c.ceiling >= float64(free), "%v units for %d", c.ceiling, free)
 }
 
 // One that leaves sends nothing to cold servers; one that joins while others are silent takes less than its part.
-func TestPartsLeftUnused(t *testing.T) {
+func TestUnusedShare(t *testing.T) {
 	cold := fieldServers(1, "a")
-	cold[0].ColdUntil, cold[0].ColdSends = time.Hour, 20
+	cold[0].ColdUntil, cold[0].ColdSendRate = time.Hour, 20
 	m := newServiceGateways(3, 1, cold, limited(40, 40))
 	regions := []string{"r", "r", "r"}
 	m.spread(regions)
 	all := 0
 	for _, g := range m.gs {
-		all += g.fleet[0].colds
+		all += g.serverList[0].coldSendQuota
 	}
 	assert.Assert(t, all > 0 && all <= 20)
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 	for i := range m.gs {
-		m.do(i, Peers{Me: i, Gateways: 3, Shares: 3, Regions: regions, Less: 0.5, Barren: true})
+		m.do(i, GatewaySet{Me: i, Gateways: 3, CeilingParts: 3, Regions: regions, UnusedShare: 0.5, NoColdSends: true})
 	}
 	g := m.gs[0]
-	assert.Equal(t, g.fleet[0].colds, 0)
-	assert.Equal(t, g.customers[keyOf("t")].n, 6.0)
+	assert.Equal(t, g.serverList[0].coldSendQuota, 0)
+	assert.Equal(t, g.customers[keyOf("t")].parts, 6.0)
 }
 
 // Two gateways join, and none of six others hears of it: what the joiners use at first stays under what the rule leaves
 // beside the parts given out, and after that they use nothing.
-func TestJoinersThatNobodyHearsOf(t *testing.T) {
+func TestUnknownJoinersKeepTheLimit(t *testing.T) {
 	const rate, burst = 400.0, 100.0
 	m := newServiceGateways(8, 3, fieldServers(4, "s"), limited(rate, burst))
 	m.lost = 1
 	for i := range 6 {
-		m.do(i, Peers{Me: i, Gateways: 8, Shares: 6})
+		m.do(i, GatewaySet{Me: i, Gateways: 8, CeilingParts: 6})
 		m.told[i] = 8
 	}
 	for i := 6; i < 8; i++ {
-		m.do(i, Peers{Me: i, Gateways: 8, Shares: 8, Less: 1})
+		m.do(i, GatewaySet{Me: i, Gateways: 8, CeilingParts: 8, UnusedShare: 1})
 	}
 	flood := func() {
 		for i := range m.gs {
@@ -131,7 +131,7 @@
 	m.sends = nil
 	joined := func(less float64, d time.Duration) (n int) {
 		for i := 6; i < 8; i++ {
-			m.do(i, Peers{Me: i, Gateways: 8, Shares: 8, Less: less})
+			m.do(i, GatewaySet{Me: i, Gateways: 8, CeilingParts: 8, UnusedShare: less})
 		}
 		from := len(m.sends)
 		m.pass(d, flood)
