--- a/policy/admit.go
+++ b/policy/admit.go
@@ -1,6 +1,6 @@
 package policy
 
-// Requests arriving, their places and waiting, release and refusal, the gate, ticks.
+// Arrival, admission, holding, release and refusal of requests, and the periodic tick.
 
 import (
 	"cmp"
@@ -29,7 +29,7 @@
 	}
 }
 
-// admit lets a request pass, holds it in its customer's queue or refuses it.
+// admit sends a request, holds it in its customer's queue or refuses it.
 func (g *Gateway) admit(r *request) {
 	c := r.customer
 	c.reportsLeft = repeatTicks
@@ -83,7 +83,7 @@
 		out += v.inFlight
 		held += v.held
 	}
-	return out, held
+	return inFlight, held
 }
 
 // underCap tells whether one more attempt of the customer fits under its cap.
@@ -133,7 +133,7 @@
 	return true
 }
 
-// hold puts a request in its customer's queue. What no tick could answer in time is answered now.
+// hold queues a request; one whose deadline comes before any tick can answer it is refused at once.
 func (g *Gateway) hold(r *request) {
 	if g.now+g.tickInterval+2*g.cfg.Resolution >= r.deadline {
 		g.refuse(r)
@@ -218,7 +218,7 @@
 	}
 }
 
-// refuse gives the final answer: a refusal where a retry is harmless.
+// refuse gives the final answer: Refuse if a retry is harmless, else Fail.
 func (g *Gateway) refuse(r *request) {
 	if r.remote {
 		g.answer(r, refused)
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// RequestID names one try of a client at one gateway. An ID is never reused.
+// RequestID identifies one request that a client sent to one gateway; a client's retry has another ID. An ID
+// is never reused.
 type RequestID uint64
 
-// ServerID names a server; it is the same at every gateway.
+// ServerID identifies a server; every gateway uses the same ID.
 type ServerID uint32
 
-// Effect says what a repeat of a request does.
+// Effect says whether a request may run more than once. Higher values are stricter.
 type Effect int
 
-// The kinds of effect.
+// The values of Effect.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of servers, for a time
+	Keyed                // servers of one DedupScope drop repeats, for DedupWindow
 	Unsafe               // must not run twice
 )
 
 // DedupScope says which servers drop repeats of a keyed request.
 type DedupScope int
 
-// The groups.
+// The values of DedupScope.
 const (
 	DedupAll  DedupScope = iota // all servers
 	DedupZone                   // those of one zone
 	DedupCell                   // those of one cell
 )
 
-// Class holds the settings of a class of request.
+// Class holds the settings of a class of requests.
 type Class struct {
 	Name          string
 	LatencyTarget time.Duration // an answer within it earns full worth
@@ -39,7 +40,8 @@
 	Streaming     bool          // the answer is a stream, announced by Started
 }
 
-// Plan holds the quotas of each customer on a plan, over all gateways.
+// Plan holds the limits of each customer on the plan, over all gateways together. The rate quota and the hard
+// ceiling are token buckets of units: gateways may overshoot the quota for a short time, never the ceiling.
 type Plan struct {
 	Name              string
 	Rate              float64 // units a second; 0: no rate quota
@@ -52,10 +54,10 @@
 	HardInitial       float64 // of them, units that all gateways have together when they start
 }
 
-// Settings is what a gateway is told at its start.
+// Settings configures a gateway at its start.
 type Settings struct {
 	Me       int // number of this gateway, from 0
-	Gateways int // how many gateways there are
+	Gateways int // number of gateways
 	Zone     string
 	Classes  []Class
 	Plans    []Plan
@@ -90,16 +92,16 @@
 	ReportInterval        time.Duration                // between two reports to a peer
 }
 
-// Names of load report values the module understands.
+// Names of the load report values that the package uses.
 const (
 	LoadActive  = "active"  // requests in progress
 	LoadWaiting = "waiting" // requests queued
 )
 
-// Code says how an attempt ended.
+// Code says how an attempt at a server ended.
 type Code int
 
-// The ends of an attempt. NeverRan tells which prove that it never ran.
+// The values of Code. NeverRan says which of them prove that the server never ran the request.
 const (
 	OK Code = iota
 	Error
@@ -114,10 +116,11 @@
 // NeverRan reports whether the code proves that the attempt never ran.
 func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == NoRetry }
 
-// Event is something a gateway is told.
+// Event is an input of Gateway.Handle.
 type Event interface{ event() }
 
-// Request is a client's try. Exactly one final answer is owed for it.
+// Request is a client's request. The gateway gives exactly one final answer to it: that of a server, Refuse
+// or Fail.
 type Request struct {
 	ID           RequestID
 	Customer     string
@@ -136,14 +139,14 @@
 	WaitedBefore time.Duration // how long its client has waited before this try, as far as that is known
 }
 
-// Started tells that the answer of a streamed class has begun.
+// Started reports that the answer of a Streaming class has begun.
 type Started struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
 }
 
-// Outcome tells how an attempt ended; there is one for each Send.
+// Outcome reports how an attempt ended; there is one for each Send.
 type Outcome struct {
 	ID          RequestID
 	Attempt     int // attempts of a request count from 0
@@ -158,10 +161,10 @@
 // ClientGone tells that the client left; nothing more is owed for the request.
 type ClientGone struct{ ID RequestID }
 
-// Timer tells that a timer set by SetTimer has run out.
+// Timer reports that a timer set by SetTimer has expired.
 type Timer struct{ Token string }
 
-// PeerMessage is what another gateway sent with Tell.
+// PeerMessage is a message that another gateway sent with SendPeer.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -177,7 +180,7 @@
 	Removed
 )
 
-// Server is one line of the server list.
+// Server is one entry of the server list.
 type Server struct {
 	ID           ServerID
 	Zone         string
@@ -198,7 +201,7 @@
 // ServerListKind says what a Members event holds.
 type ServerListKind int
 
-// The kinds of Members event.
+// The values of ServerListKind.
 const (
 	ChangedServers ServerListKind = iota // changed servers only
 	CompleteList                         // the whole list; a server not in it is gone
@@ -234,7 +237,7 @@
 // TrustLevel is how far a server is trusted, by what all gateways saw.
 type TrustLevel int
 
-// The levels. A higher one is stricter.
+// The values of TrustLevel. A higher one is stricter.
 const (
 	Trusted    TrustLevel = iota
 	Suspect               // what may not run twice goes elsewhere first
@@ -242,7 +245,7 @@
 	TrialsOnly            // nothing, but for trials
 )
 
-// Trust is how far one server is trusted.
+// Trust is the trust in one server.
 type Trust struct {
 	Level TrustLevel
 	Trial bool // one request is to try it: of those that may not run twice, at TrialsOnly of the others
@@ -257,33 +260,33 @@
 	Units    uint16
 }
 
-// Action is something a gateway wants done.
+// Action is an output of Gateway.Handle: something that its caller has to do.
 type Action interface{ action() }
 
-// Send starts an attempt. Timeout 0 means until the client gives up.
+// Send starts an attempt at a server. Timeout 0 means until the client gives up.
 type Send struct {
 	ID      RequestID
 	Server  ServerID
 	Timeout time.Duration
 }
 
-// Cancel stops waiting for an attempt; its Outcome still comes.
+// Cancel ends an attempt; its Outcome still comes.
 type Cancel struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Refuse is the final answer that says a retry is harmless.
+// Refuse is the final answer after which a retry is harmless: the request did not run or may run again.
 type Refuse struct {
 	ID         RequestID
 	RetryAfter time.Duration // advice to the client; 0: none
 	OverQuota  bool          // it is beyond its customer's quota
 }
 
-// Fail is the final answer that promises nothing.
+// Fail is the final answer after which a retry may be harmful: the request may have run.
 type Fail struct{ ID RequestID }
 
-// SetTimer asks for a Timer event after a time.
+// SetTimer requests a Timer event after a time.
 type SetTimer struct {
 	Token string
 	After time.Duration
@@ -302,10 +305,10 @@
 	Candidates []int
 }
 
-// Watch asks for the server list and its changes from now on.
+// Watch subscribes to the server list and its changes.
 type Watch struct{}
 
-// Log writes a line for the operators.
+// Log writes a line to the log for the operators.
 type Log struct{ Text string }
 
 func (Request) event()       {}
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// An ask that comes twice counts once, and is answered twice: the first answer
-// may be lost.
+// An ask that arrives again counts once but is answered each time: an earlier reply may have been lost.
 func TestRepeatedAskCountsOnce(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
@@ -20,7 +19,7 @@
 	}
 }
 
-// A try without time left is refused at once: it can't wait for its root.
+// A request without time left is refused at once: it can't wait for its root's reply.
 func TestNoTimeLeftIsRefused(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	for i := range 20 {
@@ -53,8 +52,8 @@
 	}
 }
 
-// The message that an attempt has ended may be lost: its place is free all the same,
-// long before the lease runs out.
+// If one message that an attempt has ended is lost, its place is freed all the same, long before the lease
+// expires, since the message is sent twice.
 func TestLostEndFreesItsPlace(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
@@ -82,8 +81,8 @@
 	}
 }
 
-// A held ask whose answer was lost is answered again: were its gateway to hear
-// nothing it would ask the deputy, which grants places that are taken.
+// A repeated ask for a held request is answered again, since the first reply may be lost. Without a reply the
+// gateway would ask the deputy, which would grant places that are taken.
 func TestHeldAskIsAnsweredAgain(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	_, root, _ := w.member("open")
@@ -119,7 +118,7 @@
 				t.Fatalf("%d granted, %d held", k.inFlight, len(k.held))
 			}
 			want := 2
-			if !c.held { // a place is free, and the message about it never comes
+			if !c.held { // a place becomes free, and the root's grant is lost
 				w.lose = func(from, _ int) bool { return from == root }
 				s := w.sends[0]
 				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Final: true})
@@ -138,8 +137,7 @@
 	}
 }
 
-// An attempt that outlasts its lease keeps its place: its gateway says that it is
-// still out.
+// An attempt that outlasts its lease keeps its place: its gateway renews the lease.
 func TestLeaseIsRenewed(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	w.takes = 4 * time.Second
@@ -197,8 +195,8 @@
 	}
 }
 
-// An attempt that outlasts its aim still has its place: how long servers take,
-// not the aim, says when one not told of as ended is taken for over.
+// An attempt that takes longer than its latency target keeps its place: the length of a lease depends on the
+// mean latency of servers, not on the target.
 func TestLeaseOutlastsASlowAttempt(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -24,22 +24,22 @@
 	w.g.lend(c, 50*ms)
 	lent := c.onLoan
 	if lent < 2 {
-		t.Fatalf("%.2f lent: the test asks for too little", lent)
+		t.Fatalf("%.2f lent, want 2 at least: the test's demand is too low", lent)
 	}
 	c.views[0].demand = 0
 	for range 4 {
-		w.g.now += 50 * ms // 2.5 units come in this time
+		w.g.now += 50 * ms // 2.5 units refill in this time
 		w.g.lend(c, 50*ms)
 	}
 	if most := 10 - lent/3; c.ceiling > most {
-		t.Errorf("the part is at %.2f, 0.2 s after %.2f of 10 were lent: %.2f at most", c.ceiling, lent, most)
+		t.Errorf("the part has %.2f units 0.2 s after %.2f of 10 were lent, want %.2f at most", c.ceiling, lent, most)
 	}
 	for range 40 {
 		w.g.now += 50 * ms
 		w.g.lend(c, 50*ms)
 	}
 	if c.ceiling < 9.9 {
-		t.Errorf("the part is at %.2f 2 s later: what has arrived is held back", c.ceiling)
+		t.Errorf("the part has %.2f units 2 s later, want it full: units that have arrived still reduce it", c.ceiling)
 	}
 }
 
@@ -57,6 +57,6 @@
 		w.request(root, RequestID(i+1), "k", "rate", "safe", 200)
 	}
 	if n := len(w.sends); n < 1 || n > 9 {
-		t.Errorf("%d of 60 passed at once at a root that has just started, of a store of 10", n)
+		t.Errorf("a root that has just started passed %d of 60 at once, of a bucket of 10, want 1 to 9", n)
 	}
 }
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// customer holds a customer's counts and its token buckets as this gateway knows them.
 type customer struct {
 	key             uint64
 	hash            uint32 // in reports
@@ -162,10 +163,10 @@
 	g.customerList = append(g.customerList, c)
 }
 
-// KeyOf is the name of a customer in Give and Given.
+// KeyOf returns the key of a customer in OfferUnits and UnitsReceived.
 func KeyOf(customer string) uint64 { return keyOf(customer) }
 
-// Ceiling is what is held here of a customer's ceiling.
+// Ceiling returns the units that this gateway holds of a customer's ceiling.
 func (g *Gateway) Ceiling(customer string) float64 {
 	c := g.customers[keyOf(customer)]
 	if c == nil {
--- a/policy/effect_test.go
+++ b/policy/effect_test.go
@@ -7,9 +7,9 @@
 // careful of the two.
 func TestStricterEffectDecides(t *testing.T) {
 	for _, c := range []struct {
-		class  string
-		effect Effect
-		again  bool // it is sent again after a break
+		class   string
+		effect  Effect
+		retried bool // whether it is sent again after a broken connection
 	}{
 		{"safe", Safe, true}, {"safe", Unsafe, false}, {"all", Safe, true}, {"all", Unsafe, false},
 		{"cell", Safe, true}, {"cell", Unsafe, false}, {"once", Safe, false}, {"once", Keyed, false},
--- a/policy/events.go
+++ b/policy/events.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Handle takes one event at a time and appends what is to be done to out.
+// Handle processes one event at time now, which must not go back, and appends the resulting actions to out.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.actions = now, out
 	if !g.started {
--- a/policy/hold_test.go
+++ b/policy/hold_test.go
@@ -16,12 +16,12 @@
 	w.report(1, 1, 1, true)
 	sent = append(sent, actionsOf[Send](w.advance(60*ms))...)
 	if len(sent) != 2 {
-		t.Fatalf("%d attempts out under a cap of 2", len(sent))
+		t.Fatalf("%d attempts in flight under a cap of 2", len(sent))
 	}
 	w.report(1, 1, 2, true)
 	next := actionsOf[Send](w.finish(sent[0], 0, OK))
 	if len(next) != 1 || next[0].ID != 3 {
-		t.Fatalf("the oldest held was not released: %v", next)
+		t.Fatalf("the oldest held request was not sent: %v", next)
 	}
 }
 
@@ -84,8 +84,8 @@
 		}
 		return n
 	}
-	if calm, strained := let(50*ms), let(700*ms); calm < 200 || strained > 100 {
-		t.Fatalf("%d of 200 let in when calm, %d when strained", calm, strained)
+	if calm, slow := admitted(50*ms), admitted(700*ms); calm < 200 || slow > 100 {
+		t.Fatalf("%d of 200 admitted at low latency, %d at high latency", calm, slow)
 	}
 }
 
@@ -119,7 +119,7 @@
 		}
 	}
 	if first != 1 || others < 3 {
-		t.Fatalf("%d to the server that turns the plan away, %d of another plan", first, others)
+		t.Fatalf("%d to the server that rejects the plan, %d of another plan", first, others)
 	}
 }
 
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -22,7 +22,7 @@
 		PeerMessage{From: 55, Data: (&report{}).encode()}, ServerList{Kind: WatchFailed},
 	} {
 		if acts := w.do(ev); len(acts) != 0 {
-			t.Errorf("%#v led to %v", ev, acts)
+			t.Errorf("%#v returned %v", ev, acts)
 		}
 	}
 	w.finish(s, 0, OK)
@@ -62,7 +62,7 @@
 		return all
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Fatal("equal events gave other actions")
+		t.Fatal("equal events returned different actions")
 	}
 }
 
@@ -76,10 +76,10 @@
 		w.do(PeerMessage{From: 1, Data: b})
 		if m, ok := decodeReport(b); ok {
 			if len(b) > maxMessage {
-				t.Fatal("too long")
+				t.Fatal("a report above the maximum size was decoded")
 			}
 			if m2, ok := decodeReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
-				t.Fatal("a report does not survive its own encoding")
+				t.Fatal("an encoded report decodes to a different one")
 			}
 		}
 	})
@@ -137,7 +137,7 @@
 		for i, l := range strings.Split(string(b), "\n") {
 			code, _, _ := strings.Cut(l, "//")
 			if tuned.MatchString(code) {
-				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(l))
+				t.Errorf("%s:%d contains a literal tuning value: %s", f, i+1, strings.TrimSpace(l))
 			}
 		}
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The short messages of a large fleet. On the wire: version, kind, fields.
+// The fixed-size messages between gateways of a large fleet. On the wire: version, kind, fields, big-endian.
 
 // askMessage asks a customer's root to count a request.
 type askMessage struct {
@@ -34,6 +34,7 @@
 	FittingShare        byte // of what is asked for fits, 250 all
 }
 
+// The decisions of a root.
 const (
 	granted byte = iota
 	refused
@@ -78,6 +79,7 @@
 	Units    uint16
 }
 
+// encode returns the wire form of one of the messages above.
 func encode(m any) []byte {
 	var kind byte
 	switch m.(type) {
@@ -96,12 +98,12 @@
 	}
 	b, err := binary.Append([]byte{messageVersion, kind}, binary.BigEndian, m)
 	if err != nil {
-		panic(err) // not a message of this file
+		panic(err) // m is not one of the messages above
 	}
 	return b
 }
 
-// decode reads a message; it is nil for anything but a whole, well-formed one.
+// decode returns the message or report in b, or nil if b is not exactly one well-formed message.
 func decode(b []byte) any {
 	if len(b) < 2 || b[0] != messageVersion {
 		if m, ok := decodeReport(b); ok {
@@ -206,10 +208,10 @@
 		if v.ejected {
 			until = v.ejectedUntil
 		}
-		if bad {
+		if eject {
 			bits |= 1 << i
 		}
 		news, any = news || bad != v.ejected, any || bad
 	}
-	return bits, news, any, until
+	return bits, changed, anyEjected, until
 }
--- a/policy/split_test.go
+++ b/policy/partition_test.go
@@ -14,12 +14,12 @@
 // much more: neither does a cut stop customers far below their quotas, nor does it lift quotas.
 func TestPartitionPassesWhatPassedBefore(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		customers   int // that ask 200 times a second together
-		surge       int // so many times as often while cut off
-		least, most float64
+		name               string
+		customers          int // which send 200 requests per second together
+		surge              int // factor on their rate during the partition
+		minShare, maxShare float64
 	}{
-		{"inside the quota", 40, 1, 0.6, 1}, // as a share of what passed in as much time before
+		{"inside the quota", 40, 1, 0.6, 1}, // share of the requests passed in the same time before
 		{"five times the quota", 4, 1, 0.3, 1.6},
 		{"inside the quota, then five times as much", 40, 5, 0.6, 1.2},
 	} {
@@ -27,7 +27,7 @@
 			w, random := newManyGateways(t, 60, testServers(20)), rand.New(rand.NewPCG(1, 2))
 			asked, before, during, often := 0, 0, 0, 2
 			ask := func(time.Duration) {
-				for range often {
+				for range perStep {
 					asked++
 					w.request(random.IntN(50), RequestID(asked), fmt.Sprint("k", asked%c.customers), "rate", "safe", 50)
 				}
@@ -36,13 +36,13 @@
 			before = len(w.sends)
 			w.pass(6*time.Second, ask)
 			before, during = len(w.sends)-before, len(w.sends)
-			w.lose, often = func(int, int) bool { return true }, 2*c.surge
-			w.pass(time.Second, ask) // until all have noticed
+			w.lose, perStep = func(int, int) bool { return true }, 2*c.surge
+			w.pass(time.Second, ask) // until all gateways have detected it
 			during = len(w.sends)
 			w.pass(6*time.Second, ask)
 			during = len(w.sends) - during
-			if f := float64(during) / float64(before); f < c.least || f > c.most {
-				t.Errorf("%d passed in 6 s of a cut, %d in as much time before", during, before)
+			if share := float64(during) / float64(before); share < c.minShare || share > c.maxShare {
+				t.Errorf("%d passed in 6 s of a partition, %d in the 6 s before", during, before)
 			}
 			w.lose = func(int, int) bool { return false }
 			w.pass(3*time.Second, ask)
@@ -71,7 +71,7 @@
 	w.request(i, 200, "k", "rate", "safe", 50)
 	w.pass(200*ms, nil)
 	if asks := w.told - told; asks > 3 || len(w.sends)+w.final == done {
-		t.Errorf("%d messages, answered %v within 200 ms", asks, len(w.sends)+w.final > done)
+		t.Errorf("%d messages sent, answered %v within 200 ms", asks, len(w.sends)+w.final > done)
 	}
 }
 
@@ -84,7 +84,7 @@
 	for _, plan := range []string{"ceil", "hard"} {
 		for _, spread := range []int{1, 2, 3, 7, 50, 60} {
 			sum := 0.0
-			for i := range w.gs { // also those outside of the set, which a client may come to all the same
+			for i := range w.gs { // also gateways that the customer should not use but may
 				name := fmt.Sprint(plan, spread)
 				c := w.gs[i].account(keyOf(name), w.gs[i].plans[plan], 5, spread)
 				if member := (i-5+60)%60 < spread; member {
@@ -92,10 +92,10 @@
 				}
 			}
 			if sum > 1+1e-9 {
-				t.Errorf("plan %s, %d gateways: parts of %.3f in all", plan, spread, sum)
+				t.Errorf("plan %s, %d gateways: the parts add up to %.3f, want 1 at most", plan, spread, sum)
 			}
 			if plan == "ceil" && sum < 0.9-1e-9 {
-				t.Errorf("plan %s, %d gateways: parts of %.3f in all, the rest is lost", plan, spread, sum)
+				t.Errorf("plan %s, %d gateways: the parts add up to %.3f, want 0.9 at least", plan, spread, sum)
 			}
 		}
 	}
@@ -122,22 +122,22 @@
 		for i := range 60 {
 			start(i)
 		}
-		store, at, n, seen := burst, w.now, 0, 0
-		var lost, twice int
+		bucket, at, n, counted := burst, w.now, 0, 0
+		var lost, duplicated int
 		w.lose = func(from, to int) bool {
 			if rapid.IntRange(0, 99).Draw(rt, "lost") < lost {
 				return true
 			}
-			if rapid.IntRange(0, 99).Draw(rt, "twice") < twice && len(w.mail) > 0 {
-				l := w.mail[len(w.mail)-1]
-				l.at = w.now + 20*ms
-				w.mail = append(w.mail, l)
+			if rapid.IntRange(0, 99).Draw(rt, "twice") < duplicated && len(w.mail) > 0 {
+				duplicate := w.mail[len(w.mail)-1]
+				duplicate.at = w.now + 20*ms
+				w.mail = append(w.mail, duplicate)
 			}
 			return false
 		}
 		for range rapid.IntRange(1, 4).Draw(rt, "phases") {
 			lost = rapid.SampledFrom([]int{0, 20, 100}).Draw(rt, "phase loses")
-			twice = rapid.SampledFrom([]int{0, 30}).Draw(rt, "phase doubles")
+			duplicated = rapid.SampledFrom([]int{0, 30}).Draw(rt, "phase doubles")
 			every := rapid.IntRange(1, 10).Draw(rt, "every")
 			if rapid.Bool().Draw(rt, "kill") {
 				start(rapid.IntRange(0, spread-1).Draw(rt, "killed"))
@@ -148,20 +148,20 @@
 					w.do(rapid.IntRange(0, spread-1).Draw(rt, "at"), Request{ID: RequestID(n), Customer: "k",
 						Plan: "rate", Class: "safe", Units: 2, Remaining: 2 * time.Second, GatewayCount: spread})
 				}
-				store = min(burst, store+rate*(now-at).Seconds())
+				bucket = min(burst, bucket+rate*(now-at).Seconds())
 				at = now
-				for ; seen < len(w.sends); seen++ {
-					store -= 2
+				for ; counted < len(w.sends); counted++ {
+					bucket -= 2
 				}
-				if store < -1e-6 {
-					rt.Fatalf("the ceiling's store stands at %.2f after %d sends", store, seen)
+				if bucket < -1e-6 {
+					rt.Fatalf("the ceiling's bucket has %.2f units after %d sends", bucket, counted)
 				}
 			})
 		}
 	})
 }
 
-// A member that has units of a ceiling left uses its own before its root's.
+// A gateway with units left in its own part of a ceiling uses them before its root's.
 func TestOwnPartOfACeilingIsUsedFirst(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(20))
 	for _, g := range w.gs {
@@ -176,7 +176,7 @@
 	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].parts-1e-9 {
 		t.Errorf("%d sent, %.2f of %.2f left here, %.2f at the root", len(w.sends), left(i), own, left(root))
 	}
-	w.request(i, 2, "k", "rate", "safe", 50) // more than is left here
+	w.request(i, 2, "k", "rate", "safe", 50) // needs more units than are left here
 	w.pass(100*ms, nil)
 	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].parts-0.5 {
 		t.Errorf("%d sent, %.2f left at the root", len(w.sends), left(root))
@@ -209,7 +209,7 @@
 	w.lose = func(int, int) bool { return true }
 	before := len(w.sends)
 	w.pass(6*time.Second, ask(50))
-	if n := len(w.sends) - before; n < 7 { // the first ones may still be taken for lost at flooded roots
+	if n := len(w.sends) - before; n < 7 { // it may take the first few for asks lost at overloaded roots
 		t.Errorf("%d of 12 passed while cut off", n)
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,6 +8,7 @@
 // usesOwnCeiling tells whether a request's units of the ceiling come out of the part that is held here.
 func (r *request) usesOwnCeiling() bool { return r.ownCeiling != r.remote || !r.remote && !r.granted }
 
+// request is a request without a final answer: a client's, or one that another gateway asks for (remote).
 type request struct {
 	id           RequestID
 	customer     *customer
@@ -49,6 +50,7 @@
 	lastServer   *server       // of the attempt before
 }
 
+// class is a Class with what outcomes show of it.
 type class struct {
 	Class
 	index    int     // place in the settings
--- a/policy/again.go
+++ b/policy/retry.go
@@ -1,11 +1,11 @@
 package policy
 
-// Further tries, their budgets, and when a client may try again.
+// Retries at other servers, their budget, and when to advise clients to retry.
 
 import "time"
 
-// mayRetry decides whether a request may have a further attempt. Where it may go
-// is usable's to say. The budget keeps retries from feeding an overload.
+// mayRetry decides whether a request gets another attempt and charges the service's retry budget, which keeps
+// retries from adding to an overload. usable decides at which servers.
 func (g *Gateway) mayRetry(r *request, code Code) bool {
 	if r.maxAttempts > 0 && r.attempts >= r.maxAttempts ||
 		r.mayHaveRun && (r.effect == Unsafe || r.effect == Keyed && g.now-r.ranAt >= r.class.DedupWindow) ||
@@ -14,29 +14,28 @@
 	}
 	if !code.NeverRan() || code == Full {
 		if g.cfg.MultiService != nil && g.retryBudgets[r.service] < 1 {
-			return false // nothing is owed for a try that is not made
+			return false // an attempt that is not made costs no budget
 		}
 		g.retryBudgets[r.service]--
 	}
 	return g.retryBudgets[r.service] >= 0
 }
 
-// earnRetryBudget adds a first attempt to its service's budget of further ones.
+// earnRetryBudget adds to a service's retry budget what a first attempt earns.
 func (g *Gateway) earnRetryBudget(service string) {
-	each, most := retryEarn, retryCap
+	perAttempt, maxBudget := retryEarn, retryCap
 	if f := g.cfg.MultiService; f != nil {
-		each, most = f.RetryBudgetPerAttempt, f.MaxRetryBudget(service)
+		perAttempt, maxBudget = f.RetryBudgetPerAttempt, f.MaxRetryBudget(service)
 	}
-	b, known := g.retryBudgets[service]
+	budget, known := g.retryBudgets[service]
 	if !known && g.cfg.MultiService == nil {
-		b = most
+		budget = maxBudget
 	}
-	g.retryBudgets[service] = min(most, b+each)
+	g.retryBudgets[service] = min(maxBudget, budget+perAttempt)
 }
 
-// retryAfter is when a retry may find room: once the store will have filled up to
-// what a repeat needs, and no sooner than the next ticks. Under a cap alone that
-// is when attempts end; a large fleet's ticks are far longer.
+// retryAfter returns when a retry may find room: after two ticks, and once the bucket holds what it needs.
+// Without a rate quota room appears when attempts end, which is sooner than the long ticks of a large fleet.
 func (g *Gateway) retryAfter(r *request) time.Duration {
 	c, wait := r.customer, 2*g.tickInterval.Seconds()
 	if g.cfg.MultiService != nil && !r.overQuota {
--- a/policy/server.go
+++ b/policy/server.go
@@ -15,6 +15,7 @@
 	nextTrial    time.Duration // when the watcher may next try it
 }
 
+// server is a back-end server and what this gateway knows of its load and health.
 type server struct {
 	Server
 	hash            uint16
@@ -41,7 +42,7 @@
 	verdictTokensAt time.Duration
 	sharedSlowdown  float64 // latency against the fleet's, as the watcher learns it
 
-	trust Trust // by what all gateways saw
+	trust Trust // computed from the outcomes that all gateways saw
 }
 
 // recordFailure counts a failure for all classes.
@@ -65,9 +66,9 @@
 	for _, s := range list {
 		sum += s.weight
 	}
-	at := g.rng.Float64() * max(sum, least)
+	point := g.rng.Float64() * max(sum, minSum)
 	for _, s := range list {
-		if at -= s.weight; at < 0 {
+		if point -= s.weight; point < 0 {
 			return s
 		}
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,7 +5,7 @@
 // validate refuses settings that cannot be meant, and names the key.
 func (s *Settings) validate() error {
 	var err error
-	need := func(ok bool, key string, args ...any) {
+	require := func(ok bool, key string, args ...any) {
 		if !ok && err == nil {
 			err = fmt.Errorf("policy: setting "+key, args...)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// peerView is what one other gateway last said of one customer.
+// peerView is what one peer gateway last reported about one customer.
 type peerView struct {
 	peer          *peer
 	reportedAt    time.Duration
@@ -21,6 +21,7 @@
 	demand        float64 // asked units, decayed
 }
 
+// peer is another gateway and what it last reported.
 type peer struct {
 	index       int
 	incarnation uint32
@@ -34,7 +35,7 @@
 	missedAt    time.Duration      // the last of them
 }
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	cfg              Settings
 	rng              *rand.Rand
