--- a/policy/admit.go
+++ b/policy/admit.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
+// handleRequest handles a new request of a client.
 func (g *Gateway) handleRequest(r *request) {
 	c := r.customer
 	c.addDemand(r, 1)
-	// Of a customer far above its quota or cap only the part that fits is asked for: its root could not
-	// take in all its asks. Harms for as long as thinSpan when the customer stops asking for more.
+	// A customer far above its quota or cap would flood its root with asks: only the share that fits is asked
+	// for. If the customer's demand falls, too many requests are refused for up to thinSpan.
 	r.askChance = min(1, c.fittingShare+(g.now-c.fittingShareAt).Seconds()/thinSpan.Seconds())
 	switch {
 	case c.plan.HardRate > 0 && c.ceiling < r.units && g.mayBorrow(r):
 		g.borrow(r)
 	case r.deadline-g.now <= 2*g.cfg.Resolution || g.rng.Float64() > g.admitShare:
-		g.refuse(r) // with no time left any wait is too long
+		g.refuse(r) // too little time is left for any wait
 	case len(c.askRoots) == 0:
 		g.admit(r)
 	case g.rng.Float64() > r.askChance:
@@ -33,11 +34,12 @@
 func (g *Gateway) admit(r *request) {
 	c := r.customer
 	c.reportsLeft = repeatTicks
-	// A client's repeat is often late. It gives way to first tries while requests wait for servers or the
-	// store is low. Guards against retry storms; harms where repeats come soon and aims are long.
-	scarce := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
-	pressed := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < pressedFor
-	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayAwaitUnits(r) || r.isRetry && (scarce || pressed) {
+	// Retries are often late: they yield to first tries while requests wait for servers or the bucket is low.
+	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
+	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
+	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < pressedFor
+	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayAwaitUnits(r) ||
+		r.isRetry && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
 	}
@@ -50,7 +52,7 @@
 	}
 }
 
-// hasUnits tells whether quota and ceiling have the request's units.
+// hasUnits reports whether the quota and the ceiling have the request's units.
 func (g *Gateway) hasUnits(r *request) bool {
 	c := r.customer
 	if r.unitsTaken {
@@ -62,38 +64,36 @@
 	return c.plan.HardRate == 0 || !r.usesOwnCeiling() || c.ceiling >= r.units
 }
 
-// mayAwaitUnits tells whether a request beyond its customer's units may wait for them: as many as come in
-// while they may wait.
+// mayAwaitUnits reports whether a request may wait for its customer's units: no more than refill in time.
 func (g *Gateway) mayAwaitUnits(r *request) bool {
 	if g.cfg.MultiService == nil || g.borrows || g.demand(r.customer) > r.customer.plan.Rate {
-		return false // where it asks for more than its quota, whoever waits only makes others wait
+		return false // demand exceeds the quota: waiting would only delay later requests
 	}
-	hold := holdAim * r.class.LatencyTarget.Seconds()
-	return float64(len(r.customer.held)) < max(1, r.customer.plan.Rate*hold*g.share(r.customer))
+	holdSeconds := holdAim * r.class.LatencyTarget.Seconds()
+	return float64(len(r.customer.held)) < max(1, r.customer.plan.Rate*holdSeconds*g.share(r.customer))
 }
 
-// peerCounts sums the attempts out and held that the peers report. A silent
-// peer's count gives way to its demand-split part of the cap.
-func (g *Gateway) peerCounts(c *customer) (out, held float64) {
+// peerCounts sums what peers have in flight and held; a silent peer counts as its part of the cap by demand.
+func (g *Gateway) peerCounts(c *customer) (inFlight, held float64) {
 	for _, v := range c.views {
 		if g.silent(v.peer) {
-			out += float64(c.plan.MaxInFlight) * g.weight(c, v) / g.demand(c)
+			inFlight += float64(c.plan.MaxInFlight) * g.weight(c, v) / g.demand(c)
 			continue
 		}
-		out += v.inFlight
+		inFlight += v.inFlight
 		held += v.held
 	}
 	return inFlight, held
 }
 
-// underCap tells whether one more attempt of the customer fits under its cap.
-// An arrival stays under its demand-split part, at least one.
+// underCap reports whether one more attempt of the customer fits under its cap on attempts in flight. A new
+// request is limited to this gateway's part of the free room by demand, at least one place.
 func (g *Gateway) underCap(c *customer, arrival bool) bool {
 	if c.plan.MaxInFlight == 0 {
 		return true
 	}
-	out, _ := g.peerCounts(c)
-	free := float64(c.plan.MaxInFlight) - out
+	others, _ := g.peerCounts(c)
+	free := float64(c.plan.MaxInFlight) - others
 	next := float64(c.inFlight + 1)
 	if arrival {
 		return next <= max(free*g.share(c), min(1, free+arriveSlack))
@@ -101,7 +101,7 @@
 	return next <= free+freeSlack
 }
 
-// trySend sends the request to a server if one has room for it.
+// trySend sends the request to a server, or grants it if another gateway asked; false: no server has room.
 func (g *Gateway) trySend(r *request) bool {
 	if r.remote {
 		g.grant(r)
@@ -145,27 +145,25 @@
 	}
 }
 
-// heldTooLong tells whether a held request can no longer meet its aim. One that came
-// in elsewhere is given up there so long after it came, and a grant has a way to
-// go: a place granted later is lost until its lease runs out.
+// heldTooLong reports whether a held request can no longer meet its latency target. A gateway that asked for
+// it gives it up then: a later grant would arrive too late and take a place until its lease expires.
 func (g *Gateway) heldTooLong(r *request) bool {
 	return g.now-r.arrivedAt > g.maxHold(r)
 }
 
-// maxHold is how long a request is held.
+// maxHold returns how long a request may be held.
 func (g *Gateway) maxHold(r *request) time.Duration {
 	limit := time.Duration(holdAim * float64(r.class.LatencyTarget))
 	if r.remote {
 		limit -= 2 * g.meanReplyTime
 	}
 	if g.cfg.MultiService != nil {
-		limit -= holdEarly // its client counts the way here and back
+		limit -= holdEarly // its client counts the network time too
 	}
 	return limit
 }
 
-// refuseOverdue refuses held requests that are stale, while a retry can still help, and in
-// any case before the deadline.
+// refuseOverdue refuses requests held too long, while a retry can still help and before their deadline.
 func (g *Gateway) refuseOverdue() {
 	for _, c := range slices.Clone(g.waiting) {
 		g.advance(c)
@@ -177,7 +175,7 @@
 	}
 }
 
-// sendHeld sends up to n of a customer's held requests, oldest first. It is false when no server had room.
+// sendHeld sends up to n of a customer's held requests, oldest first. It returns false if no server had room.
 func (g *Gateway) sendHeld(c *customer, n int) bool {
 	for ; n > 0 && len(c.held) > 0; n-- {
 		r := c.held[0]
@@ -197,8 +195,8 @@
 	return true
 }
 
-// releaseHeld lets held requests go at an outcome: the customer's own while its live count and the
-// heard means stay under the cap, then others that waited for a server.
+// releaseHeld sends held requests after an attempt ended: the customer's own while they stay under its cap,
+// then those of other customers that wait for a server, the longest wait first.
 func (g *Gateway) releaseHeld(c *customer) {
 	if g.cfg.MultiService != nil {
 		g.serve()
@@ -207,11 +205,11 @@
 	if !g.sendHeld(c, 1<<30) || len(g.waiting) == 0 {
 		return
 	}
-	rest := slices.Clone(g.waiting)
-	slices.SortStableFunc(rest, func(a, b *customer) int {
+	others := slices.Clone(g.waiting)
+	slices.SortStableFunc(others, func(a, b *customer) int {
 		return cmp.Compare(a.held[0].arrivedAt, b.held[0].arrivedAt)
 	})
-	for _, w := range rest {
+	for _, w := range others {
 		if w != c && !g.sendHeld(w, 1) {
 			return
 		}
@@ -230,9 +228,8 @@
 	g.finish(r)
 }
 
-// adaptAdmission moves the gate by how near latencies come to their aims: a part of the requests is refused. Guards
-// against load this gateway is not told of, on all servers: peers unheard, slow fleets. Harms where aims are
-// near idle latencies.
+// adaptAdmission lowers the share of requests admitted while latencies are near their targets: an overload
+// may show in no report (silent peers, slow servers). It does harm where targets are near idle latencies.
 func (g *Gateway) adaptAdmission(dt time.Duration) {
 	if g.cfg.MultiService == nil && g.lateness > gateAim || g.usesRoots && g.lateness > blindAim {
 		g.admitShare = max(gateLeast, g.admitShare*math.Exp(-dt.Seconds()/gateShut.Seconds()))
@@ -250,12 +247,12 @@
 		g.watchServers()
 		g.forget()
 	}
-	g.recentSends *= math.Exp(-float64(dt) / float64(g.cfg.FailTime)) // none is counted where nothing falls
+	g.recentSends *= math.Exp(-float64(dt) / float64(g.cfg.FailTime)) // unused with MultiService (FailTime 0)
 	g.sumLoads()
 	g.adaptAdmission(dt)
 	g.recentMessages *= math.Exp(-dt.Seconds() / demandSpan.Seconds())
 	for _, s := range g.serverList {
-		// What is not tried is not learned: an old judgement wears off.
+		// A server that gets no requests yields no new data: old measurements decay.
 		s.decay(min(1, dt.Seconds()/slowSpan.Seconds()))
 		g.silence(s)
 		if slices.Contains(s.watchers[:], g.cfg.Me) {
@@ -271,14 +268,15 @@
 		}
 		n := 1 << 30
 		if c.plan.MaxInFlight > 0 {
-			out, held := g.peerCounts(c)
-			mine := float64(len(c.held))
-			part := (float64(c.plan.MaxInFlight) - float64(c.inFlight) - out) * mine / (mine + held)
-			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
+			others, held := g.peerCounts(c)
+			ownHeld := float64(len(c.held))
+			room := (float64(c.plan.MaxInFlight) - float64(c.inFlight) - others) * ownHeld / (ownHeld + held)
+			n = int(math.Floor(max(room, 0) + g.rng.Float64()))
 		}
 		g.sendHeld(c, n)
 	}
-	if g.cfg.CanMessagePeers && (!g.usesRoots || g.tickCount%rootTicks == 0) && g.tickCount%g.reportTicks == 0 && !g.borrows {
+	if g.cfg.CanMessagePeers && (!g.usesRoots || g.tickCount%rootTicks == 0) &&
+		g.tickCount%g.reportTicks == 0 && !g.borrows {
 		g.report()
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -19,39 +19,39 @@
 	Unsafe               // must not run twice
 )
 
-// DedupScope says which servers drop repeats of a keyed request.
+// DedupScope says which servers recognize and drop repeats of a Keyed request.
 type DedupScope int
 
 // The values of DedupScope.
 const (
 	DedupAll  DedupScope = iota // all servers
-	DedupZone                   // those of one zone
-	DedupCell                   // those of one cell
+	DedupZone                   // the servers of one zone
+	DedupCell                   // the servers of one cell
 )
 
 // Class holds the settings of a class of requests.
 type Class struct {
 	Name          string
-	LatencyTarget time.Duration // an answer within it earns full worth
-	Deadline      time.Duration // a client waits this long, over all its tries
+	LatencyTarget time.Duration // an answer within this latency has its full value
+	Deadline      time.Duration // how long a client waits, over all its tries
 	Effect        Effect
-	DedupScope    DedupScope    // for Keyed
-	DedupWindow   time.Duration // for Keyed: how long repeats are remembered
-	Streaming     bool          // the answer is a stream, announced by Started
+	DedupScope    DedupScope    // for Keyed: which servers drop repeats
+	DedupWindow   time.Duration // for Keyed: how long servers recognize repeats
+	Streaming     bool          // the answer is a stream; a Started event announces it
 }
 
 // Plan holds the limits of each customer on the plan, over all gateways together. The rate quota and the hard
 // ceiling are token buckets of units: gateways may overshoot the quota for a short time, never the ceiling.
 type Plan struct {
 	Name              string
-	Rate              float64 // units a second; 0: no rate quota
-	Burst             float64 // most units the quota's store holds
-	MaxInFlight       int     // most attempts out at once; 0: no such quota
-	OverQuotaEarnings float64 // share of the worth earned beyond the quota
-	OverQuotaCharge   float64 // share of the worth charged beyond the quota
-	HardRate          float64 // units a second of the hard ceiling; 0: none
-	HardBurst         float64 // most units the ceiling's store holds
-	HardInitial       float64 // of them, units that all gateways have together when they start
+	Rate              float64 // units per second; 0: no rate quota
+	Burst             float64 // capacity of the quota's bucket, in units
+	MaxInFlight       int     // most attempts in flight at once; 0: no limit
+	OverQuotaEarnings float64 // share of its value that a request beyond the quota earns
+	OverQuotaCharge   float64 // share of its value that a request beyond the quota is charged
+	HardRate          float64 // units per second of the hard ceiling; 0: no ceiling
+	HardBurst         float64 // capacity of the ceiling's bucket, in units
+	HardInitial       float64 // units in that bucket when all gateways start, all of them together
 }
 
 // Settings configures a gateway at its start.
@@ -62,34 +62,34 @@
 	Classes  []Class
 	Plans    []Plan
 
-	Resolution        time.Duration // least time between two events in sequence
-	MaxAttempts       int           // attempts allowed for one request; 0: any number
-	CanCancel         bool          // Cancel is permitted
-	CanMessagePeers   bool          // Tell is permitted
-	MessagesPerSecond float64       // peer messages a gateway takes in a second
-	MaxRequestUnits   float64       // most units of one request
-	MaxRetryAfter     time.Duration // longest advice clients heed; 0: no advice
-	MustWatch         bool          // server changes come only to those that Watch
-	SizeKnown         bool          // Server.Weight is the size of the machine
-	CrossZoneCost     float64       // charge for an attempt that crosses zones
-	LoadReportNames   []string      // names of the values in Load
-
-	AnswerGrace  time.Duration // final answers are in time this long after a deadline
-	MinColdShare float64       // a starting server has at least this share of its capacity
-	WarmupTime   time.Duration // and all of it this long after its start
-	FailFactor   float64       // a cold server falls when sent this multiple of its capacity
-	FailTime     time.Duration // for this long
-
-	MultiService *MultiService // set where gateways serve many services, for customers told with Terms; nil: one service
+	Resolution        time.Duration // resolution of the clock and of timers
+	MaxAttempts       int           // most attempts for one request; 0: no limit
+	CanCancel         bool          // whether Cancel is permitted
+	CanMessagePeers   bool          // whether SendPeer is permitted
+	MessagesPerSecond float64       // peer messages that a gateway can receive per second
+	MaxRequestUnits   float64       // largest number of units of one request
+	MaxRetryAfter     time.Duration // longest RetryAfter that clients obey; 0: none is given
+	MustWatch         bool          // server changes are sent only to gateways that use Watch
+	SizeKnown         bool          // whether Server.Weight is the size of the machine
+	CrossZoneCost     float64       // charge for an attempt at a server of another zone
+	LoadReportNames   []string      // names of the values in Outcome.Load
+
+	AnswerGrace  time.Duration // an answer this long after the deadline still counts as in time
+	MinColdShare float64       // a server that just started has at least this share of its capacity
+	WarmupTime   time.Duration // and its whole capacity this long after its start
+	FailFactor   float64       // a cold server fails if it is sent this multiple of its capacity
+	FailTime     time.Duration // for at least this long
+
+	MultiService *MultiService // set if gateways serve many services; classes and plans then come with ConfigUpdate; nil: one service
 }
 
-// MultiService holds what a gateway of many services goes by beside its settings.
+// MultiService holds the further settings of a gateway that serves many services.
 type MultiService struct {
-	RetryBudgetPerAttempt float64                      // of a service's budget of further attempts, earned by each first attempt here
-	MaxRetryBudget        func(service string) float64 // most of it that is kept
+	RetryBudgetPerAttempt float64                      // what each first attempt here adds to its service's retry budget
+	MaxRetryBudget        func(service string) float64 // largest retry budget of a service
 	ColdShare             float64                      // share of its capacity that a cold server has
-	ColdWindow            time.Duration                // a cold server's sends are counted over this
-	ReportInterval        time.Duration                // between two reports to a peer
+	ColdWindow            time.Duration                // a cold server's sends are counted over this time
+	ReportInterval        time.Duration                // time between two reports to a peer
 }
 
 // Names of the load report values that the package uses.
@@ -103,17 +103,17 @@
 
 // The values of Code. NeverRan says which of them prove that the server never ran the request.
 const (
-	OK Code = iota
-	Error
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	NoRetry
+	OK            Code = iota
+	Error              // the server answered with an error
+	Full               // the server rejected it, since its queue is full
+	TimedOut           // no answer came in time
+	ConnectFailed      // no connection to the server was made
+	Reset              // the connection broke before the answer
+	Cancelled          // a Cancel action ended it
+	NoRetry            // it was not sent, or the server refused it as invalid: another attempt is no use
 )
 
-// NeverRan reports whether the code proves that the attempt never ran.
+// NeverRan reports whether the code proves that the server never ran the request.
 func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == NoRetry }
 
 // Event is an input of Gateway.Handle.
@@ -127,16 +127,16 @@
 	Plan         string
 	Class        string
 	Units        float64
-	Remaining    time.Duration // until the client gives up this try
-	FirstGateway int           // the customer comes in through Spread gateways, at least
-	GatewayCount int           // one, counted round from First; this one is among them
-	Retry        bool          // the client marked it as a repeat
-	Effect       Effect        // asks for more care than its class does; less counts for nothing
-	Service      string        // only its servers can run it; empty: all can
-	Regions      []string      // only servers of these regions may run it; empty: all may
-	MaxAttempts  int           // servers it may be sent to; 0: Settings.MaxAttempts
-	Priority     int           // its rank among those that wait for a server, 0 the first; where many services are served
-	WaitedBefore time.Duration // how long its client has waited before this try, as far as that is known
+	Remaining    time.Duration // time until the client gives up
+	FirstGateway int           // number of the first gateway that the customer uses
+	GatewayCount int           // how many it uses at least, counted up from FirstGateway and round; this one is among them
+	Retry        bool          // the client marked it as a retry
+	Effect       Effect        // counts if it is stricter than the effect of its class
+	Service      string        // only servers of this service can run it; empty: servers without a service
+	Regions      []string      // only servers of these regions may run it; empty: any region
+	MaxAttempts  int           // most attempts; 0: Settings.MaxAttempts
+	Priority     int           // among requests that wait for a server, lower values go first; with MultiService only
+	WaitedBefore time.Duration // how long its client waited before this request, if that is known
 }
 
 // Started reports that the answer of a Streaming class has begun.
@@ -149,16 +149,16 @@
 // Outcome reports how an attempt ended; there is one for each Send.
 type Outcome struct {
 	ID          RequestID
-	Attempt     int // attempts of a request count from 0
+	Attempt     int // number of the attempt within the request, from 0
 	Server      ServerID
 	Code        Code
 	Latency     time.Duration
-	Final       bool      // the request has its final answer
-	ActualUnits float64   // true units, where they are settled afterwards; else 0
-	Load        []float64 // load report, as Settings.LoadReportNames; or nil
+	Final       bool      // whether the client has its final answer
+	ActualUnits float64   // true units of the request, if they are known only afterwards; else 0
+	Load        []float64 // load report, in the order of Settings.LoadReportNames; or nil
 }
 
-// ClientGone tells that the client left; nothing more is owed for the request.
+// ClientGone reports that the client has left; the request needs no answer any more.
 type ClientGone struct{ ID RequestID }
 
 // Timer reports that a timer set by SetTimer has expired.
@@ -187,26 +187,26 @@
 	Cell         int
 	State        State
 	HasStartTime bool
-	StartTime    time.Duration // time of its last start, where HasStartTime
-	Weight       float64
+	StartTime    time.Duration // time of its last start, if HasStartTime
+	Weight       float64       // its size, if Settings.SizeKnown
 
 	Service      string
 	Region       string
-	Slots        int           // requests it works on at a time; 0: not told
-	ExtraLatency time.Duration // the latency that sending there is held to cost beside its own
-	ColdUntil    time.Duration // until then it bears ColdSendRate a second, from all gateways
+	Slots        int           // requests that it processes at a time; 0: not known
+	ExtraLatency time.Duration // extra latency assumed for sending there, e.g. to another region
+	ColdUntil    time.Duration // until then it can take ColdSendRate requests per second, from all gateways together
 	ColdSendRate float64
 }
 
-// ServerListKind says what a Members event holds.
+// ServerListKind says what a ServerList event contains.
 type ServerListKind int
 
 // The values of ServerListKind.
 const (
-	ChangedServers ServerListKind = iota // changed servers only
-	CompleteList                         // the whole list; a server not in it is gone
-	CachedList                           // a whole list, as last held; may be old
-	WatchFailed                          // Watch failed; keep the list
+	ChangedServers ServerListKind = iota // only the servers that changed
+	CompleteList                         // the complete list; a server not in it was removed
+	CachedList                           // a complete list from a cache; it may be outdated
+	WatchFailed                          // Watch failed; the gateway keeps its list and will watch again
 )
 
 // ServerList brings the server list or changes to it.
@@ -215,46 +215,47 @@
 	Servers []Server
 }
 
-// ConfigUpdate replaces the classes and plans of the same names, and adds the others.
+// ConfigUpdate replaces the classes and plans of the same names and adds the others.
 type ConfigUpdate struct {
 	Classes []Class
 	Plans   []Plan
 }
 
-// GatewaySet tells how many gateways there may be from now on, and which number this one has.
+// GatewaySet says how many gateways there are from now on and which number this one has.
 type GatewaySet struct {
 	Me, Gateways int
-	CeilingParts int      // in how many parts ceilings are divided; 0: as many as there are numbers
-	Regions      []string // where each is, by number; "": none has the number; no list: not known
-	UnusedShare  float64  // part of its own parts that this one must leave unused, 1 all; then cold servers are others' too
-	NoColdSends  bool     // it sends nothing to cold servers
+	CeilingParts int      // number of parts into which ceilings are divided; 0: Gateways
+	Regions      []string // region of each gateway, by number; "": no gateway has the number; nil: not known
+	UnusedShare  float64  // share of its own part, 0 to 1, that this one must leave unused; above 0 implies NoColdSends
+	NoColdSends  bool     // this gateway sends nothing to cold servers
 }
 
-// Relinquish has the gateway stop to use what it holds of ceilings: it answers with a Give for each customer that has
-// units left, but for those that held requests need. It is the last but for what is held and out.
+// Relinquish makes the gateway give up its parts of ceilings: it returns an OfferUnits for each customer that has
+// units left, except for units that held requests need. After it the gateway only finishes the requests that it
+// holds or has in flight.
 type Relinquish struct{}
 
-// TrustLevel is how far a server is trusted, by what all gateways saw.
+// TrustLevel says which requests a server may get, by the outcomes that all gateways saw.
 type TrustLevel int
 
 // The values of TrustLevel. A higher one is stricter.
 const (
 	Trusted    TrustLevel = iota
-	Suspect               // what may not run twice goes elsewhere first
-	SafeOnly              // nothing that may not run twice, but for trials
-	TrialsOnly            // nothing, but for trials
+	Suspect               // requests that are not Safe go to other servers first
+	SafeOnly              // only Safe requests, and trials
+	TrialsOnly            // only trials
 )
 
 // Trust is the trust in one server.
 type Trust struct {
 	Level TrustLevel
-	Trial bool // one request is to try it: of those that may not run twice, at TrialsOnly of the others
+	Trial bool // one trial request may go there: a Safe one at TrialsOnly, else one that is not Safe
 }
 
-// TrustUpdate replaces all that was told of trust before; servers that are not in it are trusted.
+// TrustUpdate replaces the trust in all servers; those not in it are Trusted.
 type TrustUpdate struct{ Servers map[ServerID]Trust }
 
-// UnitsReceived brings units that another gateway has given up.
+// UnitsReceived brings ceiling units that another gateway gave up. Customer is a key as KeyOf returns it.
 type UnitsReceived struct {
 	Customer uint64
 	Units    uint16
@@ -279,8 +280,8 @@
 // Refuse is the final answer after which a retry is harmless: the request did not run or may run again.
 type Refuse struct {
 	ID         RequestID
-	RetryAfter time.Duration // advice to the client; 0: none
-	OverQuota  bool          // it is beyond its customer's quota
+	RetryAfter time.Duration // when the client should retry; 0: not said
+	OverQuota  bool          // whether the request exceeds its customer's quota
 }
 
 // Fail is the final answer after which a retry may be harmful: the request may have run.
@@ -292,13 +293,13 @@
 	After time.Duration
 }
 
-// SendPeer sends at most 256 bytes to another gateway; it may be lost.
+// SendPeer sends a message of at most 256 bytes to gateway To, or to all others if To is -1. It may be lost.
 type SendPeer struct {
 	To   int
 	Data []byte
 }
 
-// OfferUnits tells of units that are not used here any more, and who may have them, the best first.
+// OfferUnits offers ceiling units that this gateway gave up to the gateways in Candidates, the best first.
 type OfferUnits struct {
 	Customer   uint64
 	Units      uint16
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Times are rounded on their way: a timer that comes a little before its time
-// must not leave a request with no timer at all.
+// Rounding may make a timer fire slightly early. The request must then get another timer, else nothing would
+// ever answer it.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
@@ -86,7 +86,7 @@
 func TestHeldAskIsAnsweredAgain(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	_, root, _ := w.member("open")
-	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third ask is held
+	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third request is held
 		m := askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 2000, Tag: uint32(min(tag, 2)), AskChance: 250, BucketFill: unknownStore}
 		w.do(root, PeerMessage{From: 99, Data: encode(m)})
 		if c := w.gs[root].customers[keyOf("k")]; c.inFlight+len(c.held) != want || w.told != tag+1 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// A gateway that gives up a held try says so: its root neither grants it later nor
-// keeps a place that it has just granted.
+// A gateway that gives up a held request tells its root, which then neither grants it later nor keeps a place
+// that it has just granted.
 func TestAbandonedRequestFreesItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -155,8 +155,8 @@
 	}
 }
 
-// A root whose answers are lost keeps no place for what its deputy grants then, and
-// one that answers nothing is left alone for a while.
+// A root whose replies are lost keeps no place for a request that its deputy grants, and a root that does not
+// answer is not asked again for a while.
 func TestSilentRootIsNotAsked(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	i, root, deputy := w.member("open")
@@ -179,8 +179,8 @@
 	}
 }
 
-// Under a cap alone room comes when attempts end: a repeat is advised as soon,
-// though a large fleet's ticks are longer.
+// Without a rate quota room appears when attempts end: clients are told to retry after that time, although the
+// ticks of a large fleet are longer.
 func TestRetryAfterWithoutRateQuota(t *testing.T) {
 	for _, c := range []struct {
 		plan string
@@ -202,7 +202,7 @@
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
 	root := w.gs[roots[0]]
-	root.classes["safe"].mean = 0.5 // servers take that long of 800 ms
+	root.classes["safe"].mean = 0.5 // seconds, with a latency target of 800 ms
 	m := encode(askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 3000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
 	w.do(roots[0], PeerMessage{From: 99, Data: m})
 	w.pass(1200*ms, nil)
@@ -215,7 +215,7 @@
 	}
 }
 
-// A root's own clients count for as much of a cap as those of other gateways.
+// A root counts the requests of its own clients towards a cap like those of other gateways.
 func TestOwnRequestsCountLikeAsks(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
@@ -226,6 +226,6 @@
 	other := root.customers[keyOf("k")].slotDemand
 	w.do(roots[0], Request{ID: 1, Customer: "k", Plan: "open", Class: "safe", Units: 4, Remaining: 2 * time.Second, GatewayCount: 50})
 	if own := root.customers[keyOf("k")].slotDemand - other; own != other || own <= 0 {
-		t.Errorf("an own request counts %v, another gateway's %v", own, other)
+		t.Errorf("a request of its own client counts %v, one of another gateway %v", own, other)
 	}
 }
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// What is lent of a ceiling is on its way for a while. Until it has arrived the
-// lender's part must not fill up again over it: lender, way and borrower
-// together would hold more than the ceiling.
+// Lent units of a ceiling are in transit for a while. Until they have arrived the lender's part must not refill in
+// their place: the lender, the transfer and the borrower together would hold more than the ceiling.
 func TestLentUnitsInTransitAreNotRefilled(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "hard", HardRate: 100, HardBurst: 20}}
 	w := newTestGateway(t, s, testServers(8))
 	w.now += time.Second
 	w.requestMany(1, "hard")
-	w.advance(time.Second) // the part, 10, is full again
+	w.advance(time.Second) // the part of 10 units is full again
 	w.report(1, 1, 1, true)
 	c := w.g.customers[keyOf("c")]
 	if len(c.views) != 1 || c.ceiling < 9.9 {
 		t.Fatalf("%d peers, a part of %.1f: want 1 and 10", len(c.views), c.ceiling)
 	}
-	c.views[0].demand = 400 // what the peer asks, over demandSpan
+	c.views[0].demand = 400 // units that the peer requests, over demandSpan
 	w.g.lend(c, 50*ms)
 	lent := c.onLoan
 	if lent < 2 {
@@ -43,13 +42,12 @@
 	}
 }
 
-// A root that has just started presumes less than a whole store: it can't know
-// what the one before it has granted.
+// A root that has just started assumes less than a full bucket: it can't know what it granted before a restart.
 func TestRestartedRootGrantsLessThanABucket(t *testing.T) {
 	w := newManyGateways(t, 300, testServers(40))
 	g := w.gs[0]
 	if !g.usesRoots {
-		t.Fatal("300 gateways report from all to all")
+		t.Fatal("300 gateways report each to each")
 	}
 	roots, _ := g.roots(g.account(keyOf("k"), g.plans["rate"], 0, 200))
 	root := roots[0]
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -9,7 +9,7 @@
 // All gateways together never pass more than the ceiling, whatever the demand and however often they restart.
 func TestCeilingHoldsOverRestarts(t *testing.T) {
 	s := testSettings()
-	level, worst := 20.0, 20.0
+	level, lowest := 20.0, 20.0
 	var gs [2]*testGateway
 	for i := range gs {
 		s.Me = i
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -64,7 +64,8 @@
 // usable tells whether a request may go to a server at all: running, not ejected (but for a trial),
 // inside its group and window once it may have run, and inside the budget of a cold server.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || !s.serves(r) || !g.bears(s) || g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
+	if s.State != Running || !s.serves(r) || !g.bears(s) ||
+		g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
 		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
@@ -107,7 +108,8 @@
 	if g.now >= s.ColdUntil {
 		return true
 	}
-	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
+	s.sends = slices.DeleteFunc(s.sends,
+		func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
 	return len(s.sends) < s.coldSendQuota
 }
 
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -9,73 +9,75 @@
 // customer holds a customer's counts and its token buckets as this gateway knows them.
 type customer struct {
 	key             uint64
-	hash            uint32 // in reports
+	hash            uint32 // identifies it in reports
 	plan            *planState
-	firstGateway    int // its gateways: spread of them, counted round from first
-	gatewayCount    int
-	noLenderAt      time.Duration // when none of those asked had units to lend; 0: never
-	owners          []int         // its owners, those near here first, where its ceiling is borrowed of
-	askRoots        []int         // the gateways that sum its counts, where this one does not
-	fittingShare    float64       // of what is asked for fits, as its root said
-	fittingShareAt  time.Duration
-	countsForOthers bool                    // others ask it here, as its root or deputy
-	leases          map[leaseKey]leaseEntry // granted to others and not told of as ended
-	views           []*peerView             // its other gateways
-	parts           float64                 // its gateways, this one included
-	held            []*request              // waiting, in arrival order
-	inFlight        int
-	createdAt       time.Duration // when its counts began
-	lastRequestAt   time.Duration // its last request
-	inFlightSeconds float64       // integral of out over the tick, for its mean
-	inFlightAt      time.Duration
-	meanInFlight    float64
-
-	refilledAt     time.Duration // time of the stores below
-	bucket         float64       // estimate of the quota's store
-	bucketKnown    bool          // the estimate rests on more than a fresh start
-	ceiling        float64       // own hard part of the ceiling
-	onLoan         float64       // of it, a moment ago: not filled again before it has arrived
-	passedUnits    uint16        // running totals of units, told to peers
-	demand         float64       // own asked units, decayed over demandSpan
-	slotDemand     float64       // the same in seconds that the requests need a place for
-	reportsLeft    int           // ticks for which a change is still told
-	reportedTick   uint32        // tick of the last report
-	reportedUnits  uint16        // passed, as last told
-	reportPriority float64       // its place in the report
-}
-
-// planState is a plan with its place in the settings.
+	firstGateway    int                     // number of the first of its gateways
+	gatewayCount    int                     // number of its gateways, counted up from the first and round
+	noLenderAt      time.Duration           // when none of the gateways asked had units to lend; 0: never
+	owners          []int                   // the gateways to borrow ceiling units from, those of this region first
+	askRoots        []int                   // root and deputy to ask for each request; empty where this gateway sums the counts itself
+	fittingShare    float64                 // share of its demand that fits its limits, as its root said
+	fittingShareAt  time.Duration           // when the root said so
+	countsForOthers bool                    // this gateway is its root or deputy and other gateways ask here
+	leases          map[leaseKey]leaseEntry // requests granted to other gateways and not reported as ended
+	views           []*peerView             // its other gateways that report on it
+	parts           float64                 // the ceiling is divided into so many parts; this gateway holds one
+	held            []*request              // held requests, in arrival order
+	inFlight        int                     // attempts in flight, with those granted to other gateways
+	createdAt       time.Duration           // when its counts began
+	lastRequestAt   time.Duration           // when it last sent a request
+	inFlightSeconds float64                 // integral over time of the attempts in flight since the last measurement, in seconds
+	inFlightAt      time.Duration           // end of that integral
+	meanInFlight    float64                 // mean number of attempts in flight between the last two measurements
+
+	refilledAt     time.Duration // when the buckets were last refilled
+	bucket         float64       // estimated units in the bucket of the rate quota
+	bucketKnown    bool          // whether the estimate has any basis but the full bucket of a new customer
+	ceiling        float64       // units in this gateway's part of the hard ceiling's bucket
+	onLoan         float64       // units lent and in transit: the part is not refilled in their place until they have arrived
+	passedUnits    uint16        // running total of units passed, reported to peers
+	demand         float64       // units requested here, decayed over demandSpan
+	slotDemand     float64       // the same in seconds in flight that the requests need
+	reportsLeft    int           // number of reports in which a change is still repeated
+	reportedTick   uint32        // tick of the last report on it
+	reportedUnits  uint16        // units passed, as last reported
+	reportPriority float64       // its priority in the next report
+}
+
+// planState is a plan and the units that this gateway passed of it.
 type planState struct {
 	Plan
-	index         byte
-	passedGranted decayingSum // units passed here by a root's answer, over thinSpan
-	passedAlone   decayingSum // and with none, over demandSpan
+	index         byte        // index in Settings.Plans
+	passedGranted decayingSum // units passed here that a root granted, decayed over thinSpan
+	passedAlone   decayingSum // units passed here while no root answered, decayed over demandSpan
 }
 
-// decayingSum is a sum that falls by 1/e in each span.
+// decayingSum is a sum that falls to 1/e of its value in each span.
 type decayingSum struct {
 	value float64
 	at    time.Duration
 }
 
+// add brings the sum up to now, adds a value and returns the result.
 func (d *decayingSum) add(now, span time.Duration, add float64) float64 {
 	d.value = d.value*math.Exp(-float64(now-d.at)/float64(span)) + add
 	d.at = now
 	return d.value
 }
 
-// leaseKey names a request that another gateway asked for.
+// leaseKey identifies a request that another gateway asked for.
 type leaseKey struct {
 	from int
 	tag  uint32
 }
 
+// leaseEntry is a granted request and when it stops to count as in flight, unless the lease is renewed.
 type leaseEntry struct {
 	until   time.Duration
 	request *request
 }
 
-// chargeUnits takes a request's units from the stores, and records who granted them.
+// chargeUnits takes a request's units from the buckets, and records whether a root granted them.
 func (c *customer) chargeUnits(r *request, now time.Duration) {
 	if !r.granted && len(c.askRoots) > 0 && !r.remote {
 		c.plan.passedAlone.add(now, demandSpan, r.units)
@@ -90,26 +92,27 @@
 	c.passedUnits += uint16(r.units)
 }
 
-func (c *customer) addInFlight(now time.Duration, d int) {
+// addInFlight adds delta to the attempts in flight, and their number until now to the integral.
+func (c *customer) addInFlight(now time.Duration, delta int) {
 	c.inFlightSeconds += float64(c.inFlight) * (now - c.inFlightAt).Seconds()
 	c.inFlightAt = now
-	c.inFlight += d
+	c.inFlight += delta
 }
 
-// addDemand counts a request in what its customer's clients ask for; it was asked for
-// with such a chance, and stands for others that were not.
+// addDemand adds a request to the customer's demand. If gateways ask for only a sample of the requests, chance is
+// the sampling probability, and the request is weighted by 1/chance.
 func (c *customer) addDemand(r *request, chance float64) {
 	c.demand += r.units / chance
 	c.slotDemand += r.class.mean / chance
 }
 
-// adjustUnits takes or gives back units after a guess.
+// adjustUnits charges units, or returns them if negative, once the true units of a request are known.
 func (c *customer) adjustUnits(units float64) {
 	c.bucket -= units
 	c.passedUnits += uint16(int(units))
 }
 
-// expireLeases drops the leases that have run out.
+// expireLeases removes the leases that have expired.
 func (c *customer) expireLeases(now time.Duration) {
 	for l, v := range c.leases {
 		if now > v.until {
@@ -119,8 +122,8 @@
 	}
 }
 
-// pendingAsk finds a request that another gateway has asked for before, granted or
-// held here, and which of both it is.
+// pendingAsk finds a request that another gateway has asked for before and that is granted or held here, and
+// returns which of the two it is.
 func (c *customer) pendingAsk(from int, tag uint32) (*request, byte) {
 	if l, ok := c.leases[leaseKey{from, tag}]; ok {
 		return l.request, granted
@@ -131,7 +134,7 @@
 	return nil, refused
 }
 
-// viewOf is what one of the others says of a customer; nil: it counts nothing of it.
+// viewOf returns what a peer reported about the customer; nil: the peer does not report on it.
 func (c *customer) viewOf(p *peer) *peerView {
 	for _, v := range c.views {
 		if v.peer == p {
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// addViews makes room for what each of the others says of a customer.
+// addViews creates the entries for what the given gateways report about a customer.
 func (g *Gateway) addViews(c *customer, others []int) {
 	for _, num := range others {
 		if num != g.cfg.Me && !(g.cfg.MultiService != nil && g.gone(g.peerAt(num))) {
@@ -151,11 +154,11 @@
 	}
 }
 
-// addCustomer puts a customer in the tables. Two of one short hash can't be told
-// apart in reports: none is taken for either.
+// addCustomer adds a customer to the tables. Reports can't tell apart two customers of the same short hash: their
+// entries are ignored.
 func (g *Gateway) addCustomer(c *customer) {
 	g.customers[c.key] = c
-	if _, twice := g.customersByHash[c.hash]; twice {
+	if _, shared := g.customersByHash[c.hash]; shared {
 		g.customersByHash[c.hash] = nil
 	} else {
 		g.customersByHash[c.hash] = c
--- a/policy/effect_test.go
+++ b/policy/effect_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// A request may ask for more care than its class does, and never for less:
-// after an attempt that may have run it is sent again, and refused, by the more
-// careful of the two.
+// The stricter of a request's own effect and that of its class decides whether it is retried, and how it is
+// refused, after an attempt that may have run.
 func TestStricterEffectDecides(t *testing.T) {
 	for _, c := range []struct {
 		class   string
@@ -22,16 +21,16 @@
 		}
 		w.now += 5 * ms
 		acts = w.do(Outcome{ID: 1, Server: sent[0].Server, Code: Reset, Latency: 5 * ms})
-		if got := len(findActions[Send](acts)) == 1; got != c.again {
-			t.Errorf("%s with %d: sent again %v, want %v: %v", c.class, c.effect, got, c.again, acts)
+		if got := len(findActions[Send](acts)) == 1; got != c.retried {
+			t.Errorf("%s with %d: sent again %v, want %v: %v", c.class, c.effect, got, c.retried, acts)
 		}
-		if !c.again && (len(findActions[Fail](acts)) != 1 || len(findActions[Refuse](acts)) != 0) {
+		if !c.retried && (len(findActions[Fail](acts)) != 1 || len(findActions[Refuse](acts)) != 0) {
 			t.Errorf("%s with %d: %v, want a failure, since it may have run", c.class, c.effect, acts)
 		}
 	}
 }
 
-// findActions picks the actions of a kind.
+// findActions returns the actions of type A.
 func findActions[A Action](acts []Action) (list []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
--- a/policy/events.go
+++ b/policy/events.go
@@ -57,6 +57,7 @@
 	return out
 }
 
+// onServerList takes over the server list or changes to it.
 func (g *Gateway) onServerList(ev ServerList) {
 	if ev.Kind == WatchFailed {
 		g.watching = false
@@ -95,6 +96,7 @@
 	slices.SortFunc(g.serverList, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
+// onPeerMessage handles a message of another gateway; malformed ones are ignored.
 func (g *Gateway) onPeerMessage(ev PeerMessage) {
 	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.cfg.Me {
 		return
@@ -126,6 +128,8 @@
 	}
 }
 
+// finish ends a request: it leaves its queue, and its root is told that it needs no place any more. While an
+// attempt is in flight the rest waits for its outcome.
 func (g *Gateway) finish(r *request) {
 	r.done = true
 	if i := slices.Index(r.customer.held, r); i >= 0 {
@@ -137,15 +141,15 @@
 	delete(g.requests, r.id)
 	delete(g.pendingAsks, r.tag)
 	if r.granted && (r.customer.plan.MaxInFlight > 0 || !r.unitsTaken) {
-		g.sendAskEnded(r) // twice: a place is worth more than a message, of which some are lost
+		g.sendAskEnded(r) // sent twice: if the message is lost, the root keeps the place until the lease expires
 		g.sendAskEnded(r)
 	} else if r.heldAtRoot {
-		g.sendAskEnded(r) // it needs no place any more
+		g.sendAskEnded(r) // so that the root does not grant it later
 	}
 	r.granted, r.heldAtRoot = false, false
 }
 
-// customerOf finds the customer of a request.
+// customerOf returns the customer of a request and creates it if it is new.
 func (g *Gateway) customerOf(r *Request) *customer {
 	key := keyOf(r.Customer)
 	if c := g.customers[key]; c != nil {
@@ -154,12 +158,12 @@
 	plan := g.plans[r.Plan]
 	if plan == nil {
 		plan = &planState{Plan: Plan{Name: r.Plan}}
-		g.plans[r.Plan] = plan // Terms may tell of it yet
+		g.plans[r.Plan] = plan // a later ConfigUpdate may define it
 	}
 	return g.account(key, plan, r.FirstGateway, r.GatewayCount)
 }
 
-// newRequest enters a client's request. One of a class not in the settings is taken for unsafe.
+// newRequest records a client's request. A class that the settings do not have is treated as Unsafe.
 func (g *Gateway) newRequest(ev Request) *request {
 	c, cl := g.customerOf(&ev), g.classes[ev.Class]
 	if cl == nil {
@@ -178,6 +182,7 @@
 	return r
 }
 
+// onServerVerdict applies the verdict of a server's watcher.
 func (g *Gateway) onServerVerdict(m serverVerdict) {
 	if s := g.servers[ServerID(m.Server)]; s != nil {
 		g.applyVerdict(s, m.Slowdown, func(class int, _ *classHealth) bool { return m.EjectedBits>>class&1 == 1 })
--- a/policy/hold_test.go
+++ b/policy/hold_test.go
@@ -25,18 +25,18 @@
 	}
 }
 
-// One that has waited for a quarter of its aim is answered while a client's retry can
-// still help; what starts later is mostly late.
+// A request held for a quarter of its latency target is refused while a client's retry can still help; requests
+// that start later mostly finish late.
 func TestHeldForAQuarterOfItsLatencyTarget(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(4))
-	for range 2 { // one has this gateway's part of the cap
+	for range 2 { // one fits this gateway's part of the cap
 		w.request("safe", "open", "c", 1)
 	}
 	if early := actionsOf[Refuse](w.advance(175 * ms)); len(early) > 0 {
 		t.Errorf("refused early: %v", early)
 	}
 	if late := actionsOf[Refuse](w.advance(75 * ms)); len(late) != 1 || late[0].ID != 2 {
-		t.Errorf("%v after a quarter of the aim, want the second refused", late)
+		t.Errorf("%v after a quarter of the latency target, want the second refused", late)
 	}
 }
 
@@ -46,11 +46,11 @@
 	w.finish(s, 0, OK)
 	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, store: unknownStore})
 	if _, acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
-		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
+		t.Fatalf("the peer has 2 in flight under a cap of 2, yet got %v", acts)
 	}
 	w.report(1, 1, 2, true)
 	if got := actionsOf[Send](w.advance(100 * ms)); len(got) != 1 {
-		t.Fatalf("the peer has none out, yet %v", got)
+		t.Fatalf("the peer has none in flight, yet got %v", got)
 	}
 }
 
@@ -67,10 +67,9 @@
 	}
 }
 
-// Load no report tells of shows in the latencies; the gateway then lets in a
-// part of the requests.
+// Overload that no report shows appears in the latencies: the gateway then admits only a part of the requests.
 func TestHighLatencyReducesAdmission(t *testing.T) {
-	let := func(latency time.Duration) (n int) {
+	admitted := func(latency time.Duration) (n int) {
 		w := newTestGateway(t, testSettings(), testServers(20))
 		for i := range 400 {
 			w.advance(25 * ms)
@@ -89,7 +88,7 @@
 	}
 }
 
-// A server that turns one plan away stays in use for the others.
+// A server that rejects the requests of one plan is still used for other plans.
 func TestRejectionConcernsOnePlan(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	for range 200 {
@@ -123,7 +122,7 @@
 	}
 }
 
-// A low store is left to first tries.
+// Retries are refused while the bucket is low, so that first tries get its units.
 func TestRetriesAreRefusedWhileTheBucketIsLow(t *testing.T) {
 	for spent, want := range map[int]int{0: 1, 8: 0} {
 		w := newTestGateway(t, testSettings(), testServers(8))
@@ -133,7 +132,7 @@
 		acts := w.do(Request{ID: w.lastID, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
 			Remaining: 2 * time.Second, GatewayCount: 2, Retry: true})
 		if n := len(actionsOf[Send](acts)); n != want {
-			t.Errorf("%d repeats passed after %d of 10 units, want %d", n, spent, want)
+			t.Errorf("%d retries passed after %d of 10 units, want %d", n, spent, want)
 		}
 	}
 }
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -52,7 +52,8 @@
 		s.slowdown += g.ownOutcomeWeight * (min(lat/r.class.mean, mostPace) - s.slowdown)
 		g.meanLatency += learnMean * (r.class.mean - g.meanLatency)
 		r.class.outcomes++ // the first outcomes count for more
-		r.class.mean += max(learnMean, 1/(r.class.outcomes+1)) * (min(lat, mostLatency*r.class.mean) - r.class.mean)
+		r.class.mean += max(learnMean, 1/(r.class.outcomes+1)) *
+			(min(lat, mostLatency*r.class.mean) - r.class.mean)
 	case Full:
 		// It may turn away one plan only: this one goes elsewhere for a while.
 		if s.planFull[r.customer.plan] = g.now + fullFor; g.cfg.MultiService != nil {
@@ -126,7 +127,8 @@
 	if s.verdictTokens < 1 || !news && !change && !again {
 		return
 	}
-	m := serverVerdict{Server: uint32(s.ID), EjectedBits: bits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, leastPace))))}
+	m := serverVerdict{Server: uint32(s.ID), EjectedBits: bits,
+		Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, leastPace))))}
 	g.applyVerdict(s, m.Slowdown, isBad)
 	if g.usesRoots {
 		s.verdictTokens--
@@ -139,11 +141,13 @@
 // within the budget.
 func (g *Gateway) silence(s *server) {
 	for _, r := range slices.Clone(s.attempts) {
-		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.class.mean {
+		if r.granted && r.customer.plan.MaxInFlight > 0 &&
+			(g.now-r.askedAt).Seconds() > leaseMeans/2*r.class.mean {
 			r.askedAt = g.now // its place is still taken
 			g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.class), leastLate*r.class.LatencyTarget.Seconds())
+		age := (g.now - r.sentAt).Seconds() /
+			max(g.predict(s, r.class), leastLate*r.class.LatencyTarget.Seconds())
 		v := g.healthOf(s, r.class)
 		patient := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswer // if others were since
 		if age < overdue || r.done || r.cancelled || r.streams || patient && v != nil && v.lastOK > r.sentAt {
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -27,18 +27,18 @@
 	}
 	w.finish(s, 0, OK)
 	if acts := w.finish(s, 0, OK); len(acts) != 0 || w.g.serverList[0].inFlight+w.g.serverList[1].inFlight+w.g.serverList[2].inFlight != 0 {
-		t.Errorf("a second outcome led to %v", acts)
+		t.Errorf("a second outcome returned %v", acts)
 	}
 }
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"Resolution":     func(s *Settings) { s.Resolution = 0 },
-		"Plans":          func(s *Settings) { s.Plans = nil },
-		"Plans[1].Name":  func(s *Settings) { s.Plans[1].Name = "" },
-		"Plans[1].Rate":  func(s *Settings) { s.Plans[1].Rate = -1 },
-		"Classes[0].Aim": func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
-		"Me":             func(s *Settings) { s.Me = 2 },
+		"Resolution":               func(s *Settings) { s.Resolution = 0 },
+		"Plans":                    func(s *Settings) { s.Plans = nil },
+		"Plans[1].Name":            func(s *Settings) { s.Plans[1].Name = "" },
+		"Plans[1].Rate":            func(s *Settings) { s.Plans[1].Rate = -1 },
+		"Classes[0].LatencyTarget": func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
+		"Me":                       func(s *Settings) { s.Me = 2 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -85,7 +85,7 @@
 	})
 }
 
-// The decision files are those that the deployment names.
+// The files of the decision logic, listed in deploy/balancer.toml, keep their limits on size and line length.
 func TestDecisionFilesKeepTheirLimits(t *testing.T) {
 	var deployed struct{ Policy []string }
 	b, err := os.ReadFile("../deploy/balancer.toml")
@@ -119,7 +119,7 @@
 	}
 }
 
-// Tuned values are in values.go: the other files hold no times and no shares.
+// Tuning constants are in values.go: the other files contain no literal times or fractions.
 func TestTuningConstantsAreInOneFile(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -89,5 +89,6 @@
 	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
 		part = min(part, r.customer.plan.Rate*demandSpan.Seconds()/max(r.customer.demand, 1))
 	}
-	g.emit(SendPeer{To: r.root, Data: encode(askReply{r.tag, v, fill, toByte(100 * g.lateness), toByte(250 * part)})})
+	g.emit(SendPeer{To: r.root, Data: encode(askReply{
+		r.tag, v, fill, toByte(100 * g.lateness), toByte(250 * part)})})
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -9,46 +9,46 @@
 
 // The fixed-size messages between gateways of a large fleet. On the wire: version, kind, fields, big-endian.
 
-// askMessage asks a customer's root to count a request.
+// askMessage asks a customer's root to admit and count a request.
 type askMessage struct {
 	Customer           uint64
 	First, Spread      uint16
 	Plan, Class        byte
-	Units, RemainingMS uint16 // Left: milliseconds until the client gives up
-	Tag                uint32
-	AskChance          byte // with what chance it was asked for, 250 certain
-	BucketFill         byte // of the store as last heard, 250 full
+	Units, RemainingMS uint16 // RemainingMS: milliseconds until the client gives up
+	Tag                uint32 // identifies the request between the two gateways
+	AskChance          byte   // probability with which it was asked for, 250: always
+	BucketFill         byte   // fill of the bucket as last known, 250: full; unknownStore: not known
 	Flags              byte
 }
 
 const (
-	flagRepeat     byte = 1 << iota // a client's repeat
-	flagOwnCeiling                  // its units of the ceiling come out of the sender's part
+	flagRepeat     byte = 1 << iota // a client's retry
+	flagOwnCeiling                  // its ceiling units are taken from the sender's part
 )
 
-// askReply is the root's.
+// askReply is the root's reply to an ask.
 type askReply struct {
 	Tag                 uint32
-	Verdict, BucketFill byte
-	Lateness            byte // the root's latency over aim, 100 alike
-	FittingShare        byte // of what is asked for fits, 250 all
+	Verdict, BucketFill byte // the decision; fill of the bucket, 250: full
+	Lateness            byte // the root's mean latency over the latency target, in percent
+	FittingShare        byte // share of the customer's demand that fits its limits, 250: all
 }
 
 // The decisions of a root.
 const (
 	granted byte = iota
 	refused
-	heldAtRoot // held at the root, another answer follows
+	heldAtRoot // the root holds the request and will reply again
 )
 
-// askEnded tells the root that a granted attempt is over, or was never made.
+// askEnded tells the root that an attempt it granted has ended or was never made (Unused).
 type askEnded struct {
 	Customer uint64
 	Tag      uint32
 	Unused   bool
 }
 
-// outcomeReport tells a server's watcher of an outcome.
+// outcomeReport tells a server's watcher how an attempt ended.
 type outcomeReport struct {
 	Server    uint32
 	Class     byte
@@ -56,23 +56,23 @@
 	LatencyMS uint16 // milliseconds
 }
 
-// serverVerdict is the watcher's on a server and class, for all.
+// serverVerdict is a watcher's assessment of a server, sent to all gateways.
 type serverVerdict struct {
 	Server      uint32
-	EjectedBits byte // a bit for each of the first classes
-	Slowdown    byte // latency against the fleet's: 16 * (4 + its log2)
+	EjectedBits byte // bit i: the server is ejected for class i; for the first eight classes
+	Slowdown    byte // 16 * (4 + log2 of the server's latency relative to the fleet's)
 }
 
 const messageVersion = 3
 
-// loanRequest asks an owner of a customer's ceiling for units of it.
+// loanRequest asks another gateway to lend units of a customer's ceiling.
 type loanRequest struct {
 	Customer uint64
 	Tag      uint32
 	Units    uint16
 }
 
-// loanReply brings them; none: they are not there.
+// loanReply transfers the units; 0: the lender does not have them.
 type loanReply struct {
 	Customer uint64
 	Tag      uint32
@@ -130,6 +130,7 @@
 	return nil
 }
 
+// decodeFixed decodes a T of exactly len(b) bytes, or returns nil.
 func decodeFixed[T any](b []byte) any {
 	var m T
 	if n, err := binary.Decode(b, binary.BigEndian, &m); err != nil || n != len(b) {
@@ -138,8 +139,8 @@
 	return m
 }
 
-// onAskEnded frees what a member's attempt held, and gives back what it never used.
-// One that is held here is given up there: it needs no place any more.
+// onAskEnded releases the lease of another gateway's attempt, and returns its units if it was never made. A
+// request that is still held here leaves the queue.
 func (g *Gateway) onAskEnded(from int, m askEnded) {
 	c := g.customers[m.Customer]
 	if c == nil {
@@ -161,6 +162,7 @@
 	g.releaseHeld(c)
 }
 
+// healthOf returns the health of a server for a class; nil: the class is not in the settings.
 func (g *Gateway) healthOf(s *server, cl *class) *classHealth {
 	if cl.Name == "" {
 		return nil
@@ -174,11 +176,11 @@
 	return &s.classes[cl.index]
 }
 
-// askFor makes the message that asks for a request.
+// askFor returns the ask for a request.
 func (g *Gateway) askFor(r *request) askMessage {
-	c, left := r.customer, (r.deadline - g.now).Milliseconds()
+	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
 	m := askMessage{Customer: c.key, First: uint16(c.firstGateway), Spread: uint16(c.gatewayCount), Plan: c.plan.index,
-		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, left), math.MaxUint16)),
+		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
 		Tag: r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
 	if r.isRetry {
 		m.Flags |= flagRepeat
@@ -192,26 +194,26 @@
 	return m
 }
 
-// requestFrom makes the request that another gateway asks for.
+// requestFrom returns the request that another gateway asks for.
 func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
 	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
 		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRepeat != 0,
 		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
 
-// ejectionBits gives a bit for each of the first classes that is to be out of use, and tells whether that is news
-// of any class, whether any is out of use now, and until when.
-func (s *server) ejectionBits(isBad func(class int, v *classHealth) bool) (bits byte, news, any bool, until time.Duration) {
+// ejectionBits returns a bit for each class to eject the server from, whether this differs from the current
+// state of any class, whether any class is to be ejected, and when the current ejection ends.
+func (s *server) ejectionBits(shouldEject func(class int, v *classHealth) bool) (bits byte, changed, anyEjected bool, until time.Duration) {
 	for i := range s.classes {
 		v := &s.classes[i]
-		bad := isBad(i, v)
+		eject := shouldEject(i, v)
 		if v.ejected {
 			until = v.ejectedUntil
 		}
 		if eject {
 			bits |= 1 << i
 		}
-		news, any = news || bad != v.ejected, any || bad
+		changed, anyEjected = changed || eject != v.ejected, anyEjected || eject
 	}
 	return bits, changed, anyEjected, until
 }
--- a/policy/partition_test.go
+++ b/policy/partition_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// While no gateway hears another, what passed before by the roots' answers goes on passing, and not
-// much more: neither does a cut stop customers far below their quotas, nor does it lift quotas.
+// While no gateway receives messages of another, about as many requests pass as the roots granted before: a
+// network partition neither stops customers far below their quotas nor lifts the quotas.
 func TestPartitionPassesWhatPassedBefore(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -25,7 +25,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, random := newManyGateways(t, 60, testServers(20)), rand.New(rand.NewPCG(1, 2))
-			asked, before, during, often := 0, 0, 0, 2
+			asked, before, during, perStep := 0, 0, 0, 2
 			ask := func(time.Duration) {
 				for range perStep {
 					asked++
@@ -47,14 +47,14 @@
 			w.lose = func(int, int) bool { return false }
 			w.pass(3*time.Second, ask)
 			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.unansweredAsks >= deafAsks }); n >= 0 {
-				t.Errorf("gateway %d still takes itself for cut off 3 s after the heal", n)
+				t.Errorf("gateway %d still assumes that it is partitioned 3 s after the partition ended", n)
 			}
 		})
 	}
 }
 
-// A gateway that is cut off asks for each request once and then answers: asking three times and
-// then the deputy costs a client more time than it has.
+// A partitioned gateway asks a root only once per request and then decides: three asks and one to the deputy would
+// take longer than a client waits.
 func TestPartitionAnswersSoon(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(20))
 	i, _, _ := w.member("rate")
@@ -75,7 +75,7 @@
 	}
 }
 
-// All parts of a hard ceiling that gateways hold make one whole at most, for each plan and set.
+// The parts of a hard ceiling add up to at most one ceiling, for each plan and number of gateways.
 func TestPartsAddUpToTheCeiling(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(1))
 	for _, g := range w.gs {
@@ -101,13 +101,13 @@
 	}
 }
 
-// Whatever is lost, said twice or late, whoever starts anew and whoever asks: all gateways together
-// stay under a hard ceiling, and one that is cut off serves from its own part of it.
+// Whichever messages are lost, duplicated or late, whichever gateways restart and wherever requests arrive, all
+// gateways together stay within a hard ceiling.
 func TestPartitionKeepsTheCeiling(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, burst, spread = 20.0, 40.0, 6
 		w := newManyGateways(t, 60, testServers(20))
-		plan := Plan{Name: "rate", Rate: 200, Burst: 400, HardRate: rate, HardBurst: burst} // the ceiling alone binds
+		plan := Plan{Name: "rate", Rate: 200, Burst: 400, HardRate: rate, HardBurst: burst} // only the ceiling limits
 		start := func(i int) {
 			s := testSettings()
 			s.Me, s.Gateways = i, 60
@@ -183,8 +183,7 @@
 	}
 }
 
-// Cut off from the start of trouble on, a member serves a customer under a hard ceiling from its own
-// part, which roots don't hold.
+// A partitioned gateway serves a customer under a hard ceiling from its own part, which the roots do not hold.
 func TestPartitionServesUnderACeiling(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(20))
 	for _, g := range w.gs {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -61,7 +61,7 @@
 	w.now += 2100 * ms
 	acts = w.finish(s, 0, Error)
 	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts))+len(actionsOf[Refuse](acts)) != 0 {
-		t.Fatalf("a keyed request past its window was not failed: %v", acts)
+		t.Fatalf("a keyed request outside its window did not fail: %v", acts)
 	}
 }
 
@@ -71,8 +71,8 @@
 		for _, remaining := range []time.Duration{10 * ms, 60 * ms, 300 * ms, 2 * time.Second} {
 			w := newTestGateway(t, testSettings(), testServers(2))
 			w.advance(time.Second)
-			owed := map[RequestID]time.Duration{}
-			out := map[RequestID]Send{}
+			deadlines := map[RequestID]time.Duration{}
+			inFlight := map[RequestID]Send{}
 			tries := map[RequestID]int{}
 			var handle func(acts []Action)
 			handle = func(acts []Action) {
@@ -104,19 +104,19 @@
 				w.now += 2 * ms
 				if i < 200 && i%4 == 0 {
 					w.lastID++
-					owed[w.lastID] = w.now + remaining
-					note(w.do(Request{ID: w.lastID, Customer: "c", Plan: plan, Class: "safe", Units: 1,
+					deadlines[w.lastID] = w.now + remaining
+					handle(w.do(Request{ID: w.lastID, Customer: "c", Plan: plan, Class: "safe", Units: 1,
 						Remaining: remaining, GatewayCount: 2}))
 				}
 				if w.now-w.g.lastTick >= w.g.tickInterval {
-					note(w.do(Timer{Token: "tick"}))
+					handle(w.do(Timer{Token: "tick"}))
 				}
 				for id := RequestID(1); id <= w.lastID; id++ {
-					due, owes := owed[id]
-					s, sent := out[id]
-					if owes && sent && w.now >= due {
-						delete(out, id)
-						note(w.do(Outcome{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
+					deadline, pending := deadlines[id]
+					s, sent := inFlight[id]
+					if pending && sent && w.now >= deadline {
+						delete(inFlight, id)
+						handle(w.do(Outcome{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
 					}
 					if _, unanswered := deadlines[id]; unanswered && w.now > deadline+8*ms {
 						t.Fatalf("%s, %v: request %d has no answer by its deadline", plan, remaining, id)
@@ -135,6 +135,6 @@
 	s := w.send("stream", "free")
 	w.do(Started{ID: s.ID, Server: s.Server})
 	if acts := w.advance(10 * time.Second); len(actionsOf[Cancel](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Refuse](acts)) > 0 {
-		t.Fatal("a begun stream was ended")
+		t.Fatal("a stream that had begun was ended")
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// usesOwnCeiling tells whether a request's units of the ceiling come out of the part that is held here.
+// usesOwnCeiling reports whether a request's ceiling units are taken from the part held by this gateway.
 func (r *request) usesOwnCeiling() bool { return r.ownCeiling != r.remote || !r.remote && !r.granted }
 
 // request is a request without a final answer: a client's, or one that another gateway asks for (remote).
@@ -13,52 +13,52 @@
 	id           RequestID
 	customer     *customer
 	class        *class
-	effect       Effect // the more careful of its class's and its own
+	effect       Effect // the stricter of its class's and its own
 	units        float64
 	arrivedAt    time.Duration
 	deadline     time.Duration
 	attempts     int
-	server       *server // of the attempt out; nil when none is
+	server       *server // server of the attempt in flight; nil: none
 	sentAt       time.Duration
-	loadAtSend   float64 // the server's when sent to
-	unitsTaken   bool    // has taken its units
-	mayHaveRun   bool    // an attempt may have run
-	ranZone      string  // where and since when, for keyed classes
+	loadAtSend   float64 // load of the server when the attempt was sent
+	unitsTaken   bool    // whether its units were taken
+	mayHaveRun   bool    // whether an attempt may have run
+	ranZone      string  // where and when the first such attempt ran, for Keyed classes
 	ranCell      int
 	ranAt        time.Duration
-	done         bool
-	streams      bool
-	cancelled    bool    // its attempt was cancelled
-	askChance    float64 // with what chance it was asked for
-	isRetry      bool    // the client marked it as one
-	remote       bool    // came in at the gateway root, which asks for it
-	root         int     // the gateway asked for it
-	tag          uint32  // by this name
-	askCount     int     // how often
+	done         bool    // it needs no answer any more
+	streams      bool    // its answer has begun as a stream
+	cancelled    bool    // its attempt was found overdue, and cancelled if possible
+	askChance    float64 // probability with which its root is asked for it
+	isRetry      bool    // the client marked it as a retry
+	remote       bool    // gateway root received it from a client and asks for it here
+	root         int     // the gateway that is asked for it; if remote, the one that asks
+	tag          uint32  // identifies it between the two gateways
+	askCount     int     // number of asks sent for it
 	askedAt      time.Duration
-	askUntil     time.Duration // an answer is waited for until then
-	heldAtRoot   bool          // held there
-	granted      bool
-	ownCeiling   bool // its units of the ceiling come out of the asking gateway's part
+	askUntil     time.Duration // when the wait for the reply ends
+	heldAtRoot   bool          // the root holds it and will reply again
+	granted      bool          // its root granted it
+	ownCeiling   bool          // its ceiling units are taken from the part of the gateway that asks
 	service      string
 	regions      []string
-	serverGroup  string        // the servers that can run it, by service and homes
-	priority     int           // rank among those that wait for these
-	waitedBefore time.Duration // its client had waited so long before
-	maxAttempts  int           // attempts it may have
-	overQuota    bool          // its customer's quota has no units for it
-	lastServer   *server       // of the attempt before
+	serverGroup  string        // identifies the servers that can run it: service and regions
+	priority     int           // rank among requests that wait for the same servers, 0 first
+	waitedBefore time.Duration // how long its client waited before this request
+	maxAttempts  int           // most attempts; 0: no limit
+	overQuota    bool          // its customer's quota or ceiling has no units for it
+	lastServer   *server       // server of the latest attempt
 }
 
 // class is a Class with what outcomes show of it.
 type class struct {
 	Class
-	index    int     // place in the settings
-	mean     float64 // seconds an idle server of the fleet takes
-	outcomes float64 // outcomes it rests on
+	index    int     // index in Settings.Classes
+	mean     float64 // mean latency of an idle server of the fleet, in seconds
+	outcomes float64 // number of outcomes in the mean
 }
 
-// startAttempt and ended keep the lists of attempts out.
+// startAttempt records that an attempt of a request goes to a server.
 func (g *Gateway) startAttempt(r *request, s *server) {
 	r.customer.addInFlight(g.now, 1)
 	r.server, r.lastServer, r.sentAt, r.loadAtSend, r.cancelled = s, s, g.now, g.load(s), false
@@ -67,6 +67,7 @@
 	s.attempts = append(s.attempts, r)
 }
 
+// endAttempt records that the attempt of a request in flight has ended.
 func (g *Gateway) endAttempt(r *request, code Code) {
 	s := r.server
 	if !code.NeverRan() && !r.mayHaveRun {
@@ -80,17 +81,17 @@
 	}
 }
 
-// inDedupScope tells whether a server drops repeats of what may have run.
+// inDedupScope reports whether a server recognizes a repeat of the attempt that may have run.
 func (r *request) inDedupScope(s *server) bool {
 	return (r.class.DedupScope != DedupZone || s.Zone == r.ranZone) && (r.class.DedupScope != DedupCell || s.Cell == r.ranCell)
 }
 
-// isAskFrom tells whether it is what another gateway asks for by this name.
+// isAskFrom reports whether gateway num asks for the request, with this tag.
 func (r *request) isAskFrom(num int, tag uint32) bool {
 	return r.remote && r.root == num && r.tag == tag
 }
 
-// enqueue puts a request in its customer's queue, one with units taken first.
+// enqueue puts a request at the end of its customer's queue, or at the front if its units were taken already.
 func (g *Gateway) enqueue(r *request) {
 	if len(r.customer.held) == 0 {
 		g.waiting = append(g.waiting, r.customer)
@@ -102,7 +103,7 @@
 	}
 }
 
-// dequeue takes the i-th request out of its customer's queue.
+// dequeue removes the i-th request from its customer's queue.
 func (g *Gateway) dequeue(c *customer, i int) {
 	c.held = slices.Delete(c.held, i, i+1)
 	c.reportsLeft = repeatTicks
--- a/policy/store.go
+++ b/policy/store.go
@@ -15,8 +15,8 @@
 		spread = g.cfg.Gateways // which may have come while the request was on its way here
 	}
 	c := &customer{key: key, hash: shortOf(key), plan: plan, parts: float64(spread), bucket: plan.Burst,
-		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: first, gatewayCount: spread, refilledAt: g.now, inFlightAt: g.now,
-		createdAt: g.now}
+		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: first, gatewayCount: spread, refilledAt: g.now,
+		inFlightAt: g.now, createdAt: g.now}
 	if g.ceilingParts > 0 {
 		c.parts = g.ownOf(float64(g.ceilingParts))
 	}
