--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -40,7 +40,7 @@
 	if h.acceptsPacked {
 		c = c.Pack() // many agents on narrow lines are told the same
 	}
-	_ = h.conn.Send(&peerlink.Frame{Change: c})
+	_ = a.conn.Send(&peerlink.Frame{Change: change})
 }
 
 // serveAgent runs a session with an agent.
@@ -62,7 +62,7 @@
 		}
 	}()
 	for {
-		f, err := c.Receive()
+		frame, err := conn.Receive()
 		if err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 	if old := b.proxies.proxies[h.Name]; old != nil && old.hello.Life > h.Life {
 		return
 	}
-	if _, isNew := b.proxies.noteConnected(h, b.now()); isNew {
+	if _, isNew := b.proxies.noteConnected(hello, b.now()); isNew {
 		b.store.SaveCensus(b.proxies.names())
 	}
 	b.signalCensusChange()
@@ -95,8 +95,8 @@
 // mergeProxies notes proxies that another replica knows; the mutex is held.
 func (b *Replica) mergeProxies(all []peerlink.Member) {
 	isNew := false
-	for _, m := range all {
-		isNew = b.proxies.addKnown(m, b.now()) || isNew
+	for _, member := range members {
+		isNew = b.proxies.addKnown(member, b.now()) || isNew
 	}
 	if isNew {
 		b.store.SaveCensus(b.proxies.names())
@@ -130,18 +130,18 @@
 			}
 			b.signalCensusChange()
 		}
-		g.readyButResting = p.Rests
-		if p.Parts > 0 {
-			g.quotaParts = p.Parts
+		proxy.readyButResting = ping.Rests
+		if ping.Parts > 0 {
+			proxy.quotaParts = ping.Parts
 		}
-		if p.Figures != nil {
-			g.figures, g.figuresAt = p.Figures, now
+		if ping.Figures != nil {
+			proxy.figures, proxy.figuresAt = ping.Figures, now
 		}
-		if p.Asked != nil {
-			g.requestCounts, g.requestCountsAt = p.Asked, now
+		if ping.Asked != nil {
+			proxy.requestCounts, proxy.requestCountsAt = ping.Asked, now
 		}
-		if p.Heads != nil {
-			g.hostCounts, g.hostCountsAt = p.Heads[:min(len(p.Heads), homing.MostHosts)], now
+		if ping.Heads != nil {
+			proxy.hostCounts, proxy.hostCountsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
 		}
 		h.acceptsPacked, h.delivery.Held, h.delivery.IsUpstream = p.Packs, delivery.Version{Gen: p.Held, Checksum: p.Sum}, p.Upstream
 		b.deliverConfiguration(h)
@@ -156,11 +156,11 @@
 	if a := f.Ack; a != nil {
 		h.lastAckedNumber, h.versionInForce = max(h.lastAckedNumber, a.No), a.Gen
 	}
-	if f.Leaving != nil {
-		if g.leftAt = max(now, 1); *f.Leaving != peerlink.Gone {
-			g.grace = b.liveSettings.Load().Terms.Bounds.Grace
+	if frame.Leaving != nil {
+		if proxy.leftAt = max(now, 1); *frame.Leaving != peerlink.Gone {
+			proxy.grace = b.liveSettings.Load().Terms.Bounds.Grace
 		} else {
-			g.grace = 0
+			proxy.grace = 0
 		}
 		g.quotaReleased = g.quotaReleased || *f.Leaving == peerlink.Given
 		b.log.Info("proxy leaves", "name", h.name, "why", *f.Leaving)
@@ -173,7 +173,7 @@
 func (b *Replica) newPong(p *peerlink.Ping, now time.Duration) *peerlink.Pong {
 	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.majorityContact.IsKnown, List: b.newestReading.message(now)}
 	if pong.List != nil {
-		pong.List.Pages = 0 // agents don't read the list
+		pong.List.Pages = 0 // agents don't read the list from the platform
 	}
 	if b.majorityContact.IsKnown {
 		pong.TouchAge = now - b.majorityContact.At
@@ -214,7 +214,7 @@
 	defer t.Stop()
 	for {
 		select {
-		case <-t.C():
+		case <-timer.C():
 		case <-b.censusChanged:
 		case <-ctx.Done():
 			return
@@ -237,15 +237,15 @@
 		if !b.sleep(ctx, minCensusInterval) {
 			return
 		}
-		t.Reset(next)
+		timer.Reset(next)
 	}
 }
 
 // AgentProgress is a proxy's state as its agent acknowledges it.
 type AgentProgress struct {
 	Name   string
-	Gen    uint64 // the version in force
-	Behind uint64 // changes sent and not acknowledged
+	Gen    uint64 // number of the configuration in force at the proxy
+	Behind uint64 // number of changes sent and not acknowledged
 }
 
 // AgentProgress tells what is in force where.
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -31,8 +31,8 @@
 // longListPlatform is a platform's list of many pages, in two zones.
 type longListPlatform struct {
 	mu      sync.Mutex
-	leaving map[string]bool
-	onPage  func(zone string, first int, caller string) // before a page is answered; the mutex is held
+	leaving map[string]bool                             // IDs of draining servers
+	onPage  func(zone string, first int, caller string) // called before a page is served, with the mutex held
 }
 
 func serverID(i int) string { return fmt.Sprintf("i-%03d", i) }
@@ -45,7 +45,7 @@
 	rows, last := [][]any{}, from
 	for i := from; i < longListServers && len(rows) < longListPageRows; i++ {
 		last = i + 1
-		if in := "z" + strconv.Itoa(i%2); zone == "" || zone == in {
+		if inZone := "z" + strconv.Itoa(i%2); zone == "" || zone == inZone {
 			state := "ready"
 			if p.leaving[serverID(i)] {
 				state = "draining"
@@ -180,7 +180,7 @@
 	}
 }
 
-// With a long period those who didn't know it would read in between.
+// If the period between reads is long, replicas that didn't know it would read the list in between.
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
 	const drain = 4 * drainTime
 	p := &longListPlatform{}
@@ -202,7 +202,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		assert.Equal(f.t, len(callers), 1)
-		assert.Assert(f.t, longest <= drain/4, "%v between two readings", longest)
+		assert.Assert(f.t, longest <= drain/4, "%v between two reads", longest)
 	})
 }
 
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -18,7 +18,7 @@
 	if g.firstReadyAt == 0 {
 		g.firstReadyAt = now
 	}
-	return g
+	return proxy
 }
 
 func heartbeatAll(r *proxyRegistry, now time.Duration, but ...string) {
@@ -33,7 +33,7 @@
 // leaves unused what one behind a cut still holds.
 func TestReleasedQuotaSharesAreFreeAtOnce(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
-	at := time.Second
+	now := time.Second
 	for _, n := range []string{"a", "b", "c"} {
 		joinProxy(r, n, at)
 	}
@@ -55,7 +55,7 @@
 		if step.d > 0 {
 			heartbeatAll(r, at+step.d, step.but)
 		}
-		all, shares, _ := r.members(at + step.d)
+		all, shares, _ := r.members(now + step.d)
 		assert.Equal(t, shares, 3)
 		assert.Equal(t, all[0].Silent, step.silent, "after %v", step.d)
 	}
@@ -65,11 +65,11 @@
 // killed and comes back, to all at once.
 func TestJoiningProxiesAreListedGradually(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
-	at := time.Second
+	clock := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
 		joinProxy(r, n, at)
 	}
-	told := func(name string, now time.Duration) (n int) {
+	placesWith := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
 			for _, f := range r.frontAddresses([]string{"r"}, "place "+string(rune('0'+i)), now) {
 				if f == name {
@@ -100,7 +100,7 @@
 // however long their agents were heard by then; a later join makes it no stranger again.
 func TestJoiningProxiesWaitForTheOthersShares(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
-	at := time.Second
+	now := time.Second
 	for _, n := range []string{"a", "b"} {
 		joinProxy(r, n, at).quotaParts = 2
 	}
@@ -114,11 +114,11 @@
 	}
 	assert.Equal(t, silent("c", 0), 2)
 	r.proxies["a"].quotaParts = 3
-	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // no time has to pass
-	assert.Equal(t, silent("c", 20*time.Second), 1)      // and none is enough: b's lead knows nothing of it
+	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // it doesn't wait any longer for a
+	assert.Equal(t, silent("c", 20*time.Second), 1)      // no time is enough: b doesn't know of c, since its upstream replica doesn't
 	r.proxies["b"].quotaParts = 4
 	assert.Equal(t, silent("c", 20*time.Second), 0)
-	at += 21 * time.Second
+	now += 21 * time.Second
 	r.proxies["c"].quotaParts = 3
 	joinProxy(r, "d", at)
 	assert.Equal(t, silent("c", 0), 0)
@@ -138,7 +138,7 @@
 		r.proxies[n].leftAt, r.proxies[n].grace, r.proxies[n].ready = at, 6*time.Second, false
 	}
 	leave("a")
-	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"b"})
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
 	leave("b")
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"a", "b"})
 	at += 2 * time.Second
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -19,10 +19,10 @@
 type growingPlatform struct {
 	mu      sync.Mutex
 	servers int
-	begun   map[string]time.Time // by caller
-	last    time.Time            // when the newest of the readings that have ended began
-	before  time.Time            // the same, as of the reading before that one
-	longest time.Duration        // from before to the end of the newest
+	begun   map[string]time.Time // start of the current read, by caller
+	last    time.Time            // start of the newest read that has ended
+	before  time.Time            // start of the read before that one
+	longest time.Duration        // longest time from the start of a read to the end of the next
 }
 
 func (p *growingPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -45,18 +45,18 @@
 	if next < p.servers {
 		token := strconv.Itoa(next)
 		page.NextToken = &token
-	} else if at := p.begun[caller]; !at.Before(p.last) {
-		if at.After(p.last) {
-			p.before, p.last = p.last, at
+	} else if begun := p.begun[caller]; !begun.Before(p.last) {
+		if begun.After(p.last) {
+			p.before, p.last = p.last, begun
 		}
-		if !p.before.IsZero() { // the last page of each zone ends it anew
+		if !p.before.IsZero() { // the last page of each zone may be the end of the read
 			p.longest = max(p.longest, time.Since(p.before))
 		}
 	}
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// Whoever read the list before it grew, or never did, doesn't keep the holder of the duty from reading it in time.
+// Replicas that read the list before it grew, or never did, must not keep the lease's holder from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
 	p := &growingPlatform{servers: 700, begun: map[string]time.Time{}}
 	set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
--- a/internal/control/figures.go
+++ b/internal/control/metrics.go
@@ -28,8 +28,8 @@
 		}
 	}
 	reached := 0
-	for _, v := range b.contents.Record.Decided.Voters {
-		if b.isReachable(v.ID) {
+	for _, voter := range b.contents.Record.Decided.Voters {
+		if b.isReachable(voter.ID) {
 			reached++
 		}
 	}
@@ -44,7 +44,7 @@
 		metrics.Count("control_voters", "Replicas that vote.", len(b.contents.Record.Decided.Voters)),
 		metrics.Count("control_voters_reached", "Those of them that this one has heard lately, itself included.", reached),
 		metrics.Count("control_agents", "Agents that are connected.", len(b.agents)),
-		metrics.Count("control_agents_following", "Agents that follow this replica.", follow),
+		metrics.Count("control_agents_following", "Agents that follow this replica.", following),
 		metrics.Count("control_agents_behind", "Agents that lack the configuration in force.", behind),
 		metrics.Seconds("control_agents_behind_longest_seconds", "For how long the one furthest behind has been so.", longest),
 	}
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -41,7 +41,7 @@
 	routeCountsWantedSince time.Duration   // that is wanted without a pause
 }
 
-var errBusy = errors.New("too many operators look at once")
+var errBusy = errors.New("too many operator calls at once")
 
 // SetLogRing lets operators read the ring; it is called before Run.
 func (b *Replica) SetLogRing(ring *logring.Ring) { b.ops.logRing = ring }
@@ -58,20 +58,20 @@
 				writeError(w, http.StatusServiceUnavailable, errBusy)
 				return
 			}
-			told, err := look(r)
+			result, err := read(r)
 			if err != nil {
 				writeError(w, http.StatusBadRequest, err)
 				return
 			}
 			w.Header().Set("Content-Type", jsonContentType)
 			if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-				_ = json.NewEncoder(w).Encode(told)
+				_ = json.NewEncoder(w).Encode(result)
 				return
 			}
-			w.Header().Set("Content-Encoding", "gzip") // of a hundred proxies, asked every second, it is a part of a thin link
-			z := gzip.NewWriter(w)
-			_ = json.NewEncoder(z).Encode(told)
-			_ = z.Close()
+			w.Header().Set("Content-Encoding", "gzip") // uncompressed, a status of a hundred proxies every second takes much of a slow link
+			zipped := gzip.NewWriter(w)
+			_ = json.NewEncoder(zipped).Encode(result)
+			_ = zipped.Close()
 		})
 	}
 	add(api.OpsStatus, func(r *http.Request) (any, error) { return b.Status(r.Context()), nil })
@@ -89,7 +89,7 @@
 		if text := r.URL.Query().Get(api.LogFrom); text != "" {
 			var err error
 			if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-				return nil, errors.Errorf("%s: %q is no number", api.LogFrom, text)
+				return nil, errors.Errorf("%s: %q is not a number", api.LogFrom, text)
 			}
 		}
 		return b.Log(from), nil
@@ -105,7 +105,7 @@
 		if o.End, o.Why = "unclear", err.Error(); httpStatus(err) != http.StatusServiceUnavailable {
 			o.End = "refused"
 		}
-		o.Why = o.Why[:min(len(o.Why), api.MostLine)]
+		record.Why = record.Why[:min(len(record.Why), api.MostLine)]
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,7 +119,7 @@
 		b.ops.persistOrder(o)
 	}
 	if len(b.ops.orders) < api.MostOrders {
-		b.ops.orders = append(b.ops.orders, o)
+		b.ops.orders = append(b.ops.orders, order)
 	} else {
 		b.ops.orders[b.ops.orderCount%api.MostOrders] = o
 	}
@@ -131,8 +131,8 @@
 	var b struct {
 		Gen string `json:"gen"`
 	}
-	_ = json.Unmarshal(body, &b)
-	return b.Gen
+	_ = json.Unmarshal(body, &header)
+	return header.Gen
 }
 
 // SetOrderPersister has orders written down; it is called before Run.
@@ -156,19 +156,18 @@
 	return slices.Concat(o.orders[cut:], o.orders[:cut])
 }
 
-// History tells of the orders that this replica was given, also in earlier lives
-// as far as these were written down.
+// History returns the orders that this replica was given, including those of earlier incarnations that were written down.
 func (b *Replica) History() *api.History {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := &api.History{Replica: b.self.Name, Since: b.startedAt.UTC(), Orders: []api.Order{}}
+	history := &api.History{Replica: b.self.Name, Since: b.startedAt.UTC(), Orders: []api.Order{}}
 	if n := uint64(len(b.ops.orders)); n > 0 {
 		h.Lost, h.Orders = b.ops.orderCount-n, b.ops.oldestFirst()
 	}
-	return h
+	return history
 }
 
-// Log tells the ring's lines from a number on.
+// Log returns the log ring's lines from a line number on.
 func (b *Replica) Log(from uint64) *api.Log {
 	l := &api.Log{Replica: b.self.Name, At: b.world.Now().UTC(), Lines: []api.LogLine{}}
 	if b.ops.logRing == nil {
@@ -179,10 +178,10 @@
 	for _, x := range lines {
 		l.Lines = append(l.Lines, api.LogLine{No: x.No, At: x.At.UTC(), Text: x.Text})
 	}
-	return l
+	return log
 }
 
-// Status asks the other replicas what they hold and tells that, and what else this one knows.
+// Status asks the other replicas for their reports and returns them with everything else that this replica knows.
 func (b *Replica) Status(ctx context.Context) *api.Status {
 	rctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
 	reports := b.requestReports(rctx, func() bool { return false })
@@ -198,10 +197,10 @@
 		Held: apiVersion(newestConfig(b.contents.Record.Report())), Confirmed: apiVersion(decided.Config), FreshMS: -1,
 		Replicas: []api.ReplicaView{}, Proxies: []api.ProxyView{}, Zones: []api.ZoneOrder{}, Nodes: []api.NodeOrder{}}
 	if b.decidedConfirmed.IsKnown {
-		s.FreshMS = (now - b.decidedConfirmed.At).Milliseconds()
+		status.FreshMS = (now - b.decidedConfirmed.At).Milliseconds()
 	}
 	if trouble != nil {
-		s.Disk = trouble.Error()
+		status.Disk = trouble.Error()
 	}
 	for _, h := range sortedByName(b.replicas) {
 		m, answered := reports[h.ID]
@@ -216,15 +215,15 @@
 		if _, is := z.Server(); is {
 			continue // Explain tells of it
 		}
-		if node, is := z.Node(); is {
-			s.Nodes = append(s.Nodes, api.NodeOrder{Node: node, Rests: z.Drain, Count: z.Count, By: z.By, Confirmed: true})
+		if node, ok := order.Node(); ok {
+			status.Nodes = append(status.Nodes, api.NodeOrder{Node: node, Rests: order.Drain, Count: order.Count, By: order.By, Confirmed: true})
 		} else {
-			s.Zones = append(s.Zones, api.ZoneOrder{Zone: name, Drained: z.Drain, Count: z.Count, By: z.By, Confirmed: true})
+			status.Zones = append(status.Zones, api.ZoneOrder{Zone: name, Drained: order.Drain, Count: order.Count, By: order.By, Confirmed: true})
 		}
 	}
-	if l := decided.Lock; l.Token != "" {
-		left := max(0, l.For-(now-b.observedLock.firstSeen))
-		s.Lock = api.LockView{Who: l.Who, Since: time.Unix(0, l.Since).UTC(), LeftMS: left.Milliseconds()}
+	if lock := decided.Lock; lock.Token != "" {
+		left := max(0, lock.For-(now-b.observedLock.firstSeen))
+		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
 	d := b.duty.Known()
 	s.Duties = []api.Duty{{Name: listLeaseName, Holder: d.Holder.Name, Next: d.Next.Name, Epoch: d.Term.Epoch, Step: d.Term.Step, Rank: b.duty.Rank(b.leaseView())}}
@@ -237,7 +236,7 @@
 	if m.Value != nil && m.Value.Config.Above(m.Config) {
 		return m.Value.Config
 	}
-	return m.Config
+	return report.Config
 }
 
 // configIDOf names p, which may be nil.
@@ -245,14 +244,14 @@
 	if p == nil {
 		return state.ConfigID{}
 	}
-	return state.ConfigID{Gen: p.Gen, Digest: p.Digest}
+	return state.ConfigID{Gen: configuration.Gen, Digest: configuration.Digest}
 }
 
 func apiVersion(h state.ConfigID) api.Version {
 	if h.Gen == 0 {
 		return api.Version{}
 	}
-	return api.Version{Gen: fmt.Sprintf("r%d", h.Gen), Digest: hex.EncodeToString(h.Digest[:])}
+	return api.Version{Gen: fmt.Sprintf("r%d", id.Gen), Digest: hex.EncodeToString(id.Digest[:])}
 }
 
 // addProxyViews tells of the proxies; the mutex is held.
@@ -284,10 +283,10 @@
 		v.Lags = lagReason(v, g, s.Confirmed.Gen)
 		s.Proxies = append(s.Proxies, v)
 	}
-	s.Versions = routeconfig.VersionsAt(slices.Values(s.Proxies))
-	for _, n := range names {
-		if b.proxies.proxies[n].isCounted(now) {
-			s.Shares++
+	status.Versions = routeconfig.VersionsAt(slices.Values(status.Proxies))
+	for _, name := range names {
+		if b.proxies.proxies[name].isCounted(now) {
+			status.Shares++
 		}
 	}
 }
@@ -295,9 +294,9 @@
 // lagReason says why a proxy may serve something old.
 func lagReason(v api.ProxyView, g *proxy, confirmed string) string {
 	switch {
-	case g.leftAt > 0:
+	case proxy.leftAt > 0:
 		return "it leaves"
-	case !v.Linked:
+	case !view.Linked:
 		return "not connected to this replica"
 	case !v.Alive:
 		return fmt.Sprintf("silent for %d ms", v.HeardMS)
@@ -311,16 +310,16 @@
 
 func orDefault(text, none string) string {
 	if text == "" {
-		return none
+		return other
 	}
 	return text
 }
 
-// listView tells of the list; the mutex is held.
+// listView summarizes the server list for a status; the mutex is held.
 func (b *Replica) listView(now time.Duration) api.ListView {
-	l := api.ListView{Stamp: b.listStamp, HeardMS: -1, Servers: []api.ServersIn{}}
+	view := api.ListView{Stamp: b.listStamp, HeardMS: -1, Servers: []api.ServersIn{}}
 	if b.serverList == nil {
-		return l
+		return view
 	}
 	l.By, l.HeardMS = b.serverList.By, (now - b.newestReading.learnedAt).Milliseconds()
 	in := map[string]*api.ServersIn{}
@@ -331,16 +330,16 @@
 			in[s.Zone] = z
 		}
 		switch {
-		case s.Draining:
-			z.Draining++
-		case s.WarmLeft > time.Duration(b.world.Now().UnixNano()-b.serverList.Stamp):
-			z.Cold++
+		case server.Draining:
+			zone.Draining++
+		case server.WarmLeft > time.Duration(b.world.Now().UnixNano()-b.serverList.Stamp):
+			zone.Cold++
 		default:
-			z.Ready++
+			zone.Ready++
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(in)) {
-		l.Servers = append(l.Servers, *in[name])
+	for _, name := range slices.Sorted(maps.Keys(zones)) {
+		view.Servers = append(view.Servers, *zones[name])
 	}
-	return l
+	return view
 }
--- a/internal/control/rest_test.go
+++ b/internal/control/rest_orders_test.go
@@ -25,12 +25,12 @@
 		}
 	}
 	f.waitFor(5*time.Second, "proxies", func() bool {
-		s := f.replicas[len(f.replicas)-1].Status(context.Background())
-		return len(s.Proxies) == 4 && !slices.ContainsFunc(s.Proxies, func(g api.ProxyView) bool { return !g.Ready })
+		status := f.replicas[len(f.replicas)-1].Status(context.Background())
+		return len(status.Proxies) == 4 && !slices.ContainsFunc(status.Proxies, func(proxy api.ProxyView) bool { return !proxy.Ready })
 	})
 	return func() {
-		for _, h := range all {
-			h.stop()
+		for _, agent := range agents {
+			agent.stop()
 		}
 		time.Sleep(time.Second)
 	}
@@ -45,7 +45,7 @@
 	return n
 }
 
-// An order to rest that leaves too few awake is refused, by itself and where two cross at two replicas.
+// An order to rest that would leave too few proxies awake is refused, also if two orders at two replicas run at once.
 func TestTooFewAwake(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
@@ -106,7 +106,7 @@
 			return len(want) > 0
 		}
 		f.waitFor(5*time.Second, "agree", same)
-		f.waitFor(5*time.Second, "are one core again", func() bool { return f.replicas[2].Wake(ctx, "proxy-1") == nil })
+		f.waitFor(5*time.Second, "take orders again", func() bool { return f.replicas[2].Wake(ctx, "proxy-1") == nil })
 		assert.NilError(t, f.replicas[2].Wake(ctx, "proxy-2"))
 		f.waitFor(2*time.Second, "agree", same)
 		assert.Equal(t, f.restingCount(1), 0)
@@ -122,9 +122,9 @@
 		f.killAll(true)
 		time.Sleep(time.Second)
 		f.startAll()
-		f.waitFor(5*time.Second, "know", func() bool {
-			s := f.replicas[2].Status(context.Background())
-			return len(s.Proxies) == 4 && s.Proxies[1].ToRest && !slices.ContainsFunc(s.Proxies, func(g api.ProxyView) bool { return !g.Ready })
+		f.waitFor(5*time.Second, "order and proxies known again", func() bool {
+			status := f.replicas[2].Status(context.Background())
+			return len(status.Proxies) == 4 && status.Proxies[1].ToRest && !slices.ContainsFunc(status.Proxies, func(proxy api.ProxyView) bool { return !proxy.Ready })
 		})
 		assert.Assert(t, f.replicas[0].proxies.resting["proxy-2"])
 		_, text := f.call("GET", "http://"+ip(2)+":8209"+api.DirLookup, nil)
@@ -132,7 +132,7 @@
 	})
 }
 
-// The lock is one token's at a time, is forgotten by itself, and not by a replica that starts anew.
+// The lock is held under one token at a time and expires by itself. A restarted replica keeps it until it has expired.
 func TestLock(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		ctx := context.Background()
@@ -156,16 +156,16 @@
 		f.killAll(true)
 		f.startAll()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, lock(0, "ben", 15*time.Second) != nil) // nobody knows whether ana still holds it
+		assert.Assert(t, lock(0, "ben", 15*time.Second) != nil) // ana may still hold it
 		f.waitFor(20*time.Second, "grant", func() bool { return lock(0, "ben", 15*time.Second) == nil })
 		assert.NilError(t, lock(0, "ben", 0))
 		assert.NilError(t, lock(1, "ana", time.Second))
 		time.Sleep(1100 * time.Millisecond)
-		ends := make(chan error, 2)
+		results := make(chan error, 2)
 		for i, n := range []string{"cleo", "dan"} {
-			go func() { ends <- lock(i, n, time.Second) }()
+			go func() { results <- lock(i, n, time.Second) }()
 		}
-		a, b := <-ends, <-ends
+		a, b := <-results, <-results
 		assert.Assert(t, a != nil || b != nil)
 	})
 }
