--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -12,52 +12,52 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// hand is an open connection to an agent.
+// agentConn is an open connection to an agent. The replica's mutex guards it.
 type agentConn struct {
 	conn            *peerlink.Conn
 	name            string
 	incarnation     int64
-	lastSentNumber  uint64 // of the last change sent
-	lastAckedNumber uint64 // of the last change that is in force at its proxy
-	versionInForce  uint64 // the version in force there
-	follows         bool   // it wants servers and census from here
-	acceptsPacked   bool   // it can unpack lists
+	lastSentNumber  uint64 // of the last change that was sent
+	lastAckedNumber uint64 // of the last change that the agent acknowledged as in force at its proxy
+	versionInForce  uint64 // number of the configuration in force at its proxy
+	follows         bool   // the agent wants the server list and the census from this replica
+	acceptsPacked   bool   // the agent can unpack compressed lists
 
-	delivery    delivery.Agent // what decides when it is told the configuration
-	lagLoggedAt time.Duration  // when it was logged last that it stays behind; 0: it was not
+	delivery    delivery.Agent // decides when the configuration is sent
+	lagLoggedAt time.Duration  // when its lag was last logged; 0: never
 
-	sentServers *peerlink.Servers // as told last; nil: not told. Shared with others
-	sentCensus  *peerlink.Census  // the same
+	sentServers *peerlink.Servers // as sent last, shared with other connections; nil: none was sent
+	sentCensus  *peerlink.Census  // likewise
 
-	sentVerdicts     *serverhealth.Verdicts // as told last; nil: not told
-	connectionNumber uint64                 // tells this connection from others
+	sentVerdicts     *serverhealth.Verdicts // as sent last; nil: none were sent
+	connectionNumber uint64                 // unique among this replica's agent connections
 }
 
-// sendChange sends numbered news; the replica's mutex is held.
-func (h *agentConn) sendChange(c *peerlink.Change) {
-	h.lastSentNumber++
-	c.No = h.lastSentNumber
-	if h.acceptsPacked {
-		c = c.Pack() // many agents on narrow lines are told the same
+// sendChange numbers a change and sends it; the replica's mutex is held.
+func (a *agentConn) sendChange(change *peerlink.Change) {
+	a.lastSentNumber++
+	change.No = a.lastSentNumber
+	if a.acceptsPacked {
+		change = change.Pack() // many agents on slow links get the same change
 	}
 	_ = a.conn.Send(&peerlink.Frame{Change: change})
 }
 
-// serveAgent runs a session with an agent.
-func (b *Replica) serveAgent(ctx context.Context, c *peerlink.Conn, hello *peerlink.Hello) error {
-	h := &agentConn{conn: c, name: hello.Name, incarnation: hello.Life, delivery: delivery.Agent{ConnectedAt: b.now()}}
+// serveAgent runs a session with an agent until its connection ends.
+func (b *Replica) serveAgent(ctx context.Context, conn *peerlink.Conn, hello *peerlink.Hello) error {
+	agent := &agentConn{conn: conn, name: hello.Name, incarnation: hello.Life, delivery: delivery.Agent{ConnectedAt: b.now()}}
 	b.mu.Lock()
-	b.agents[h] = true
-	h.connectionNumber = b.healthJudge.nextConnectionNumber()
+	b.agents[agent] = true
+	agent.connectionNumber = b.healthJudge.nextConnectionNumber()
 	b.registerProxy(*hello)
-	h.sendChange(&peerlink.Change{Zones: b.ordersFor(h.name)}) // its first Ping tells whether it lacks the configuration
+	agent.sendChange(&peerlink.Change{Zones: b.ordersFor(agent.name)}) // the configuration follows if the agent's first Ping shows that it lacks it
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.agents, h)
-		if g := b.proxies.proxies[h.name]; g != nil && g.hello.Life == h.incarnation && !b.isAgentConnected(h.name) {
-			g.connected, g.ready = false, false
+		delete(b.agents, agent)
+		if known := b.proxies.proxies[agent.name]; known != nil && known.hello.Life == agent.incarnation && !b.isAgentConnected(agent.name) {
+			known.connected, known.ready = false, false
 			b.signalCensusChange()
 		}
 	}()
@@ -67,23 +67,24 @@
 			return err
 		}
 		b.mu.Lock()
-		b.handleAgentFrame(h, f)
+		b.handleAgentFrame(agent, frame)
 		b.mu.Unlock()
 	}
 }
 
+// isAgentConnected reports whether an agent of this name is connected; the mutex is held.
 func (b *Replica) isAgentConnected(name string) bool {
-	for h := range b.agents {
-		if h.name == name {
+	for agent := range b.agents {
+		if agent.name == name {
 			return true
 		}
 	}
 	return false
 }
 
-// registerProxy notes a proxy by its agent's word; the mutex is held.
-func (b *Replica) registerProxy(h peerlink.Hello) {
-	if old := b.proxies.proxies[h.Name]; old != nil && old.hello.Life > h.Life {
+// registerProxy records a proxy from its agent's Hello, unless a later incarnation is known; the mutex is held.
+func (b *Replica) registerProxy(hello peerlink.Hello) {
+	if old := b.proxies.proxies[hello.Name]; old != nil && old.hello.Life > hello.Life {
 		return
 	}
 	if _, isNew := b.proxies.noteConnected(hello, b.now()); isNew {
@@ -92,8 +93,8 @@
 	b.signalCensusChange()
 }
 
-// mergeProxies notes proxies that another replica knows; the mutex is held.
-func (b *Replica) mergeProxies(all []peerlink.Member) {
+// mergeProxies adds proxies that another replica knows; the mutex is held.
+func (b *Replica) mergeProxies(members []peerlink.Member) {
 	isNew := false
 	for _, member := range members {
 		isNew = b.proxies.addKnown(member, b.now()) || isNew
@@ -104,29 +105,29 @@
 	}
 }
 
-// handleAgentFrame takes in what an agent says; the mutex is held.
-func (b *Replica) handleAgentFrame(h *agentConn, f *peerlink.Frame) {
+// handleAgentFrame processes a frame from an agent; the mutex is held.
+func (b *Replica) handleAgentFrame(agent *agentConn, frame *peerlink.Frame) {
 	now := b.now()
-	if f.Hello != nil && f.Hello.Name == h.name {
-		h.incarnation = f.Hello.Life
-		b.registerProxy(*f.Hello)
+	if frame.Hello != nil && frame.Hello.Name == agent.name {
+		agent.incarnation = frame.Hello.Life
+		b.registerProxy(*frame.Hello)
 	}
-	g := b.proxies.proxies[h.name]
-	if g == nil || g.hello.Life != h.incarnation {
-		return // an earlier life's connection
+	proxy := b.proxies.proxies[agent.name]
+	if proxy == nil || proxy.hello.Life != agent.incarnation {
+		return // the connection of an earlier incarnation
 	}
-	if !g.isAlive(now) {
+	if !proxy.isAlive(now) {
 		b.signalCensusChange()
 	}
-	g.lastHeard = now
-	if p := f.Ping; p != nil {
-		if g.pingInterval = p.Every; h.delivery.PingInterval != p.Every {
-			h.delivery.PingInterval = p.Every
-			h.conn.SetSilence(peerlink.Suits(p.Every))
+	proxy.lastHeard = now
+	if ping := frame.Ping; ping != nil {
+		if proxy.pingInterval = ping.Every; agent.delivery.PingInterval != ping.Every {
+			agent.delivery.PingInterval = ping.Every
+			agent.conn.SetSilence(peerlink.Suits(ping.Every))
 		}
-		if h.versionInForce = p.Gen; g.ready != p.Ready {
-			if g.ready = p.Ready; g.ready && g.firstReadyAt == 0 {
-				g.firstReadyAt = now
+		if agent.versionInForce = ping.Gen; proxy.ready != ping.Ready {
+			if proxy.ready = ping.Ready; proxy.ready && proxy.firstReadyAt == 0 {
+				proxy.firstReadyAt = now
 			}
 			b.signalCensusChange()
 		}
@@ -143,18 +144,18 @@
 		if ping.Heads != nil {
 			proxy.hostCounts, proxy.hostCountsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
 		}
-		h.acceptsPacked, h.delivery.Held, h.delivery.IsUpstream = p.Packs, delivery.Version{Gen: p.Held, Checksum: p.Sum}, p.Upstream
-		b.deliverConfiguration(h)
-		b.setFollowing(h, p.Upstream) // ahead of the Pong, which tells how old the list is that was sent
-		pong := b.newPong(p, now)
-		pong.Want, pong.Asks, pong.Wanted = now < b.ops.figuresWantedUntil, now < b.ops.routeCountsWantedUntil, b.healthJudge.evidenceNumber(h)
-		_ = h.conn.Send(&peerlink.Frame{Pong: pong})
+		agent.acceptsPacked, agent.delivery.Held, agent.delivery.IsUpstream = ping.Packs, delivery.Version{Gen: ping.Held, Checksum: ping.Sum}, ping.Upstream
+		b.deliverConfiguration(agent)
+		b.setFollowing(agent, ping.Upstream) // before the Pong, which says how old the sent list is
+		pong := b.newPong(ping, now)
+		pong.Want, pong.Asks, pong.Wanted = now < b.ops.figuresWantedUntil, now < b.ops.routeCountsWantedUntil, b.healthJudge.evidenceNumber(agent)
+		_ = agent.conn.Send(&peerlink.Frame{Pong: pong})
 	}
-	if f.Report != nil && h.follows {
-		b.handleProxyReport(h, f.Report)
+	if frame.Report != nil && agent.follows {
+		b.handleProxyReport(agent, frame.Report)
 	}
-	if a := f.Ack; a != nil {
-		h.lastAckedNumber, h.versionInForce = max(h.lastAckedNumber, a.No), a.Gen
+	if ack := frame.Ack; ack != nil {
+		agent.lastAckedNumber, agent.versionInForce = max(agent.lastAckedNumber, ack.No), ack.Gen
 	}
 	if frame.Leaving != nil {
 		if proxy.leftAt = max(now, 1); *frame.Leaving != peerlink.Gone {
@@ -162,45 +163,44 @@
 		} else {
 			proxy.grace = 0
 		}
-		g.quotaReleased = g.quotaReleased || *f.Leaving == peerlink.Given
-		b.log.Info("proxy leaves", "name", h.name, "why", *f.Leaving)
+		proxy.quotaReleased = proxy.quotaReleased || *frame.Leaving == peerlink.Given
+		b.log.Info("proxy leaves", "name", agent.name, "why", *frame.Leaving)
 		b.signalCensusChange()
 	}
 }
 
-// newPong tells how fresh what a proxy has in force is, and whether this replica is in
-// touch with a majority; the mutex is held.
-func (b *Replica) newPong(p *peerlink.Ping, now time.Duration) *peerlink.Pong {
-	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.majorityContact.IsKnown, List: b.newestReading.message(now)}
+// newPong answers a Ping. It says how recently what the proxy has in force was confirmed, and whether this replica is in
+// touch with a majority. The mutex is held.
+func (b *Replica) newPong(ping *peerlink.Ping, now time.Duration) *peerlink.Pong {
+	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.majorityContact.IsKnown, List: b.newestReading.message(now)}
 	if pong.List != nil {
 		pong.List.Pages = 0 // agents don't read the list from the platform
 	}
 	if b.majorityContact.IsKnown {
 		pong.TouchAge = now - b.majorityContact.At
 	}
-	if at := b.configurationHistory.Confirmed(versionInForceOf(p), b.decidedConfirmed); at.IsKnown {
+	if at := b.configurationHistory.Confirmed(versionInForceOf(ping), b.decidedConfirmed); at.IsKnown {
 		pong.Fresh, pong.Age = true, now-at.At
 	}
 	return pong
 }
 
-// versionInForceOf is what a ping says that a proxy has in force. The text's sum is that of
-// what the agent holds: where that is another configuration, it fits none and nothing
-// is confirmed.
-func versionInForceOf(p *peerlink.Ping) delivery.Version {
-	return delivery.Version{Gen: p.Gen, Checksum: p.Sum}
+// versionInForceOf returns the version that a proxy has in force according to a ping. The ping's checksum is that of the
+// configuration that the agent holds. If the proxy has another one in force, number and checksum match no version, and
+// nothing is confirmed.
+func versionInForceOf(ping *peerlink.Ping) delivery.Version {
+	return delivery.Version{Gen: ping.Gen, Checksum: ping.Sum}
 }
 
-// deliverConfiguration sends an agent the configuration in force where that is due; the mutex is
-// held.
-func (b *Replica) deliverConfiguration(h *agentConn) {
-	if b.configuration != nil && b.configurationHistory.ShouldSend(&h.delivery, b.now()) {
-		h.delivery.Sent = b.configurationHistory.Current()
-		h.sendChange(&peerlink.Change{Configuration: b.configuration})
+// deliverConfiguration sends an agent the configuration in force if that is due; the mutex is held.
+func (b *Replica) deliverConfiguration(agent *agentConn) {
+	if b.configuration != nil && b.configurationHistory.ShouldSend(&agent.delivery, b.now()) {
+		agent.delivery.Sent = b.configurationHistory.Current()
+		agent.sendChange(&peerlink.Change{Configuration: b.configuration})
 	}
 }
 
-// signalCensusChange notes that the census may have changed; the mutex may be held.
+// signalCensusChange makes runAgentUpdates check the census now; the mutex may be held.
 func (b *Replica) signalCensusChange() {
 	select {
 	case b.censusChanged <- struct{}{}:
@@ -208,10 +208,10 @@
 	}
 }
 
-// runAgentUpdates tells the agents whenever the census has changed.
+// runAgentUpdates sends agents the configuration and census changes that are due, until ctx ends.
 func (b *Replica) runAgentUpdates(ctx context.Context) {
-	t := b.world.NewTimer(censusCheckInterval)
-	defer t.Stop()
+	timer := b.world.NewTimer(censusCheckInterval)
+	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C():
@@ -221,9 +221,9 @@
 		}
 		next := censusCheckInterval
 		b.mu.Lock()
-		for h := range b.agents {
-			b.deliverConfiguration(h)
-			b.logAgentLag(h)
+		for agent := range b.agents {
+			b.deliverConfiguration(agent)
+			b.logAgentLag(agent)
 		}
 		b.logContactLoss()
 		if b.updateCensus(); b.sentCensus != b.census {
@@ -241,24 +241,24 @@
 	}
 }
 
-// AgentProgress is a proxy's state as its agent acknowledges it.
+// AgentProgress says how far a connected agent has got with the changes that it was sent.
 type AgentProgress struct {
 	Name   string
 	Gen    uint64 // number of the configuration in force at the proxy
 	Behind uint64 // number of changes sent and not acknowledged
 }
 
-// AgentProgress tells what is in force where.
+// AgentProgress returns the progress of all connected agents, by name.
 func (b *Replica) AgentProgress() []AgentProgress {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := map[string]AgentProgress{}
-	for h := range b.agents {
-		all[h.name] = AgentProgress{h.name, h.versionInForce, h.lastSentNumber - h.lastAckedNumber}
+	for agent := range b.agents {
+		all[agent.name] = AgentProgress{agent.name, agent.versionInForce, agent.lastSentNumber - agent.lastAckedNumber}
 	}
 	var list []AgentProgress
-	for _, n := range slices.Sorted(maps.Keys(all)) {
-		list = append(list, all[n])
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		list = append(list, all[name])
 	}
 	return list
 }
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -18,36 +18,37 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// simAgent is an agent on a machine of its own, connected to one replica.
+// simAgent is an agent on a host of its own, connected to one replica. It applies what it is sent and pings by itself.
 type simAgent struct {
 	f            *clusterFixture
 	mu           sync.Mutex
-	held         uint64 // of the newest configuration told
-	sum          uint32
+	held         uint64 // number of the newest configuration received
+	sum          uint32 // its checksum
 	list         *peerlink.Servers
 	census       *peerlink.Census
-	confirmedAge time.Duration // of the last answer, from when it was asked for
-	confirmed    bool
+	confirmedAge time.Duration // of what is in force, since its last confirmation, by the last Pong
+	confirmed    bool          // the last Pong confirmed what is in force
 	stop         context.CancelFunc
 	conn         *peerlink.Conn
 }
 
+// startAgent starts an agent of proxy-NAME and connects it to a replica.
 func (f *clusterFixture) startAgent(name string, at int) *simAgent {
-	p := f.net.Host("10.1.0." + name)
+	host := f.net.Host("10.1.0." + name)
 	ctx, stop := context.WithCancel(context.Background())
-	h := &simAgent{f: f, stop: stop}
-	d := &peerlink.Dialer{Net: p, Log: logr.Discard(), Hello: peerlink.Hello{Role: peerlink.Agent, Name: "proxy-" + name, Life: time.Now().UnixNano(), Region: "r", Front: "10.1.0." + name + ":80"}}
-	began := time.Now()
-	go d.Keep(ctx, f.settings(at).Inner(ip(at)), func(_ context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
-		h.mu.Lock()
-		h.conn = c
-		h.mu.Unlock()
+	agent := &simAgent{f: f, stop: stop}
+	dialer := &peerlink.Dialer{Net: host, Log: logr.Discard(), Hello: peerlink.Hello{Role: peerlink.Agent, Name: "proxy-" + name, Life: time.Now().UnixNano(), Region: "r", Front: "10.1.0." + name + ":80"}}
+	start := time.Now()
+	go dialer.Keep(ctx, f.settings(at).Inner(ip(at)), func(_ context.Context, conn *peerlink.Conn, _ *peerlink.Hello) error {
+		agent.mu.Lock()
+		agent.conn = conn
+		agent.mu.Unlock()
 		go func() {
 			for {
-				h.mu.Lock()
-				p := &peerlink.Ping{Sent: time.Since(began), Ready: true, Upstream: true, Gen: h.held, Held: h.held, Sum: h.sum}
-				h.mu.Unlock()
-				if c.Send(&peerlink.Frame{Ping: p}) != nil {
+				agent.mu.Lock()
+				ping := &peerlink.Ping{Sent: time.Since(start), Ready: true, Upstream: true, Gen: agent.held, Held: agent.held, Sum: agent.sum}
+				agent.mu.Unlock()
+				if conn.Send(&peerlink.Frame{Ping: ping}) != nil {
 					return
 				}
 				time.Sleep(250 * time.Millisecond)
@@ -58,21 +59,21 @@
 			if err != nil {
 				return err
 			}
-			h.mu.Lock()
-			if ch := fr.Change; ch != nil {
-				if ch.Configuration != nil {
-					h.held, h.sum = ch.Configuration.Gen, ch.Configuration.Sum()
+			agent.mu.Lock()
+			if change := frame.Change; change != nil {
+				if change.Configuration != nil {
+					agent.held, agent.sum = change.Configuration.Gen, change.Configuration.Sum()
 				}
 				if change.Servers != nil {
 					agent.list = change.Servers.Onto(agent.list)
 				}
-				if ch.Census != nil {
-					h.census = ch.Census.Onto(h.census)
+				if change.Census != nil {
+					agent.census = change.Census.Onto(agent.census)
 				}
-				_ = c.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: ch.No, Gen: h.held}})
+				_ = conn.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: change.No, Gen: agent.held}})
 			}
-			if po := fr.Pong; po != nil {
-				h.confirmed, h.confirmedAge = po.Fresh, time.Since(began)-po.Sent+po.Age
+			if pong := frame.Pong; pong != nil {
+				agent.confirmed, agent.confirmedAge = pong.Fresh, time.Since(start)-pong.Sent+pong.Age
 			}
 			agent.mu.Unlock()
 		}
@@ -80,8 +81,8 @@
 	return agent
 }
 
-// holds tells whether something holds of what the agent was told.
-func (h *simAgent) holds(what func(h *simAgent) bool) func() bool {
+// holds returns a function that reports whether a condition holds for what the agent was sent.
+func (a *simAgent) holds(condition func(a *simAgent) bool) func() bool {
 	return func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -107,30 +108,30 @@
 	return response.StatusCode, string(got)
 }
 
-// An agent hears of what a majority holds and of nothing else, and how fresh that is.
+// Agents are sent only configurations that a majority has decided, and how recently these were confirmed.
 func TestAgentsGetOnlyDecidedConfigurations(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.startAgent("1", 0), f.startAgent("2", 2)
 		defer a.stop()
 		defer b.stop()
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		f.waitFor(100*time.Millisecond, "told by who took it", a.holds(func(h *simAgent) bool { return h.held == 2 }))
-		f.waitFor(500*time.Millisecond, "told by another", b.holds(func(h *simAgent) bool { return h.held == 2 }))
-		f.waitFor(time.Second, "fresh", a.holds(func(h *simAgent) bool { return h.confirmed && h.confirmedAge < 800*time.Millisecond }))
+		f.waitFor(100*time.Millisecond, "sent by the replica that took it", a.holds(func(agent *simAgent) bool { return agent.held == 2 }))
+		f.waitFor(500*time.Millisecond, "sent by another replica", b.holds(func(agent *simAgent) bool { return agent.held == 2 }))
+		f.waitFor(time.Second, "confirmed", a.holds(func(agent *simAgent) bool { return agent.confirmed && agent.confirmedAge < 800*time.Millisecond }))
 		f.acceptOnOneDisk(0, configurationBody(3, "a"))
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, a.holds(func(h *simAgent) bool { return h.held == 2 })())
+		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.held == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.waitFor(3*time.Second, "mended", b.holds(func(h *simAgent) bool { return h.held == 3 }))
-		f.waitFor(time.Second, "mended", a.holds(func(h *simAgent) bool { return h.held == 3 }))
-		// Cut off, a replica's word ages; what it does not know may be in force.
+		f.waitFor(3*time.Second, "sent once a majority can write again", b.holds(func(agent *simAgent) bool { return agent.held == 3 }))
+		f.waitFor(time.Second, "sent once a majority can write again", a.holds(func(agent *simAgent) bool { return agent.held == 3 }))
+		// A replica that is cut off confirms nothing any more, since it may lack what was decided.
 		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
 		f.replaceUntilAcknowledged(1, configurationBody(4, "a"))
-		assert.Assert(t, a.holds(func(h *simAgent) bool { return h.held == 3 && h.confirmedAge > 4*time.Second })())
+		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.held == 3 && agent.confirmedAge > 4*time.Second })())
 		f.partition(ips(0), ips(1, 2), sim.Open)
-		f.waitFor(3*time.Second, "told after the cut", a.holds(func(h *simAgent) bool { return h.held == 4 && h.confirmedAge < time.Second }))
+		f.waitFor(3*time.Second, "sent after the cut", a.holds(func(agent *simAgent) bool { return agent.held == 4 && agent.confirmedAge < time.Second }))
 	})
 }
 
@@ -138,18 +139,20 @@
 	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.startAgent("1", 0), f.startAgent("2", 0)
 		defer a.stop()
-		is := func(ready, shares int) func() bool {
-			return a.holds(func(h *simAgent) bool {
-				n := 0
-				for _, g := range h.census.Proxies {
-					if g.Ready {
-						n++
+		counts := func(ready, shares int) func() bool {
+			return a.holds(func(agent *simAgent) bool {
+				readyCount := 0
+				for _, proxy := range agent.census.Proxies {
+					if proxy.Ready {
+						readyCount++
 					}
 				}
-				return n == ready && h.census.Shares == shares
+				return readyCount == ready && agent.census.Shares == shares
 			})
 		}
-		f.waitFor(2*time.Second, "both ready", func() bool { return a.holds(func(h *simAgent) bool { return h.census != nil })() && is(2, 2)() })
+		f.waitFor(2*time.Second, "both ready", func() bool {
+			return a.holds(func(agent *simAgent) bool { return agent.census != nil })() && counts(2, 2)()
+		})
 		status, text := f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
@@ -198,7 +201,7 @@
 	})
 }
 
-// fakePlatform is the platform's list, of one page for each server.
+// fakePlatform serves the platform's server list, with one server a page.
 type fakePlatform struct {
 	mu      sync.Mutex
 	servers []string // rows in JSON
@@ -222,17 +225,18 @@
 	fmt.Fprintf(w, `{"servers":{"cols":["id","backend","address","zone","state"],"rows":[%s]},"next_token":%s}`, p.servers[i], next)
 }
 
+// serverRow returns the row of a server in JSON.
 func serverRow(id, state string) string {
 	return fmt.Sprintf(`["%s","s","10.5.0.1:80","z0","%s"]`, id, state)
 }
 
 func TestListLeaseIsTakenOver(t *testing.T) {
-	p := &fakePlatform{servers: []string{serverRow("a", "ready"), serverRow("b", "ready")}}
-	runClusterWithPlatform(t, 4, p, func(f *clusterFixture) {
-		h := f.startAgent("1", 0)
-		defer h.stop()
+	platformList := &fakePlatform{servers: []string{serverRow("a", "ready"), serverRow("b", "ready")}}
+	runClusterWithPlatform(t, 4, platformList, func(f *clusterFixture) {
+		agent := f.startAgent("1", 0)
+		defer agent.stop()
 		states := func(want string) func() bool {
-			return h.holds(func(h *simAgent) bool {
+			return agent.holds(func(agent *simAgent) bool {
 				got := ""
 				for _, server := range agent.list.List {
 					got += fmt.Sprint(server.ID, " ", server.Draining, ";")
@@ -245,15 +249,15 @@
 			defer platformList.mu.Unlock()
 			platformList.servers = rows
 		}
-		f.waitFor(2*time.Second, "a list", h.holds(func(h *simAgent) bool { return h.list != nil }))
+		f.waitFor(2*time.Second, "a list", agent.holds(func(agent *simAgent) bool { return agent.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
 		platformList.mu.Lock()
 		before := platformList.calls
 		platformList.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		p.mu.Lock()
-		assert.Assert(t, p.calls-before <= 2*21, "%d calls", p.calls-before) // one replica asks
-		p.mu.Unlock()
+		platformList.mu.Lock()
+		assert.Assert(t, platformList.calls-before <= 2*21, "%d calls", platformList.calls-before) // one replica reads, at most every 500 ms
+		platformList.mu.Unlock()
 		set(serverRow("a", "draining"), serverRow("b", "ready"))
 		f.waitFor(time.Second, "drains", states("a true;b false;"))
 		holder := 0
@@ -268,26 +272,27 @@
 			f.kill(holder, true)
 		}
 		set(serverRow("a", "ready"), serverRow("b", "draining"), serverRow("c", "ready"))
-		f.waitFor(3*time.Second, "taken over", states("a true;b true;c false;")) // no life comes back from draining
+		f.waitFor(3*time.Second, "taken over", states("a true;b true;c false;")) // a draining instance never becomes ready again
 	})
 }
 
+// holdsListLease reports whether the replica holds the lease of the server list.
 func (r *runningReplica) holdsListLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duty.Holds()
 }
 
-// An agent that was told another text of the same number is told the one that holds.
+// An agent that holds another text under the number of the configuration in force is sent the one in force.
 func TestOtherTextOfTheSameNumberIsReplaced(t *testing.T) {
 	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
 		held := f.replicas[0].configurationInForce()
-		h, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
+		agent, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
 		defer stop()
-		f.pingFor(2*time.Second, h)
-		assert.Equal(t, string(h.lastNonCensusChange().Configuration.Body), string(held.Body))
-		assert.Assert(t, !h.pong.Fresh, "%+v", h.pong)
+		f.pingFor(2*time.Second, agent)
+		assert.Equal(t, string(agent.lastNonCensusChange().Configuration.Body), string(held.Body))
+		assert.Assert(t, !agent.pong.Fresh, "%+v", agent.pong)
 	})
 }
 
@@ -300,7 +305,7 @@
 		ping := func(gen uint64) peerlink.Ping {
 			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
 		}
-		proxy, stop := f.startAgentWithPing(0, "1", in(2))
+		proxy, stop := f.startAgentWithPing(0, "1", ping(2))
 		defer stop()
 		newest := func(what string) {
 			f.pingFor(time.Second, proxy)
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -20,15 +20,15 @@
 
 const (
 	drainTime        = 5 * time.Second         // drain_ms of the large deployments
-	upstreamLossTime = 1500 * time.Millisecond // of it, for an agent whose upstream replica is lost at the same time
+	upstreamLossTime = 1500 * time.Millisecond // part of it, for an agent that loses its upstream replica at the same time
 	manyReplicas     = 24
-	tenReplicas      = 10               // more than vote
-	settleTime       = 10 * time.Second // one reader is left by then
+	tenReplicas      = 10               // more than the voters
+	settleTime       = 10 * time.Second // by then only one replica reads the list
 	longListServers  = 719
 	longListPageRows = 50
 )
 
-// longListPlatform is a platform's list of many pages, in two zones.
+// longListPlatform serves a server list of many pages, in two zones.
 type longListPlatform struct {
 	mu      sync.Mutex
 	leaving map[string]bool                             // IDs of draining servers
@@ -50,7 +50,7 @@
 			if p.leaving[serverID(i)] {
 				state = "draining"
 			}
-			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", in, state})
+			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", inZone, state})
 		}
 	}
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
@@ -65,7 +65,7 @@
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// drainAfterNextRead has the first server leave once it has been read again, and tells when.
+// drainAfterNextRead has the first server drain right after the next read has passed it, and returns when that was.
 func (p *longListPlatform) drainAfterNextRead(f *clusterFixture) (left time.Time) {
 	p.mu.Lock()
 	p.onPage = func(_ string, first int, _ string) {
@@ -82,13 +82,14 @@
 	return left
 }
 
+// knowsDraining reports whether the replica has the whole list with the first server draining.
 func (r *runningReplica) knowsDraining() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.serverList != nil && len(r.serverList.List) == longListServers && r.serverList.List[0].Draining
 }
 
-// leaseHolder is who reads the list; -1: nobody.
+// leaseHolder returns the replica that holds the list lease; -1: none.
 func (f *clusterFixture) leaseHolder() int {
 	for i, r := range f.replicas {
 		if r != nil && r.holdsListLease() {
@@ -98,7 +99,7 @@
 	return -1
 }
 
-// leaseSuccessor is the replica that may follow the holder without a vote.
+// leaseSuccessor returns the replica that may take over the lease without a vote; -1: none.
 func (f *clusterFixture) leaseSuccessor(holder int) int {
 	r := f.at(holder)
 	r.mu.Lock()
@@ -112,18 +113,19 @@
 	return -1
 }
 
-// waitForNextRead lets time pass until the next reading is about to begin.
+// waitForNextRead waits until the holder is about to begin its next read.
 func (f *clusterFixture) waitForNextRead(holder int) {
-	f.waitFor(drainTime, "next reading", func() bool {
-		r := f.at(holder)
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return !r.ownReading.inProgress && r.now() >= r.ownReading.work.LastOwn+r.ownReading.work.Period-20*time.Millisecond
+	f.waitFor(drainTime, "next read", func() bool {
+		reader := f.at(holder)
+		reader.mu.Lock()
+		defer reader.mu.Unlock()
+		return !reader.ownReading.inProgress && reader.now() >= reader.ownReading.work.LastOwn+reader.ownReading.work.Period-20*time.Millisecond
 	})
 }
 
+// All replicas know of a draining server in time, also if the replica that reads the list fails between two reads.
 func TestDrainingServerIsKnownInTimeWithALongList(t *testing.T) {
-	for name, trouble := range map[string]func(f *clusterFixture, p *longListPlatform, left time.Time){
+	for name, fault := range map[string]func(f *clusterFixture, p *longListPlatform, left time.Time){
 		"calm": func(*clusterFixture, *longListPlatform, time.Time) {},
 		"reader loses power before its next reading": func(f *clusterFixture, _ *longListPlatform, _ time.Time) {
 			reader := f.leaseHolder()
@@ -159,11 +161,11 @@
 			if strings.Contains(name, "rank") {
 				replicas = manyReplicas
 			}
-			set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
-			set.run(replicas, http.Handler(p), func(f *clusterFixture) {
+			setup := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
+			setup.run(replicas, http.Handler(p), func(f *clusterFixture) {
 				time.Sleep(settleTime)
 				left := p.drainAfterNextRead(f)
-				trouble(f, p, left)
+				fault(f, p, left)
 				known := func() bool {
 					for _, r := range f.replicas {
 						if r != nil && !r.knowsDraining() {
@@ -184,8 +186,8 @@
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
 	const drain = 4 * drainTime
 	p := &longListPlatform{}
-	set := &clusterFixture{t: t, drainTime: drain, cloudRate: 2100}
-	set.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
+	setup := &clusterFixture{t: t, drainTime: drain, cloudRate: 2100}
+	setup.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(5 * time.Second)
 		callers := map[string]bool{}
@@ -213,6 +215,6 @@
 	r.update(peerlink.Reading{Age: 800 * ms, Period: 1250 * ms, Pages: 16}, 5000*ms)
 	assert.Equal(t, r.startedAt, 4200*ms)
 	assert.Equal(t, *r.message(6000 * ms), peerlink.Reading{Age: 1800 * ms, Period: 1250 * ms, Pages: 16})
-	r.update(peerlink.Reading{Age: -time.Hour}, 7000*ms) // none began later than it was heard of
+	r.update(peerlink.Reading{Age: -time.Hour}, 7000*ms) // a read can't have begun after this replica learned of it
 	assert.Equal(t, *r.message(7000 * ms), peerlink.Reading{Period: 1250 * ms, Pages: 16})
 }
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -22,15 +22,15 @@
 
 // Bounds of HTTP calls.
 const (
-	maxBodyBytes        = 7 << 20 // a frame has to hold it
+	maxBodyBytes        = 7 << 20 // a frame between replicas has to hold it
 	maxLockRequestBytes = 4 << 10
 	httpHeaderTimeout   = 3 * time.Second
 	httpCallTimeout     = 10 * time.Second
 	httpIdleTimeout     = 30 * time.Second
-	maxLookupTTL        = time.Second // a client may use an answer of dir
+	maxLookupTTL        = time.Second // for which a client may use the answer to a lookup
 	retryAfterSeconds   = "0.2"
 	jsonContentType     = "application/json"
-	httpShutdownTimeout = 1500 * time.Millisecond // for calls in flight at the end
+	httpShutdownTimeout = 1500 * time.Millisecond // for calls in flight when the replica stops
 )
 
 // serveHTTP serves the operators' calls and the clients' lookups. It returns a function that shuts both servers down.
@@ -44,7 +44,7 @@
 			_ = server.Close()
 		}
 	}
-	for addr, h := range map[string]http.Handler{b.self.Ctl: b.operatorHandler(), b.self.Dir: b.directoryHandler()} {
+	for addr, handler := range map[string]http.Handler{b.self.Ctl: b.operatorHandler(), b.self.Dir: b.directoryHandler()} {
 		if addr == "" {
 			continue
 		}
@@ -53,21 +53,21 @@
 			stop()
 			return nil, errors.Wrap(err, "replica")
 		}
-		s := &http.Server{Handler: h, ReadHeaderTimeout: httpHeaderTimeout, ReadTimeout: httpCallTimeout, WriteTimeout: httpCallTimeout, IdleTimeout: httpIdleTimeout}
-		all = append(all, s)
-		b.jobs.Go(func() { _ = s.Serve(ln) })
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: httpHeaderTimeout, ReadTimeout: httpCallTimeout, WriteTimeout: httpCallTimeout, IdleTimeout: httpIdleTimeout}
+		servers = append(servers, server)
+		b.jobs.Go(func() { _ = server.Serve(listener) })
 	}
 	return stop, nil
 }
 
-// operatorHandler is what the operator calls.
+// operatorHandler serves the operators' calls.
 func (b *Replica) operatorHandler() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("POST "+api.ConfigReplace, func(w http.ResponseWriter, r *http.Request) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+api.ConfigReplace, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-		var large *http.MaxBytesError
+		var tooLarge *http.MaxBytesError
 		switch {
-		case errors.As(err, &large):
+		case errors.As(err, &tooLarge):
 			writeError(w, http.StatusRequestEntityTooLarge, err)
 		case err != nil:
 			writeError(w, http.StatusServiceUnavailable, err)
@@ -87,7 +87,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", jsonContentType)
-		_, _ = w.Write(p.Body)
+		_, _ = w.Write(configuration.Body)
 	})
 	for path, drain := range map[string]bool{api.DrainBegin: true, api.DrainFinish: false} {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
@@ -95,18 +95,18 @@
 			writeOrderResult(w, b.runOrder(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
 		})
 	}
-	b.addProxyRoutes(m)
-	b.addServerRoutes(m)
-	b.addOperatorRoutes(m)
-	return m
+	b.addProxyRoutes(mux)
+	b.addServerRoutes(mux)
+	b.addOperatorRoutes(mux)
+	return mux
 }
 
-// addProxyRoutes adds the orders about proxies, and the lock of those who give many.
-func (b *Replica) addProxyRoutes(m *http.ServeMux) {
-	m.HandleFunc("POST "+api.NodeRest, func(w http.ResponseWriter, r *http.Request) {
+// addProxyRoutes adds the orders about proxies, and the lock for operators who give a series of orders.
+func (b *Replica) addProxyRoutes(mux *http.ServeMux) {
+	mux.HandleFunc("POST "+api.NodeRest, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeRest)
 		writeOrderResult(w, b.runOrder(r, api.OrderRest, name, func(ctx context.Context) error {
-			least, err := parseMinAwake(r.URL.Query())
+			minAwake, err := parseMinAwake(r.URL.Query())
 			if err != nil {
 				return InvalidError{err}
 			}
@@ -118,33 +118,33 @@
 		writeOrderResult(w, b.runOrder(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
 	})
 	for path, take := range map[string]bool{api.LockTake: true, api.LockDrop: false} {
-		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			var ask api.LockAsk
-			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxLockRequestBytes)).Decode(&ask)
-			if err != nil || ask.Token == "" || take && (ask.Who == "" || ask.ForMS <= 0) {
-				writeError(w, http.StatusBadRequest, errors.New("not the form of a lock"))
+		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
+			var request api.LockAsk
+			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxLockRequestBytes)).Decode(&request)
+			if err != nil || request.Token == "" || take && (request.Who == "" || request.ForMS <= 0) {
+				writeError(w, http.StatusBadRequest, errors.New("lock request is malformed or lacks a token, a name or a duration"))
 				return
 			}
 			if take {
-				want := state.Lock{Token: ask.Token, Who: ask.Who, Since: ask.Since.UnixNano(), For: time.Duration(ask.ForMS) * time.Millisecond}
-				writeOrderResult(w, b.AcquireLock(r.Context(), want))
+				lock := state.Lock{Token: request.Token, Who: request.Who, Since: request.Since.UnixNano(), For: time.Duration(request.ForMS) * time.Millisecond}
+				writeOrderResult(w, b.AcquireLock(r.Context(), lock))
 				return
 			}
-			writeOrderResult(w, b.ReleaseLock(r.Context(), ask.Token))
+			writeOrderResult(w, b.ReleaseLock(r.Context(), request.Token))
 		})
 	}
 }
 
 // addServerRoutes adds the order about servers.
-func (b *Replica) addServerRoutes(m *http.ServeMux) {
-	m.HandleFunc("POST "+api.ServerJudge, func(w http.ResponseWriter, r *http.Request) {
-		id, q := strings.TrimPrefix(r.URL.Path, api.ServerJudge), r.URL.Query()
+func (b *Replica) addServerRoutes(mux *http.ServeMux) {
+	mux.HandleFunc("POST "+api.ServerJudge, func(w http.ResponseWriter, r *http.Request) {
+		id, query := strings.TrimPrefix(r.URL.Path, api.ServerJudge), r.URL.Query()
 		writeOrderResult(w, b.runOrder(r, api.OrderJudge, id, func(ctx context.Context) error {
-			holds := api.JudgeUsual
-			if text := q.Get(api.JudgeFor); text != "" {
-				s, err := strconv.ParseFloat(text, 64)
-				if err != nil || !(s > 0 && s <= api.JudgeMost.Seconds()) {
-					return InvalidError{errors.Errorf("%s: %q is no number of seconds up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
+			duration := api.JudgeUsual
+			if text := query.Get(api.JudgeFor); text != "" {
+				seconds, err := strconv.ParseFloat(text, 64)
+				if err != nil || !(seconds > 0 && seconds <= api.JudgeMost.Seconds()) {
+					return InvalidError{errors.Errorf("%s: %q is not a number of seconds above 0 and up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
 				}
 				duration = time.Duration(seconds * float64(time.Second))
 			}
@@ -153,11 +153,11 @@
 	})
 }
 
-// parseMinAwake reads what has to stay awake.
-func parseMinAwake(q url.Values) (MinAwake, error) {
-	least := MinAwake{Zone: api.LeastAwake, All: api.LeastAwake, Force: q.Get(api.RestForce) == "true"}
-	for name, to := range map[string]*float64{api.RestZone: &least.Zone, api.RestAll: &least.All} {
-		text := q.Get(name)
+// parseMinAwake reads which parts of the proxies have to stay awake.
+func parseMinAwake(query url.Values) (MinAwake, error) {
+	minAwake := MinAwake{Zone: api.LeastAwake, All: api.LeastAwake, Force: query.Get(api.RestForce) == "true"}
+	for name, target := range map[string]*float64{api.RestZone: &minAwake.Zone, api.RestAll: &minAwake.All} {
+		text := query.Get(name)
 		if text == "" {
 			continue
 		}
@@ -180,7 +180,8 @@
 	_, _ = io.WriteString(w, "{}\n")
 }
 
-// writeReplaceResult answers a configuration: where one above it is in force, that is said.
+// writeReplaceResult answers a replacement of the configuration with the version that is in force now: it may be a newer
+// one.
 func writeReplaceResult(w http.ResponseWriter, done ReplaceResult, err error) {
 	if err != nil {
 		writeOrderResult(w, err)
@@ -190,10 +191,10 @@
 	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: apiVersion(done.Held)})
 }
 
-// httpStatus is the answer to an order that did not go through; 503: it may be in force or may not.
+// httpStatus returns the status for an order that failed. 503 says that it's unknown whether the order is in force.
 func httpStatus(err error) int {
 	var invalid InvalidError
-	var tight TooFewAwakeError
+	var tooFewAwake TooFewAwakeError
 	var taken LockTakenError
 	var conflict ConflictError
 	switch {
@@ -209,6 +210,7 @@
 	return http.StatusServiceUnavailable
 }
 
+// writeError answers with a status and an error in JSON.
 func writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", jsonContentType)
 	if status == http.StatusServiceUnavailable {
@@ -218,17 +220,17 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
 }
 
-// directoryHandler is what clients ask.
+// directoryHandler serves the clients' lookups of proxies.
 func (b *Replica) directoryHandler() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET "+api.DirLookup, func(w http.ResponseWriter, r *http.Request) {
-		q := r.URL.Query()
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+api.DirLookup, func(w http.ResponseWriter, r *http.Request) {
+		query := r.URL.Query()
 		b.mu.Lock()
-		regions := b.lookupRegions(q.Get(api.LookupName), q.Get(api.LookupRegion))
-		fronts := b.proxies.frontAddresses(regions, q.Get(api.LookupName)+" "+q.Get(api.LookupZone), b.now())
+		regions := b.lookupRegions(query.Get(api.LookupName), query.Get(api.LookupRegion))
+		addresses := b.proxies.frontAddresses(regions, query.Get(api.LookupName)+" "+query.Get(api.LookupZone), b.now())
 		b.mu.Unlock()
-		if len(fronts) == 0 {
-			writeError(w, http.StatusServiceUnavailable, errors.New("no node is ready"))
+		if len(addresses) == 0 {
+			writeError(w, http.StatusServiceUnavailable, errors.New("no proxy is ready"))
 			return
 		}
 		if len(addresses) > api.MostAddresses {
@@ -236,13 +238,13 @@
 			addresses = addresses[:api.MostAddresses]
 		}
 		w.Header().Set("Content-Type", jsonContentType)
-		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(maxLookupTTL, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
+		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: addresses, TTLS: min(maxLookupTTL, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
 	return mux
 }
 
-// lookupRegions are those in which clients of a host and a region are told proxies; the mutex is held.
-func (b *Replica) lookupRegions(name, region string) []string {
+// lookupRegions returns the regions whose proxies a client in a region gets for a host; the mutex is held.
+func (b *Replica) lookupRegions(hostName, region string) []string {
 	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -11,49 +11,50 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// joinProxy brings a proxy in that is ready at once.
+// joinProxy registers a proxy that is ready at once.
 func joinProxy(r *proxyRegistry, name string, now time.Duration) *proxy {
-	g, _ := r.noteConnected(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
-	g.ready = true
-	if g.firstReadyAt == 0 {
-		g.firstReadyAt = now
+	proxy, _ := r.noteConnected(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
+	proxy.ready = true
+	if proxy.firstReadyAt == 0 {
+		proxy.firstReadyAt = now
 	}
 	return proxy
 }
 
-func heartbeatAll(r *proxyRegistry, now time.Duration, but ...string) {
-	for _, n := range r.names() {
-		if len(but) == 0 || n != but[0] {
-			r.proxies[n].lastHeard = now
+// heartbeatAll records a heartbeat of all proxies but the one named in except.
+func heartbeatAll(r *proxyRegistry, now time.Duration, except ...string) {
+	for _, name := range r.names() {
+		if len(except) == 0 || name != except[0] {
+			r.proxies[name].lastHeard = now
 		}
 	}
 }
 
-// One that has given its parts up counts no more from then on, whatever it says later; its next life joins anew, and
-// leaves unused what one behind a cut still holds.
+// A leaving proxy that has released its quota shares no longer counts, even if it is heard of later. Its next incarnation
+// joins like a new proxy, and leaves unused the shares that a proxy behind a cut may still use.
 func TestReleasedQuotaSharesAreFreeAtOnce(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b", "c"} {
-		joinProxy(r, n, at)
+		joinProxy(r, n, now)
 	}
-	at += 5 * time.Second
-	heartbeatAll(r, at)
-	g := r.proxies["a"]
-	g.leftAt, g.grace, g.quotaReleased = at, 6*time.Second, true
-	_, shares, _ := r.members(at)
+	now += 5 * time.Second
+	heartbeatAll(r, now)
+	leaver := r.proxies["a"]
+	leaver.leftAt, leaver.grace, leaver.quotaReleased = now, 6*time.Second, true
+	_, shares, _ := r.members(now)
 	assert.Equal(t, shares, 2)
 
-	at += time.Second
-	heartbeatAll(r, at)
-	joinProxy(r, "a", at)
+	now += time.Second
+	heartbeatAll(r, now)
+	joinProxy(r, "a", now)
 	for _, step := range []struct {
 		d      time.Duration
 		but    string
 		silent int
 	}{{0, "", 2}, {handover.HeardBy, "c", 1}, {10 * time.Second, "c", 1}, {11 * time.Second, "", 0}} {
 		if step.d > 0 {
-			heartbeatAll(r, at+step.d, step.but)
+			heartbeatAll(r, now+step.d, step.but)
 		}
 		all, shares, _ := r.members(now + step.d)
 		assert.Equal(t, shares, 3)
@@ -61,13 +62,13 @@
 	}
 }
 
-// A proxy that joins others is told of to a rising part of places; those that all began at once, and one that was
-// killed and comes back, to all at once.
+// A proxy that joins others is listed to a growing part of the clients. Proxies that all start at once, and one that comes
+// back after being killed, are listed to all clients at once.
 func TestJoiningProxiesAreListedGradually(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	clock := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
-		joinProxy(r, n, at)
+		joinProxy(r, n, clock)
 	}
 	placesWith := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
@@ -79,36 +80,36 @@
 		}
 		return n
 	}
-	assert.Equal(t, told("b", at), 100) // a first start
-	at += 10 * time.Second
-	heartbeatAll(r, at)
+	assert.Equal(t, placesWith("b", clock), 100) // all started at once
+	clock += 10 * time.Second
+	heartbeatAll(r, clock)
 	r.proxies["b"].connected = false
-	joinProxy(r, "b", at) // it was killed
-	assert.Equal(t, told("b", at), 100)
-	joinProxy(r, "e", at)
+	joinProxy(r, "b", clock) // it was killed
+	assert.Equal(t, placesWith("b", clock), 100)
+	joinProxy(r, "e", clock)
 	const mid = (handover.RiseAt + handover.RiseFor) / 2
-	assert.Equal(t, told("e", at), 0)
-	heartbeatAll(r, at+mid)
-	half := told("e", at+mid)
+	assert.Equal(t, placesWith("e", clock), 0)
+	heartbeatAll(r, clock+mid)
+	half := placesWith("e", clock+mid)
 	assert.Assert(t, half > 25 && half < 75, "%d", half)
-	heartbeatAll(r, at+handover.RiseFor)
-	assert.Equal(t, told("e", at+handover.RiseFor), 100)
-	assert.Equal(t, told("a", at+handover.RiseFor), 100)
+	heartbeatAll(r, clock+handover.RiseFor)
+	assert.Equal(t, placesWith("e", clock+handover.RiseFor), 100)
+	assert.Equal(t, placesWith("a", clock+handover.RiseFor), 100)
 }
 
-// A joiner takes from the others only once their proxies have said that they go by as many parts as there are with it,
-// however long their agents were heard by then; a later join makes it no stranger again.
+// A joining proxy uses its quota share only once all other proxies have reported that they divide quotas by the new number,
+// however long that takes. A later join doesn't put it back into waiting.
 func TestJoiningProxiesWaitForTheOthersShares(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b"} {
-		joinProxy(r, n, at).quotaParts = 2
+		joinProxy(r, n, now).quotaParts = 2
 	}
-	at += time.Second
-	joinProxy(r, "c", at)
+	now += time.Second
+	joinProxy(r, "c", now)
 	silent := func(name string, after time.Duration) int {
-		heartbeatAll(r, at+after)
-		all, _, _ := r.members(at + after)
+		heartbeatAll(r, now+after)
+		all, _, _ := r.members(now + after)
 		i := slices.IndexFunc(all, func(m peerlink.Member) bool { return m.Hello.Name == name })
 		return all[i].Silent
 	}
@@ -120,32 +121,32 @@
 	assert.Equal(t, silent("c", 20*time.Second), 0)
 	now += 21 * time.Second
 	r.proxies["c"].quotaParts = 3
-	joinProxy(r, "d", at)
+	joinProxy(r, "d", now)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
 }
 
-// Where every proxy leaves at once, clients are sent to those whose doors are still open, and to nobody behind a shut one.
+// If every proxy leaves at once, clients are sent to those that still accept requests, and to none that has stopped.
 func TestLeavingProxiesAreListedIfNoOtherIsReady(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
-	at := time.Second
-	for _, n := range []string{"a", "b"} {
-		joinProxy(r, n, at)
+	now := time.Second
+	for _, name := range []string{"a", "b"} {
+		joinProxy(r, name, now)
 	}
-	at += 10 * time.Second
-	heartbeatAll(r, at)
-	leave := func(n string) {
-		r.proxies[n].leftAt, r.proxies[n].grace, r.proxies[n].ready = at, 6*time.Second, false
+	now += 10 * time.Second
+	heartbeatAll(r, now)
+	leave := func(name string) {
+		r.proxies[name].leftAt, r.proxies[name].grace, r.proxies[name].ready = now, 6*time.Second, false
 	}
 	leave("a")
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
 	leave("b")
-	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"a", "b"})
-	at += 2 * time.Second
-	heartbeatAll(r, at)
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"a", "b"})
+	now += 2 * time.Second
+	heartbeatAll(r, now)
 	r.proxies["a"].quotaReleased = true
-	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"b"})
-	at += time.Second
-	heartbeatAll(r, at)
-	assert.Equal(t, len(r.frontAddresses([]string{"r"}, "p", at)), 0)
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
+	now += time.Second
+	heartbeatAll(r, now)
+	assert.Equal(t, len(r.frontAddresses([]string{"r"}, "p", now)), 0)
 }
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -15,7 +15,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// growingPlatform is a platform's list to which servers are added; it notes when each whole reading began and ended.
+// growingPlatform serves a server list that grows. It records when whole reads of the list began and ended.
 type growingPlatform struct {
 	mu      sync.Mutex
 	servers int
@@ -33,8 +33,8 @@
 	rows, next := [][]any{}, from
 	for i := from; i < p.servers && len(rows) < longListPageRows; i++ {
 		next = i + 1
-		if in := "z" + strconv.Itoa(i%2); zone == "" || zone == in {
-			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", in, "ready"})
+		if inZone := "z" + strconv.Itoa(i%2); zone == "" || zone == inZone {
+			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", inZone, "ready"})
 		}
 	}
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
@@ -59,8 +59,8 @@
 // Replicas that read the list before it grew, or never did, must not keep the lease's holder from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
 	p := &growingPlatform{servers: 700, begun: map[string]time.Time{}}
-	set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
-	set.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
+	setup := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
+	setup.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
@@ -75,7 +75,7 @@
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		f.t.Logf("%v from the beginning of a reading to the end of the next", p.longest)
-		assert.Assert(f.t, p.longest <= drainTime-upstreamLossTime, "%v from the beginning of a reading to the end of the next", p.longest)
+		f.t.Logf("%v from the start of a read to the end of the next", p.longest)
+		assert.Assert(f.t, p.longest <= drainTime-upstreamLossTime, "%v from the start of a read to the end of the next", p.longest)
 	})
 }
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	platformCallsPerSecond = 44               // calls a second that the platform answers
+	platformCallsPerSecond = 44               // beyond this, the platform refuses calls
 	listPages              = 60               // 3,000 servers at 50 a page
-	recoveryTime           = 15 * time.Second // recover_s
+	recoveryTime           = 15 * time.Second // the setting recover_s
 )
 
-// rateLimitedPlatform refuses what comes over the platform's rate.
+// rateLimitedPlatform refuses calls above platformCallsPerSecond.
 type rateLimitedPlatform struct {
 	fakePlatform
-	calls   []time.Time
+	calls   []time.Time // of the last second
 	refused int
 	down    bool
 }
@@ -53,10 +53,10 @@
 		p.servers = append(p.servers, serverRow(serverID(i), "ready"))
 	}
 	runClusterWithPlatform(t, 3, p, func(f *clusterFixture) {
-		h := f.startAgent("1", 0)
-		defer h.stop()
-		known := h.holds(func(h *simAgent) bool { return h.list != nil && len(h.list.List) == listPages })
-		for began := time.Now(); !known() && time.Since(began) < recoveryTime; {
+		agent := f.startAgent("1", 0)
+		defer agent.stop()
+		known := agent.holds(func(agent *simAgent) bool { return agent.list != nil && len(agent.list.List) == listPages })
+		for start := time.Now(); !known() && time.Since(start) < recoveryTime; {
 			time.Sleep(100 * time.Millisecond)
 		}
 		p.mu.Lock()
@@ -71,9 +71,9 @@
 	for i := range 10 {
 		p.servers = append(p.servers, serverRow(serverID(i), "ready"))
 	}
-	set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: platformCallsPerSecond}
-	set.run(manyReplicas, p, func(f *clusterFixture) {
-		goes := func(down bool) {
+	setup := &clusterFixture{t: t, drainTime: drainTime, cloudRate: platformCallsPerSecond}
+	setup.run(manyReplicas, p, func(f *clusterFixture) {
+		setDown := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.down, p.refused = down, 0
@@ -84,11 +84,11 @@
 		setDown(false)
 		restored := time.Now()
 		f.waitFor(time.Minute, "read by all again", func() bool {
-			for _, r := range f.replicas {
-				r.mu.Lock()
-				age := r.now() - r.newestReading.startedAt
-				r.mu.Unlock()
-				if age > time.Since(back) {
+			for _, replica := range f.replicas {
+				replica.mu.Lock()
+				age := replica.now() - replica.newestReading.startedAt
+				replica.mu.Unlock()
+				if age > time.Since(restored) {
 					return false
 				}
 			}
@@ -96,6 +96,6 @@
 		})
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(f.t, time.Since(back) <= drainTime, "%v, %d calls refused", time.Since(back), p.refused)
+		assert.Assert(f.t, time.Since(restored) <= drainTime, "%v, %d calls refused", time.Since(restored), p.refused)
 	})
 }
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -16,11 +16,11 @@
 
 var measuring = flag.Bool("control.measure", false, "print the figures of docs/measurements/control.md")
 
-// summarize tells the median, the 99th of 100 and the worst of some times.
-func summarize(all []time.Duration) string {
-	slices.Sort(all)
-	at := func(q float64) time.Duration {
-		return all[min(len(all)-1, int(q*float64(len(all))))].Round(100 * time.Microsecond)
+// summarize returns the median, the 99th percentile and the maximum of some durations as text.
+func summarize(durations []time.Duration) string {
+	slices.Sort(durations)
+	value := func(quantile float64) time.Duration {
+		return durations[min(len(durations)-1, int(quantile*float64(len(durations))))].Round(100 * time.Microsecond)
 	}
 	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", value(0.5), value(0.99), durations[len(durations)-1].Round(100*time.Microsecond), len(durations))
 }
@@ -45,9 +45,10 @@
 	return rest
 }
 
-// timeReplacements sends configurations one after the other, to replicas by chance, and returns how long each took until it was taken.
-func (f *clusterFixture) timeReplacements(rnd *rand.Rand, gen *int, n int, at ...int) (all []time.Duration) {
-	for range n {
+// timeReplacements replaces the configuration count times, each time at a random one of the given replicas, and returns how
+// long each took until it was acknowledged.
+func (f *clusterFixture) timeReplacements(random *rand.Rand, gen *int, count int, replicas ...int) (durations []time.Duration) {
+	for range count {
 		*gen++
 		text := configurationBody(*gen, "m")
 		began := time.Now()
@@ -85,27 +86,27 @@
 					all[i] = i
 				}
 				gen := 1
-				f.timeReplacements(rnd, &gen, 1, 0) // the first replica proposed last
-				calm = append(calm, f.timeReplacements(rnd, &gen, 20, all...)...)
-				f.timeReplacements(rnd, &gen, 1, 0)
-				f.kill(x.n-1, true)
-				lost = append(lost, f.timeReplacements(rnd, &gen, 10, all[:x.n-1]...)...)
-				f.start(x.n - 1)
+				f.timeReplacements(random, &gen, 1, 0) // makes the first replica the last proposer
+				calm = append(calm, f.timeReplacements(random, &gen, 20, all...)...)
+				f.timeReplacements(random, &gen, 1, 0)
+				f.kill(setup.n-1, true)
+				lost = append(lost, f.timeReplacements(random, &gen, 10, all[:setup.n-1]...)...)
+				f.start(setup.n - 1)
 				time.Sleep(rejoinTimeout)
-				last := f.lastProposer()
-				f.kill(last, true)
-				killed = append(killed, f.timeReplacements(rnd, &gen, 1, without(all, last)...)...)
-				f.start(last)
+				proposer := f.lastProposer()
+				f.kill(proposer, true)
+				killed = append(killed, f.timeReplacements(random, &gen, 1, without(all, proposer)...)...)
+				f.start(proposer)
 				time.Sleep(rejoinTimeout)
-				last = f.lastProposer()
-				f.partition(ips(last), ips(without(all, last)...), sim.Silent)
-				cut = append(cut, f.timeReplacements(rnd, &gen, 1, without(all, last)...)...)
-				f.partition(ips(last), ips(without(all, last)...), sim.Open)
+				proposer = f.lastProposer()
+				f.partition(ips(proposer), ips(without(all, proposer)...), sim.Silent)
+				cut = append(cut, f.timeReplacements(random, &gen, 1, without(all, proposer)...)...)
+				f.partition(ips(proposer), ips(without(all, proposer)...), sim.Open)
 				time.Sleep(rejoinTimeout)
-				last = f.lastProposer()
-				f.disks[last].SetLatency(30 * time.Millisecond)
-				slow = append(slow, f.timeReplacements(rnd, &gen, 3, all...)...)
-				f.disks[last].SetLatency(time.Millisecond)
+				proposer = f.lastProposer()
+				f.disks[proposer].SetLatency(30 * time.Millisecond)
+				slow = append(slow, f.timeReplacements(random, &gen, 3, all...)...)
+				f.disks[proposer].SetLatency(time.Millisecond)
 				if !*measuring {
 					return
 				}
@@ -133,7 +134,7 @@
 		}
 		for what, all := range map[string][]time.Duration{"calm": calm, "one lost": lost, "the last proposer loses power": killed,
 			"the last proposer is cut off": cut, "its disk takes 30 ms an operation": slow, "whole after a replacement": whole, "whole after a lost disk": joined} {
-			t.Logf("%s: %s: %s", x.name, what, summarize(all))
+			t.Logf("%s: %s: %s", setup.name, what, summarize(all))
 		}
 	}
 	if *measuring {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,7 +6,7 @@
 	"pepperfall.example/pepperfall/internal/platform/metrics"
 )
 
-// collectMetrics are what this replica tells of itself to whoever watches it.
+// collectMetrics returns this replica's metrics.
 func (b *Replica) collectMetrics() []metrics.Figure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -17,14 +17,14 @@
 		}
 		return now - at
 	}
-	behind, follow, longest := 0, 0, time.Duration(0)
-	for h := range b.agents {
-		if at, is := b.configurationHistory.BehindSinceConnected(&h.delivery); is {
+	behind, following, longest := 0, 0, time.Duration(0)
+	for agent := range b.agents {
+		if at, isBehind := b.configurationHistory.BehindSinceConnected(&agent.delivery); isBehind {
 			behind++
 			longest = max(longest, now-at)
 		}
-		if h.delivery.IsUpstream {
-			follow++
+		if agent.delivery.IsUpstream {
+			following++
 		}
 	}
 	reached := 0
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -24,33 +24,33 @@
 )
 
 const (
-	maxOperatorCalls = 4                       // calls of operators at once
-	maxSubjectBytes  = 64                      // bytes of a version, a zone or a proxy in the history
-	figuresWantedFor = 10 * time.Second        // after a look proxies tell their figures
-	maxFiguresAge    = 3500 * time.Millisecond // then they are told no more
+	maxOperatorCalls = 4                       // calls at once that read what operators ask
+	maxSubjectBytes  = 64                      // of the version, zone, proxy or server that an order in the history is about
+	figuresWantedFor = 10 * time.Second        // for which proxies send their figures after a status call
+	maxFiguresAge    = 3500 * time.Millisecond // older ones aren't shown
 )
 
-// operatorState is what operators are told. Nothing of it runs while nobody asks.
+// operatorState holds what only the operators' read calls need. Nothing of it runs without such calls.
 type operatorState struct {
 	logRing                *logring.Ring
-	orders                 []api.Order // a ring
-	orderCount             uint64
-	persistOrder           func(api.Order) // writes one down; nil: nobody does
-	figuresWantedUntil     time.Duration   // until when figures of proxies are wanted
-	routeCountsWantedUntil time.Duration   // and what they were asked for
-	routeCountsWantedSince time.Duration   // that is wanted without a pause
+	orders                 []api.Order     // a ring buffer
+	orderCount             uint64          // orders recorded so far, which is also the next slot modulo the ring's size
+	persistOrder           func(api.Order) // writes an order down; nil: orders are kept in memory only
+	figuresWantedUntil     time.Duration   // until when proxies are to send their figures
+	routeCountsWantedUntil time.Duration   // until when proxies are to send their requests by route
+	routeCountsWantedSince time.Duration   // since when they are to do so without a pause
 }
 
 var errBusy = errors.New("too many operator calls at once")
 
-// SetLogRing lets operators read the ring; it is called before Run.
+// SetLogRing lets operators read the ring's log lines; it must be called before Run.
 func (b *Replica) SetLogRing(ring *logring.Ring) { b.ops.logRing = ring }
 
-// addOperatorRoutes adds their calls to ctl.
-func (b *Replica) addOperatorRoutes(m *http.ServeMux) {
+// addOperatorRoutes adds the calls by which operators read the replica's state.
+func (b *Replica) addOperatorRoutes(mux *http.ServeMux) {
 	slots := make(chan struct{}, maxOperatorCalls)
-	add := func(path string, look func(r *http.Request) (any, error)) {
-		m.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
+	add := func(path string, read func(r *http.Request) (any, error)) {
+		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case slots <- struct{}{}:
 				defer func() { <-slots }()
@@ -78,7 +78,7 @@
 	add(api.ServerExplain, func(r *http.Request) (any, error) {
 		id := strings.TrimPrefix(r.URL.Path, api.ServerExplain)
 		if !nodeNamePattern.MatchString(id) {
-			return nil, errors.Errorf("%q is no id of a server", id)
+			return nil, errors.Errorf("%q is not a server ID", id)
 		}
 		return b.ExplainVerdict(id), nil
 	})
@@ -96,49 +96,49 @@
 	})
 }
 
-// runOrder carries an order out and keeps what became of it.
+// runOrder runs an order and records its outcome in the history.
 func (b *Replica) runOrder(r *http.Request, kind, what string, order func(ctx context.Context) error) error {
 	began, at := b.now(), b.world.Now()
 	err := order(withLockToken(r.Context(), r.URL.Query().Get(api.LockToken)))
-	o := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), maxSubjectBytes)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
+	record := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), maxSubjectBytes)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
 	if err != nil {
-		if o.End, o.Why = "unclear", err.Error(); httpStatus(err) != http.StatusServiceUnavailable {
-			o.End = "refused"
+		if record.End, record.Why = "unclear", err.Error(); httpStatus(err) != http.StatusServiceUnavailable {
+			record.End = "refused"
 		}
 		record.Why = record.Why[:min(len(record.Why), api.MostLine)]
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.recordOrder(o)
+	b.recordOrder(record)
 	return err
 }
 
-// recordOrder keeps an order, or a verdict, and has it written down; the mutex is held.
-func (b *Replica) recordOrder(o api.Order) {
+// recordOrder adds an order or a verdict to the history and has it written down; the mutex is held.
+func (b *Replica) recordOrder(order api.Order) {
 	if b.ops.persistOrder != nil {
-		b.ops.persistOrder(o)
+		b.ops.persistOrder(order)
 	}
 	if len(b.ops.orders) < api.MostOrders {
 		b.ops.orders = append(b.ops.orders, order)
 	} else {
-		b.ops.orders[b.ops.orderCount%api.MostOrders] = o
+		b.ops.orders[b.ops.orderCount%api.MostOrders] = order
 	}
 	b.ops.orderCount++
 }
 
-// configurationGen is the version that a body says it is, for the history only.
+// configurationGen returns the version that a configuration's text claims, for the history only.
 func configurationGen(body []byte) string {
-	var b struct {
+	var header struct {
 		Gen string `json:"gen"`
 	}
 	_ = json.Unmarshal(body, &header)
 	return header.Gen
 }
 
-// SetOrderPersister has orders written down; it is called before Run.
+// SetOrderPersister sets the function that writes orders down; it must be called before Run.
 func (b *Replica) SetOrderPersister(note func(api.Order)) { b.ops.persistOrder = note }
 
-// RestoreOrders puts orders of earlier lives before those of this one.
+// RestoreOrders puts the orders of earlier incarnations before those of this one.
 func (b *Replica) RestoreOrders(orders []api.Order) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,7 +147,7 @@
 	b.ops.orderCount = uint64(len(b.ops.orders))
 }
 
-// oldestFirst is the ring's orders, oldest first.
+// oldestFirst returns the ring's orders, oldest first.
 func (o *operatorState) oldestFirst() []api.Order {
 	if len(o.orders) == 0 {
 		return nil
@@ -162,36 +162,36 @@
 	defer b.mu.Unlock()
 	history := &api.History{Replica: b.self.Name, Since: b.startedAt.UTC(), Orders: []api.Order{}}
 	if n := uint64(len(b.ops.orders)); n > 0 {
-		h.Lost, h.Orders = b.ops.orderCount-n, b.ops.oldestFirst()
+		history.Lost, history.Orders = b.ops.orderCount-n, b.ops.oldestFirst()
 	}
 	return history
 }
 
 // Log returns the log ring's lines from a line number on.
 func (b *Replica) Log(from uint64) *api.Log {
-	l := &api.Log{Replica: b.self.Name, At: b.world.Now().UTC(), Lines: []api.LogLine{}}
+	log := &api.Log{Replica: b.self.Name, At: b.world.Now().UTC(), Lines: []api.LogLine{}}
 	if b.ops.logRing == nil {
-		return l
+		return log
 	}
 	lines, next := b.ops.logRing.Lines(from, api.MostLines, api.MostLine)
-	l.Next = next
-	for _, x := range lines {
-		l.Lines = append(l.Lines, api.LogLine{No: x.No, At: x.At.UTC(), Text: x.Text})
+	log.Next = next
+	for _, line := range lines {
+		log.Lines = append(log.Lines, api.LogLine{No: line.No, At: line.At.UTC(), Text: line.Text})
 	}
 	return log
 }
 
 // Status asks the other replicas for their reports and returns them with everything else that this replica knows.
 func (b *Replica) Status(ctx context.Context) *api.Status {
-	rctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
-	reports := b.requestReports(rctx, func() bool { return false })
+	roundCtx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	reports := b.requestReports(roundCtx, func() bool { return false })
 	cancel()
 	trouble := b.store.LastError()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, decided := b.now(), b.contents.Record.Decided
 	b.ops.figuresWantedUntil = now + figuresWantedFor
-	s := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.world.Now().UTC(), UpMS: now.Milliseconds(),
+	status := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.world.Now().UTC(), UpMS: now.Milliseconds(),
 		Voter: b.self.Voter, Eligible: b.isVoter(), Leaving: b.leaving,
 		Voters: len(decided.Voters), Majority: quorum.Majority(len(decided.Voters)),
 		Held: apiVersion(newestConfig(b.contents.Record.Report())), Confirmed: apiVersion(decided.Config), FreshMS: -1,
@@ -202,18 +202,18 @@
 	if trouble != nil {
 		status.Disk = trouble.Error()
 	}
-	for _, h := range sortedByName(b.replicas) {
-		m, answered := reports[h.ID]
-		_, votes := decided.Voter(h.ID)
-		self := h.Name == b.self.Name
-		s.Replicas = append(s.Replicas, api.ReplicaView{Name: h.Name, Zone: h.Zone, Ctl: h.Ctl, Voter: h.Voter,
-			Connected: self || len(b.links[h.Name]) > 0, Answered: answered || self, Eligible: votes, Held: apiVersion(newestConfig(m))})
+	for _, replica := range sortedByName(b.replicas) {
+		report, answered := reports[replica.ID]
+		_, votes := decided.Voter(replica.ID)
+		self := replica.Name == b.self.Name
+		status.Replicas = append(status.Replicas, api.ReplicaView{Name: replica.Name, Zone: replica.Zone, Ctl: replica.Ctl, Voter: replica.Voter,
+			Connected: self || len(b.links[replica.Name]) > 0, Answered: answered || self, Eligible: votes, Held: apiVersion(newestConfig(report))})
 	}
-	b.addProxyViews(s, now)
-	for _, z := range decided.Orders {
-		name := z.Zone
-		if _, is := z.Server(); is {
-			continue // Explain tells of it
+	b.addProxyViews(status, now)
+	for _, order := range decided.Orders {
+		name := order.Zone
+		if _, ok := order.Server(); ok {
+			continue // Explain shows it
 		}
 		if node, ok := order.Node(); ok {
 			status.Nodes = append(status.Nodes, api.NodeOrder{Node: node, Rests: order.Drain, Count: order.Count, By: order.By, Confirmed: true})
@@ -225,63 +225,64 @@
 		left := max(0, lock.For-(now-b.observedLock.firstSeen))
 		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
-	d := b.duty.Known()
-	s.Duties = []api.Duty{{Name: listLeaseName, Holder: d.Holder.Name, Next: d.Next.Name, Epoch: d.Term.Epoch, Step: d.Term.Step, Rank: b.duty.Rank(b.leaseView())}}
-	s.List = b.listView(now)
-	return s
+	duty := b.duty.Known()
+	status.Duties = []api.Duty{{Name: listLeaseName, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.duty.Rank(b.leaseView())}}
+	status.List = b.listView(now)
+	return status
 }
 
-// newestConfig is the configuration that a replica has decided, or accepted above that.
-func newestConfig(m quorum.Report) state.ConfigID {
-	if m.Value != nil && m.Value.Config.Above(m.Config) {
-		return m.Value.Config
+// newestConfig returns the configuration that a replica has accepted, if it is above the decided one, or else that one.
+func newestConfig(report quorum.Report) state.ConfigID {
+	if report.Value != nil && report.Value.Config.Above(report.Config) {
+		return report.Value.Config
 	}
 	return report.Config
 }
 
-// configIDOf names p, which may be nil.
-func configIDOf(p *peerlink.Configuration) state.ConfigID {
-	if p == nil {
+// configIDOf returns the ID of a configuration, which may be nil.
+func configIDOf(configuration *peerlink.Configuration) state.ConfigID {
+	if configuration == nil {
 		return state.ConfigID{}
 	}
 	return state.ConfigID{Gen: configuration.Gen, Digest: configuration.Digest}
 }
 
-func apiVersion(h state.ConfigID) api.Version {
-	if h.Gen == 0 {
+// apiVersion returns a configuration's ID as operators see it; the zero version for none.
+func apiVersion(id state.ConfigID) api.Version {
+	if id.Gen == 0 {
 		return api.Version{}
 	}
 	return api.Version{Gen: fmt.Sprintf("r%d", id.Gen), Digest: hex.EncodeToString(id.Digest[:])}
 }
 
-// addProxyViews tells of the proxies; the mutex is held.
-func (b *Replica) addProxyViews(s *api.Status, now time.Duration) {
+// addProxyViews adds the proxies to a status; the mutex is held.
+func (b *Replica) addProxyViews(status *api.Status, now time.Duration) {
 	agents := map[string]*agentConn{}
-	for h := range b.agents {
-		if old := agents[h.name]; old == nil || old.incarnation < h.incarnation {
-			agents[h.name] = h
+	for agent := range b.agents {
+		if other := agents[agent.name]; other == nil || other.incarnation < agent.incarnation {
+			agents[agent.name] = agent
 		}
 	}
 	names := b.proxies.names()
-	s.LeftOut = max(0, len(names)-api.MostProxies)
-	for _, n := range names[:len(names)-s.LeftOut] {
-		g := b.proxies.proxies[n]
-		v := api.ProxyView{Name: n, Zone: g.hello.Zone, Region: g.hello.Region, Front: g.hello.Front, Alive: g.isAlive(now),
-			HeardMS: (now - g.lastHeard).Milliseconds()}
-		v.Ready = v.Alive && g.ready && g.leftAt == 0
-		v.Life, v.ToRest, v.Rests = g.hello.Life, b.proxies.resting[n], v.Alive && g.readyButResting && g.leftAt == 0
-		if f := g.figures; f != nil && v.Alive && now-g.figuresAt < maxFiguresAge {
-			v.Figures = &api.Figures{AgeMS: (now - g.figuresAt).Milliseconds(), Open: f.Open, Clients: f.Clients, SpanMS: f.Span.Milliseconds(),
-				Served: f.Served, Refused: f.Refused, Failed: f.Failed}
+	status.LeftOut = max(0, len(names)-api.MostProxies)
+	for _, name := range names[:len(names)-status.LeftOut] {
+		known := b.proxies.proxies[name]
+		view := api.ProxyView{Name: name, Zone: known.hello.Zone, Region: known.hello.Region, Front: known.hello.Front, Alive: known.isAlive(now),
+			HeardMS: (now - known.lastHeard).Milliseconds()}
+		view.Ready = view.Alive && known.ready && known.leftAt == 0
+		view.Life, view.ToRest, view.Rests = known.hello.Life, b.proxies.resting[name], view.Alive && known.readyButResting && known.leftAt == 0
+		if figures := known.figures; figures != nil && view.Alive && now-known.figuresAt < maxFiguresAge {
+			view.Figures = &api.Figures{AgeMS: (now - known.figuresAt).Milliseconds(), Open: figures.Open, Clients: figures.Clients, SpanMS: figures.Span.Milliseconds(),
+				Served: figures.Served, Refused: figures.Refused, Failed: figures.Failed}
 		}
-		if h := agents[n]; h != nil {
-			v.Linked, v.Behind = true, h.lastSentNumber-h.lastAckedNumber
-			if h.versionInForce > 0 {
-				v.Gen = fmt.Sprintf("r%d", h.versionInForce)
+		if agent := agents[name]; agent != nil {
+			view.Linked, view.Behind = true, agent.lastSentNumber-agent.lastAckedNumber
+			if agent.versionInForce > 0 {
+				view.Gen = fmt.Sprintf("r%d", agent.versionInForce)
 			}
 		}
-		v.Lags = lagReason(v, g, s.Confirmed.Gen)
-		s.Proxies = append(s.Proxies, v)
+		view.Lags = lagReason(view, known, status.Confirmed.Gen)
+		status.Proxies = append(status.Proxies, view)
 	}
 	status.Versions = routeconfig.VersionsAt(slices.Values(status.Proxies))
 	for _, name := range names {
@@ -291,24 +292,25 @@
 	}
 }
 
-// lagReason says why a proxy may serve something old.
-func lagReason(v api.ProxyView, g *proxy, confirmed string) string {
+// lagReason says why a proxy may serve an old configuration; empty: it doesn't.
+func lagReason(view api.ProxyView, proxy *proxy, confirmed string) string {
 	switch {
 	case proxy.leftAt > 0:
 		return "it leaves"
 	case !view.Linked:
 		return "not connected to this replica"
-	case !v.Alive:
-		return fmt.Sprintf("silent for %d ms", v.HeardMS)
-	case v.Gen != confirmed:
-		return fmt.Sprintf("%s in force, %d changes not acknowledged", orDefault(v.Gen, "nothing"), v.Behind)
-	case v.Behind > 0:
-		return fmt.Sprintf("%d changes not acknowledged", v.Behind)
+	case !view.Alive:
+		return fmt.Sprintf("silent for %d ms", view.HeardMS)
+	case view.Gen != confirmed:
+		return fmt.Sprintf("%s in force, %d changes not acknowledged", orDefault(view.Gen, "nothing"), view.Behind)
+	case view.Behind > 0:
+		return fmt.Sprintf("%d changes not acknowledged", view.Behind)
 	}
 	return ""
 }
 
-func orDefault(text, none string) string {
+// orDefault returns text, or other if text is empty.
+func orDefault(text, other string) string {
 	if text == "" {
 		return other
 	}
@@ -321,13 +323,13 @@
 	if b.serverList == nil {
 		return view
 	}
-	l.By, l.HeardMS = b.serverList.By, (now - b.newestReading.learnedAt).Milliseconds()
-	in := map[string]*api.ServersIn{}
-	for _, s := range b.serverList.List {
-		z := in[s.Zone]
-		if z == nil {
-			z = &api.ServersIn{Zone: s.Zone}
-			in[s.Zone] = z
+	view.By, view.HeardMS = b.serverList.By, (now - b.newestReading.learnedAt).Milliseconds()
+	zones := map[string]*api.ServersIn{}
+	for _, server := range b.serverList.List {
+		zone := zones[server.Zone]
+		if zone == nil {
+			zone = &api.ServersIn{Zone: server.Zone}
+			zones[server.Zone] = zone
 		}
 		switch {
 		case server.Draining:
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -29,6 +29,7 @@
 	return response.StatusCode
 }
 
+// The operator interface shows status, history and log, also while a disk is full and a replica is lost.
 func TestOperatorEndpoints(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
@@ -69,16 +70,16 @@
 	})
 }
 
-// Each replica tells who has the list's duty, who is next and in which term, also after the holder has gone; and which
-// version is in force at which proxies, by name where one may serve something old.
+// Each replica's status shows the list lease's holder, successor and term, also after the holder has gone. It also shows how
+// many proxies have each version in force, with the names of those that may serve an old one.
 func TestStatusShowsLeaseAndVersions(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 		defer f.startAgent("1", 1).stop()
 		behind := f.startAgent("2", 1)
 		defer behind.stop()
-		f.waitFor(3*time.Second, "in force", behind.holds(func(h *simAgent) bool { return h.held == 3 }))
-		told := func(of ...int) (s api.Status) {
+		f.waitFor(3*time.Second, "in force", behind.holds(func(agent *simAgent) bool { return agent.held == 3 }))
+		statusOf := func(of ...int) (status api.Status) {
 			for _, i := range of {
 				before := status
 				assert.Equal(t, f.get(i, api.OpsStatus, &status), 200)
--- a/internal/control/rest_orders_test.go
+++ b/internal/control/rest_orders_test.go
@@ -16,12 +16,12 @@
 
 var halfAwake = MinAwake{Zone: 0.5, All: 0.5}
 
-// startProxies are agents of four proxies in one zone, each connected to all replicas.
+// startProxies starts the agents of four proxies in one zone, each connected to all replicas.
 func (f *clusterFixture) startProxies() (stop func()) {
-	var all []*simAgent
-	for _, n := range []string{"1", "2", "3", "4"} {
+	var agents []*simAgent
+	for _, name := range []string{"1", "2", "3", "4"} {
 		for i := range f.replicas {
-			all = append(all, f.startAgent(n, i))
+			agents = append(agents, f.startAgent(name, i))
 		}
 	}
 	f.waitFor(5*time.Second, "proxies", func() bool {
@@ -36,6 +36,7 @@
 	}
 }
 
+// restingCount returns how many proxies are ordered to rest, by a replica's status.
 func (f *clusterFixture) restingCount(i int) (n int) {
 	for _, o := range f.replicas[i].Status(context.Background()).Nodes {
 		if o.Rests {
@@ -51,26 +52,26 @@
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
 		defer f.startProxies()()
 		ctx := context.Background()
-		var tight TooFewAwakeError
+		var tooFewAwake TooFewAwakeError
 		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", halfAwake))
-		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", halfAwake)) // it rests already
-		ends := make(chan error, 2)
+		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", halfAwake)) // it is resting already
+		results := make(chan error, 2)
 		for i, n := range []string{"proxy-2", "proxy-3"} {
-			go func() { ends <- f.replicas[i].Rest(ctx, n, halfAwake) }()
+			go func() { results <- f.replicas[i].Rest(ctx, n, halfAwake) }()
 		}
-		a, b := <-ends, <-ends
-		assert.Assert(t, errors.As(a, &tight) || errors.As(b, &tight), "%v, %v", a, b)
+		a, b := <-results, <-results
+		assert.Assert(t, errors.As(a, &tooFewAwake) || errors.As(b, &tooFewAwake), "%v, %v", a, b)
 		assert.Assert(t, f.restingCount(2) <= 2)
 		if f.restingCount(2) < 2 {
 			assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-2", halfAwake))
 		}
 		err := f.replicas[0].Rest(ctx, "proxy-4", halfAwake)
-		assert.Assert(t, errors.As(err, &tight), "%v", err)
+		assert.Assert(t, errors.As(err, &tooFewAwake), "%v", err)
 		assert.Error(t, err, "1 of 4 proxies of all would stay awake, and 0.5 of them have to")
 		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-4", MinAwake{Force: true}))
 		assert.Assert(t, errors.Is(f.replicas[0].Rest(ctx, "proxy-9", halfAwake), ErrUnknownProxy))
 		assert.Assert(t, errors.Is(f.replicas[0].Wake(ctx, "proxy-9"), ErrUnknownProxy))
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", MinAwake{Force: true})) // it is yet to come
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", MinAwake{Force: true})) // an order may be forced for a proxy that is not known yet
 		assert.NilError(t, f.replicas[1].Wake(ctx, "proxy-9"))
 		url := "http://" + ip(0) + ":8200" + api.NodeRest
 		for path, want := range map[string]int{"proxy-1?zone=2": 400, "a%20b": 400, "proxy-8": 404, "proxy-1": 200, "proxy-1?lock=x": 423} {
@@ -80,7 +81,8 @@
 	})
 }
 
-// Both sides of a core that is cut in half are ordered; neither acknowledges, and what holds later is one word.
+// If the control replicas are split into two halves, neither half acknowledges orders. Afterwards all replicas agree on one
+// outcome.
 func TestRestOrdersInASplitCore(t *testing.T) {
 	runCluster(t, 4, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
@@ -113,7 +115,7 @@
 	})
 }
 
-// An order to rest outlives the power of all replicas.
+// An order to rest is still in force after all replicas have lost power.
 func TestRestOrderSurvivesPowerLoss(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
