--- a/policy/choose.go
+++ b/policy/choose.go
@@ -1,6 +1,6 @@
 package policy
 
-// Which server an attempt goes to.
+// Server selection: which server an attempt is sent to.
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// coldness is the least share of its capacity a server surely has.
+// minCapacityShare returns the share of its capacity that a server has at least: 1 when it is warm.
 func (g *Gateway) coldness(s *server) float64 {
 	if g.now < s.ColdUntil {
 		return g.set.Field.ColdPart
@@ -20,17 +20,17 @@
 	return min(1, g.set.ColdShare+(1-g.set.ColdShare)*max(age, 0))
 }
 
-// load is the attempts out at a server: own, and the peers' as last reported.
+// inFlightAt returns the attempts in flight at a server: this gateway's and, as last reported, the others'.
 func (g *Gateway) load(s *server) float64 {
 	return float64(s.out) + max(s.heard, g.otherLoad(s))
 }
 
-// predict is the latency in seconds expected of a server for a class.
+// predictLatency returns the latency, in seconds, expected of a server for a class.
 func (g *Gateway) predict(s *server, cl *class) float64 {
 	return cl.mean * s.slow * g.stretch(s, g.load(s)) / g.coldness(s)
 }
 
-// stretch is what so many attempts out at a server make of its latency.
+// loadFactor returns the factor by which a number of attempts in flight raises a server's latency.
 func (g *Gateway) stretch(s *server, load float64) float64 {
 	if s.Slots == 0 {
 		return 1 + queueWeight*load/g.sizeOf(s)
@@ -39,70 +39,70 @@
 	return 1 + crowded*min(1, load/slots) + max(0, load+1-slots)/slots
 }
 
-// full tells whether a server has all the work it can turn round in time: the wait there would pass a share
-// of the shortest aim. Beyond that requests are held here, where they can still go elsewhere or be refused.
+// queueTooLong reports whether the predicted wait at a server exceeds a share of the shortest latency target. Beyond
+// that, requests are held at the gateway, where they can still be sent to another server or be refused.
 func (g *Gateway) full(s *server) bool {
 	load := g.load(s) / g.sizeOf(s)
 	return load >= leastOut && g.mean*s.slow/g.coldness(s)*queueWeight*load > waitAim*g.minAim
 }
 
-// packed tells whether a server with slots has all the work it can turn round in a request's time.
+// slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
 func (g *Gateway) packed(s *server, r *request) bool {
-	serve, aim := r.cl.mean*s.slow, r.cl.Aim.Seconds()
-	wait := max(0, g.load(s)+1-float64(s.Slots)) / float64(s.Slots) * serve
-	if wait+serve > aim-(g.now-r.arrived+r.spent).Seconds() {
-		return wait > lateAim*aim // it will be late: others would be, too, if they had to wait for it
+	serviceTime, target := r.cl.mean*s.slow, r.cl.Aim.Seconds()
+	wait := max(0, g.load(s)+1-float64(s.Slots)) / float64(s.Slots) * serviceTime
+	if wait+serviceTime > target-(g.now-r.arrived+r.spent).Seconds() {
+		return wait > lateAim*target // this request misses its target anyway; a long queue would delay others too
 	}
-	return wait > queueAim*aim
+	return wait > queueAim*target
 }
 
-// serves tells whether a server is one for the request: of its service, inside its homes.
+// canServe reports whether a server belongs to the request's service and is in one of its allowed regions.
 func (s *server) serves(r *request) bool {
 	return s.Service == r.service && (len(r.homes) == 0 || slices.Contains(r.homes, s.Region))
 }
 
-// usable tells whether a request may go to a server at all: running, not ejected (but for a trial),
-// inside its group and window once it may have run, and inside the budget of a cold server.
+// usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
+// budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
 	if s.State != Running || !s.serves(r) || !g.bears(s) || g.now < max(s.fullTill, s.fullAt[r.c.plan]) ||
 		r.ran && r.effect == Keyed && (g.now-r.ranAt >= r.cl.Window || !r.sameGroup(s)) {
 		return false
 	}
 	if cold := g.coldness(s); cold < 1 && g.set.Field == nil {
-		// A budget for every window, shared by all gateways: what warm servers
-		// bear, times the share of capacity the server surely has.
+		// The budget of each window, divided among all gateways: what a warm server
+		// receives, times the share of capacity that the cold server has at least.
 		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.set.FallTime })
-		warm := g.sendRate / max(1, float64(g.live))
-		if float64(len(s.sends)) >= max(1, warm*cold*g.set.FallMultiple*coldSafety) {
+		warmRate := g.sendRate / max(1, float64(g.live))
+		if float64(len(s.sends)) >= max(1, warmRate*cold*g.set.FallMultiple*coldSafety) {
 			return false
 		}
 	}
 	return true
 }
 
-// coldSends is how many sends a second to a cold server are this gateway's. Few gateways own each, so that
-// each has whole sends; all parts together stay under what the server bears, heard or not.
+// coldSendBudget returns how many sends a second this gateway may make to a cold server. Only a few gateways may send
+// to it, so that each has whole sends; the sum stays below the server's limit even if no message arrives.
 func (g *Gateway) coldSends(m Server) int {
 	if m.ColdSends <= 0 {
 		return 0
 	}
-	most := m.ColdSends * coldKeep
-	owners := max(1, min(g.shares(), int(most/coldLeast)))
-	rank, mine := 0, mixed(uint32(m.ID), uint32(g.set.Me))
+	budget := m.ColdSends * coldKeep
+	owners := max(1, min(g.shares(), int(budget/coldLeast)))
+	rank, ownHash := 0, mixed(uint32(m.ID), uint32(g.set.Me))
 	for i := range g.set.Gateways {
 		if g.gone(g.peer(i)) {
-			continue // this one, or none has the number
-		} else if v := mixed(uint32(m.ID), uint32(i)); v > mine || v == mine && i < g.set.Me {
+			continue // this gateway itself, or an unused number
+		} else if hash := mixed(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.set.Me {
 			rank++
 		}
 	}
 	if rank >= owners || g.barren {
 		return 0
 	}
-	return int(most) / owners
+	return int(budget) / owners
 }
 
-// bears tells whether a cold server's budget here has room for one more send.
+// hasColdBudget reports whether this gateway may send once more to a server that may be cold.
 func (g *Gateway) bears(s *server) bool {
 	if g.now >= s.ColdUntil {
 		return true
@@ -111,80 +111,80 @@
 	return len(s.sends) < s.colds
 }
 
-// pick chooses a server, or nil when none has room. Those out of use for the class are left out
-// while they are not too many; a watcher tries them now and then. A small fleet's gateway takes the
-// best of a few random ones by predicted latency and zone price.
+// pickServer chooses a server, or nil when none has room. Servers ejected for the class are skipped unless too many
+// are ejected; their watcher sends them a trial request from time to time. With few gateways, pickServer compares a
+// few random servers by predicted latency and cost of crossing zones.
 func (g *Gateway) pick(r *request) *server {
-	var ok, doubted []*server
+	var candidates, ejected []*server
 	for _, s := range g.fleet {
 		if s == r.last || !g.usable(s, r) || !s.trusted(r) {
 			continue
 		}
 		if s.trust.Try && s.tries(r) {
-			s.trust.Try = false // one trial, wherever else there is room
+			s.trust.Try = false // a single trial, even if other servers have room
 			return s
 		}
-		if v := g.record(s, r.cl); v != nil && v.bad && g.now < v.until {
-			// Its watcher alone tries a server that is out of use.
-			if s.watchers[0] == g.set.Me && g.now >= v.trial && g.mayTry(r) {
-				v.wait = min(2*v.wait+trialEvery, trialMost)
-				v.trial = g.now + v.wait
+		if health := g.record(s, r.cl); health != nil && health.bad && g.now < health.until {
+			// Only the watcher of an ejected server sends it trial requests.
+			if s.watchers[0] == g.set.Me && g.now >= health.trial && g.mayTry(r) {
+				health.wait = min(2*health.wait+trialEvery, trialMost)
+				health.trial = g.now + health.wait
 				return s
 			}
-			doubted = append(doubted, s)
+			ejected = append(ejected, s)
 			continue
 		}
-		ok = append(ok, s)
+		candidates = append(candidates, s)
 	}
-	if float64(len(doubted)) > mostOut*float64(len(ok)+len(doubted)) {
-		ok = append(ok, doubted...)
+	if float64(len(ejected)) > mostOut*float64(len(candidates)+len(ejected)) {
+		candidates = append(candidates, ejected...)
 	}
 	if g.tree {
-		return g.draw(ok)
+		return g.draw(candidates)
 	} else if g.set.Field != nil {
-		return g.choose(ok, r)
+		return g.choose(candidates, r)
 	}
 	var best *server
-	low := math.Inf(1)
-	for k := 0; k < choices && len(ok) > 0; {
-		i := g.rng.IntN(len(ok))
-		s := ok[i]
-		ok = slices.Delete(ok, i, i+1)
+	lowest := math.Inf(1)
+	for compared := 0; compared < choices && len(candidates) > 0; {
+		i := g.rng.IntN(len(candidates))
+		s := candidates[i]
+		candidates = slices.Delete(candidates, i, i+1)
 		if g.full(s) {
 			continue
 		}
-		p := g.predict(s, r.cl) * (1 - jitter/2 + jitter*g.rng.Float64())
-		k++
+		predicted := g.predict(s, r.cl) * (1 - jitter/2 + jitter*g.rng.Float64())
+		compared++
 		if s.Zone != g.set.Zone {
-			p += r.cl.mean * g.set.CrossZoneCost * zonePrice
+			predicted += r.cl.mean * g.set.CrossZoneCost * zonePrice
 		}
-		if p < low {
-			best, low = s, p
+		if predicted < lowest {
+			best, lowest = s, predicted
 		}
 	}
 	return best
 }
 
-// choose takes the server of the least predicted latency, the way there counted.
-func (g *Gateway) choose(ok []*server, r *request) *server {
+// pickLeastLatency returns the server of the lowest predicted latency including the network's, or nil if all are full.
+func (g *Gateway) choose(candidates []*server, r *request) *server {
 	var best *server
-	low := math.Inf(1)
-	for _, s := range ok {
+	lowest := math.Inf(1)
+	for _, s := range candidates {
 		if g.packed(s, r) {
 			continue
 		}
-		p := (g.predict(s, r.cl) + s.Far.Seconds()) * (1 - jitter/2 + jitter*g.rng.Float64())
+		predicted := (g.predict(s, r.cl) + s.Far.Seconds()) * (1 - jitter/2 + jitter*g.rng.Float64())
 		if s.trust.Level == Doubted && r.effect != Safe {
-			p += doubtedCost
+			predicted += doubtedCost
 		}
 		if len(r.homes) == 0 && g.now < s.lackedTill {
-			p += lackedAim * r.cl.Aim.Seconds() // others can go nowhere else
+			predicted += lackedAim * r.cl.Aim.Seconds() // requests bound to this region have no other choice
 		}
-		if p < low {
-			best, low = s, p
+		if predicted < lowest {
+			best, lowest = s, predicted
 		}
 	}
-	for _, s := range ok {
+	for _, s := range candidates {
 		if best == nil && len(r.homes) > 0 {
 			s.lackedTill = g.now + toldSpan
 		}
@@ -192,42 +192,42 @@
 	return best
 }
 
-// draw chooses a server by its share of the fleet's capacity. A large fleet's gateways don't see the load
-// there; were each to take the best of a few, all would crowd onto the same servers. However slow the warm
-// ones are, a cold one gets the part of an even share that it surely bears; what is left over waits.
-func (g *Gateway) draw(ok []*server) *server {
-	all, parts, least := 0.0, 0.0, 0.0
-	for _, s := range ok {
+// pickWeighted draws a server at random, weighted by its share of the capacity. Many gateways don't see each other's
+// load; if each took the best of a few, all would overload the same servers. However slow the warm servers are, a cold
+// one gets at most its minimum capacity's part of an even share; the rest of the requests wait.
+func (g *Gateway) draw(candidates []*server) *server {
+	totalWeight, totalPart, minTotal := 0.0, 0.0, 0.0
+	for _, s := range candidates {
 		s.weight = s.part * g.sizeOf(s) / max(s.slow, 1) / float64(1+s.out) * g.coldness(s)
 		if s.Zone != g.set.Zone {
 			s.weight *= otherZone
 		}
-		all, parts = all+s.weight, parts+s.part
+		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.part
 	}
-	for _, s := range ok {
-		if cold := g.coldness(s); cold < 1 {
-			s.weight = min(s.weight, cold*s.part*all/parts)
-			least = max(least, s.weight*parts/(s.part*cold*coldSafety*max(1, g.set.FallMultiple)))
+	for _, s := range candidates {
+		if capacity := g.coldness(s); capacity < 1 {
+			s.weight = min(s.weight, capacity*s.part*totalWeight/totalPart)
+			minTotal = max(minTotal, s.weight*totalPart/(s.part*capacity*coldSafety*max(1, g.set.FallMultiple)))
 		}
 	}
-	return g.byWeight(ok, least)
+	return g.byWeight(candidates, minTotal)
 }
 
-// prefer sets a server's part in this gateway's draws. A large fleet's gateways go mostly to a few
-// servers each, so that connections are used again; all together go to each server alike.
+// setAffinity sets a server's weight in this gateway's draws. Where there are many gateways, each prefers a few
+// servers, so that connections are reused; over all gateways, each server is drawn equally often.
 func (g *Gateway) prefer(s *server) {
-	n, by, mine := float64(g.set.Gateways), 0.0, false
+	gateways, preferring, preferredHere := float64(g.set.Gateways), 0.0, false
 	for i := range g.set.Gateways {
 		if g.tree && mixed(uint32(s.ID), uint32(i))*float64(g.live) < familiar {
-			by, mine = by+1, mine || i == g.set.Me
+			preferring, preferredHere = preferring+1, preferredHere || i == g.set.Me
 		}
 	}
 	switch {
-	case by == 0 || by == n:
+	case preferring == 0 || preferring == gateways:
 		s.part = 1
-	case mine:
-		s.part = (1 - strange) * n / by
+	case preferredHere:
+		s.part = (1 - strange) * gateways / preferring
 	default:
-		s.part = strange * n / (n - by)
+		s.part = strange * gateways / (gateways - preferring)
 	}
 }
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// What is drawn is the same in every run, and less than usual; -rapid.seed and -rapid.checks say otherwise.
+// Property tests use a fixed seed and fewer checks than the default; the flags -rapid.seed and -rapid.checks override both.
 func init() { _, _ = flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "40") }
 
-// fieldSet are the settings of a gateway of many services before it is told anything.
+// multiServiceSettings returns the initial settings of a gateway that serves many services.
 func fieldSet() Settings {
 	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanTell: true, MailPerSecond: 40,
 		LargestUnits: 1, MaxRetryAfter: time.Second,
@@ -33,26 +33,25 @@
 	return l
 }
 
-// limited is a tenant's plan with the ceiling that its rule allows: a tenth and 20 more.
+// limitedPlan returns a tenant's plan with its ceiling: in any span, at most 10 % and 20 units more than the quota.
 func limited(rate, burst float64) Plan {
 	return Plan{Name: "t", Rate: rate, Burst: burst, HardRate: 1.1 * rate, HardBurst: 0.9 * (1.1*burst + 20)}
 }
 
-// Whatever gateways hear of each other, are told late of limits, however often they start anew and while more of
-// them come (of whom all are told at once), all together pass no more of a tenant's requests in any span than its rule allows, by the limits that were in
-// force at some moment of it.
+// All gateways together pass no more of a tenant's requests in any span than the limits in force during it allow, while
+// messages are lost, limits arrive late, gateways restart and gateways are added (which all learn of at once).
 func TestQuotaHoldsOverAllGateways(t *testing.T) {
-	const late = 300 * ms
+	const maxDelay = 300 * ms
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Plan {
 			return limited(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
 		}
-		type term struct {
+		type limitPeriod struct {
 			Plan
 			from, to time.Duration
 		}
-		terms := []term{{draw(), 0, time.Hour}}
-		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), fieldServers(4, "s"), terms[0].Plan)
+		limits := []limitPeriod{{draw(), 0, time.Hour}}
+		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), fieldServers(4, "s"), limits[0].Plan)
 		m.now += time.Minute // all stores are full
 		for range rapid.IntRange(2, 6).Draw(t, "phases") {
 			m.lost = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
@@ -61,15 +60,15 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what comes") {
 			case 1:
 				for range rapid.IntRange(1, len(m.gs)).Draw(t, "started anew") {
-					m.start(m.rnd.IntN(len(m.gs)), late)
+					m.start(m.rnd.IntN(len(m.gs)), maxDelay)
 				}
 			case 2:
 				p := draw()
-				terms[len(terms)-1].to = m.now + late
-				terms = append(terms, term{p, m.now, time.Hour})
+				limits[len(limits)-1].to = m.now + maxDelay
+				limits = append(limits, limitPeriod{p, m.now, time.Hour})
 				m.plans = []Plan{p}
 				for i := range m.gs {
-					m.tell(i, fieldTerms(p), late)
+					m.tell(i, fieldTerms(p), maxDelay)
 				}
 			case 3:
 				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
@@ -80,7 +79,7 @@
 			}
 			owed := 0.0
 			m.pass(time.Duration(rapid.SampledFrom([]int{300, 1000, 4000}).Draw(t, "lasts"))*ms, func() {
-				for owed += times * terms[len(terms)-1].Rate / 100; owed >= 1; owed-- {
+				for owed += times * limits[len(limits)-1].Rate / 100; owed >= 1; owed-- {
 					i := at
 					if at >= len(m.gs) {
 						i = m.rnd.IntN(len(m.gs))
@@ -94,35 +93,35 @@
 				at, rate, burst := m.sends[i].at, 0.0, 0.0
 				for ; end < len(m.sends) && m.sends[end].at < at+span; end++ {
 				}
-				for _, p := range terms {
+				for _, p := range limits {
 					if p.from < at+span && at < p.to {
 						rate, burst = max(rate, p.Rate), max(burst, p.Burst)
 					}
 				}
-				if most := (rate*span.Seconds()+burst)*1.1 + 20; float64(end-i) > most {
-					t.Fatalf("%d passed in %v from %v on, where %.1f may", end-i, span, at, most)
+				if allowed := (rate*span.Seconds()+burst)*1.1 + 20; float64(end-i) > allowed {
+					t.Fatalf("%d passed in %v from %v on, %.1f allowed", end-i, span, at, allowed)
 				}
 			}
 		}
 	})
 }
 
-// A tenant that asks for more than its rate gets most of it, whether gateways hear each other or not.
+// A tenant that sends more than its rate gets most of it, whether the gateways' messages arrive or not.
 func TestQuotaIsUsed(t *testing.T) {
-	for lost, least := range map[float64]int{0: 900, 1: 600} { // of 1000
+	for lossRate, minPassed := range map[float64]int{0: 900, 1: 600} { // of 1000
 		m := newServiceGateways(5, 3, fieldServers(4, "s"), limited(100, 100))
-		m.lost = lost
+		m.lost = lossRate
 		m.pass(10*time.Second, func() {
 			for range 3 {
 				m.ask(m.rnd.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 			}
 		})
-		assert.Assert(t, len(m.sends) >= least, "%d passed with %v of the mail lost", len(m.sends), lost)
+		assert.Assert(t, len(m.sends) >= minPassed, "%d passed with %v of the messages lost", len(m.sends), lossRate)
 	}
 }
 
-// A gateway that has just come, and is asked for about its part of a small tenant's rate, borrows for the bursts of it:
-// the tenant as a whole asks for less than half of its rate.
+// A new gateway whose demand is about its part of a small tenant's rate borrows units for bursts: the tenant as a whole
+// uses less than half of its rate.
 func TestPartIsLentBeforeItIsUsedUp(t *testing.T) {
 	asked, passed := 0, 0
 	for seed := range uint64(6) {
@@ -131,8 +130,8 @@
 		m.start(0, 0)
 		m.pass(time.Second, nil)
 		m.pass(10*time.Second, func() {
-			for i, perS := range []float64{7, 1.5, 1.5, 1.5, 1.5, 1.5} {
-				if m.rnd.Float64() < perS/100 {
+			for i, perSecond := range []float64{7, 1.5, 1.5, 1.5, 1.5, 1.5} {
+				if m.rnd.Float64() < perSecond/100 {
 					asked++
 					m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
@@ -143,7 +142,7 @@
 	assert.Assert(t, float64(passed) >= 0.99*float64(asked), "%d of %d passed", passed, asked)
 }
 
-// A limit holds for tenants that were there before it.
+// A new limit applies to tenants that sent requests before it.
 func TestLimitComesIntoForce(t *testing.T) {
 	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limited(1000, 1000)}} {
 		t.Run(name, func(t *testing.T) {
@@ -154,28 +153,28 @@
 				}
 			}
 			m.pass(3*time.Second, flood)
-			was := len(m.sends)
-			assert.Assert(t, was > 1500, "%d passed", was)
+			sentBefore := len(m.sends)
+			assert.Assert(t, sentBefore > 1500, "%d passed", sentBefore)
 			for i := range m.gs {
 				m.do(i, fieldTerms(limited(50, 50)))
 			}
 			m.pass(6*time.Second, flood)
-			n := len(m.sends) - was
+			n := len(m.sends) - sentBefore
 			assert.Assert(t, n >= 240 && n <= 50+6*55+20, "%d passed under a limit of 50 a second", n)
 		})
 	}
 }
 
-// A request goes only to servers of its service, inside its homes, that run, however the servers fare.
+// A request is sent only to running servers of its service in its regions, whatever codes the servers return.
 func TestOnlyToItsServiceAndHomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []Server
-		by := map[ServerID]Server{}
+		byID := map[ServerID]Server{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
 			s := Server{ID: ServerID(i), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Slots: 2,
 				Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"), Region: rapid.SampledFrom([]string{"r", "q"}).Draw(t, "region"),
 				State: rapid.SampledFrom([]State{Running, Running, Draining}).Draw(t, "state")}
-			servers, by[s.ID] = append(servers, s), s
+			servers, byID[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
 		m.code = func(Send) Code { return Code(m.rnd.IntN(int(Moot))) }
@@ -187,7 +186,7 @@
 			m.ask(m.rnd.IntN(2), r)
 		})
 		for _, s := range m.sends {
-			r, at := asked[s.ID], by[s.Server]
+			r, at := asked[s.ID], byID[s.Server]
 			if at.Service != r.Service || len(r.Homes) > 0 && !slices.Contains(r.Homes, at.Region) || at.State != Running ||
 				m.tries[s.ID] > r.Tries {
 				t.Fatalf("%+v was sent %d times, to %+v", r, m.tries[s.ID], at)
@@ -196,53 +195,53 @@
 	})
 }
 
-// A cold server gets no more in a second than it bears, from any number of gateways, and something where it can:
-// when it turns cold, as its service's figures change, and when more gateways come.
+// A cold server gets no more requests a second than its limit from any number of gateways, but some if the limit is 2 or
+// more: when it becomes cold, as its limit changes, and when gateways are added.
 func TestColdServerBearsAllGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 24).Draw(t, "gateways")
+		gatewayCount := rapid.IntRange(1, 24).Draw(t, "gateways")
 		cold := fieldServers(1, "s")
-		m := newServiceGateways(n, rapid.Uint64().Draw(t, "seed"), cold)
+		m := newServiceGateways(gatewayCount, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
-		for k := range 3 {
+		for round := range 3 {
 			cold[0].ColdSends = rapid.Float64Range(0, 60).Draw(t, "bears")
-			if k == 2 {
-				n++
+			if round == 2 {
+				gatewayCount++
 				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
-				m.start(n-1, 0)
+				m.start(gatewayCount-1, 0)
 			}
 			for i := range m.gs {
 				m.do(i, Members{Kind: Whole, Servers: cold})
-				if k == 2 {
-					m.do(i, Peers{Me: i, Gateways: n})
+				if round == 2 {
+					m.do(i, Peers{Me: i, Gateways: gatewayCount})
 				}
 			}
-			m.pass(1200*ms, nil) // what went before counts for those
+			m.pass(1200*ms, nil) // earlier sends count for this long
 			m.sends = nil
 			m.pass(2*time.Second, func() {
-				for range 2 + n/10 {
-					m.ask(m.rnd.IntN(n), Request{Customer: "t", Class: "safe", Service: "s"})
+				for range 2 + gatewayCount/10 {
+					m.ask(m.rnd.IntN(gatewayCount), Request{Customer: "t", Class: "safe", Service: "s"})
 				}
 			})
 			most := m.most(time.Second, func(sending) bool { return true })
 			if float64(most) > cold[0].ColdSends || most == 0 && cold[0].ColdSends >= 2 {
-				t.Fatalf("%d sent in a second by %d gateways to a server that bears %.1f", most, n, cold[0].ColdSends)
+				t.Fatalf("%d sent in a second by %d gateways to a server with a limit of %.1f", most, gatewayCount, cold[0].ColdSends)
 			}
 		}
 	})
 }
 
-// Further tries of a service are a part of its own requests, and come back once it is well again.
+// Retries of a service are limited to a share of its own requests, and are possible again once it has recovered.
 func TestRetryBudgetIsTheServices(t *testing.T) {
 	m := newServiceGateways(1, 1, append(fieldServers(4, "s"), fieldServers(4, "tt")...))
-	ill := true
+	failing := true
 	m.code = func(s Send) Code {
-		if s.Server >= 200 || !ill {
+		if s.Server >= 200 || !failing {
 			return OK
 		}
 		return Error
 	}
-	again := func() (n int) {
+	retries := func() (n int) {
 		for _, s := range m.sends {
 			if s.again {
 				n++
@@ -259,25 +258,25 @@
 	}
 	ask("tt", 300)
 	ask("s", 10)
-	assert.Equal(t, again(), 1, "of ten requests, whatever another service has earned")
+	assert.Equal(t, retries(), 1, "retries of ten requests, whatever another service has earned")
 	ask("s", 400)
-	n := again()
-	assert.Assert(t, n > 0 && n <= 400*14/100+1, "%d further tries of 400 that failed", n)
-	ill = false
+	n := retries()
+	assert.Assert(t, n > 0 && n <= 400*14/100+1, "%d retries of 400 failed requests", n)
+	failing = false
 	ask("s", 50)
-	ill = true
+	failing = true
 	ask("s", 10)
-	assert.Assert(t, again() >= 3, "a service that was ill and has been well for 50 requests gets no further tries")
+	assert.Assert(t, retries() >= 3, "too few retries for a service after 50 successful requests")
 }
 
-// A server that fails is left, whatever number its requests' class has.
+// A failing server is avoided for classes added later too, whatever their number.
 func TestLateClassesAreJudged(t *testing.T) {
 	m := newServiceGateways(1, 1, fieldServers(4, "s"))
-	var many Terms
+	var added Terms
 	for i := range 12 {
-		many.Classes = append(many.Classes, Class{Name: fmt.Sprint("late", i), Aim: 500 * ms, Deadline: 2 * time.Second})
+		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), Aim: 500 * ms, Deadline: 2 * time.Second})
 	}
-	m.do(0, many)
+	m.do(0, added)
 	m.code = func(s Send) Code {
 		if s.Server == 100 {
 			return Error
@@ -291,11 +290,11 @@
 			hits++
 		}
 	}
-	assert.Assert(t, hits <= 10, "%d of %d to a server that fails", hits, len(m.sends)/2)
+	assert.Assert(t, hits <= 10, "%d of %d sent to a failing server", hits, len(m.sends)/2)
 }
 
-// An answer that is lost at a server that answers all others is not waited for to the end, if its request may run again;
-// one that may not, is.
+// If a server answers all other requests but one answer is lost, the gateway cancels that attempt early, provided the
+// request may run again; otherwise it waits.
 func TestLostAnswerIsAskedAgain(t *testing.T) {
 	m := newServiceGateways(1, 1, fieldServers(2, "s"))
 	m.do(0, fieldTerms())
@@ -312,18 +311,18 @@
 		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", Tries: 2})
 	})
 	assert.Assert(t, len(lost) >= 8, "%d lost", len(lost))
-	recalled := map[string]int{}
+	cancelled := map[string]int{}
 	for _, s := range m.sends {
 		if at, is := m.recalls[s.ID]; is && !s.again {
-			recalled[lost[s.ID]]++
+			cancelled[lost[s.ID]]++
 			assert.Assert(t, at-s.at < time.Second, "%v", at-s.at)
 		}
 	}
-	assert.Assert(t, recalled["safe"] >= 3 && recalled["once"] == 0 && recalled[""] == 0, "%v", recalled)
+	assert.Assert(t, cancelled["safe"] >= 3 && cancelled["once"] == 0 && cancelled[""] == 0, "%v", cancelled)
 }
 
-// One that is given another number is no peer of its own, one that has gone is none either, and a request that was
-// read before it heard of more gateways gets no larger part.
+// After a change of gateway numbers, a gateway is not its own peer and removed gateways are not its peers; a request that
+// was read under a smaller gateway count gets no larger part of the ceiling.
 func TestAnotherNumber(t *testing.T) {
 	m := newServiceGateways(3, 1, fieldServers(4, "s"), limited(10, 10))
 	m.told[0] = 1
@@ -331,17 +330,17 @@
 	g := m.gs[0]
 	c := g.customers[keyOf("t")]
 	assert.Equal(t, c.n, 3.0)
-	for _, x := range []struct {
+	for _, change := range []struct {
 		Peers
 		others []int
 	}{{Peers{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {Peers{Me: 1, Gateways: 3}, []int{0, 2}}, {Peers{Me: 0, Gateways: 2}, []int{1}}} {
-		g.Handle(m.now, x.Peers, nil)
-		var at []int
+		g.Handle(m.now, change.Peers, nil)
+		var peers []int
 		for _, v := range c.set {
-			at = append(at, v.p.num)
+			peers = append(peers, v.p.num)
 		}
-		slices.Sort(at)
-		assert.DeepEqual(t, at, x.others)
-		assert.Equal(t, c.n, float64(x.Gateways))
+		slices.Sort(peers)
+		assert.DeepEqual(t, peers, change.others)
+		assert.Equal(t, c.n, float64(change.Gateways))
 	}
 }
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -1,7 +1,7 @@
 package policy
 
-// What outcomes tell of servers. In a large fleet each gateway meets a server too seldom to judge it,
-// so each server has a watcher that is told outcomes and tells all its verdicts, by class.
+// Server health from outcomes. Where there are many gateways, each sends too little to a server to assess it alone:
+// gateways report outcomes to the server's watcher, which sends its verdict by class to all gateways.
 
 import (
 	"math"
@@ -33,7 +33,7 @@
 	g.release(c)
 }
 
-// judge learns from an outcome: latency, errors, load reports.
+// learnFromOutcome updates latency estimates, error averages and load figures from an outcome.
 func (g *Gateway) judge(s *server, r *request, ev Outcome) {
 	g.hears(s, ev.Load)
 	if ev.Code != Moot && ev.Code != Cancelled {
@@ -47,24 +47,25 @@
 		if v := g.record(s, r.cl); v != nil {
 			v.okAt = g.now
 		}
-		base := g.stretch(s, r.load) / g.coldness(s)
-		lat := ev.Latency.Seconds() / base
-		s.slow += g.own * (min(lat/r.cl.mean, mostPace) - s.slow)
+		loadEffect := g.stretch(s, r.load) / g.coldness(s)
+		latency := ev.Latency.Seconds() / loadEffect
+		s.slow += g.own * (min(latency/r.cl.mean, mostPace) - s.slow)
 		g.mean += learnMean * (r.cl.mean - g.mean)
-		r.cl.seen++ // the first outcomes count for more
-		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(lat, mostLatency*r.cl.mean) - r.cl.mean)
+		r.cl.seen++ // the first outcomes weigh more
+		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(latency, mostLatency*r.cl.mean) - r.cl.mean)
 	case Full:
-		// It may turn away one plan only: this one goes elsewhere for a while.
+		// The server may reject this plan only: requests of this plan avoid it for a while.
 		if s.fullAt[r.c.plan] = g.now + fullFor; g.set.Field != nil {
-			s.fullAt[r.c.plan], s.fullTill = 0, g.now+fullBrief // its queue is full, for whomever
+			s.fullAt[r.c.plan], s.fullTill = 0, g.now+fullBrief // its queue is full for every plan
 		}
 		g.strain += strainOwn * (1 - g.strain)
 	}
 }
 
+// reportOutcome sends an outcome to the server's watchers, or records it if this gateway is one.
 func (g *Gateway) sight(s *server, cl *class, code Code, latency time.Duration) {
 	if cl.Name == "" {
-		return // not in the settings
+		return // not a configured class
 	}
 	for i, w := range s.watchers {
 		if i > 0 && (code != ConnectFailed || !g.tree) {
@@ -79,54 +80,54 @@
 	}
 }
 
-// gather adds an outcome to what the fleet knows of a server. One that turns
-// requests away is taken for very slow: it gets few more until it answers.
+// recordOutcome adds an outcome to the shared health of a watched server. A server that
+// rejects requests counts as very slow: it gets few until it answers again.
 func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
 	cl := g.classes[g.set.Classes[class].Name]
-	v, mean := g.record(s, cl), cl.mean
-	seen := min(latency.Seconds()/mean/g.coldness(s), mostPace)
+	health, mean := g.record(s, cl), cl.mean
+	observed := min(latency.Seconds()/mean/g.coldness(s), mostPace)
 	switch code {
 	case OK:
-		v.errs *= 1 - sightWeight
-		if v.bad {
-			v.errs, v.wait = v.errs*trialWorth, 0
+		health.errs *= 1 - sightWeight
+		if health.bad {
+			health.errs, health.wait = health.errs*trialWorth, 0
 		}
 	case Full:
-		seen = mostPace
+		observed = mostPace
 	case ConnectFailed:
 		s.fail(2 * sightWeight)
 	default:
-		s.fail(sightWeight / 2) // it may fail other classes too
-		v.errs += sightWeight / 2 * (1 - v.errs)
-		seen = max(seen, s.pace)
+		s.fail(sightWeight / 2) // other classes may fail too
+		health.errs += sightWeight / 2 * (1 - health.errs)
+		observed = max(observed, s.pace)
 	}
-	s.pace += paceLearn * (seen - s.pace)
+	s.pace += paceLearn * (observed - s.pace)
 	g.tell(s)
 }
 
-// tell tells all gateways what has changed of a server that this one watches, and again what still keeps it
-// out of use. Each goes to every gateway, so all watchers together keep to a part of the mail.
+// publishVerdict sends all gateways what changed for a server watched here, and repeats an ejection before it expires.
+// A verdict goes to every gateway, so all watchers together use a limited share of the message rate.
 func (g *Gateway) tell(s *server) {
-	each := g.set.MailPerSecond * verdictMail / float64(max(1, len(g.fleet)))
-	s.verdicts = min(verdictKeep, s.verdicts+each*(g.now-s.verdictAt).Seconds())
+	perSecond := g.set.MailPerSecond * verdictMail / float64(max(1, len(g.fleet)))
+	s.verdicts = min(verdictKeep, s.verdicts+perSecond*(g.now-s.verdictAt).Seconds())
 	s.verdictAt = g.now
 	if g.set.Field != nil {
-		s.verdicts = verdictKeep // they are told to none
+		s.verdicts = verdictKeep // verdicts stay local
 	}
-	first := s.watchers[0] == g.set.Me
-	if !first || !g.tree {
-		s.pace = s.slow // the second knows only what it can't reach
+	isFirst := s.watchers[0] == g.set.Me
+	if !isFirst || !g.tree {
+		s.pace = s.slow // the second watcher knows only about connection failures
 	}
 	isBad := func(_ int, v *record) bool {
-		return v.errs > sightLimit || v.bad && (!first || v.errs > sightLimit/2)
+		return v.errs > sightLimit || v.bad && (!isFirst || v.errs > sightLimit/2)
 	}
-	bits, news, any, until := s.masks(isBad)
-	change := g.tree && max(s.pace/s.slow, s.slow/s.pace) > paceStep
-	again := first && any && until-g.now < verdictLife/4
-	if s.verdicts < 1 || !news && !change && !again {
+	ejectedBits, classChanged, anyEjected, until := s.masks(isBad)
+	slowdownChanged := g.tree && max(s.pace/s.slow, s.slow/s.pace) > paceStep
+	repeatDue := isFirst && anyEjected && until-g.now < verdictLife/4
+	if s.verdicts < 1 || !classChanged && !slowdownChanged && !repeatDue {
 		return
 	}
-	m := verdict{Server: uint32(s.ID), Bad: bits, Pace: small(16 * (4 + math.Log2(max(s.pace, leastPace))))}
+	m := verdict{Server: uint32(s.ID), Bad: ejectedBits, Pace: small(16 * (4 + math.Log2(max(s.pace, leastPace))))}
 	g.rule(s, m.Pace, isBad)
 	if g.tree {
 		s.verdicts--
@@ -134,19 +135,18 @@
 	}
 }
 
-// silence looks for attempts far older than predicted: they count as failed, and what can go elsewhere is
-// called back. Guards against servers that take work and answer none; harms when all slow down at once,
-// within the budget.
+// checkOverdue counts attempts far older than predicted as failed and, within the retry budget, cancels those that may
+// run elsewhere. It guards against servers that never answer; if all servers slow down at once, it adds load.
 func (g *Gateway) silence(s *server) {
 	for _, r := range slices.Clone(s.oldest) {
 		if r.granted && r.c.plan.Open > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.cl.mean {
-			r.askedAt = g.now // its place is still taken
+			r.askedAt = g.now // renews the root's lease: the attempt is still in flight
 			g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
 		}
 		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.cl), leastLate*r.cl.Aim.Seconds())
-		v := g.record(s, r.cl)
-		patient := g.set.Field == nil || r.effect != Safe || age < lostAnswer // if others were since
-		if age < overdue || r.over || r.quit || r.stream || patient && v != nil && v.okAt > r.sentAt {
+		health := g.record(s, r.cl)
+		waitLonger := g.set.Field == nil || r.effect != Safe || age < lostAnswer // if the server has answered others since
+		if age < overdue || r.over || r.quit || r.stream || waitLonger && health != nil && health.okAt > r.sentAt {
 			continue
 		}
 		r.quit = true
@@ -158,7 +158,7 @@
 	}
 }
 
-// mayTry tells whether a request may go to a server that is out of use, to see whether it is well again.
+// mayRunTrial reports whether a request may be sent to an ejected server to test whether it has recovered.
 func (g *Gateway) mayTry(r *request) bool {
 	return r.attempts == 0 && (r.effect != Unsafe || g.set.Field != nil)
 }
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Hundreds of gateways, each seeing few requests of a customer that asks five
-// times its quota, pass no more than the quota together and leave little of it
-// unused, with a few messages a request.
+// Hundreds of gateways, each with few requests of a customer that sends five times its
+// quota, together pass no more than the quota, leave little of it unused, and send only
+// a few messages for each request.
 func TestHundredsOfGatewaysKeepTheQuota(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		every int // a request in each such step of 10 ms
-		lost  int // a message in so many is lost
-		least int
+		every int // steps of 10 ms between two requests
+		lost  int // one of this many messages is lost
+		least int // requests that must pass
 	}{
 		{"far above", 2, 1 << 30, 85}, {"far above, mail lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
 	} {
@@ -29,8 +29,8 @@
 				}
 			})
 			passed := len(w.sends)
-			if most := 10 + 10*10; passed > most*23/20 || passed < min(c.least, asked) {
-				t.Errorf("%d of %d passed, the quota holds %d", passed, asked, most)
+			if allowed := 10 + 10*10; passed > allowed*23/20 || passed < min(c.least, asked) {
+				t.Errorf("%d of %d passed, the quota holds %d", passed, asked, allowed)
 			}
 			if passed+w.final != asked {
 				t.Errorf("%d passed and %d refused of %d", passed, w.final, asked)
@@ -42,8 +42,8 @@
 	}
 }
 
-// A root that answers nothing must not stop its customers: the deputy counts
-// for it.
+// A root that does not answer must not block its customers: the deputy counts
+// their requests instead.
 func TestDeputyStepsIn(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(20))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
@@ -61,8 +61,8 @@
 	}
 }
 
-// Least parts of one each would let hundreds of gateways push a cold server
-// over together.
+// If each of hundreds of gateways could send a cold server at least one request,
+// together they would overload it.
 func TestColdShareIsBoundedOverTheFleet(t *testing.T) {
 	servers := fleet(20)
 	servers[0].HasStart, servers[0].Start = true, 10*time.Second
@@ -85,15 +85,15 @@
 			cold++
 		}
 	}
-	// An even share is 60; the server has a fifth of its capacity, and falls
+	// An even share is 60; the server has a fifth of its capacity, and fails
 	// at twice that.
 	if cold > 24 {
-		t.Errorf("%d of %d sent to a server that bears %d", cold, len(w.sends), 24)
+		t.Errorf("%d of %d sent to a server that can take %d", cold, len(w.sends), 24)
 	}
 }
 
-// With most of a fleet replaced at once its cold servers carry what they surely
-// can: were they left idle, the few warm ones would be crushed.
+// When most servers are replaced at once, the cold ones get what their minimum capacity
+// allows: otherwise the few warm ones would be overloaded.
 func TestColdServersCarryTheirPart(t *testing.T) {
 	servers := fleet(60)
 	for i := range 36 {
@@ -112,61 +112,61 @@
 			cold++
 		}
 	}
-	// Each has a fifth of its capacity at least: of 1,000 tries an even share of
-	// 36 in 60 is 600, and a fifth of that 120. At twice that all fall, were the
-	// fleet fully used.
+	// Each has at least a fifth of its capacity: of 1,000 requests an even share of
+	// 36 in 60 is 600, and a fifth of that 120. At twice that, all would fail if the
+	// servers were fully used.
 	if cold < 110 || cold > 200 {
-		t.Errorf("%d of %d sent to cold servers that surely bear 120", cold, len(w.sends))
+		t.Errorf("%d of %d sent to cold servers that can take at least 120", cold, len(w.sends))
 	}
 }
 
-// replaced is a fleet of 60 servers after 36 of them were replaced by cold ones.
+// fleetWithReplacements returns 60 servers, of which 36 have just been replaced by cold ones.
 func replaced() []Server {
-	l := fleet(60)
+	servers := fleet(60)
 	for i := range 36 {
-		l[i].ID += 1000
-		l[i].HasStart, l[i].Start = true, 10*time.Second
+		servers[i].ID += 1000
+		servers[i].HasStart, servers[i].Start = true, 10*time.Second
 	}
-	return l
+	return servers
 }
 
-// Bad servers among the new ones are left alone by all gateways, though each sees a
-// few attempts a second only, while the good new ones are used.
+// Failing servers among the new ones are ejected by all gateways, though each gateway sends
+// only a few attempts a second, while the working new ones are used.
 func TestBadServersAmongTheNewAreLeft(t *testing.T) {
 	w := newManyGateways(t, 100, replaced())
-	bad := func(id ServerID) bool { return id > 1000 && id <= 1006 }
+	failing := func(id ServerID) bool { return id > 1000 && id <= 1006 }
 	w.code = func(i int) Code {
-		if bad(w.sends[i].Server) {
+		if failing(w.sends[i].Server) {
 			return Error
 		}
 		return OK
 	}
-	id, early := 0, 0
+	id, earlySends := 0, 0
 	w.pass(8*time.Second, func(at time.Duration) {
-		for range 4 { // 400 a second, four each
+		for range 4 { // 400 requests a second, four at each gateway
 			id++
 			w.request(id*37%100, RequestID(id), "k", "free", "safe", 100)
 		}
 		if at < 14*time.Second {
-			early = len(w.sends)
+			earlySends = len(w.sends)
 		}
 	})
-	atBad, atNew := 0, 0
+	toFailing, toWorkingNew := 0, 0
 	for _, s := range w.sends[early:] {
-		if bad(s.Server) {
-			atBad++
+		if failing(s.Server) {
+			toFailing++
 		} else if s.Server > 1000 {
-			atNew++
+			toWorkingNew++
 		}
 	}
-	// Six of 60 would get a tenth of the attempts, were they like the others.
-	if late := len(w.sends) - early; atBad > late/50 || atNew < late/8 {
-		t.Errorf("of %d attempts after 4 s %d are at bad servers, %d at good new ones", late, atBad, atNew)
+	// Without failures, six of 60 servers would get a tenth of the attempts.
+	if late := len(w.sends) - earlySends; toFailing > late/50 || toWorkingNew < late/8 {
+		t.Errorf("of %d attempts after 4 s %d went to failing servers, %d to working new ones", late, toFailing, toWorkingNew)
 	}
 }
 
-// Loan servers hold few connections: one that refuses some has run nothing, and the
-// request goes elsewhere. Hardly any is turned away for it.
+// Servers of the loan service accept few connections. A refused connection has run nothing,
+// so the request is retried on another server; hardly any request fails.
 func TestRefusedConnectionsFailNothing(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(60))
 	w.code = func(i int) Code {
@@ -189,13 +189,13 @@
 		}
 	}
 	if refused < id/20 || w.final > id/100 {
-		t.Errorf("of %d requests %d had a connection refused, %d were turned away", id, refused, w.final)
+		t.Errorf("of %d requests %d had a connection refused, %d failed", id, refused, w.final)
 	}
 }
 
-// Each gateway of a large fleet goes mostly to a few servers, so that connections
-// are used again; all together go to each server alike, and when those few are gone
-// the others serve.
+// With many gateways, each sends mostly to a few servers, so that connections are reused;
+// together they use all servers evenly, and when a gateway's preferred servers are removed
+// it uses the others.
 func TestGatewaysGoToFewServersEach(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(60))
 	id := 0
@@ -209,38 +209,38 @@
 		}
 	}
 	ask(40)
-	met, at := map[[2]int]int{}, map[ServerID]int{}
+	used, attemptsAt := map[[2]int]int{}, map[ServerID]int{}
 	for i, s := range w.sends {
-		met[[2]int{w.from[i], int(s.Server)}]++
-		at[s.Server]++
+		used[[2]int{w.from[i], int(s.Server)}]++
+		attemptsAt[s.Server]++
 	}
-	// Drawn alike from all, 40 attempts meet 29 of 60 servers.
-	if each := len(met) / len(w.gs); each > 22 {
-		t.Errorf("a gateway meets %d of 60 servers with 40 attempts", each)
+	// Drawn evenly from all, 40 attempts would use 29 of 60 servers.
+	if each := len(used) / len(w.gs); each > 22 {
+		t.Errorf("a gateway uses %d of 60 servers for 40 attempts", each)
 	}
-	for s, n := range at {
+	for s, n := range attemptsAt {
 		if mean := len(w.sends) / 60; n < mean*7/10 || n > mean*13/10 {
 			t.Errorf("%d attempts at server %d, %d in the mean", n, s, mean)
 		}
 	}
-	var gone []Server
+	var removed []Server
 	for _, s := range w.gs[0].fleet {
 		if s.part > 1 {
 			l := s.Server
 			l.State = Removed
-			gone = append(gone, l)
+			removed = append(removed, l)
 		}
 	}
-	w.do(0, Members{Kind: Changes, Servers: gone})
+	w.do(0, Members{Kind: Changes, Servers: removed})
 	before := len(w.sends)
 	w.request(0, 1<<40, "k", "free", "safe", 100)
-	if len(gone) < 8 || len(w.sends) != before+1 {
-		t.Errorf("%d sent with %d preferred servers gone", len(w.sends)-before, len(gone))
+	if len(removed) < 8 || len(w.sends) != before+1 {
+		t.Errorf("%d sent with %d preferred servers removed", len(w.sends)-before, len(removed))
 	}
 }
 
-// A watcher hears of one class failing on a server and tells all; the other
-// classes still go there.
+// When outcomes show that one class fails on a server, its watcher ejects the server
+// for this class at all gateways; other classes are still sent there.
 func TestWatcherTellsOfOneClass(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	s := w.gs[0].servers[3]
@@ -248,7 +248,7 @@
 	for range 6 {
 		for i := range 12 {
 			from := (s.watchers[0] + 1 + i) % 100
-			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{shortVersion}}) // foreign: nothing
+			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{shortVersion}}) // incomplete: ignored
 			g := w.gs[from]
 			w.do(s.watchers[0], PeerMessage{From: from,
 				Data: encode(sight{uint32(s.ID), byte(g.classes["safe"].no), byte(Error), 5})})
@@ -275,12 +275,12 @@
 		}
 	}
 	if hits["safe"] > 0 || hits["once"] < 5 {
-		t.Errorf("sent to a server that fails one class: %v", hits)
+		t.Errorf("sends by class to a server that fails class safe: %v", hits)
 	}
 }
 
-// The watcher may be lost with the server: one that can't be reached is told
-// to a second.
+// The watcher may become unreachable together with the server: connection failures are
+// also reported to a second watcher.
 func TestSecondWatcherTellsOfUnreachable(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(10))
 	s := w.gs[0].servers[3]
@@ -298,24 +298,24 @@
 	}
 	w.pass(100*ms, nil)
 	if v := w.gs[20].record(w.gs[20].servers[3], cl); !v.bad {
-		t.Error("a gateway far off has not heard of it")
+		t.Error("the verdict did not reach another gateway")
 	}
 }
 
-// A customer that has a cap alone and asks far more than fits must not drown its
-// root: each gateway takes in what its mail bears, and most of the cap is used.
+// A customer with a limit on requests in flight but no rate, which sends far more than fits, must
+// not overload its root: no gateway exceeds its message rate by much, and most of the limit is used.
 func TestCapAloneDoesNotDrownItsRoot(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(40))
-	second, got := time.Duration(0), map[int]int{}
+	second, received := time.Duration(0), map[int]int{}
 	lost := 0
 	w.lose = func(_, to int) bool {
 		if w.now/time.Second != second {
 			second = w.now / time.Second
-			clear(got)
+			clear(received)
 		}
-		if got[to]++; got[to] > int(base().MailPerSecond) {
+		if received[to]++; received[to] > int(base().MailPerSecond) {
 			if w.now > 13*time.Second {
-				lost++ // before, no gateway has been told what part fits
+				lost++ // earlier, no gateway has received the share to ask for
 			}
 			return true
 		}
@@ -338,9 +338,9 @@
 	}
 }
 
-// A customer with a rate and a cap that asks four times what the cap bears over a
-// hundred gateways keeps it and uses most of it. Two roots that hear of each other
-// twice a second could not hold five places between them.
+// A customer with a rate and a limit on requests in flight, which sends four times what the limit
+// allows through a hundred gateways, stays within the limit and uses most of it. Two roots that
+// exchange reports twice a second could not enforce a limit of five between them.
 func TestCapWithARateIsHeldByOneRoot(t *testing.T) {
 	w := newManyGateways(t, 100, fleet(40))
 	w.takes = 300 * ms
@@ -358,11 +358,11 @@
 			beyond++
 		}
 	})
-	// Five places of 300 ms serve 317 in 19 s, less what grants take on their way.
+	// Five at a time, 300 ms each, are 317 in 19 s, less the time that grants are in transit.
 	if passed := len(w.sends); passed < 200 || beyond > 10 {
-		t.Errorf("%d of %d passed, at %d moments more than the cap was out", passed, asked, beyond)
+		t.Errorf("%d of %d passed, more than the limit was in flight at %d moments", passed, asked, beyond)
 	}
-	// An ask, an answer and two ends for each that passes, and few for the others.
+	// One ask, one reply and two end messages for each that passes, and few for the others.
 	if w.told > 2*asked {
 		t.Errorf("%d messages for %d asked", w.told, asked)
 	}
--- a/policy/line_test.go
+++ b/policy/line_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// booth is one gateway of many services whose attempts last until the test ends them, and whose timers run.
+// manualGateway runs one gateway of many services with its timers; the test decides when attempts end.
 type booth struct {
 	t       *testing.T
 	g       *Gateway
@@ -28,7 +28,7 @@
 	b.do(Members{Kind: Whole, Servers: servers})
 	b.do(fieldTerms(Plan{Name: "t"}, Plan{Name: "u"}))
 	b.do(Peers{Gateways: 1})
-	for range 40 { // it learns that an answer takes 100 ms
+	for range 40 { // the gateway learns a mean latency of 100 ms
 		id := b.ask(Request{Service: servers[0].Service})
 		b.pass(100 * ms)
 		b.end(id)
@@ -90,16 +90,16 @@
 	}
 }
 
-// fill sends a service's servers all they take, and returns what is out.
-func (b *booth) fill(service string, homes ...string) (out []RequestID) {
+// fill sends requests until a service's servers take no more, and returns those in flight.
+func (b *booth) fill(service string, homes ...string) (inFlight []RequestID) {
 	for {
 		n := len(b.sent)
 		id := b.ask(Request{Customer: "u", Service: service, Homes: homes})
 		if len(b.sent) == n {
 			b.do(Gone{ID: id})
-			return out
+			return inFlight
 		}
-		out = append(out, id)
+		inFlight = append(inFlight, id)
 	}
 }
 
@@ -114,37 +114,37 @@
 	return Server{ID: id, Zone: "a", Region: region, Service: service, Slots: 1}
 }
 
-// Who waits for the servers of one service does not hold up who needs another's, of whatever tenant.
+// Requests that wait for the servers of one service do not delay those for another service, whichever the tenant.
 func TestLinesOfServicesStandApart(t *testing.T) {
 	b := newBooth(t, oneSlot(1, "s", "r"), oneSlot(2, "t", "r"))
 	b.fill("s")
-	waits := b.ask(Request{Service: "s"})
+	waiting := b.ask(Request{Service: "s"})
 	n := len(b.sent)
 	other := b.ask(Request{Service: "t"})
 	assert.DeepEqual(t, b.order()[n:], []RequestID{other})
-	out := b.fill("t")
+	inFlight := b.fill("t")
 	held := b.ask(Request{Service: "t"})
 	n = len(b.sent)
 	b.end(other)
-	for _, id := range out {
+	for _, id := range inFlight {
 		b.end(id)
 	}
-	assert.DeepEqual(t, b.order()[n:], []RequestID{held}) // though the tenant's first still waits
-	_, refused := b.refused[waits]
+	assert.DeepEqual(t, b.order()[n:], []RequestID{held}) // though the tenant's first request still waits
+	_, refused := b.refused[waiting]
 	assert.Assert(t, !refused)
 }
 
-// Of those who wait for the same servers go first who can still meet the aim, then the operator's first rank, then
-// who came first; one that has just come does not pass them.
+// Requests that wait for the same servers are sent in this order: those that can still meet their latency target, by the
+// operator's priority, by arrival. A new request does not overtake them.
 func TestWhoWaitsGoesByAimRankAndArrival(t *testing.T) {
 	b := newBooth(t, oneSlot(1, "s", "r"))
-	out := b.fill("s")
+	inFlight := b.fill("s")
 	late := b.ask(Request{Service: "s", Spent: 480 * ms})
 	third := b.ask(Request{Service: "s", Prio: 2})
 	first := b.ask(Request{Service: "s", Prio: 0, Customer: "u"})
 	second := b.ask(Request{Service: "s", Prio: 1})
 	n := len(b.sent)
-	for _, id := range out {
+	for _, id := range inFlight {
 		b.end(id)
 	}
 	fresh := b.ask(Request{Service: "s", Prio: 2})
@@ -154,11 +154,12 @@
 	assert.DeepEqual(t, b.order()[n:], []RequestID{first, second, third, fresh, late})
 }
 
-// Who will be late whatever is done gets room that others would not have to wait for, and after them.
+// A request that will miss its target on any server is sent after the others, and only where they would not have to wait
+// for it.
 func TestWhoIsLateGivesWay(t *testing.T) {
 	b := newBooth(t, oneSlot(1, "s", "r"))
-	out := b.fill("s")
-	b.end(out[0])
+	inFlight := b.fill("s")
+	b.end(inFlight[0])
 	n := len(b.sent)
 	late := b.ask(Request{Service: "s", Spent: 450 * ms})
 	fresh := b.ask(Request{Service: "s"})
@@ -169,26 +170,26 @@
 	assert.DeepEqual(t, b.order()[n:], []RequestID{fresh, second, late})
 }
 
-// A request that finds no server is refused within a quarter of its aim after its client sent it, whenever the next
-// tick is.
+// A request that finds no server is refused within a quarter of its latency target after its client sent it, whenever the
+// next tick is.
 func TestHeldNoLongerThanItsClientWaits(t *testing.T) {
 	for i := range 10 {
 		b := newBooth(t, oneSlot(1, "s", "r"))
 		b.pass(time.Duration(7*i) * ms)
 		b.fill("s")
-		id, came := b.ask(Request{Service: "s"}), b.now
+		id, arrivedAt := b.ask(Request{Service: "s"}), b.now
 		b.pass(130 * ms)
-		at, refused := b.refused[id]
-		assert.Assert(t, refused && at-came <= 110*ms && at-came >= 100*ms, "after %s", at-came)
+		refusedAt, refused := b.refused[id]
+		assert.Assert(t, refused && refusedAt-arrivedAt <= 110*ms && refusedAt-arrivedAt >= 100*ms, "after %s", refusedAt-arrivedAt)
 	}
 }
 
-// Where requests bound to a region find no room, those with a choice go to the other regions.
+// If requests bound to a region find no room, requests that may go to any region are sent to the others.
 func TestWhoHasAChoiceLeavesRoomToWhoHasNone(t *testing.T) {
-	far := oneSlot(2, "s", "q")
-	far.Far = 250 * ms
-	b := newBooth(t, oneSlot(1, "s", "r"), far)
-	near := func() (n int) {
+	distant := oneSlot(2, "s", "q")
+	distant.Far = 250 * ms
+	b := newBooth(t, oneSlot(1, "s", "r"), distant)
+	sentNear := func() (n int) {
 		for _, s := range b.sent {
 			if s.Server == 1 {
 				n++
@@ -198,10 +199,10 @@
 	}
 	b.ask(Request{Service: "s"})
 	b.ask(Request{Service: "s"})
-	assert.Equal(t, near(), 2) // it waits there for less than the way costs
-	out := b.fill("s", "r")
-	b.end(out[0])
-	n := near()
+	assert.Equal(t, sentNear(), 2) // the wait there costs less than the network latency to the other region
+	inFlight := b.fill("s", "r")
+	b.end(inFlight[0])
+	n := sentNear()
 	b.ask(Request{Service: "s"})
-	assert.Equal(t, near(), n)
+	assert.Equal(t, sentNear(), n)
 }
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -1,29 +1,29 @@
 package policy
 
-// Reports from all to all, and where those are too many the roots of customers: where a customer's
-// counts are not here, a request waits for its root's answer.
+// Messages between gateways: reports from all to all or, where those would be too many, asking a
+// customer's root. A request of a customer that is not counted here waits for the root's reply.
 
 import (
 	"math"
 	"time"
 )
 
-// span is the time from one report to the next.
+// reportInterval returns the time between two reports to a peer.
 func (g *Gateway) span() time.Duration { return g.tick * time.Duration(g.every) }
 
-// urgent orders a report, busiest first: held, and units not told yet, against
-// what may be used at once; then those not told for longest.
+// reportUrgency orders the customers in a report: by held requests and by unreported
+// units relative to the bucket size, then by the time since they were last reported.
 func (g *Gateway) urgent(c *customer) float64 {
 	units := float64(c.passed-c.toldUnits) / (c.plan.Burst + 1)
 	return float64(len(c.held)) + units + untold*float64(g.ticks-c.told)
 }
 
-// ask sends a request to the customer's root, again if that or the answer is lost, and then to the
-// deputy. Where none answers, or nobody was heard for long, this gateway decides alone.
+// askRoot asks the customer's root to admit a request, again if the message or its reply is lost, and then the
+// deputy. If neither answers, or no peer has been heard from for long, this gateway decides without them.
 func (g *Gateway) ask(r *request) {
 	c := r.c
-	deaf := g.deaf >= deafAsks && r.asked > 0
-	if delete(g.asks, r.tag); deaf || r.asked > rootAsks || g.now+2*g.set.Resolution >= r.deadline {
+	isolated := g.deaf >= deafAsks && r.asked > 0
+	if delete(g.asks, r.tag); isolated || r.asked > rootAsks || g.now+2*g.set.Resolution >= r.deadline {
 		if r.waits || g.now >= r.deadline || !g.within(r) || !g.alone(r) || !g.try(r) {
 			g.refuse(r)
 		}
@@ -45,9 +45,9 @@
 	if r.asked == 0 {
 		r.own = c.ceiling >= r.units
 	}
-	if r.asked == 0 || r.root != to { // the same name when the same root is asked again
+	if r.asked == 0 || r.root != to { // the tag stays when the same root is asked again
 		if r.asked > 0 {
-			g.tellEnd(r) // it may have granted it
+			g.tellEnd(r) // the former root may have granted it
 		}
 		g.nextTag++
 		r.tag = g.nextTag
@@ -62,32 +62,32 @@
 	g.do(SetTimer{Token: "ask", After: r.until - g.now})
 }
 
-// alone tells whether a request may pass though no root answers. Where nobody is heard no more of each
-// plan passes here than the roots let pass, which holds the load and, while demand stays, the quotas.
+// mayAdmitWithoutRoot reports whether a request may pass though no root answers. If no peer answers, this gateway
+// passes no more of each plan than the roots allowed before, which keeps the load and, at the same demand, the quotas.
 func (g *Gateway) alone(r *request) bool {
-	if g.deaf < deafAsks { // others are heard: it is flooded roots that do not answer
+	if g.deaf < deafAsks { // other peers answer: the roots are overloaded
 		return g.rng.Float64() < math.Pow(g.heard, unheardPower)
 	}
-	q := r.c.plan
-	seen := 1 - math.Exp(-(g.now-g.start).Seconds()/thinSpan.Seconds())
-	most := q.agreed.sum(g.now, thinSpan, 0) / seen * demandSpan.Seconds() / thinSpan.Seconds()
-	if r.repeat || q.Open > 0 {
-		most *= aloneCareful
+	plan := r.c.plan
+	observedShare := 1 - math.Exp(-(g.now-g.start).Seconds()/thinSpan.Seconds())
+	maxUnits := plan.agreed.sum(g.now, thinSpan, 0) / observedShare * demandSpan.Seconds() / thinSpan.Seconds()
+	if r.repeat || plan.Open > 0 {
+		maxUnits *= aloneCareful
 	}
-	return q.alone.sum(g.now, demandSpan, 0)+r.units/2 <= most
+	return plan.alone.sum(g.now, demandSpan, 0)+r.units/2 <= maxUnits
 }
 
-// answer tells the asking gateway a root's verdict, and what part of such asks fits. Under a cap
-// that follows from the places that are asked for and from what the root's mail still bears.
-func (g *Gateway) answer(r *request, v byte) {
+// replyToAsk sends a root's decision to the asking gateway, and the share of such requests it should ask for. Under a
+// limit on requests in flight, the share depends on the demand for them and on the root's remaining message rate.
+func (g *Gateway) answer(r *request, decision byte) {
 	fill := small(250 * max(0, r.c.store) / max(1, r.c.plan.Burst))
-	part := 1.0
+	askShare := 1.0
 	if r.c.plan.Open > 0 {
-		left := max(askedLeast, 1-g.intake/demandSpan.Seconds()/max(1, g.set.MailPerSecond))
-		part = min(1, left*float64(r.c.plan.Open)*demandSpan.Seconds()/r.c.places)
+		intakeLeft := max(askedLeast, 1-g.intake/demandSpan.Seconds()/max(1, g.set.MailPerSecond))
+		askShare = min(1, intakeLeft*float64(r.c.plan.Open)*demandSpan.Seconds()/r.c.places)
 	}
 	if r.c.plan.Rate > 0 && r.c.store < retryReserve*r.c.plan.Burst {
-		part = min(part, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
+		askShare = min(askShare, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
 	}
-	g.do(Tell{To: r.root, Data: encode(answer{r.tag, v, fill, small(100 * g.strain), small(250 * part)})})
+	g.do(Tell{To: r.root, Data: encode(answer{r.tag, decision, fill, small(100 * g.strain), small(250 * askShare)})})
 }
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// manyGateways drives hundreds of gateways step by step, a message taking 20 ms.
+// manyGateways runs hundreds of gateways step by step; a message takes 20 ms.
 type manyGateways struct {
 	t    *testing.T
 	now  time.Duration
@@ -13,15 +13,15 @@
 	mail []letter
 	lose func(from, to int) bool
 
-	told     int // messages, by receiver
+	told     int // messages sent, one for each receiver
 	sends    []Send
 	from     []int
 	sentAt   []time.Duration
-	takes    time.Duration     // how long an attempt is out
-	code     func(i int) Code  // how the i-th send ends; nil: well
+	takes    time.Duration     // duration of an attempt
+	code     func(i int) Code  // result of the i-th send; nil: all succeed
 	over     int               // sends that have ended
-	attempts map[RequestID]int // that have ended
-	final    int
+	attempts map[RequestID]int // attempts that have ended, by request
+	final    int               // refusals and failures sent to clients
 }
 
 type letter struct {
@@ -51,7 +51,7 @@
 		switch a := a.(type) {
 		case Tell:
 			if len(a.Data) > 256 || a.To >= len(c.gs) || a.To == i {
-				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
+				c.t.Fatalf("gateway %d sends gateway %d a message of %d bytes", i, a.To, len(a.Data))
 			}
 			for to := range c.gs {
 				if to == a.To || a.To < 0 && to != i {
@@ -69,7 +69,7 @@
 	}
 }
 
-// pass lets time go by in steps of 10 ms, each attempt ending well after its time.
+// pass advances the clock in steps of 10 ms, and ends each attempt after attemptTime.
 func (c *manyGateways) pass(d time.Duration, step func(at time.Duration)) {
 	for end := c.now + d; c.now < end; {
 		c.now += 10 * ms
@@ -77,8 +77,8 @@
 		for len(c.mail) > 0 && c.mail[0].at <= c.now {
 			due, c.mail = append(due, c.mail[0]), c.mail[1:]
 		}
-		for _, l := range due {
-			c.do(l.to, PeerMessage{From: l.from, Data: l.data})
+		for _, message := range due {
+			c.do(message.to, PeerMessage{From: message.from, Data: message.data})
 		}
 		for i := range c.gs {
 			c.do(i, Timer{Token: "ask"})
@@ -105,8 +105,8 @@
 		Remaining: 2 * time.Second, Spread: spread})
 }
 
-// member is a gateway of 50 that is neither the root nor the deputy of customer k
-// on a plan, with both.
+// member returns one of customer k's 50 gateways that is neither its root nor its
+// deputy, with the numbers of both.
 func (c *manyGateways) member(plan string) (i, root, deputy int) {
 	k := c.gs[0].account(keyOf("k"), c.gs[0].plans[plan], 0, 50)
 	roots, deputy := c.gs[0].roots(k)
--- a/policy/report.go
+++ b/policy/report.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// keyOf names a customer in messages, shortOf in reports.
+// keyOf returns the hash that identifies a customer in messages.
 func keyOf(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
+// shortHash returns the 24 bits of a key that identify the customer in reports.
 func shortOf(key uint64) uint32 { return uint32(key >> 40) }
 
-// mixed is a number from 0 to 1 that two others determine, as if drawn for them.
+// hashFraction returns a pseudo-random number in [0, 1) that depends only on a and b.
 func mixed(a, b uint32) float64 {
 	x := a*0x9e3779b1 ^ b*0x85ebca6b
 	x = (x ^ x>>15) * 0x2c1b3c6d
@@ -24,33 +25,33 @@
 	return float64(x^x>>15) / (1 << 32)
 }
 
-// report is what a gateway tells a peer once a tick. On the wire: version,
-// incarnation, sequence number, flags, number of servers, servers, customers.
+// report is the message that a gateway sends each peer at every report interval. Encoding:
+// version, incarnation, sequence number, flags, number of servers, servers, customers.
 type report struct {
-	inc       uint32 // drawn anew at each start of the sender
+	inc       uint32 // random, new at each start of the sender
 	seq       uint32
-	complete  bool // customers not named have none out and none held
+	complete  bool // customers not listed have no requests in flight or held
 	servers   []serverOut
 	customers []entry
 }
 
-// serverOut is the sender's attempts out at a server, up to maxOut; the hash
-// has serverBits bits.
+// serverLoad holds the sender's attempts in flight at a server, up to
+// maxReportedInFlight; the hash has serverBits bits.
 type serverOut struct {
 	hash uint16
 	out  byte
 }
 
-// entry is a report's part on one customer.
+// customerEntry holds a report's figures of one customer.
 type entry struct {
 	hash   uint32 // 24 bits
-	out    byte   // mean attempts out over the tick: outScale times its root, up to 15
-	held   byte   // up to maxHeld
+	out    byte   // mean attempts in flight over the tick: inFlightScale times the square root, up to 15
+	held   byte   // held requests, up to maxReportedHeld
 	passed byte   // running total of units passed, its lowest bits
-	given  byte   // running total of what was lent to this peer of the ceiling: lendScale a unit
-	rate   byte   // units asked for a second: rateScale * log2(1 + rate), up to maxRate
-	anew   bool   // the total began at nothing a moment ago: the highest bit of the rate
-	store  byte   // estimate of the store, 250 full
+	given  byte   // running total of the ceiling units lent to this peer, times lendPartsPerUnit
+	rate   byte   // demand in units a second: rateScale * log2(1 + rate), up to maxRateCode
+	anew   bool   // the running total has just restarted from 0: the highest bit of the rate
+	store  byte   // estimated fill of the quota's bucket, 250 when full
 }
 
 const (
@@ -69,15 +70,16 @@
 	serverSize    = 2
 	entrySize     = 8
 	rateScale     = 8
-	lendScale     = 4.0 // parts of a unit in which a ceiling is lent
+	lendScale     = 4.0 // ceiling units are lent in steps of 1/lendPartsPerUnit
 )
 
-// fits tells whether one more customer fits in.
+// hasRoom reports whether one more customer fits into the message.
 func (m *report) fits() bool {
 	n := headerSize + serverSize*len(m.servers) + entrySize*(len(m.customers)+1)
 	return n <= maxMessage
 }
 
+// encode returns the report in its wire format.
 func (m *report) encode() []byte {
 	b := make([]byte, 0, maxMessage)
 	b = append(b, reportVersion)
@@ -103,7 +105,7 @@
 	return b
 }
 
-// decodeReport reads a report; anything but a whole, well-formed one is not ok.
+// decodeReport decodes a report; ok is false unless b is a complete, well-formed one.
 func decodeReport(b []byte) (m report, ok bool) {
 	if len(b) < headerSize || len(b) > maxMessage || b[0] != reportVersion {
 		return m, false
@@ -132,19 +134,18 @@
 	return m, true
 }
 
-// read takes over an entry's figures, and tells what has been passed and lent
-// since the last. It tells too whether the sender's totals were not known, or
-// began at nothing: then what was passed counts from there.
-func (v *peerView) read(e entry, inc uint32, now time.Duration) (passed, lent float64, met bool) {
-	quiet := now-v.at > anewFor
-	if met = !v.heard || v.inc != inc || e.anew && quiet; met {
+// applyEntry stores an entry's figures and returns the units passed and lent since the last one. isNew reports
+// whether the sender's totals were unknown or have restarted from 0; the units passed then count from there.
+func (v *peerView) read(e entry, inc uint32, now time.Duration) (passed, lent float64, isNew bool) {
+	outdated := now-v.at > anewFor
+	if isNew = !v.heard || v.inc != inc || e.anew && outdated; isNew {
 		v.passed, v.got = 0, e.given
 		if !v.heard && !e.anew {
 			v.passed = e.passed
 		}
 	}
-	passed = float64(int8(e.passed - v.passed)) // settled units may take it back
-	if quiet {
+	passed = float64(int8(e.passed - v.passed)) // negative when settled units were given back
+	if outdated {
 		passed = max(0, passed)
 	} else {
 		lent = float64(e.given-v.got) / lendScale
@@ -152,5 +153,5 @@
 	v.heard, v.inc, v.passed, v.got = true, inc, e.passed, e.given
 	v.at, v.rate = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
 	v.out, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
-	return passed, lent, met
+	return passed, lent, isNew
 }
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// message makes the report for one peer: the servers this gateway has attempts
-// out at, then the customers that come in through both, busiest first.
-func (g *Gateway) message(p *peer, list []*customer) *report {
+// buildReport builds the report for one peer: the servers at which this gateway has attempts
+// in flight, then the customers that both gateways serve, most urgent first.
+func (g *Gateway) message(p *peer, customers []*customer) *report {
 	m := &report{inc: g.inc, seq: g.seq, complete: true}
 	for _, s := range g.fleet {
 		if s.out > 0 && len(m.servers) < maxServers && !g.tree {
 			m.servers = append(m.servers, serverOut{s.hash, byte(min(s.out, maxOut))})
 		}
 	}
-	for _, c := range list {
+	for _, c := range customers {
 		v := c.view(p)
 		if v == nil {
 			continue
@@ -38,9 +38,10 @@
 	return m
 }
 
+// onReport applies a peer's report.
 func (g *Gateway) onReport(p *peer, m report) {
 	if p.heard && p.inc == m.inc && int32(m.seq-p.seq) <= 0 {
-		return // old or repeated: the later report holds all it said
+		return // outdated or duplicate: a later report contains all of its figures
 	}
 	if m.complete || p.inc != m.inc {
 		for _, v := range p.views {
@@ -60,52 +61,52 @@
 	}
 }
 
-// report tells each peer what has changed.
+// sendReports sends each peer the figures that have changed.
 func (g *Gateway) report() {
 	g.seq++
-	var list []*customer
+	var changed []*customer
 	for _, c := range g.ring {
 		if c.news() {
 			c.urgency = g.urgent(c)
-			list = append(list, c)
+			changed = append(changed, c)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *customer) int { return cmp.Compare(b.urgency, a.urgency) })
+	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.urgency, a.urgency) })
 	for _, p := range g.peers {
 		if p == nil || p.num == g.set.Me || g.tree && len(p.views) == 0 {
 			continue
 		}
-		if m := g.message(p, list); !g.tree || len(m.customers) > 0 {
+		if m := g.message(p, changed); !g.tree || len(m.customers) > 0 {
 			g.do(Tell{To: p.num, Data: m.encode()})
 		}
 	}
-	for _, c := range list {
+	for _, c := range changed {
 		if c.told == g.ticks {
 			c.fresh, c.toldUnits = max(0, c.fresh-1), c.passed
 		}
 	}
 }
 
-// hear takes in what a peer says of a customer. Running totals heal lost
-// reports; a total that jumps oddly (the peer started anew) is a new base.
+// applyReportEntry takes over a peer's figures of a customer. Running totals make up for
+// lost reports; when the peer has restarted, its total is a new base.
 func (g *Gateway) hear(c *customer, p *peer, e entry) {
 	v := c.view(p)
 	if v == nil {
 		return
 	}
 	g.advance(c)
-	passed, lent, met := v.read(e, p.inc, g.now)
+	passed, lent, isNew := v.read(e, p.inc, g.now)
 	c.store = min(c.plan.Burst, max(0, c.store-passed))
 	c.ceiling = min(c.plan.HardBurst/c.n, c.ceiling+lent)
-	// One just met has used it, or knows who has: it is told once what the store
-	// is here. Guards against a store that is full at one gateway only.
-	if (met || !c.known) && e.store != unknownStore {
+	// A new peer may know of units used that this gateway has not counted: take the lower fill, and report
+	// the result once. This guards against a bucket that is full at one gateway only.
+	if (isNew || !c.known) && e.store != unknownStore {
 		c.known, c.fresh = true, max(c.fresh, 1)
 		c.store = min(c.store, float64(e.store)/250*c.plan.Burst)
 	}
 }
 
-// news tells whether peers must hear of a customer.
+// hasNews reports whether reports must include a customer.
 func (c *customer) news() bool {
 	return len(c.set) > 0 && (c.out > 0 || c.mean > 0 || len(c.held) > 0 || c.fresh > 0)
 }
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -42,14 +42,14 @@
 		}
 	}
 	if each := float64(warm) / 3; float64(cold) > 0.2*2*each {
-		t.Fatalf("%d to the cold server, %d to the others", cold, warm)
+		t.Fatalf("%d sent to the cold server, %d to the others", cold, warm)
 	}
 }
 
 func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
 	for _, code := range []Code{Error, ConnectFailed, Reset} {
 		w := newWorld(t, base(), fleet(6))
-		to := func(bad bool, n int) (hits int) {
+		sendsTo := func(failing bool, n int) (hits int) {
 			for range n {
 				w.pass(25 * ms)
 				s := w.send("safe", "free")
@@ -58,68 +58,68 @@
 					if hit {
 						hits++
 					}
-					if !hit || !bad {
+					if !hit || !failing {
 						w.end(s, k, OK)
 						break
 					}
-					again := of[Send](w.end(s, k, code))
-					if len(again) == 0 {
+					retries := of[Send](w.end(s, k, code))
+					if len(retries) == 0 {
 						break
 					}
-					s = again[0]
+					s = retries[0]
 				}
 			}
 			return hits
 		}
-		to(true, 100)
-		if n := to(true, 400); n > 20 {
-			t.Fatalf("%v: %d of 400 to a failing server", code, n)
+		sendsTo(true, 100)
+		if n := sendsTo(true, 400); n > 20 {
+			t.Fatalf("%v: %d of 400 sent to a failing server", code, n)
 		}
-		to(false, 800)
-		if n := to(false, 400); n < 20 {
-			t.Fatalf("%v: only %d of 400 to a server that is well again", code, n)
+		sendsTo(false, 800)
+		if n := sendsTo(false, 400); n < 20 {
+			t.Fatalf("%v: only %d of 400 sent to a server that has recovered", code, n)
 		}
 	}
 }
 
-// When all servers fail alike, verdicts against them are not heeded.
+// When all servers fail alike, ejections are ignored.
 func TestSharedFailureDoesNotEmptyTheFleet(t *testing.T) {
 	w := newWorld(t, base(), fleet(9))
-	late := map[ServerID]int{}
+	used := map[ServerID]int{}
 	for i := range 300 {
 		w.now += 25 * ms
 		s := w.send("once", "free") // fails the test when there is none
 		w.end(s, 0, Error)
 		if i >= 200 {
-			late[s.Server]++
+			used[s.Server]++
 		}
 	}
-	if len(late) < 7 {
-		t.Fatalf("only %d of 9 servers used", len(late))
+	if len(used) < 7 {
+		t.Fatalf("only %d of 9 servers used", len(used))
 	}
 }
 
 func TestHungServerIsLeft(t *testing.T) {
 	w := newWorld(t, base(), fleet(6))
-	called, late := 0, 0
+	cancelled, lateSends := 0, 0
 	for i := range 300 {
 		s := w.send("safe", "free")
 		if s.Server != 1 {
 			w.end(s, 0, OK)
 		} else if i > 150 {
-			late++
+			lateSends++
 		}
 		for _, a := range w.pass(25 * ms) {
 			if c, ok := a.(Cancel); ok {
-				called++
+				cancelled++
 				for _, s := range of[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
 					w.end(s, c.Attempt+1, OK)
 				}
 			}
 		}
 	}
-	if called == 0 || late > 6 {
-		t.Fatalf("%d called back, %d sent later on", called, late)
+	if cancelled == 0 || lateSends > 6 {
+		t.Fatalf("%d cancelled, %d sent later on", cancelled, lateSends)
 	}
 }
 
@@ -129,16 +129,16 @@
 	g, _ := New(s, 1)
 	w := &world{t: t, g: g, now: time.Second}
 	if n := len(of[Watch](w.do(Members{Kind: Remembered}))); n != 1 {
-		t.Fatalf("%d asks at the start", n)
+		t.Fatalf("%d requests for the server list at the start", n)
 	}
 	w.do(Members{Kind: AskFailed})
 	if n := len(of[Watch](w.pass(3 * time.Second))); n != 1 {
-		t.Fatalf("%d asks after a failed one", n)
+		t.Fatalf("%d requests for the server list after a failed one", n)
 	}
 }
 
-// App servers that are gone leave nothing behind, and those there are share the
-// budget of a cold one.
+// Removed servers are dropped from all tables, and do not count in the number of
+// running servers.
 func TestGoneServersAreForgotten(t *testing.T) {
 	w := newWorld(t, base(), fleet(2))
 	for i := range 200 {
@@ -152,7 +152,7 @@
 	}
 }
 
-// With the warm servers full, the cold one still gets no more than its budget.
+// When the warm servers are full, the cold one still gets no more than its budget.
 func TestColdBudgetHoldsUnderLoad(t *testing.T) {
 	servers := fleet(4)
 	servers[0].HasStart, servers[0].Start = true, time.Second
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// serviceGateways drives gateways of many services: what they are told comes late, and their mail may be lost.
+// serviceGateways runs gateways of many services: events reach them late, and their messages may be lost.
 type serviceGateways struct {
 	now     time.Duration
 	rnd     *rand.Rand
-	gs      []*Gateway // nil: it does not run
-	told    []int      // how many gateways each knows of; 0: it is not told yet, and serves nothing
+	gs      []*Gateway // nil: not running
+	told    []int      // gateway count that each knows; 0: not known yet, it serves nothing
 	servers []Server
 	plans   []Plan
 	way     []arrival
-	lost    float64 // part of the mail
-	takes   time.Duration
+	lost    float64       // share of the messages
+	takes   time.Duration // duration of an attempt
 	code    func(s Send) Code
 	ids     RequestID
 	tries   map[RequestID]int
 	sends   []sending
-	recalls map[RequestID]time.Duration // when attempts were called back
+	recalls map[RequestID]time.Duration // when attempts were cancelled
 }
 
 type arrival struct {
@@ -37,7 +37,7 @@
 	again bool
 }
 
-const lostOnTheWay Code = -1 // for the code of serviceGateways: no answer comes
+const lostOnTheWay Code = -1 // returned by serviceGateways.code: the answer is lost
 
 func newServiceGateways(n int, seed uint64, servers []Server, plans ...Plan) *serviceGateways {
 	m := &serviceGateways{now: time.Second, rnd: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, takes: 30 * ms,
@@ -50,11 +50,13 @@
 	return m
 }
 
+// randomTimeWithin returns a random time at most d after now.
 func (m *serviceGateways) upTo(d time.Duration) time.Duration {
 	return m.now + time.Duration(m.rnd.Int64N(int64(d)+1))
 }
 
-func (m *serviceGateways) start(i int, late time.Duration) {
+// start replaces gateway i by a new one, which learns of the other gateways after up to maxDelay.
+func (m *serviceGateways) start(i int, maxDelay time.Duration) {
 	g, err := New(fieldSet(), m.rnd.Uint64())
 	if err != nil {
 		panic(err)
@@ -62,11 +64,12 @@
 	m.gs[i], m.told[i] = g, 0
 	m.do(i, Members{Kind: Whole, Servers: m.servers})
 	m.do(i, fieldTerms(m.plans...))
-	m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, late)
+	m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, maxDelay)
 }
 
-func (m *serviceGateways) tell(i int, ev Event, late time.Duration) {
-	m.way = append(m.way, arrival{m.upTo(late), m.gs[i], ev})
+// deliverLater delivers an event to gateway i after up to maxDelay.
+func (m *serviceGateways) tell(i int, ev Event, maxDelay time.Duration) {
+	m.way = append(m.way, arrival{m.upTo(maxDelay), m.gs[i], ev})
 }
 
 func (m *serviceGateways) do(i int, ev Event) {
@@ -80,14 +83,14 @@
 				m.way = append(m.way, arrival{m.upTo(40 * ms), m.gs[a.To], PeerMessage{From: i, Data: a.Data}})
 			}
 		case Send:
-			k := m.tries[a.ID]
+			attempt := m.tries[a.ID]
 			m.tries[a.ID]++
-			m.sends = append(m.sends, sending{m.now, i, a, k > 0})
+			m.sends = append(m.sends, sending{m.now, i, a, attempt > 0})
 			code := m.code(a)
 			if code == lostOnTheWay {
 				continue
 			}
-			m.way = append(m.way, arrival{m.now + m.takes, m.gs[i], Outcome{ID: a.ID, Attempt: k, Server: a.Server,
+			m.way = append(m.way, arrival{m.now + m.takes, m.gs[i], Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
 				Code: code, Latency: m.takes, Over: code == OK}})
 		case Cancel:
 			m.recalls[a.ID] = m.now
@@ -104,7 +107,7 @@
 	m.do(i, r)
 }
 
-// pass lets time go by in steps of 10 ms.
+// pass advances the clock in steps of 10 ms.
 func (m *serviceGateways) pass(d time.Duration, step func()) {
 	for end := m.now + d; m.now < end; {
 		m.now += 10 * ms
@@ -113,7 +116,7 @@
 		for _, a := range due {
 			if i := slices.Index(m.gs, a.to); a.at > m.now {
 				m.way = append(m.way, a)
-			} else if i >= 0 { // else it was for one that is gone
+			} else if i >= 0 { // otherwise the gateway has been replaced
 				m.do(i, a.ev)
 			}
 		}
@@ -128,18 +131,18 @@
 	}
 }
 
-// most is the most sends of a kind in any span of such a length.
+// maxSendsIn returns the largest number of sends of a kind in any span of this length.
 func (m *serviceGateways) most(span time.Duration, kind func(s sending) bool) (n int) {
-	var in []time.Duration
+	var window []time.Duration
 	for _, s := range m.sends {
 		if !kind(s) {
 			continue
 		}
-		in = append(in, s.at)
-		for s.at-in[0] >= span {
-			in = in[1:]
+		window = append(window, s.at)
+		for s.at-window[0] >= span {
+			window = window[1:]
 		}
-		n = max(n, len(in))
+		n = max(n, len(window))
 	}
 	return n
 }
--- a/policy/store.go
+++ b/policy/store.go
@@ -1,6 +1,6 @@
 package policy
 
-// The rate companion: customers' stores, ceilings and shares, what is lent of them.
+// Token buckets of customers: quota, hard ceiling, each gateway's share of them, and loans.
 
 import (
 	"math"
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// account starts a customer's counts. Those who sum them come first: in a
-// small fleet all its gateways, in a large one its roots. The others ask.
-func (g *Gateway) account(key uint64, plan *quota, first, spread int) *customer {
-	if spread = max(1, min(spread, g.set.Gateways)); g.set.Field != nil {
-		spread = g.set.Gateways // which may have come while the request was on its way here
-	}
-	c := &customer{key: key, hash: shortOf(key), plan: plan, n: float64(spread), store: plan.Burst,
-		part: 1, leases: map[lease]leased{}, first: first, spread: spread, at: g.now, areaAt: g.now,
+// addCustomer creates a customer. Its counts are summed by all its gateways or, where
+// there are many gateways, by its roots, which the other gateways ask.
+func (g *Gateway) account(key uint64, plan *quota, firstGateway, gatewayCount int) *customer {
+	if gatewayCount = max(1, min(gatewayCount, g.set.Gateways)); g.set.Field != nil {
+		gatewayCount = g.set.Gateways // gateways may have been added since the request was read
+	}
+	c := &customer{key: key, hash: shortOf(key), plan: plan, n: float64(gatewayCount), store: plan.Burst,
+		part: 1, leases: map[lease]leased{}, first: firstGateway, spread: gatewayCount, at: g.now, areaAt: g.now,
 		born: g.now}
 	if g.parts > 0 {
 		c.n = g.ownOf(float64(g.parts))
@@ -28,104 +28,104 @@
 	} else if plan.Rate > 0 || plan.Open > 0 {
 		c.ask = []int{roots[g.set.Me%len(roots)], deputy}
 	}
-	if g.tree { // each has a part of the ceiling, those who grant have more: all parts make one whole
-		part := memberPart / float64(spread)
+	if g.tree { // each gateway has a part of the ceiling, roots and deputy a larger one: the parts add up to it
+		ownShare := memberPart / float64(gatewayCount)
 		if slices.Contains(roots, g.set.Me) {
-			part += (1 - memberPart - deputyPart) / float64(len(roots))
+			ownShare += (1 - memberPart - deputyPart) / float64(len(roots))
 		} else if deputy == g.set.Me {
-			part += deputyPart
+			ownShare += deputyPart
 		}
-		c.n = 1 / part
+		c.n = 1 / ownShare
 	}
-	// A restarted root knows nothing: it must not grant a whole store again.
+	// A restarted root has lost its counts: it must not grant a full bucket again.
 	if g.tree && plan.Rate > 0 && (g.now-g.start).Seconds() < plan.Burst/plan.Rate {
 		c.store *= freshFill
 	}
-	// The ceiling's own part starts empty at the gateway's start: after a
-	// restart it must not be granted a second time.
+	// This part of the ceiling starts empty, but for HardStart: after a restart it must not be granted again.
 	c.ceiling = min(plan.HardBurst, plan.HardStart+plan.HardRate*(g.now-g.start).Seconds()) / c.n
 	g.enter(c)
 	return c
 }
 
-// advance brings a customer's stores up to now. A peer long silent is taken
-// to use its demand-split part of the rate: it may only be cut off.
+// advance refills a customer's buckets up to now. A silent peer is assumed to use
+// its share of the rate by demand: it may merely be partitioned from this gateway.
 func (g *Gateway) advance(c *customer) {
 	dt := (g.now - c.at).Seconds()
 	if dt <= 0 {
 		return
 	}
 	c.at = g.now
-	unheard := 0.0
-	for _, v := range c.set {
-		if g.silent(v.p) {
-			unheard += g.weight(c, v)
+	silentDemand := 0.0
+	for _, view := range c.set {
+		if g.silent(view.p) {
+			silentDemand += g.weight(c, view)
 		}
 	}
-	share := 1 - unheard/g.demand(c)
+	share := 1 - silentDemand/g.demand(c)
 	if len(c.ask) > 0 && !c.sums {
-		share = 1 / float64(c.spread) // what others pass is the root's to know
+		share = 1 / float64(c.spread) // only the root knows what the other gateways pass
 	}
 	c.store = min(c.plan.Burst, c.store+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n-c.lent, c.ceiling+c.plan.HardRate/c.n*dt))
-	k := math.Exp(-dt / demandSpan.Seconds())
-	c.rate, c.places = c.rate*k, c.places*k
-	for _, v := range c.set {
-		v.rate *= k
+	decay := math.Exp(-dt / demandSpan.Seconds())
+	c.rate, c.places = c.rate*decay, c.places*decay
+	for _, view := range c.set {
+		view.rate *= decay
 	}
 	if !c.known && c.plan.Rate > 0 && (g.now-g.start).Seconds() > c.plan.Burst/c.plan.Rate {
 		c.known = true
 	}
 }
 
-// silent tells whether a peer's counts are too old to be used.
+// isSilent reports whether a peer's counts are too old to be used.
 func (g *Gateway) silent(p *peer) bool { return !p.heard || g.now-p.at > staleTicks*g.span() }
 
-// even is the demand taken for granted: a fresh customer's split is even.
+// assumedDemand is added to each gateway's demand, in units a second: a new customer's quota is split evenly.
 func (g *Gateway) even(c *customer) float64 { return evenRate*c.plan.Rate + evenLeast }
 
-// weight is a peer's demand in the demand split. One not heard for long counts as much as this
-// gateway, then less, but never nothing: it may be cut off and passing its part, or dead for good.
-func (g *Gateway) weight(c *customer, v *peerView) float64 {
-	w := v.rate
-	if g.silent(v.p) {
-		fade := math.Exp(-(g.now - max(v.p.at, g.start)).Seconds() / forgetAfter.Seconds())
-		w = max(w, c.rate) * (leastWeight + (1-leastWeight)*fade)
-	}
-	return w/demandSpan.Seconds() + g.even(c)
+// peerDemand returns a peer's demand, in units a second, for dividing the quota. A silent peer counts as much as this
+// gateway, then less, but never zero: it may be partitioned and still pass requests, or be gone.
+func (g *Gateway) weight(c *customer, view *peerView) float64 {
+	rate := view.rate
+	if g.silent(view.p) {
+		fade := math.Exp(-(g.now - max(view.p.at, g.start)).Seconds() / forgetAfter.Seconds())
+		rate = max(rate, c.rate) * (leastWeight + (1-leastWeight)*fade)
+	}
+	return rate/demandSpan.Seconds() + g.even(c)
 }
 
-// demand is all gateways' demand in units a second, this one's included.
+// totalDemand returns all gateways' demand, in units a second, including this gateway's.
 func (g *Gateway) demand(c *customer) float64 {
 	sum := c.rate/demandSpan.Seconds() + g.even(c)
-	for _, v := range c.set {
-		sum += g.weight(c, v)
+	for _, view := range c.set {
+		sum += g.weight(c, view)
 	}
 	return sum
 }
 
+// demandShare returns this gateway's share of the total demand.
 func (g *Gateway) share(c *customer) float64 {
 	return (c.rate/demandSpan.Seconds() + g.even(c)) / g.demand(c)
 }
 
-// allowance is what this gateway may pass of the customer's store now: its demand-split part, or what is left
-// once the peers have passed all they may be asked for before they are heard again, whichever is more.
+// allowance returns how many units of the customer's bucket this gateway may pass now: its share by demand, or
+// what remains if the peers pass all their expected demand until their next reports arrive, whichever is more.
 func (g *Gateway) allowance(c *customer) float64 {
-	blind := (g.span() + blindExtra).Seconds()
-	unseen := 0.0
-	for _, v := range c.set {
-		wait := blind
-		if !v.p.complete {
-			wait += min(g.now-v.at, staleTicks*g.span()).Seconds()
+	reportDelay := (g.span() + blindExtra).Seconds()
+	unreported := 0.0
+	for _, view := range c.set {
+		gap := reportDelay
+		if !view.p.complete {
+			gap += min(g.now-view.at, staleTicks*g.span()).Seconds()
 		}
-		unseen += g.weight(c, v) * wait
+		unreported += g.weight(c, view) * gap
 	}
-	return max(c.store*g.share(c), c.store-unseen)
+	return max(c.store*g.share(c), c.store-unreported)
 }
 
-// lend gives peers of the ceiling's part here what this gateway does not need and they ask for
-// beyond their own. What is lent is off here before it is on there, a part never holds more than
-// its even share, and what is lost on the way is lost: all parts together stay under the ceiling.
+// lend gives peers what this gateway does not need of its part of the ceiling and they need beyond theirs.
+// Loans are deducted here before the peer adds them, a part never exceeds its even share, and units lost
+// in transit are not restored: all parts together stay below the ceiling.
 func (g *Gateway) lend(c *customer, dt time.Duration) {
 	if c.plan.HardRate == 0 || len(c.set) == 0 || g.tree || g.less >= 1 {
 		return
@@ -134,23 +134,23 @@
 	if c.lent *= math.Exp(-dt.Seconds() / lendSpan.Seconds()); c.lent < 1/lendScale/16 {
 		c.lent = 0
 	}
-	part, want := c.plan.HardRate/c.n, 0.0
+	fairRate, wanted := c.plan.HardRate/c.n, 0.0
 	if g.set.Field != nil {
-		part *= lendFrom
+		fairRate *= lendFrom
 	}
-	for _, v := range c.set {
-		v.want = 0
-		if !g.silent(v.p) {
-			v.want = max(0, v.rate/demandSpan.Seconds()-part) * dt.Seconds() * lendMost
+	for _, view := range c.set {
+		view.want = 0
+		if !g.silent(view.p) {
+			view.want = max(0, view.rate/demandSpan.Seconds()-fairRate) * dt.Seconds() * lendMost
 		}
-		want += v.want
+		wanted += view.want
 	}
 	spare := c.ceiling - g.set.LargestUnits - c.rate/demandSpan.Seconds()*lendAhead.Seconds()
-	for _, v := range c.set {
-		n := min(lendScale*30, math.Floor(lendScale*v.want*min(1, max(0, spare)/max(want, 1e-9))))
-		v.gave += byte(n)
-		c.ceiling, c.lent = c.ceiling-n/lendScale, c.lent+n/lendScale
-		if n > 0 {
+	for _, view := range c.set {
+		loan := min(lendScale*30, math.Floor(lendScale*view.want*min(1, max(0, spare)/max(wanted, 1e-9))))
+		view.gave += byte(loan)
+		c.ceiling, c.lent = c.ceiling-loan/lendScale, c.lent+loan/lendScale
+		if loan > 0 {
 			c.fresh = max(c.fresh, 1)
 		}
 	}
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -10,12 +10,12 @@
 	w := newWorld(t, base(), fleet(8))
 	w.hear(1, 1, 1, true)
 	if n := w.spend(40, "rate"); n < 5 || n > 10 {
-		t.Fatalf("%d units passed of a store of 10", n)
+		t.Fatalf("%d units passed of a bucket of 10", n)
 	}
 }
 
 func TestHeardUnitsAreTakenOff(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		tell func(w *world)
 		most int
@@ -36,14 +36,14 @@
 			w.hear(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
 		}, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			w := newWorld(t, base(), fleet(8))
 			w.spend(1, "rate")
 			w.pass(600 * ms)
 			w.hear(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
-			c.tell(w)
-			if n := w.spend(30, "rate"); n > c.most || n == 0 && c.most > 3 {
-				t.Fatalf("%d units passed, at most %d are left", n, c.most)
+			test.tell(w)
+			if n := w.spend(30, "rate"); n > test.most || n == 0 && test.most > 3 {
+				t.Fatalf("%d units passed, at most %d are left", n, test.most)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	w.spend(1, "rate")
 	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
 	if n := w.spend(20, "rate"); n > 1 {
-		t.Fatalf("%d units passed though a peer knows of one", n)
+		t.Fatalf("%d units passed though a peer reports that one is left", n)
 	}
 }
 
@@ -66,22 +66,22 @@
 	if n := w.spend(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
 	}
-	_, a := w.ask("safe", "open", "c", 1)
-	_, b := w.ask("safe", "open", "c", 1)
-	acts := append(append(a, b...), w.pass(100*ms)...)
+	_, first := w.ask("safe", "open", "c", 1)
+	_, second := w.ask("safe", "open", "c", 1)
+	acts := append(append(first, second...), w.pass(100*ms)...)
 	if n := len(of[Send](acts)); n > 1 {
-		t.Fatalf("a silent peer's room was freed: %d out", n)
+		t.Fatalf("a silent peer's share of the limit was used: %d in flight", n)
 	}
 }
 
-// A client refused for its quota is told when the store will have what it asks
-// for: told to wait for longer it would come back too late to be served.
+// A client refused for its quota is advised to retry when the bucket will hold the units it
+// needs; after a longer wait it would return too late to be served.
 func TestAdviceFollowsTheStore(t *testing.T) {
 	set := base()
 	set.MaxRetryAfter = 5 * time.Second
 	w := newWorld(t, set, fleet(3))
 	w.spend(40, "rate")
-	for units, want := range map[float64]time.Duration{1: 400 * ms, 4: 700 * ms} { // of 10 a second, 3 kept back
+	for units, want := range map[float64]time.Duration{1: 400 * ms, 4: 700 * ms} { // of 10 a second, 3 reserved
 		_, acts := w.ask("safe", "rate", "c", units)
 		r := of[Refuse](acts)
 		if len(r) != 1 || r[0].RetryAfter < want-100*ms || r[0].RetryAfter > want+200*ms {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A peer cut off or never heard leaves this gateway its part, not the whole.
+// While a peer is never heard from, this gateway gets its own share of the quota, not all of it.
 func TestUnheardPeerKeepsItsPart(t *testing.T) {
 	w := newWorld(t, base(), fleet(8))
 	w.spend(1, "rate")
@@ -112,12 +112,12 @@
 		n += w.spend(3, "rate")
 	}
 	if n < 50 || n > 85 {
-		t.Fatalf("%d of 100 units passed beside a peer never heard", n)
+		t.Fatalf("%d of 100 units passed beside a peer never heard from", n)
 	}
 }
 
-// A customer is forgotten once a fresh start comes to the same; the store must
-// be full by then, and what others do with it must not be lost sight of.
+// A customer is dropped once its state equals that of a new one: its bucket must be full
+// again, and the peers' use of it must have ended.
 func TestIdleCustomersAreForgotten(t *testing.T) {
 	w := newWorld(t, base(), fleet(2))
 	for i := range 50 {
@@ -126,45 +126,45 @@
 		w.now += 20 * ms
 	}
 	c := w.g.customers[keyOf("7")]
-	c.store = -500 // settled: not full for long
+	c.store = -500 // after settlement: takes long to refill
 	w.pass(forgetAfter + 3*time.Second)
 	w.spend(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
 		t.Fatalf("%d customers known, want 2", n)
 	}
 	if n := len(w.g.customers) + len(w.g.ring) + len(w.g.byHash) + len(w.g.peers[1].views); n != 8 {
-		t.Fatalf("%d places still name customers, want 8", n)
+		t.Fatalf("%d table entries for customers, want 8", n)
 	}
 }
 
-// A gateway that forgot a customer begins its total anew: peers must take the
-// new units off, and give none of the old ones back.
+// A gateway that dropped a customer restarts its running total from 0: peers must deduct the
+// new units, and must not return old ones to the bucket.
 func TestTotalThatBeginsAnewGrantsNothing(t *testing.T) {
 	w := newWorld(t, base(), fleet(2))
 	w.spend(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	seq := uint32(0)
-	say := func(passed byte, anew bool) float64 {
+	receive := func(passed byte, newTotal bool) float64 {
 		seq++
-		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: anew, store: unknownStore}}}
+		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: newTotal, store: unknownStore}}}
 		w.g.advance(c)
 		before := c.store
 		w.do(PeerMessage{From: 1, Data: m.encode()})
 		return before - c.store
 	}
-	if d := say(3, true); d != 3 {
-		t.Errorf("%v units taken off at the first word of a fresh total of 3", d)
+	if deducted := receive(3, true); deducted != 3 {
+		t.Errorf("%v units deducted at the first report of a new total of 3", deducted)
 	}
-	if d := say(5, true); d != 2 {
-		t.Errorf("%v units taken off when the total goes from 3 to 5", d)
+	if deducted := receive(5, true); deducted != 2 {
+		t.Errorf("%v units deducted when the total goes from 3 to 5", deducted)
 	}
 	w.pass(anewFor + time.Second)
-	if d := say(1, true); d != 1 {
-		t.Errorf("%v units taken off when a total begins anew with 1", d)
+	if deducted := receive(1, true); deducted != 1 {
+		t.Errorf("%v units deducted when a total restarts with 1", deducted)
 	}
 }
 
-// What a peer just met says of the store is heeded: it may be full here only.
+// A new peer's fill of the bucket is taken over: the bucket may be full at this gateway only.
 func TestPeerJustMetTellsOfItsStore(t *testing.T) {
 	w := newWorld(t, base(), fleet(2))
 	w.pass(5 * time.Second)
@@ -173,6 +173,6 @@
 	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, store: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
 	if c.store > 2 {
-		t.Errorf("%v units in the store that a peer holds to have 2", c.store)
+		t.Errorf("%v units in a bucket that has 2 according to a peer", c.store)
 	}
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -1,14 +1,14 @@
 package policy
 
-// Tables at the start, and what is let go of them.
+// Creation of a gateway's tables, and removal of expired entries.
 
 import (
 	"math/rand/v2"
 	"slices"
 )
 
-// forget drops the servers that are gone for good and the customers for whom a
-// fresh start would come to the same.
+// dropExpired drops servers that have been removed for some time, and customers whose
+// state equals that of a new customer.
 func (g *Gateway) forget() {
 	g.fleet = slices.DeleteFunc(g.fleet, func(s *server) bool {
 		if s.State != Removed || s.out > 0 || g.now-s.goneAt < forgetAfter {
@@ -30,8 +30,8 @@
 	})
 }
 
-// spent tells whether nothing is left of a customer: its store and its ceiling
-// are full again, nobody has anything out or held, and nothing is left to tell.
+// canExpire reports whether a customer's state equals that of a new one: its quota and ceiling are
+// full again, no gateway has requests in flight or held, and nothing is left to report.
 func (g *Gateway) spent(c *customer) bool {
 	if c.out > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.news() || c.area > 0 ||
 		g.now-c.seen < forgetAfter {
@@ -46,8 +46,8 @@
 	return (c.plan.Rate == 0 || c.store >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.n)
 }
 
-// unname takes a customer's short hash out; another of the same hash has it for
-// itself then.
+// removeHash removes a customer from the table of short hashes. If exactly one other customer
+// has the same hash, the entry becomes that customer's.
 func (g *Gateway) unname(c *customer) {
 	if g.byHash[c.hash] == c {
 		delete(g.byHash, c.hash)
@@ -55,16 +55,16 @@
 	}
 	delete(g.byHash, c.hash)
 	var other *customer
-	n := 0
-	for _, o := range g.customers {
-		if o.hash == c.hash {
-			other, n = o, n+1
+	count := 0
+	for _, candidate := range g.customers {
+		if candidate.hash == c.hash {
+			other, count = candidate, count+1
 		}
 	}
 	switch {
-	case n == 1:
+	case count == 1:
 		g.byHash[c.hash] = other
-	case n > 1:
+	case count > 1:
 		g.byHash[c.hash] = nil
 	}
 }
@@ -86,6 +86,7 @@
 	return g
 }
 
+// createAllPeers creates the entries of all peers.
 func (g *Gateway) allPeers() {
 	for i := range g.peers {
 		g.peer(i)
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -1,6 +1,6 @@
 package policy
 
-// Classes, plans and gateways that change while a gateway runs.
+// Changes of classes, plans and the set of gateways while a gateway runs.
 
 import (
 	"cmp"
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// onTerms takes over classes and plans. What was learned of them stays.
+// onConfigUpdate applies changed classes and plans. Learned figures of existing ones are kept.
 func (g *Gateway) onTerms(ev Terms) {
 	for _, p := range ev.Plans {
-		if q := g.plans[p.Name]; q != nil {
-			q.Plan = p
+		if state := g.plans[p.Name]; state != nil {
+			state.Plan = p
 		} else {
 			g.plans[p.Name] = &quota{Plan: p, no: byte(len(g.set.Plans))}
 			g.set.Plans = append(g.set.Plans, p)
@@ -33,15 +33,15 @@
 	}
 }
 
-// cap lets go of what a customer's ceiling holds beyond its part. Where all was given up, what is left is for those
-// that are held.
-func (g *Gateway) cap(c *customer, most float64) {
+// capCeiling limits a customer's ceiling here to maxUnits, unless this gateway has given up its part: the units left
+// then belong to held requests.
+func (g *Gateway) cap(c *customer, maxUnits float64) {
 	if g.less < 1 {
-		c.ceiling = min(c.ceiling, most)
+		c.ceiling = min(c.ceiling, maxUnits)
 	}
 }
 
-// onPeers takes over another number of gateways.
+// onGatewaySet applies a change of the set of gateways.
 func (g *Gateway) onPeers(ev Peers) {
 	g.set.Me, g.set.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
 	g.regionOf = ev.Regions
@@ -66,17 +66,17 @@
 	}
 }
 
-// planOf finds the plan of a customer by its key, where each has its own.
+// planForKey finds a customer's plan by the customer's key, where each customer has its own plan.
 func (g *Gateway) planOf(key uint64) *quota {
-	for name, q := range g.plans {
+	for name, plan := range g.plans {
 		if keyOf(name) == key {
-			return q
+			return plan
 		}
 	}
 	return nil
 }
 
-// remake gives a customer's counts another number of gateways.
+// updateGatewayCount adjusts a customer's ceiling and peers to a changed number of gateways.
 func (g *Gateway) remake(c *customer) {
 	c.spread, c.n = g.set.Gateways, g.ownOf(float64(g.shares()))
 	if g.wide {
@@ -96,19 +96,20 @@
 	g.views(c, missing)
 }
 
-// ownOf is the number of parts of which one is this gateway's, where so many were without what it leaves unused.
+// ceilingDivisor returns the number by which ceilings are divided for this gateway's part: n, or more if this gateway
+// leaves a share of its part unused.
 func (g *Gateway) ownOf(n float64) float64 { return n / max(leastPart, 1-g.less) }
 
-// onYield gives up what is held here of ceilings.
+// onRelinquish offers other gateways the ceiling units held here, but for those that held requests need.
 func (g *Gateway) onYield() {
 	g.less, g.barren = 1, true
 	clear(g.budgets)
 	for _, c := range g.ring {
 		if g.advance(c); c.plan.HardRate > 0 {
-			n := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.set.LargestUnits))
-			c.ceiling -= n
-			if to := g.heirs(c); n > 0 && len(to) > 0 {
-				g.do(Give{Customer: c.key, Units: uint16(min(n, math.MaxUint16)), To: to})
+			units := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.set.LargestUnits))
+			c.ceiling -= units
+			if recipients := g.heirs(c); units > 0 && len(recipients) > 0 {
+				g.do(Give{Customer: c.key, Units: uint16(min(units, math.MaxUint16)), To: recipients})
 			}
 		}
 		c.n = g.ownOf(float64(g.shares()))
@@ -118,7 +119,8 @@
 	}
 }
 
-// heirs are the gateways that may take over what a customer has here: of this region, by rendezvous, as owners are.
+// unitRecipients returns the gateways that may take over a customer's units: in this region, by rendezvous hashing as
+// for owners.
 func (g *Gateway) heirs(c *customer) (list []int) {
 	for i, r := range g.regionOf {
 		if i != g.set.Me && g.set.Me < len(g.regionOf) && r == g.regionOf[g.set.Me] {
@@ -129,20 +131,20 @@
 	return list[:min(len(list), heirsMost)]
 }
 
-// lenders are the gateways to ask, where reports go from all to all, for the units that a request lacks here though its
-// customer as a whole has some: those of this region first, then those that are asked for least.
+// lenders returns the gateways to borrow from when a request lacks units here though its customer as a whole has some,
+// where reports go from all to all: this region's gateways first, then those with the least demand.
 func (g *Gateway) lenders(r *request) (list []int) {
-	dry := r.c.dryAt > 0 && g.now-r.c.dryAt < dryFor
-	if g.set.Field == nil || g.less >= 1 || dry || g.allowance(r.c) < r.units {
+	refusedRecently := r.c.dryAt > 0 && g.now-r.c.dryAt < dryFor
+	if g.set.Field == nil || g.less >= 1 || refusedRecently || g.allowance(r.c) < r.units {
 		return nil
 	}
-	far := func(v *peerView) int {
+	distance := func(v *peerView) int {
 		if v.p.num < len(g.regionOf) && g.regionOf[v.p.num] == g.regionOf[g.set.Me] {
 			return 0
 		}
 		return 1
 	}
-	slices.SortFunc(r.c.set, func(a, b *peerView) int { return cmp.Or(far(a)-far(b), cmp.Compare(a.rate, b.rate)) })
+	slices.SortFunc(r.c.set, func(a, b *peerView) int { return cmp.Or(distance(a)-distance(b), cmp.Compare(a.rate, b.rate)) })
 	for _, v := range r.c.set {
 		if !g.silent(v.p) && len(list) < lendersMost {
 			list = append(list, v.p.num)
@@ -151,15 +153,16 @@
 	return list
 }
 
-// tired tells whether a request has been waiting for so long that no further lender is asked for it.
+// pastLoanDeadline reports whether a request has waited too long to ask another lender.
 func (g *Gateway) tired(r *request) bool { return g.now-r.arrived > g.patience(r)/2 }
 
 const (
-	heirsMost   = 3 // that are asked whether they take over
-	lendersMost = 4 // that are asked for the units of a request
+	heirsMost   = 3 // gateways offered relinquished units
+	lendersMost = 4 // gateways asked for the units of a request
 )
 
-// onGiven takes units over, as far as there is room: all parts together stay one whole.
+// onUnitsReceived adds relinquished units to this gateway's part, as far as there is room: all parts together stay
+// within the ceiling.
 func (g *Gateway) onGiven(ev Given) {
 	c := g.customers[ev.Customer]
 	if c == nil {
@@ -174,12 +177,12 @@
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n-c.lent, c.ceiling+float64(ev.Units)))
 }
 
-// gone tells whether a peer's number is no peer's any more: it is this gateway's, or none's.
+// isNotPeer reports whether a number no longer belongs to a peer: it is this gateway's, or unused.
 func (g *Gateway) gone(p *peer) bool {
 	return p.num == g.set.Me || p.num >= g.set.Gateways || len(g.regionOf) > p.num && g.regionOf[p.num] == ""
 }
 
-// shares is in how many parts ceilings are divided.
+// ceilingPartCount returns the number of parts into which ceilings are divided.
 func (g *Gateway) shares() int {
 	if g.parts > 0 {
 		return g.parts
@@ -187,8 +190,8 @@
 	return g.set.Gateways
 }
 
-// New returns a gateway that has seen nothing yet. The seed feeds its random
-// choices; equal settings, seeds and events give equal actions.
+// New returns a gateway without any state, or an error if the settings are invalid. The seed
+// determines its random choices: equal settings, seeds and events give equal actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -199,12 +202,12 @@
 		c.mean = c.Aim.Seconds() / firstGuess
 		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.Aim.Seconds())
 	}
-	mail := max(s.MailPerSecond*mailShare, 1)
-	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
+	messageRate := max(s.MailPerSecond*mailShare, 1)
+	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / messageRate * float64(time.Second))
 	g.own, g.gate, g.heard = learn, 1, 1
 	g.nextTag, g.reply = g.rng.Uint32(), leastReply
 	if g.tree = g.tick > treeBeyond*maxTick && s.CanTell && s.Field == nil; g.tree {
-		g.own = 0 // what the watchers tell is more than what this gateway sees
+		g.own = 0 // the watchers' verdicts rest on more outcomes than this gateway sees
 	} else {
 		g.allPeers()
 	}
@@ -213,7 +216,7 @@
 	return g, nil
 }
 
-// setField starts what many services need: short ticks, on which only some reports go.
+// applyMultiService shortens the tick for gateways that serve many services; not every tick sends reports.
 func (g *Gateway) setField() {
 	if f := g.set.Field; f != nil {
 		g.every, g.tick = uint32(max(1, f.Report/fieldTick)), fieldTick
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -1,15 +1,15 @@
 package policy
 
-// How far servers are trusted, by what all gateways saw together; who sums that up tells it with Trusts.
+// Trust in servers, based on what all gateways observed; a TrustUpdate event brings it.
 
-// trusted tells whether a request may go to a server, if only as a trial.
+// allowedByTrust reports whether a server's trust level allows a request, at least as a trial.
 func (s *server) trusted(r *request) bool {
-	l := s.trust.Level
-	return l <= Doubted || l == NoRecord && r.effect == Safe || s.tries(r)
+	level := s.trust.Level
+	return level <= Doubted || level == NoRecord && r.effect == Safe || s.tries(r)
 }
 
-// tries tells whether a request may go to a server as a trial: the first attempt of one that shows what is
-// to be shown next. Of a server that is trusted with nothing these are requests that may run again, at first.
+// mayTakeTrial reports whether a request may be sent to a server as a trial, as its first attempt. A server that gets
+// trials only is tested with requests that may run again; one for safe requests only, with those that must not.
 func (s *server) tries(r *request) bool {
 	return s.trust.Try && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == NoTrust)
 }
--- a/policy/values.go
+++ b/policy/values.go
@@ -4,110 +4,110 @@
 	"time"
 )
 
-// Tuned values. None is fitted to a deployment: they are shares, counts of
-// ticks, or times that people and networks set.
+// Constants of the policy. None is specific to a deployment: they are shares, counts
+// of ticks, or times given by people and networks.
 const (
-	mailShare        = 0.75 // part of a gateway's mail intake that reports may fill
+	mailShare        = 0.75 // share of the messages a gateway takes that reports may use
 	minTick, maxTick = 25 * time.Millisecond, 250 * time.Millisecond
-	staleTicks       = 6    // a report older than this gives way to the demand split
-	leastWeight      = 0.33 // a silent peer's demand fades to this part of it
+	staleTicks       = 6    // report intervals after which a peer's last report is no longer used
+	leastWeight      = 0.33 // a silent peer's demand decays to this share of it
 	forgetAfter      = 10 * time.Second
-	demandSpan       = 2 * time.Second       // memory of the demand rates
-	blindExtra       = 25 * time.Millisecond // time a report travels
-	untold           = 0.01                  // what a tick untold adds to a place in the report
-	repeatTicks      = 3                     // a change is told in this many reports
+	demandSpan       = 2 * time.Second       // decay time constant of the demand rates
+	blindExtra       = 25 * time.Millisecond // transit time of a report
+	untold           = 0.01                  // added to a customer's urgency by each tick since it was last reported
+	repeatTicks      = 3                     // a change is included in this many reports
 
-	evenRate, evenLeast    = 0.02, 0.05 // demand of each gateway taken for granted: of the rate, units
-	arriveSlack, freeSlack = 0.5, 0.25  // parts of a place that count as one, at arrival and later
-	jitter                 = 0.2        // spread of a prediction, so that none is left untried
-	mostLatency            = 4.0        // a latency counts for so many means at most
-	choices                = 4          // servers compared for an attempt
-	zonePrice              = 25.0       // service times that a charge of one for another zone is worth
-	queueWeight            = 0.5        // what each attempt out adds to a server's latency, in service times
-	waitAim                = 0.15       // a server is full when the wait passes this part of the shortest aim
-	leastOut               = 2.5        // but not below this many attempts out
-	retryReserve           = 0.3        // part of the store that clients' repeats leave to first tries
-	pressedFor             = 200 * time.Millisecond
-	holdAim                = 0.25             // a request is held for this part of its aim
-	firstGuess             = 8.0              // a request's first guessed latency is its aim over this
-	learn, learnMean       = 0.1, 0.03        // weight of an outcome in a server's pace, in a class's latency
-	slowSpan               = 10 * time.Second // an old judgement wears off in this time
-	fullFor                = 2 * time.Second
-	fullBrief              = 150 * time.Millisecond // where its queue has room for whoever comes first
-	anewFor                = 2 * time.Second        // a total that begins at nothing is told as such
-	retryEarn, retryCap    = 0.15, 12.0             // retry budget earned by each first attempt, most kept
-	coldSafety             = 0.5                    // part of the cold budget used
+	evenRate, evenLeast    = 0.02, 0.05             // demand assumed of each gateway: share of the rate, plus units a second
+	arriveSlack, freeSlack = 0.5, 0.25              // part of a request by which a cap may be exceeded, at arrival and later
+	jitter                 = 0.2                    // random spread of a predicted latency, so that every server is tried
+	mostLatency            = 4.0                    // a latency is limited to this multiple of the class's mean
+	choices                = 4                      // servers compared for an attempt
+	zonePrice              = 25.0                   // service times that equal a charge of 1 for crossing zones
+	queueWeight            = 0.5                    // latency that each attempt in flight adds at a server, in service times
+	waitAim                = 0.15                   // a server is full when the wait exceeds this share of the shortest target
+	leastOut               = 2.5                    // but not below this many attempts in flight
+	retryReserve           = 0.3                    // share of the bucket that clients' retries leave to first requests
+	pressedFor             = 200 * time.Millisecond // after a request found no server, retries are refused
+	holdAim                = 0.25                   // a request is held for this share of its latency target
+	firstGuess             = 8.0                    // a class's initial mean latency is its target over this
+	learn, learnMean       = 0.1, 0.03              // weight of an outcome in a server's slowdown, in a class's mean
+	slowSpan               = 10 * time.Second       // time constant by which old health figures decay
+	fullFor                = 2 * time.Second        // a server that rejected a plan gets none of it
+	fullBrief              = 150 * time.Millisecond // short, as a full queue has room again for any request
+	anewFor                = 2 * time.Second        // a running total is marked as restarted from 0
+	retryEarn, retryCap    = 0.15, 12.0             // retry budget earned by each first attempt, maximum kept
+	coldSafety             = 0.5                    // share of a cold server's budget that is used
 
-	leastLate               = 0.1       // an attempt is overdue after this part of its aim at the soonest,
-	overdue                 = 4.0       // when so many times as old as predicted
-	lostAnswer              = 6.0       // and when so many, where its server has answered others since
-	sightWeight, sightLimit = 0.2, 0.45 // weight of a failure, average that puts a server out of use
-	trialWorth              = 0.6       // what a good trial leaves of a server's failures
+	leastLate               = 0.1       // an attempt is overdue no sooner than after this share of its target,
+	overdue                 = 4.0       // and when this many times as old as predicted
+	lostAnswer              = 6.0       // or this many times, if its server has answered others since
+	sightWeight, sightLimit = 0.2, 0.45 // weight of a failure; average above which a server is ejected
+	trialWorth              = 0.6       // share of its failure average that a server keeps after a successful trial
 
-	trialEvery, trialMost = time.Second, 8 * time.Second // between trials of a server out of use
+	trialEvery, trialMost = time.Second, 8 * time.Second // between trials of an ejected server: first, maximum
 
-	mostOut  = 0.7  // when more are out of use they are used all the same
-	gateAim  = 0.4  // mean latency over aim above which the gate closes
-	blindAim = 0.35 // and where gateways don't see the load at servers
+	mostOut  = 0.7  // if a larger share of the servers is ejected, ejections are ignored
+	gateAim  = 0.4  // mean latency over target above which a share of the requests is refused
+	blindAim = 0.35 // the same, where gateways don't see each other's load at servers
 
-	gateShut, gateOpen = 3 * time.Second, 8 * time.Second // to 1/e in this time, and opens
-	gateLeast          = 0.25                             // enough to learn from when all is well again
-	strainLife         = 12 * time.Second                 // how fast an old strain is forgotten
-	strainOwn          = 0.15                             // weight of an outcome or a root's word in it
+	gateShut, gateOpen = 3 * time.Second, 8 * time.Second // to fall to 1/e, to rise from 0 to 1
+	gateLeast          = 0.25                             // admits enough requests to notice a recovery
+	strainLife         = 12 * time.Second                 // time constant by which the measured lateness decays
+	strainOwn          = 0.15                             // weight of an outcome or a root's reply in the lateness
 
-	// Where reports from all to all are more than the mail bears.
-	treeBeyond   = 2                     // the mail would stretch the longest tick by this factor
-	rootMail     = 0.5                   // part of its mail intake that a root spends on one customer
-	rootPeak     = 2.0                   // asks it must bear, as a multiple of those inside the quota
-	rootTicks    = 2                     // roots of a customer report to each other every so many ticks
+	// With so many gateways that reports from all to all exceed the message rate.
+	treeBeyond   = 2                     // roots are used if reports would need ticks longer than maxTick by this factor
+	rootMail     = 0.5                   // share of its message intake that a root spends on one customer
+	rootPeak     = 2.0                   // asks a root must be able to take, as a multiple of those within the quota
+	rootTicks    = 2                     // ticks between the reports of a customer's roots to each other
 	rootAsks     = 3                     // times a root is asked before its deputy is
-	rootRest     = time.Second           // one that answered none of so many is left alone so long
-	freshFill    = 0.8                   // part of a store that a root just started presumes
-	deputyPart   = 0.1                   // part of a hard ceiling that the deputy holds
-	memberPart   = 0.6                   // and all gateways together, alike: used first
-	aloneCareful = 0.25                  // of what passes where nobody is heard, for repeats and under caps
-	unheardPower = 4.0                   // of the share of asks answered: passes unheard
-	deafAsks     = 4                     // asks met with silence from all: this gateway is cut off
-	leastReply   = 30 * time.Millisecond // an answer is waited for this long at least
-	replySpread  = 2.5                   // and for this many mean times
-	thinSpan     = 20 * time.Second      // a root's word of what part fits is heeded so long
-	askedLeast   = 0.1                   // part of a cap that is asked for at a root whose mail is full
-	leaseMeans   = 8.0                   // an attempt not told of as ended counts for so many mean latencies
-	mostPace     = 12.0                  // most a server's pace is taken for
-	leastPace    = 0.1                   // and least, where it is told
-	paceLearn    = 0.025                 // weight of an outcome in the pace at its watcher
-	paceStep     = 1.7                   // a pace is told when it changed by this factor
-	verdictMail  = 0.1                   // part of a gateway's mail intake that verdicts may fill
+	rootRest     = time.Second           // pause in asking a peer that left as many asks unanswered
+	freshFill    = 0.8                   // share of a bucket that a root assumes to be full after its start
+	deputyPart   = 0.1                   // share of a hard ceiling that the deputy holds
+	memberPart   = 0.6                   // share that is divided evenly among all gateways, and used first
+	aloneCareful = 0.25                  // share of what an isolated gateway passes, for retries and under caps
+	unheardPower = 4.0                   // exponent of the share of asks answered: chance to pass without an answer
+	deafAsks     = 4                     // after this many unanswered asks in a row, this gateway is isolated
+	leastReply   = 30 * time.Millisecond // minimum wait for a reply
+	replySpread  = 2.5                   // wait for a reply, as a multiple of the mean time to one
+	thinSpan     = 20 * time.Second      // a root's reply on which share to ask for is used this long
+	askedLeast   = 0.1                   // minimum share of a cap asked for at a root whose message intake is full
+	leaseMeans   = 8.0                   // lease of an attempt whose end is not reported, in its class's mean latencies
+	mostPace     = 12.0                  // maximum slowdown recorded of a server
+	leastPace    = 0.1                   // minimum slowdown in a verdict
+	paceLearn    = 0.025                 // weight of an outcome in the slowdown that a watcher keeps
+	paceStep     = 1.7                   // a watcher sends a slowdown that changed by this factor
+	verdictMail  = 0.1                   // share of a gateway's message intake that verdicts may use
 	verdictKeep  = 2.0                   // verdicts a watcher may send at once
-	verdictLife  = 8 * time.Second       // a verdict not told again lapses
+	verdictLife  = 8 * time.Second       // a verdict that is not repeated expires
 	otherZone    = 0.7                   // weight of a server in another zone
-	familiar     = 15.0                  // servers that a gateway goes to mostly
-	strange      = 0.1                   // part of its attempts that goes to the others
+	familiar     = 15.0                  // servers that a gateway prefers
+	strange      = 0.1                   // share of its attempts that go to other servers
 
-	lendSpan  = 300 * time.Millisecond // what is lent of a ceiling arrives in this time
-	lendAhead = 500 * time.Millisecond // own demand that is not lent
-	lendFrom  = 0.5                    // of a part: who uses more asks for more; bursts come on top
-	lendMost  = 2.0                    // of what a peer asks for beyond its part
+	lendSpan  = 300 * time.Millisecond // time in which a loan of ceiling units arrives
+	lendAhead = 500 * time.Millisecond // this gateway's demand of this time is not lent
+	lendFrom  = 0.5                    // share of its part that a peer uses before it gets loans, as bursts come on top
+	lendMost  = 2.0                    // maximum loan, as a multiple of a peer's demand beyond its part
 
 	// Where gateways serve many services.
-	coldLeast  = 2                      // sends a second that an owner of a cold server has at the least
-	coldKeep   = 0.9                    // part of a cold server's budget that is given out
-	crowded    = 0.15                   // what a slot in use adds to a latency, of its service time
-	wideBeyond = 24                     // gateways from which reports from all to all are too many
-	ownersEach = 2                      // of a customer, in each region
-	borrowWait = 90 * time.Millisecond  // for an owner's answer
-	dryFor     = 100 * time.Millisecond // where none had any to lend, none is asked again so soon
-	toldSpan   = 400 * time.Millisecond // what a server told of its load wears off in this time
-	usualSpan  = 2 * time.Second        // what it told counts in what is usual for so long
+	coldLeast  = 2                      // minimum sends a second for each gateway that may send to a cold server
+	coldKeep   = 0.9                    // share of a cold server's limit that is divided among gateways
+	crowded    = 0.15                   // latency that full use of its slots adds at a server, in service times
+	wideBeyond = 24                     // gateways beyond which reports from all to all are too many
+	ownersEach = 2                      // owners of a customer in each region
+	borrowWait = 90 * time.Millisecond  // wait for a lender's reply
+	dryFor     = 100 * time.Millisecond // pause in borrowing after all lenders refused
+	toldSpan   = 400 * time.Millisecond // time constant by which the load that a server reported decays
+	usualSpan  = 2 * time.Second        // time constant by which it decays in the average of its service and region
 
-	leastDealt, leastPart = 2.0, 1e-9 // units that a dealt part must hold, least part of a ceiling
+	leastDealt, leastPart = 2.0, 1e-9 // minimum units in a gateway's even part; minimum share of a ceiling
 
-	queueAim    = 0.5 // a server is full when the wait there passes this part of the request's aim
-	lateAim     = 0.2 // and this part, for one that will be late whatever is done
-	lackedAim   = 0.5 // part of its aim that a request with a choice of regions gives to those without
+	queueAim    = 0.5 // a server is full when the wait for a slot exceeds this share of the request's target
+	lateAim     = 0.2 // the same, for a request that will miss its target on any server
+	lackedAim   = 0.5 // share of its target that an unbound request waits elsewhere to leave room to region-bound ones
 	holdEarly   = 20 * time.Millisecond
 	fieldTick   = 50 * time.Millisecond
-	wideAdvice  = 250 * time.Millisecond // what is beyond a quota may have units then
-	doubtedCost = 1e3                    // seconds: whoever is doubted is the last
-	shortAdvice = 60 * time.Millisecond  // a refusal for want of room is worth a look again after this
+	wideAdvice  = 250 * time.Millisecond // advised wait before a retry beyond the quota: units may be there then
+	doubtedCost = 1e3                    // penalty in seconds that puts suspect servers last
+	shortAdvice = 60 * time.Millisecond  // advised wait before a retry after a refusal because no server had room
 )
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -1,7 +1,7 @@
 package policy
 
-// Where reports from all to all would be too many: few owners near each gateway hold what of a
-// customer's ceiling is too little to be dealt out, and the others borrow it, a request at a time.
+// Borrowing, for so many gateways that not all can report to all: where a customer's ceiling is too small to divide
+// among all gateways, a few owners near each gateway hold it, and the others borrow units for each request.
 
 import (
 	"cmp"
@@ -9,40 +9,40 @@
 	"slices"
 )
 
-// deal finds a customer's owners and sets its part of the ceiling here. All parts together make one
-// whole, whoever is heard: an owner takes off what it lends before the borrower has it.
+// assignCeilingPart finds a customer's owners and sets this gateway's part of the ceiling. All parts add up to one
+// ceiling even if messages are lost: an owner deducts what it lends before the borrower receives it.
 func (g *Gateway) deal(c *customer) {
-	all, mine := 0, false
-	c.near = nil // those of the own region first
+	owners, isOwner := 0, false
+	c.near = nil // owners of this gateway's region come first
 	for _, region := range g.regions {
-		var list []int
+		var regionOwners []int
 		for i, r := range g.regionOf {
 			if r == region {
-				list = append(list, i)
+				regionOwners = append(regionOwners, i)
 			}
 		}
-		slices.SortFunc(list, func(a, b int) int {
+		slices.SortFunc(regionOwners, func(a, b int) int {
 			return cmp.Compare(mixed(c.hash, uint32(b)), mixed(c.hash, uint32(a)))
 		})
-		list = list[:min(len(list), ownersEach)]
-		all, mine = all+len(list), mine || slices.Contains(list, g.set.Me)
+		regionOwners = regionOwners[:min(len(regionOwners), ownersEach)]
+		owners, isOwner = owners+len(regionOwners), isOwner || slices.Contains(regionOwners, g.set.Me)
 		if g.set.Me < len(g.regionOf) && region == g.regionOf[g.set.Me] {
-			list, c.near = append(list, c.near...), nil
+			regionOwners, c.near = append(regionOwners, c.near...), nil
 		}
-		c.near = append(c.near, list...)
+		c.near = append(c.near, regionOwners...)
 	}
-	dealt := memberPart
-	if c.plan.HardBurst*dealt/float64(g.shares()) < leastDealt {
-		dealt = 0
+	dealtShare := memberPart
+	if c.plan.HardBurst*dealtShare/float64(g.shares()) < leastDealt {
+		dealtShare = 0
 	}
-	part := dealt / float64(g.shares())
-	if mine {
-		part += (1 - dealt) / float64(all)
+	ownShare := dealtShare / float64(g.shares())
+	if isOwner {
+		ownShare += (1 - dealtShare) / float64(owners)
 	}
-	c.n = g.ownOf(1 / max(part, leastPart))
+	c.n = g.ownOf(1 / max(ownShare, leastPart))
 }
 
-// mayBorrow tells whether there is somebody to ask for the units that a request's customer lacks here.
+// mayBorrow reports whether there is a gateway to borrow from for a request whose customer lacks units here.
 func (g *Gateway) mayBorrow(r *request) bool {
 	if !g.wide {
 		r.c.near = g.lenders(r)
@@ -50,7 +50,7 @@
 	return len(r.c.near) > 0
 }
 
-// borrow asks the customer's owners for a request's units, one after the other.
+// borrow asks the possible lenders for a request's units, one after the other.
 func (g *Gateway) borrow(r *request) {
 	for delete(g.asks, r.tag); r.asked < len(r.c.near); {
 		to := r.c.near[r.asked]
@@ -74,30 +74,30 @@
 	}
 }
 
-// onWant lends what a peer asks for, if it is here.
+// onLoanRequest lends a peer the units it asks for, if this gateway has them.
 func (g *Gateway) onWant(from int, m want) {
 	c := g.customers[m.Customer]
 	if c == nil {
 		plan := g.planOf(m.Customer)
 		if plan == nil {
-			return // its configuration is not here yet; the asker goes on to another
+			return // its configuration has not arrived yet; the peer asks another gateway after a timeout
 		}
 		c = g.account(m.Customer, plan, 0, g.set.Gateways)
 	}
 	g.advance(c)
 	c.seen = g.now
-	answer := lent{m.Customer, m.Tag, 0}
+	reply := lent{m.Customer, m.Tag, 0}
 	if units := float64(m.Units); c.ceiling >= units && g.less < 1 {
 		c.ceiling -= units
 		if !g.wide {
-			c.lent += units // not filled again before it has arrived
+			c.lent += units // not refilled before the loan arrives
 		}
-		answer.Units = m.Units
+		reply.Units = m.Units
 	}
-	g.do(Tell{To: from, Data: encode(answer)})
+	g.do(Tell{To: from, Data: encode(reply)})
 }
 
-// unanswered notes that an owner did not answer, and asks another.
+// onLoanTimeout records that a lender did not answer, and asks the next.
 func (g *Gateway) unanswered(r *request) {
 	p := g.peer(r.root)
 	p.missed, p.missedAt = p.missed+1, g.now
--- a/policy/wide_test.go
+++ b/policy/wide_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// spread tells all gateways who is there: each number's region, "" where it is nobody's any more.
+// setRegions sends all gateways the current set of gateways: the region of each number, "" if it is unused.
 func (m *serviceGateways) spread(regions []string) {
-	shares := 0
+	usedNumbers := 0
 	for _, r := range regions {
 		if r != "" {
-			shares++
+			usedNumbers++
 		}
 	}
 	for i, g := range m.gs {
 		if g != nil {
-			m.do(i, Peers{Me: i, Gateways: len(regions), Shares: shares, Regions: regions})
+			m.do(i, Peers{Me: i, Gateways: len(regions), Shares: usedNumbers, Regions: regions})
 		}
 	}
 }
@@ -29,21 +29,21 @@
 	return l
 }
 
-// demand lets a tenant ask at all gateways alike, and returns what part of it passes.
-func (m *serviceGateways) demand(perS float64, d time.Duration) float64 {
-	return m.demandAt(1, perS, d)
+// passedShare sends a tenant's requests to all gateways evenly, and returns the share that passes.
+func (m *serviceGateways) demand(perSecond float64, d time.Duration) float64 {
+	return m.demandAt(1, perSecond, d)
 }
 
-// demandAt is demand at every so many of the gateways only.
-func (m *serviceGateways) demandAt(every int, perS float64, d time.Duration) float64 {
-	asked, sent, due := 0, len(m.sends), 0.0
+// passedShareAt is like passedShare, but sends to every n-th gateway only, where n is every.
+func (m *serviceGateways) demandAt(every int, perSecond float64, d time.Duration) float64 {
+	asked, sentBefore, due := 0, len(m.sends), 0.0
 	m.pass(d, func() {
 		for i, g := range m.gs {
 			if g != nil {
 				m.do(i, Timer{Token: "ask"})
 			}
 		}
-		for due += perS / 100; due >= 1; due-- {
+		for due += perSecond / 100; due >= 1; due-- {
 			i := m.rnd.IntN(len(m.gs)) / every * every
 			if m.gs[i] == nil {
 				continue
@@ -52,24 +52,25 @@
 			m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 		}
 	})
-	return float64(len(m.sends)-sent) / float64(asked)
+	return float64(len(m.sends)-sentBefore) / float64(asked)
 }
 
-// Forty gateways serve a tenant of forty requests a second, a crumb for each: nearly all of what it asks for
-// inside its limit passes, with an owner dead too; a flood stays under the rule, with mail lost and owners started anew.
+// Forty gateways serve a tenant with a limit of forty requests a second, too few to divide: nearly all requests within
+// the limit pass, even with an owner down, and an overload stays below the limit while messages are lost and owners
+// restart.
 func TestSmallQuotaOverManyGateways(t *testing.T) {
 	for seed := range uint64(4) {
 		m := newServiceGateways(40, seed, fieldServers(3, "a"), limited(40, 40))
 		m.spread(twoRegions(40))
 		m.demand(25, 3*time.Second)
-		part := m.demand(25, 10*time.Second)
-		assert.Assert(t, part > 0.97, "seed %d: %.3f passed", seed, part)
+		passed := m.demand(25, 10*time.Second)
+		assert.Assert(t, passed > 0.97, "seed %d: %.3f passed", seed, passed)
 
 		owner := m.gs[0].customers[keyOf("t")].near[0]
 		m.gs[owner] = nil
 		m.demand(25, time.Second)
-		part = m.demand(25, 10*time.Second)
-		assert.Assert(t, part > 0.9, "seed %d: %.3f passed without an owner", seed, part)
+		passed = m.demand(25, 10*time.Second)
+		assert.Assert(t, passed > 0.9, "seed %d: %.3f passed without an owner", seed, passed)
 
 		m.lost = 0.3
 		m.start(owner, 0)
@@ -81,34 +82,34 @@
 	}
 }
 
-// What comes in by the gateways of one region finds the parts of the other's owners too.
+// Gateways of one region also borrow from the owners in the other region.
 func TestOtherRegionsOwnersLend(t *testing.T) {
 	m := newServiceGateways(40, 5, fieldServers(3, "a"), limited(40, 40))
 	m.spread(twoRegions(40))
 	m.demandAt(2, 32, 5*time.Second)
-	part := m.demandAt(2, 32, 10*time.Second)
-	assert.Assert(t, part > 0.95, "%.3f passed", part)
+	passed := m.demandAt(2, 32, 10*time.Second)
+	assert.Assert(t, passed > 0.95, "%.3f passed", passed)
 }
 
-// Gateways that have left take no part any more: what stays within the limit passes at the others.
+// Departed gateways no longer hold a part of the ceiling: requests within the limit pass at the remaining ones.
 func TestPartsOfThoseWhoLeft(t *testing.T) {
 	m := newServiceGateways(9, 1, fieldServers(3, "a"), limited(100, 100))
-	all := twoRegions(9)
-	m.spread(all)
+	regions := twoRegions(9)
+	m.spread(regions)
 	m.demand(70, 4*time.Second)
 	for _, i := range []int{0, 3, 4, 6} {
-		m.gs[i], all[i] = nil, ""
+		m.gs[i], regions[i] = nil, ""
 	}
-	m.spread(all)
-	m.demand(90*9/5, 4*time.Second) // a part of it comes to those who are gone
-	part := m.demand(90*9/5, 10*time.Second)
-	assert.Assert(t, part > 0.97, "%.3f passed", part)
+	m.spread(regions)
+	m.demand(90*9/5, 4*time.Second) // some of it is sent to departed gateways
+	passed := m.demand(90*9/5, 10*time.Second)
+	assert.Assert(t, passed > 0.97, "%.3f passed", passed)
 	m.demand(1000, 10*time.Second)
 	n := m.most(5*time.Second, func(sending) bool { return true })
 	assert.Assert(t, float64(n) <= (100*5+100)*1.1+20, "%d in 5 s", n)
 }
 
-// A census may tell of few gateways for a moment, as after all were killed: what was asked of owners is given up then.
+// The set of gateways may shrink for a moment, for instance after all were killed: pending loan requests are then dropped.
 func TestFewerWhileOwnersAreAsked(t *testing.T) {
 	m := newServiceGateways(30, 1, fieldServers(3, "a"), limited(40, 40))
 	m.spread(twoRegions(30))
@@ -119,14 +120,14 @@
 	for i := range m.gs {
 		m.do(i, Peers{Me: i, Gateways: i + 1, Shares: 2, Regions: twoRegions(i + 1)})
 	}
-	part := m.demand(4, 2*time.Second)
-	assert.Assert(t, part > 0, "nothing passes")
+	passed := m.demand(4, 2*time.Second)
+	assert.Assert(t, passed > 0, "nothing passes")
 	for i, g := range m.gs {
 		assert.Equal(t, len(g.asks), 0, "gateway %d", i)
 	}
 }
 
-// heldNow is how many requests wait at all gateways.
+// heldRequests returns how many requests wait at all gateways.
 func (m *serviceGateways) heldNow() (n int) {
 	for _, g := range m.gs {
 		for _, c := range g.ring {
@@ -136,8 +137,8 @@
 	return n
 }
 
-// A tenant that asks for more than its quota gets what there is at once, and nothing of it waits: whoever waits for
-// units then only makes the next wait. One below its quota may wait for them.
+// Requests of a tenant that exceeds its quota are sent or refused at once: if some waited for units, later ones would
+// only wait in turn. Requests of a tenant below its quota may wait for units.
 func TestNobodyWaitsBeyondTheQuota(t *testing.T) {
 	m := newServiceGateways(2, 1, fieldServers(3, "a"), limited(40, 40))
 	m.demand(400, 4*time.Second)
@@ -146,25 +147,25 @@
 		assert.Equal(t, m.heldNow(), 0)
 	}
 
-	m = newServiceGateways(1, 1, fieldServers(3, "a"), limited(40, 40)) // nobody is there to lend
+	m = newServiceGateways(1, 1, fieldServers(3, "a"), limited(40, 40)) // there is no gateway to borrow from
 	m.demand(20, 4*time.Second)
 	for _, c := range m.gs[0].ring {
 		c.ceiling = 0
 	}
-	sent := len(m.sends)
+	sentBefore := len(m.sends)
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 	assert.Equal(t, m.heldNow(), 1)
 	m.pass(120*ms, nil)
-	assert.Equal(t, len(m.sends)-sent, 1)
+	assert.Equal(t, len(m.sends)-sentBefore, 1)
 }
 
-// Where the part of a tenant's rate that a gateway holds is used up and another's is not, requests go with units of the
-// other's: none is refused, and all gateways together pass no more than the rule.
+// When a gateway's part of a tenant's rate is used up and another's is not, its requests use borrowed units: none is
+// refused, and all gateways together stay within the limit.
 func TestPartsUsedUpAreBorrowed(t *testing.T) {
 	for _, n := range []int{2, 4} {
 		m := newServiceGateways(n, 1, fieldServers(3, "a"), limited(4, 40))
 		m.spread(twoRegions(n))
-		m.demand(3, 30*time.Second) // all parts fill up
+		m.demand(3, 30*time.Second) // refills all parts
 		m.sends = nil
 		for range 10 {
 			m.gs[0].ring[0].ceiling = 0
@@ -178,7 +179,7 @@
 	}
 }
 
-// Gateways that start anew have a part of what the rule leaves free at once, for what was held back meanwhile.
+// Restarted gateways have some ceiling units at once (HardStart), for requests that piled up during the restart.
 func TestStartHasRoom(t *testing.T) {
 	plan := limited(100, 100)
 	plan.HardStart = 40
