--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -152,7 +152,7 @@
 		}
 	})
 	toFailing, toWorkingNew := 0, 0
-	for _, s := range w.sends[early:] {
+	for _, s := range w.sends[earlySends:] {
 		if failing(s.Server) {
 			toFailing++
 		} else if s.Server > 1000 {
