--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -88,7 +88,7 @@
 	if disk != nil {
 		t := orderlog.Open(vfs.Default, filepath.Join(set.Self.DataDir, "tally"), tallyAfter, api.MostOrders, log, b.Recall)
 		defer t.Close(tallyWithin)
-		b.Notes(t.Note)
+		b.Notes(t.Append)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -45,7 +45,7 @@
 
 // attend runs a session with an agent.
 func (b *Replica) attend(ctx context.Context, c *peerlink.Conn, hello *peerlink.Hello) error {
-	h := &agent{conn: c, name: hello.Name, life: hello.Life, agent: delivery.Agent{Since: b.now()}}
+	h := &agent{conn: c, name: hello.Name, life: hello.Life, agent: delivery.Agent{ConnectedAt: b.now()}}
 	b.mu.Lock()
 	b.agents[h] = true
 	h.seat = b.fit.seat()
@@ -87,7 +87,7 @@
 		return
 	}
 	if _, isNew := b.proxies.see(h, b.now()); isNew {
-		b.store.KeepCensus(b.proxies.names())
+		b.store.SaveCensus(b.proxies.names())
 	}
 	b.stirred()
 }
@@ -99,7 +99,7 @@
 		isNew = b.proxies.add(m, b.now()) || isNew
 	}
 	if isNew {
-		b.store.KeepCensus(b.proxies.names())
+		b.store.SaveCensus(b.proxies.names())
 		b.stirred()
 	}
 }
@@ -120,8 +120,8 @@
 	}
 	g.heard = now
 	if p := f.Ping; p != nil {
-		if g.every = p.Every; h.agent.Every != p.Every {
-			h.agent.Every = p.Every
+		if g.every = p.Every; h.agent.PingInterval != p.Every {
+			h.agent.PingInterval = p.Every
 			h.conn.SetSilence(peerlink.Suits(p.Every))
 		}
 		if h.gen = p.Gen; g.ready != p.Ready {
@@ -143,7 +143,7 @@
 		if p.Heads != nil {
 			g.heads, g.headsAt = p.Heads[:min(len(p.Heads), homing.MostHosts)], now
 		}
-		h.packs, h.agent.Held, h.agent.Follows = p.Packs, delivery.Version{Gen: p.Held, Sum: p.Sum}, p.Upstream
+		h.packs, h.agent.Held, h.agent.IsUpstream = p.Packs, delivery.Version{Gen: p.Held, Checksum: p.Sum}, p.Upstream
 		b.deliver(h)
 		b.upstream(h, p.Upstream) // ahead of the Pong, which tells how old the list is that was sent
 		pong := b.pong(p, now)
@@ -171,14 +171,14 @@
 // pong tells how fresh what a proxy has in force is, and whether this replica is in
 // touch with a majority; the mutex is held.
 func (b *Replica) pong(p *peerlink.Ping, now time.Duration) *peerlink.Pong {
-	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.touched.Ever, List: b.read.tell(now)}
+	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.touched.IsKnown, List: b.read.tell(now)}
 	if pong.List != nil {
 		pong.List.Pages = 0 // agents don't read the list
 	}
-	if b.touched.Ever {
+	if b.touched.IsKnown {
 		pong.TouchAge = now - b.touched.At
 	}
-	if at := b.versions.Confirmed(inForce(p), b.fresh); at.Ever {
+	if at := b.versions.Confirmed(inForce(p), b.fresh); at.IsKnown {
 		pong.Fresh, pong.Age = true, now-at.At
 	}
 	return pong
@@ -187,12 +187,12 @@
 // inForce is what a ping says that a proxy has in force. The text's sum is that of
 // what the agent holds: where that is another configuration, it fits none and nothing
 // is confirmed.
-func inForce(p *peerlink.Ping) delivery.Version { return delivery.Version{Gen: p.Gen, Sum: p.Sum} }
+func inForce(p *peerlink.Ping) delivery.Version { return delivery.Version{Gen: p.Gen, Checksum: p.Sum} }
 
 // deliver sends an agent the configuration in force where that is due; the mutex is
 // held.
 func (b *Replica) deliver(h *agent) {
-	if b.configuration != nil && b.versions.Due(&h.agent, b.now()) {
+	if b.configuration != nil && b.versions.ShouldSend(&h.agent, b.now()) {
 		h.agent.Sent = b.versions.Current()
 		h.change(&peerlink.Change{Configuration: b.configuration})
 	}
--- a/internal/control/alarms.go
+++ b/internal/control/alarms.go
@@ -27,19 +27,19 @@
 // reportLag logs that an agent stays behind; the mutex is held.
 func (b *Replica) reportLag(h *agent) {
 	now := b.now()
-	since, behind := b.versions.Lag(&h.agent)
+	since, behind := b.versions.BehindSinceConnected(&h.agent)
 	if !behind || !alarm(since, h.reported, lagAfter, now) {
 		return
 	}
 	h.reported = now
 	b.log.Error(errLag, "agent behind", "agent", h.name, "for", now-since, "held", h.agent.Held.Gen, "decided", b.configuration.Gen,
-		"follows_this_replica", h.agent.Follows, "sent", h.agent.Sent.Gen)
+		"follows_this_replica", h.agent.IsUpstream, "sent", h.agent.Sent.Gen)
 }
 
 // reportContact logs that this replica has lost touch with the majority; the mutex is held.
 func (b *Replica) reportContact() {
 	now := b.now()
-	if !b.touched.Ever || !alarm(b.touched.At, b.alarmed, contactAfter, now) {
+	if !b.touched.IsKnown || !alarm(b.touched.At, b.alarmed, contactAfter, now) {
 		return
 	}
 	b.alarmed = now
--- a/internal/control/compare.go
+++ b/internal/control/compare.go
@@ -65,7 +65,7 @@
 			b.tellDecided(l)
 		}
 	}
-	b.store.Again()
+	b.store.RetryPending()
 	b.finish(base, reports)
 	b.tend(known)
 	b.forget()
@@ -77,11 +77,11 @@
 // be told while the next version is being accepted.
 func (b *Replica) noteContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
-		b.fresh = delivery.Confirmation{Ever: true, At: max(b.fresh.At, began)}
+		b.fresh = delivery.Confirmation{IsKnown: true, At: max(b.fresh.At, began)}
 	}
 	answered := func(id string) bool { _, ok := reports[id]; return ok }
 	if quorum.IsMajority(base.Voters, answered) && base.Version >= b.newest {
-		b.touched = delivery.Confirmation{Ever: true, At: began}
+		b.touched = delivery.Confirmation{IsKnown: true, At: began}
 	}
 	b.newest = 0
 	for _, m := range reports {
--- a/internal/control/delivery/delivery_test.go
+++ b/internal/control/delivery/delivery_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func version(gen uint64) Version { return Version{Gen: gen, Sum: uint32(gen) + 7} }
+func version(gen uint64) Version { return Version{Gen: gen, Checksum: uint32(gen) + 7} }
 
-func TestBehindSinceTheNextWasLearnt(t *testing.T) {
+func TestBehindSinceNextVersionWasLearned(t *testing.T) {
 	h := &History{}
-	_, is := h.Behind(Version{})
+	_, is := h.BehindSince(Version{})
 	assert.Assert(t, !is, "nothing is in force")
-	h.Decide(version(5), 10*time.Second, Confirmation{})
-	h.Decide(version(7), 12*time.Second, Confirmation{Ever: true, At: 11 * time.Second})
-	h.Decide(version(9), 15*time.Second, Confirmation{Ever: true, At: 14 * time.Second})
-	newest := Confirmation{Ever: true, At: 20 * time.Second}
+	h.SetCurrent(version(5), 10*time.Second, Confirmation{})
+	h.SetCurrent(version(7), 12*time.Second, Confirmation{IsKnown: true, At: 11 * time.Second})
+	h.SetCurrent(version(9), 15*time.Second, Confirmation{IsKnown: true, At: 14 * time.Second})
+	newest := Confirmation{IsKnown: true, At: 20 * time.Second}
 	for _, c := range []struct {
 		held      Version
 		since     time.Duration // 0: it is not behind
@@ -25,34 +25,34 @@
 	}{
 		{version(9), 0, newest},
 		{version(11), 0, newest},
-		{version(8), 15 * time.Second, Confirmation{Ever: true, At: 14 * time.Second}}, // learnt elsewhere, never here
-		{version(7), 15 * time.Second, Confirmation{Ever: true, At: 14 * time.Second}},
-		{version(6), 12 * time.Second, Confirmation{Ever: true, At: 11 * time.Second}},
-		{version(5), 12 * time.Second, Confirmation{Ever: true, At: 11 * time.Second}},
+		{version(8), 15 * time.Second, Confirmation{IsKnown: true, At: 14 * time.Second}}, // learnt elsewhere, never here
+		{version(7), 15 * time.Second, Confirmation{IsKnown: true, At: 14 * time.Second}},
+		{version(6), 12 * time.Second, Confirmation{IsKnown: true, At: 11 * time.Second}},
+		{version(5), 12 * time.Second, Confirmation{IsKnown: true, At: 11 * time.Second}},
 		{version(4), 12 * time.Second, Confirmation{}},
 		{Version{}, 12 * time.Second, Confirmation{}},
-		{Version{Gen: 9, Sum: 1}, 15 * time.Second, Confirmation{}}, // another text
-		{Version{Gen: 7, Sum: 1}, 15 * time.Second, Confirmation{}},
+		{Version{Gen: 9, Checksum: 1}, 15 * time.Second, Confirmation{}}, // another text
+		{Version{Gen: 7, Checksum: 1}, 15 * time.Second, Confirmation{}},
 	} {
-		since, is := h.Behind(c.held)
+		since, is := h.BehindSince(c.held)
 		assert.Assert(t, since == c.since && is == (c.since > 0), "%+v: %v %v", c.held, since, is)
 		assert.Equal(t, h.Confirmed(c.held, newest), c.confirmed, "%+v", c.held)
 	}
 }
 
 // However often the configuration changes, an agent that stays behind is told the newest within the wait.
-func TestChangesPutNothingOff(t *testing.T) {
+func TestFrequentChangesDoNotDelayDelivery(t *testing.T) {
 	for _, every := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 500 * time.Millisecond, 649 * time.Millisecond, time.Second} {
 		h := &History{}
-		h.Decide(version(1), 0, Confirmation{})
-		a := &Agent{Held: version(1), Every: 250 * time.Millisecond}
+		h.SetCurrent(version(1), 0, Confirmation{})
+		a := &Agent{Held: version(1), PingInterval: 250 * time.Millisecond}
 		gen, told := uint64(1), []time.Duration{}
 		for now := time.Duration(0); now < 20*time.Second; now += time.Millisecond {
 			if now > 0 && now%every == 0 {
 				gen++
-				h.Decide(version(gen), now, Confirmation{})
+				h.SetCurrent(version(gen), now, Confirmation{})
 			}
-			if h.Due(a, now) {
+			if h.ShouldSend(a, now) {
 				a.Sent = h.Current()
 				told = append(told, now)
 				a.Held = a.Sent
@@ -60,33 +60,33 @@
 		}
 		last := time.Duration(0)
 		for _, at := range told {
-			assert.Assert(t, at-last <= payWithin+a.Every+every, "every %v: nothing from %v to %v", every, last, at)
+			assert.Assert(t, at-last <= upstreamGrace+a.PingInterval+every, "every %v: nothing from %v to %v", every, last, at)
 			last = at
 		}
-		assert.Assert(t, 20*time.Second-last <= payWithin+a.Every+every, "every %v: nothing since %v", every, last)
-		assert.Assert(t, len(told) <= int(20*time.Second/(payWithin+a.Every))+1, "every %v: told %d times", every, len(told))
+		assert.Assert(t, 20*time.Second-last <= upstreamGrace+a.PingInterval+every, "every %v: nothing since %v", every, last)
+		assert.Assert(t, len(told) <= int(20*time.Second/(upstreamGrace+a.PingInterval))+1, "every %v: told %d times", every, len(told))
 	}
 }
 
 // One that is told by the replica that it follows hears nothing from others, though it is always a little behind.
-func TestOthersLeaveItToTheReplicaFollowed(t *testing.T) {
+func TestOtherReplicasWaitForUpstream(t *testing.T) {
 	h := &History{}
-	a := &Agent{Every: 250 * time.Millisecond}
+	a := &Agent{PingInterval: 250 * time.Millisecond}
 	for gen := uint64(1); gen < 200; gen++ {
 		now := time.Duration(gen) * 100 * time.Millisecond
-		h.Decide(version(gen), now, Confirmation{})
+		h.SetCurrent(version(gen), now, Confirmation{})
 		if gen > 2 {
 			a.Held = version(gen - 2)
 		}
-		assert.Assert(t, !h.Due(a, now), "told at %v", now)
+		assert.Assert(t, !h.ShouldSend(a, now), "told at %v", now)
 		followed := *a
-		followed.Follows = true
-		assert.Assert(t, h.Due(&followed, now))
+		followed.IsUpstream = true
+		assert.Assert(t, h.ShouldSend(&followed, now))
 		followed.Sent = h.Current()
-		assert.Assert(t, !h.Due(&followed, now), "twice")
+		assert.Assert(t, !h.ShouldSend(&followed, now), "twice")
 	}
-	fresh := Agent{Since: 25 * time.Second, Every: 250 * time.Millisecond}
-	assert.Assert(t, !h.Due(&fresh, 25*time.Second) && h.Due(&fresh, 25*time.Second+payWithin+fresh.Every), "one that has just come is left to the replica it will follow")
+	fresh := Agent{ConnectedAt: 25 * time.Second, PingInterval: 250 * time.Millisecond}
+	assert.Assert(t, !h.ShouldSend(&fresh, 25*time.Second) && h.ShouldSend(&fresh, 25*time.Second+upstreamGrace+fresh.PingInterval), "one that has just come is left to the replica it will follow")
 }
 
 // Nothing is forgotten too early, and nothing grows.
@@ -94,9 +94,9 @@
 	h, rnd, now := &History{}, rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 	for gen := uint64(1); gen < 20000; gen++ {
 		now += time.Duration(rnd.Int64N(int64(120 * time.Millisecond)))
-		h.Decide(version(gen), now, Confirmation{Ever: true, At: now})
-		assert.Assert(t, len(h.past) <= keepMost)
-		if since, is := h.Behind(version(gen - 1)); gen > 1 {
+		h.SetCurrent(version(gen), now, Confirmation{IsKnown: true, At: now})
+		assert.Assert(t, len(h.superseded) <= maxSuperseded)
+		if since, is := h.BehindSince(version(gen - 1)); gen > 1 {
 			assert.Assert(t, is && since == now)
 		}
 	}
--- a/internal/control/delivery/history.go
+++ b/internal/control/delivery/history.go
@@ -7,79 +7,79 @@
 
 // Bounds of what is remembered of configurations that are not in force any more.
 const (
-	keepFor  = 30 * time.Second
-	keepMost = 512
+	keepDuration  = 30 * time.Second
+	maxSuperseded = 512
 )
 
 // Version names a configuration.
 type Version struct {
-	Gen uint64 // its number; 0: none
-	Sum uint32 // of its text
+	Gen      uint64 // its number; 0: none
+	Checksum uint32 // of its text
 }
 
 // Confirmation is the newest moment at which a majority is known to have held
 // nothing newer than what was decided here. Moments are of one steady clock.
 type Confirmation struct {
-	Ever bool
-	At   time.Duration
+	IsKnown bool
+	At      time.Duration
 }
 
 // History is the configuration in force and those before it.
 type History struct {
-	current Version
-	since   time.Duration // when current was learnt
-	past    []superseded  // in the order of their numbers
+	current      Version
+	currentSince time.Duration       // when current was learnt
+	superseded   []supersededVersion // in the order of their numbers
 }
 
-// superseded is a configuration that was in force here.
-type superseded struct {
-	version   Version
-	at        time.Duration // when a newer one was learnt
-	confirmed Confirmation  // as of then
+// supersededVersion is a configuration that was in force here.
+type supersededVersion struct {
+	version      Version
+	supersededAt time.Duration // when a newer one was learnt
+	confirmed    Confirmation  // as of then
 }
 
-// Decide takes in that a configuration is in force from now on. Its number has to
+// SetCurrent takes in that a configuration is in force from now on. Its number has to
 // be above the one before.
-func (h *History) Decide(v Version, now time.Duration, confirmed Confirmation) {
+func (h *History) SetCurrent(v Version, now time.Duration, confirmed Confirmation) {
 	if h.current.Gen > 0 {
-		h.past = append(h.past, superseded{h.current, now, confirmed})
+		h.superseded = append(h.superseded, supersededVersion{h.current, now, confirmed})
 	}
-	h.current, h.since = v, now
+	h.current, h.currentSince = v, now
 	old := 0
-	for old < len(h.past) && now-h.past[old].at > keepFor {
+	for old < len(h.superseded) && now-h.superseded[old].supersededAt > keepDuration {
 		old++
 	}
-	if h.past = h.past[old:]; len(h.past) > keepMost {
-		h.thin()
+	if h.superseded = h.superseded[old:]; len(h.superseded) > maxSuperseded {
+		h.dropEveryOther()
 	}
 }
 
-// thin forgets every other configuration. A holder of one that is forgotten counts as
+// dropEveryOther forgets every other configuration. A holder of one that is forgotten counts as
 // holding the one before: as behind for longer, and as confirmed up to an earlier moment.
-func (h *History) thin() {
-	kept := h.past[:0]
-	for i := 0; i < len(h.past); i += 2 {
-		kept = append(kept, h.past[i])
+func (h *History) dropEveryOther() {
+	kept := h.superseded[:0]
+	for i := 0; i < len(h.superseded); i += 2 {
+		kept = append(kept, h.superseded[i])
 	}
-	h.past = kept
+	h.superseded = kept
 }
 
 // Current is the configuration in force; the zero Version: none is.
 func (h *History) Current() Version { return h.current }
 
-// Behind tells whether a holder of v lacks the configuration in force, and since
+// BehindSince tells whether a holder of v lacks the configuration in force, and since
 // when: the moment at which the first one above v was learnt, or the earliest that
 // is remembered.
-func (h *History) Behind(v Version) (since time.Duration, is bool) {
-	switch i := h.last(v.Gen); {
+func (h *History) BehindSince(v Version) (since time.Duration, is bool) {
+	switch i := h.lastUpTo(v.Gen); {
 	case h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current:
 		return 0, false
 	case i >= 0:
-		return h.past[i].at, true
-	case len(h.past) > 0:
-		return h.past[0].at, true
+		return h.superseded[i].supersededAt, true
+	case len(h.superseded) > 0:
+		return h.superseded[0].supersededAt, true
 	}
-	return h.since, true
+	return h.currentSince, true
 }
 
 // Confirmed is the newest moment at which nothing above v was decided, given that
@@ -89,18 +89,18 @@
 	if h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current {
 		return newest
 	}
-	i := h.last(v.Gen)
-	if i < 0 || v.Gen == h.current.Gen || h.past[i].version.Gen == v.Gen && h.past[i].version != v {
+	i := h.lastUpTo(v.Gen)
+	if i < 0 || v.Gen == h.current.Gen || h.superseded[i].version.Gen == v.Gen && h.superseded[i].version != v {
 		return Confirmation{}
 	}
-	return h.past[i].confirmed
+	return h.superseded[i].confirmed
 }
 
-// last is the index of the newest superseded configuration whose number is gen at
+// lastUpTo is the index of the newest superseded configuration whose number is gen at
 // most; -1: there is none.
-func (h *History) last(gen uint64) int {
-	i := len(h.past) - 1
-	for i >= 0 && h.past[i].version.Gen > gen {
+func (h *History) lastUpTo(gen uint64) int {
+	i := len(h.superseded) - 1
+	for i >= 0 && h.superseded[i].version.Gen > gen {
 		i--
 	}
 	return i
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -118,7 +118,7 @@
 		r := f.at(holder)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return !r.reads.busy && r.now() >= r.reads.work.Asked+r.reads.work.Period-20*time.Millisecond
+		return !r.reads.busy && r.now() >= r.reads.work.LastOwn+r.reads.work.Period-20*time.Millisecond
 	})
 }
 
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -19,7 +19,7 @@
 
 // reading is this replica's part in the reading of the list.
 type reading struct {
-	work  lease.Work
+	work  lease.TaskTimes
 	again time.Duration // when one that failed may be repeated
 	took  time.Duration // by the last one that did not fail
 
@@ -33,17 +33,17 @@
 		return
 	}
 	b.mu.Lock()
-	b.reads.work = lease.Work{Asked: -lease.Slowly}
+	b.reads.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
 		now, v := b.now(), b.view()
 		b.tellDuty(b.duty.Step(v))
-		next := min(b.duty.Wake(v), now+time.Second)
+		next := min(b.duty.NextStep(v), now+time.Second)
 		if due := b.due(v); due > now {
 			next = min(next, due)
 		} else if r := &b.reads; !r.busy {
-			r.busy, r.work.Asked = true, now
+			r.busy, r.work.LastOwn = true, now
 			stamp := max(b.w.Now().UnixNano(), b.stamp+1)
 			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
 		}
@@ -64,8 +64,8 @@
 		return v.Now + time.Second
 	}
 	w := &b.reads.work
-	w.Period, w.Heard, w.Others = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
-	return max(b.reads.again, b.duty.Due(v, b.reads.work))
+	w.Period, w.LastKnown, w.LastByOther = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
+	return max(b.reads.again, b.duty.NextRun(v, b.reads.work))
 }
 
 // readOnce reads the list and takes it over.
@@ -82,7 +82,7 @@
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
 		r.failures++
 		r.again = b.now() + listAgain
-		if b.others > r.work.Asked-r.work.Period {
+		if b.others > r.work.LastOwn-r.work.Period {
 			b.tellDuty(b.duty.Yield()) // another can
 		}
 		return
@@ -94,7 +94,7 @@
 		Reading: peerlink.Reading{Age: r.took, Period: terms.Period(pages), Pages: pages}}
 	if b.duty.Holds() {
 		s.Term = b.duty.Known().Term
-		b.duty.Spoke(b.now())
+		b.duty.NoteAnnounced(b.now())
 	}
 	b.listed(s)
 }
@@ -102,15 +102,15 @@
 // view is what this replica knows of the others; the mutex is held.
 func (b *Replica) view() lease.View {
 	voters := b.contents.Record.Decided.Voters
-	v := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), Elector: b.isVoter(), Electors: len(voters)}
+	v := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
 	none := len(voters) == 0 // then all count
 	if none {
-		v.Elector, v.Electors = true, len(b.replicas)
+		v.CanVote, v.VoterCount = true, len(b.replicas)
 	}
 	for _, all := range b.links {
 		if l := all[len(all)-1]; !l.leaving {
 			_, is := b.contents.Record.Decided.Voter(l.peer.ID)
-			v.Peers = append(v.Peers, lease.Peer{Seat: l.seat(), Zone: l.peer.Zone, Elector: none || is})
+			v.Peers = append(v.Peers, lease.Peer{Seat: l.seat(), Zone: l.peer.Zone, CanVote: none || is})
 		}
 	}
 	return v
@@ -121,7 +121,7 @@
 // hearDuty takes in another replica's word on the duty; the mutex is held.
 func (b *Replica) hearDuty(l *link, d *peerlink.Duty) {
 	was := b.duty.Known()
-	b.tellDuty(b.duty.Hear(b.view(), l.seat(), *d))
+	b.tellDuty(b.duty.Receive(b.view(), l.seat(), *d))
 	if is := b.duty.Known(); is.Term != was.Term {
 		b.log.Info("the list's duty", "holder", is.Holder.Name, "next", is.Next.Name, "epoch", is.Term.Epoch, "step", is.Term.Step)
 	}
@@ -129,7 +129,7 @@
 }
 
 // tellDuty tells the others what is to be told; the mutex is held.
-func (b *Replica) tellDuty(out []lease.Tell) {
+func (b *Replica) tellDuty(out []lease.Message) {
 	for _, t := range out {
 		for name, all := range b.links {
 			if t.To == "" || t.To == name {
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -19,11 +19,11 @@
 	}
 	behind, follow, longest := 0, 0, time.Duration(0)
 	for h := range b.agents {
-		if at, is := b.versions.Lag(&h.agent); is {
+		if at, is := b.versions.BehindSinceConnected(&h.agent); is {
 			behind++
 			longest = max(longest, now-at)
 		}
-		if h.agent.Follows {
+		if h.agent.IsUpstream {
 			follow++
 		}
 	}
@@ -36,8 +36,8 @@
 	return []metrics.Figure{
 		metrics.Count("control_state_version", "Version of the decided state.", int(b.contents.Record.Decided.Version)),
 		metrics.Count("control_configuration", "Number of the configuration in force.", int(b.versions.Current().Gen)),
-		metrics.Seconds("control_touch_age_seconds", "Since a majority last answered this replica, which lacked nothing.", since(b.touched.Ever, b.touched.At)),
-		metrics.Seconds("control_confirmed_age_seconds", "Since a majority last confirmed that nothing newer was decided.", since(b.fresh.Ever, b.fresh.At)),
+		metrics.Seconds("control_touch_age_seconds", "Since a majority last answered this replica, which lacked nothing.", since(b.touched.IsKnown, b.touched.At)),
+		metrics.Seconds("control_confirmed_age_seconds", "Since a majority last confirmed that nothing newer was decided.", since(b.fresh.IsKnown, b.fresh.At)),
 		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.read.known, b.read.began)),
 		metrics.Seconds("control_list_reading_seconds", "For how long this replica's last reading of the list took.", b.reads.took),
 		{Name: "control_list_readings_failed_total", Help: "Readings of the list by this replica that failed.", Kind: metrics.Counter, Value: float64(b.reads.failures)},
--- a/internal/control/force.go
+++ b/internal/control/force.go
@@ -34,12 +34,12 @@
 // enter notes a decided configuration as the one in force; the mutex is held.
 func (b *Replica) enter(p *peerlink.Configuration) {
 	b.configuration = p
-	b.versions.Decide(delivery.Version{Gen: p.Gen, Sum: p.Sum()}, b.now(), b.fresh)
+	b.versions.SetCurrent(delivery.Version{Gen: p.Gen, Checksum: p.Sum()}, b.now(), b.fresh)
 }
 
 // confirmZone does the same with an order about a zone.
 func (b *Replica) confirmZone(z peerlink.Zone) {
-	if !z.Over(b.zones[z.Zone]) {
+	if !z.Supersedes(b.zones[z.Zone]) {
 		return
 	}
 	b.zones[z.Zone] = z
--- a/internal/control/held_test.go
+++ b/internal/control/held_test.go
@@ -18,7 +18,7 @@
 	if r.configuration != nil {
 		gen = r.configuration.Gen
 	}
-	if !r.fresh.Ever {
+	if !r.fresh.IsKnown {
 		return gen, r.zones["z0"].Drain, math.MaxInt64
 	}
 	return gen, r.zones["z0"].Drain, r.now() - r.fresh.At
--- a/internal/control/judge.go
+++ b/internal/control/judge.go
@@ -32,7 +32,7 @@
 	case holds <= 0 || holds > api.JudgeMost:
 		return Invalid{errors.Errorf("%s: more than 0 and at most %.0f", api.JudgeFor, api.JudgeMost.Seconds())}
 	}
-	want := peerlink.Zone{Zone: state.OfServer(id)}
+	want := peerlink.Zone{Zone: state.ServerSubject(id)}
 	if known {
 		want.Word, want.Until = word, b.w.Now().Add(holds).UnixMilli()
 	}
@@ -50,7 +50,7 @@
 			words++
 		}
 	}
-	old := held.Order(state.OfServer(id))
+	old := held.Order(state.ServerSubject(id))
 	switch {
 	case b.serviceIn(id) == "" && old.Count == 0:
 		return errors.WithMessage(ErrServer, id)
@@ -74,7 +74,7 @@
 
 // wordOn is the operators' word in force on a server; the mutex is held.
 func (b *Replica) wordOn(id string) (z peerlink.Zone, holds bool) {
-	z = b.zones[state.OfServer(id)]
+	z = b.zones[state.ServerSubject(id)]
 	_, known := wordLevels[z.Word]
 	return z, known && b.w.Now().UnixMilli() < z.Until
 }
--- a/internal/control/lease/example_test.go
+++ b/internal/control/lease/example_test.go
@@ -18,20 +18,20 @@
 	}
 	gone := ""
 	view := func(self string, now time.Duration) lease.View {
-		v := lease.View{Now: now, UnixMS: 5000 + uint64(now.Milliseconds()), Elector: true, Electors: 3}
+		v := lease.View{Now: now, UnixMS: 5000 + uint64(now.Milliseconds()), CanVote: true, VoterCount: 3}
 		for _, n := range names {
 			if n != self && n != gone {
-				v.Peers = append(v.Peers, lease.Peer{Seat: seats[n], Zone: n, Elector: true})
+				v.Peers = append(v.Peers, lease.Peer{Seat: seats[n], Zone: n, CanVote: true})
 			}
 		}
 		return v
 	}
-	var told func(from string, now time.Duration, words []lease.Tell)
-	told = func(from string, now time.Duration, words []lease.Tell) { // in order, to those who live
+	var told func(from string, now time.Duration, words []lease.Message)
+	told = func(from string, now time.Duration, words []lease.Message) { // in order, to those who live
 		for _, w := range words {
 			for _, n := range names {
 				if n != from && n != gone && (w.To == "" || w.To == n) {
-					told(n, now, all[n].Hear(view(n, now), seats[from], w.Duty))
+					told(n, now, all[n].Receive(view(n, now), seats[from], w.Duty))
 				}
 			}
 		}
--- a/internal/control/lease/explore_test.go
+++ b/internal/control/lease/explore_test.go
@@ -16,46 +16,46 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-var depth = flag.Int("steward.depth", 3, "steps of every order that the explorer tries")
+var exploreDepth = flag.Int("steward.depth", 3, "steps of every order that the explorer tries")
 
 const replicas = 3
 
 // model is three replicas, what is on its way between them, and what has befallen them. It can be copied at any point.
 type model struct {
-	nodes  [replicas]place
-	mail   []letter
-	cut    [replicas][replicas]bool
-	lives  int64
-	unixMS uint64
-	claims map[peerlink.Term]peerlink.Duty // all ever made
-	left   budget
-	path   []string
-	fault  string
-	plant  *planted
+	nodes        [replicas]testReplica
+	inFlight     []envelope
+	isCut        [replicas][replicas]bool
+	incarnations int64
+	unixMS       uint64
+	claims       map[peerlink.Term]peerlink.Duty // all ever made
+	remaining    eventBudget
+	path         []string
+	violation    string
+	injected     *injectedFault
 }
 
-type place struct {
-	s      *Lease
-	now    time.Duration
-	up     bool
-	leaves bool
-	work   Work
+type testReplica struct {
+	lease     *Lease
+	now       time.Duration
+	isUp      bool
+	isLeaving bool
+	times     TaskTimes
 }
 
-type letter struct {
+type envelope struct {
 	from, to peerlink.Seat
 	duty     peerlink.Duty
 }
 
-// budget is how often something may still befall the replicas.
-type budget struct{ ticks, lost, twice, kills, cuts, leaves int8 }
+// eventBudget is how often something may still befall the replicas.
+type eventBudget struct{ ticks, losses, duplicates, kills, cuts, leaves int8 }
 
-var usual = budget{ticks: 4, lost: 2, twice: 1, kills: 1, cuts: 1, leaves: 1}
+var defaultBudget = eventBudget{ticks: 4, losses: 2, duplicates: 1, kills: 1, cuts: 1, leaves: 1}
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func newModel(b budget, p *planted) *model {
-	m := &model{claims: map[peerlink.Term]peerlink.Duty{}, left: b, plant: p, unixMS: 100}
+func newModel(b eventBudget, p *injectedFault) *model {
+	m := &model{claims: map[peerlink.Term]peerlink.Duty{}, remaining: b, injected: p, unixMS: 100}
 	for i := range m.nodes {
 		m.start(i)
 	}
@@ -63,38 +63,38 @@
 }
 
 func (m *model) start(i int) {
-	if m.lives < replicas || m.plant == nil || !m.plant.oneLife {
-		m.lives++
+	if m.incarnations < replicas || m.injected == nil || !m.injected.keepsIncarnation {
+		m.incarnations++
 	}
 	m.unixMS += 100 // whoever has come back was away for more than a millisecond
 	n := &m.nodes[i]
-	*n = place{s: New("duty", peerlink.Seat{Name: name(i), Life: m.lives}, "z"+name(i%2)), up: true}
-	n.work = Work{Period: 500 * time.Millisecond, Asked: -500 * time.Millisecond}
+	*n = testReplica{lease: New("duty", peerlink.Seat{Name: name(i), Life: m.incarnations}, "z"+name(i%2)), isUp: true}
+	n.times = TaskTimes{Period: 500 * time.Millisecond, LastOwn: -500 * time.Millisecond}
 	for j := range m.nodes {
-		if j != i && m.linked(i, j) {
-			m.greet(i, j)
+		if j != i && m.isConnected(i, j) {
+			m.exchangeGreetings(i, j)
 		}
 	}
 }
 
-func (m *model) greet(i, j int) {
-	a, b := m.nodes[i].s, m.nodes[j].s
-	m.mail = append(m.mail, letter{a.self, b.self, a.Greet()}, letter{b.self, a.self, b.Greet()})
+func (m *model) exchangeGreetings(i, j int) {
+	a, b := m.nodes[i].lease, m.nodes[j].lease
+	m.inFlight = append(m.inFlight, envelope{a.self, b.self, a.Greeting()}, envelope{b.self, a.self, b.Greeting()})
 }
 
-func (m *model) linked(i, j int) bool {
-	return m.nodes[i].up && m.nodes[j].up && !m.cut[i][j]
+func (m *model) isConnected(i, j int) bool {
+	return m.nodes[i].isUp && m.nodes[j].isUp && !m.isCut[i][j]
 }
 
 func (m *model) view(i int) View {
-	v := View{Now: m.nodes[i].now, UnixMS: m.unixMS, Elector: true, Electors: replicas}
+	v := View{Now: m.nodes[i].now, UnixMS: m.unixMS, CanVote: true, VoterCount: replicas}
 	for j := range m.nodes {
-		if j != i && m.linked(i, j) && !m.nodes[j].leaves {
-			v.Peers = append(v.Peers, Peer{Seat: m.nodes[j].s.self, Zone: m.nodes[j].s.zone, Elector: true})
+		if j != i && m.isConnected(i, j) && !m.nodes[j].isLeaving {
+			v.Peers = append(v.Peers, Peer{Seat: m.nodes[j].lease.self, Zone: m.nodes[j].lease.zone, CanVote: true})
 		}
 	}
-	if m.plant != nil && m.plant.view != nil {
-		m.plant.view(&v)
+	if m.injected != nil && m.injected.changeView != nil {
+		m.injected.changeView(&v)
 	}
 	return v
 }
@@ -102,114 +102,114 @@
 func (m *model) copy() *model {
 	c := *m
 	for i := range c.nodes {
-		s := *c.nodes[i].s
+		s := *c.nodes[i].lease
 		s.votes = maps.Clone(s.votes)
-		c.nodes[i].s = &s
+		c.nodes[i].lease = &s
 	}
-	c.mail, c.claims, c.path = slices.Clone(m.mail), maps.Clone(m.claims), slices.Clip(m.path)
+	c.inFlight, c.claims, c.path = slices.Clone(m.inFlight), maps.Clone(m.claims), slices.Clip(m.path)
 	return &c
 }
 
-// say puts what a replica tells on its way and looks at what it claims.
-func (m *model) say(i int, out []Tell) {
-	n := m.nodes[i].s
-	if m.plant != nil && m.plant.after != nil {
-		out = m.plant.after(n, m.view(i), out)
+// send puts what a replica tells on its way and looks at what it claims.
+func (m *model) send(i int, out []Message) {
+	n := m.nodes[i].lease
+	if m.injected != nil && m.injected.afterStep != nil {
+		out = m.injected.afterStep(n, m.view(i), out)
 	}
 	for _, t := range out {
 		for j := range m.nodes {
-			if j != i && (t.To == "" || t.To == name(j)) && m.linked(i, j) {
-				m.mail = append(m.mail, letter{n.self, m.nodes[j].s.self, t.Duty})
+			if j != i && (t.To == "" || t.To == name(j)) && m.isConnected(i, j) {
+				m.inFlight = append(m.inFlight, envelope{n.self, m.nodes[j].lease.self, t.Duty})
 			}
 		}
-		m.claimed(t.Duty)
+		m.checkClaim(t.Duty)
 	}
-	m.claimed(n.known)
+	m.checkClaim(n.known)
 }
 
-// claimed holds a claim against all made before it: one holder, and one successor, in a term.
-func (m *model) claimed(d peerlink.Duty) {
+// checkClaim holds a claim against all made before it: one holder, and one successor, in a term.
+func (m *model) checkClaim(d peerlink.Duty) {
 	if d.Term == (peerlink.Term{}) {
 		return
 	}
 	c := peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
-	if old, ok := m.claims[d.Term]; ok && old != c && m.fault == "" {
-		m.fault = fmt.Sprintf("two claims of one term: %v and %v", old, c)
+	if old, ok := m.claims[d.Term]; ok && old != c && m.violation == "" {
+		m.violation = fmt.Sprintf("two claims of one term: %v and %v", old, c)
 	}
 	m.claims[d.Term] = c
 }
 
-func (m *model) deliver(l letter) {
+func (m *model) deliver(l envelope) {
 	for i := range m.nodes {
 		n := &m.nodes[i]
-		from := slices.IndexFunc(m.nodes[:], func(x place) bool { return x.s.self == l.from })
-		if n.s.self != l.to || from < 0 || !m.linked(i, from) {
+		from := slices.IndexFunc(m.nodes[:], func(x testReplica) bool { return x.lease.self == l.from })
+		if n.lease.self != l.to || from < 0 || !m.isConnected(i, from) {
 			continue // its connection is over
 		}
-		was := n.s.known.Term
-		if m.plant != nil && m.plant.before != nil {
-			m.plant.before(n.s, &l.duty)
+		was := n.lease.known.Term
+		if m.injected != nil && m.injected.beforeReceive != nil {
+			m.injected.beforeReceive(n.lease, &l.duty)
 		}
-		takes := l.duty.Holder == l.from && n.s.Takes(l.duty.Term)
-		m.say(i, n.s.Hear(m.view(i), l.from, l.duty))
-		if m.fault == "" && (takes && was.Above(l.duty.Term) && l.duty.Term != peerlink.Term{} || was.Above(n.s.known.Term)) {
-			m.fault = fmt.Sprintf("%s takes a word of %v after %v", name(i), l.duty.Term, was)
+		takes := l.duty.Holder == l.from && n.lease.AcceptsTerm(l.duty.Term)
+		m.send(i, n.lease.Receive(m.view(i), l.from, l.duty))
+		if m.violation == "" && (takes && was.Above(l.duty.Term) && l.duty.Term != peerlink.Term{} || was.Above(n.lease.known.Term)) {
+			m.violation = fmt.Sprintf("%s takes a word of %v after %v", name(i), l.duty.Term, was)
 		}
 	}
 }
 
 // action is one thing that may happen next.
 type action struct {
-	what string
-	do   func(m *model)
+	label string
+	apply func(m *model)
 }
 
 func (m *model) actions() (all []action) {
 	add := func(what string, do func(m *model)) { all = append(all, action{what, do}) }
-	for k, l := range m.mail {
-		if slices.Contains(m.mail[:k], l) {
+	for k, l := range m.inFlight {
+		if slices.Contains(m.inFlight[:k], l) {
 			continue
 		}
 		add(fmt.Sprintf("deliver %v", l), func(m *model) {
-			m.mail = slices.Delete(m.mail, k, k+1)
+			m.inFlight = slices.Delete(m.inFlight, k, k+1)
 			m.deliver(l)
 		})
-		if m.left.lost > 0 {
-			add(fmt.Sprintf("lose %v", l), func(m *model) { m.left.lost--; m.mail = slices.Delete(m.mail, k, k+1) })
+		if m.remaining.losses > 0 {
+			add(fmt.Sprintf("lose %v", l), func(m *model) { m.remaining.losses--; m.inFlight = slices.Delete(m.inFlight, k, k+1) })
 		}
-		if m.left.twice > 0 {
-			add(fmt.Sprintf("deliver twice %v", l), func(m *model) { m.left.twice--; m.deliver(l) })
+		if m.remaining.duplicates > 0 {
+			add(fmt.Sprintf("deliver twice %v", l), func(m *model) { m.remaining.duplicates--; m.deliver(l) })
 		}
 	}
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		switch {
-		case n.up && m.left.ticks > 0 && !n.leaves:
+		case n.isUp && m.remaining.ticks > 0 && !n.isLeaving:
 			add("a second passes at "+name(i), func(m *model) {
-				m.left.ticks--
+				m.remaining.ticks--
 				m.nodes[i].now += time.Second
-				m.say(i, m.nodes[i].s.Step(m.view(i)))
+				m.send(i, m.nodes[i].lease.Step(m.view(i)))
 			})
-		case !n.up:
+		case !n.isUp:
 			add(name(i)+" returns", func(m *model) { m.start(i) })
 		}
-		if n.up && m.left.kills > 0 {
-			add(name(i)+" is killed", func(m *model) { m.left.kills--; m.nodes[i].up = false })
+		if n.isUp && m.remaining.kills > 0 {
+			add(name(i)+" is killed", func(m *model) { m.remaining.kills--; m.nodes[i].isUp = false })
 		}
-		if n.up && !n.leaves && m.left.leaves > 0 {
+		if n.isUp && !n.isLeaving && m.remaining.leaves > 0 {
 			add(name(i)+" leaves", func(m *model) {
-				m.left.leaves--
-				m.nodes[i].leaves = true
-				m.say(i, m.nodes[i].s.Leave())
+				m.remaining.leaves--
+				m.nodes[i].isLeaving = true
+				m.send(i, m.nodes[i].lease.Leave())
 			})
 		}
 		for j := range i {
-			if m.cut[i][j] {
-				add(fmt.Sprintf("%s and %s are joined", name(i), name(j)), func(m *model) { m.join(i, j) })
-			} else if m.left.cuts > 0 {
+			if m.isCut[i][j] {
+				add(fmt.Sprintf("%s and %s are joined", name(i), name(j)), func(m *model) { m.reconnect(i, j) })
+			} else if m.remaining.cuts > 0 {
 				add(fmt.Sprintf("%s and %s are cut", name(i), name(j)), func(m *model) {
-					m.left.cuts--
-					m.cut[i][j], m.cut[j][i] = true, true
+					m.remaining.cuts--
+					m.isCut[i][j], m.isCut[j][i] = true, true
 				})
 			}
 		}
@@ -217,10 +217,10 @@
 	return all
 }
 
-func (m *model) join(i, j int) {
-	m.cut[i][j], m.cut[j][i] = false, false
-	if m.linked(i, j) {
-		m.greet(i, j)
+func (m *model) reconnect(i, j int) {
+	m.isCut[i][j], m.isCut[j][i] = false, false
+	if m.isConnected(i, j) {
+		m.exchangeGreetings(i, j)
 	}
 }
 
@@ -250,21 +250,21 @@
 	}
 	for i := range m.nodes {
 		n := &m.nodes[i]
-		flags(n.up, n.leaves, n.s.left, n.s.asked, m.cut[i][0], m.cut[i][1])
-		seat(n.s.self)
-		duty(n.s.known)
-		span(n.now - n.s.heard)
-		span(n.now - n.s.told)
-		span(n.now - n.s.named)
-		span(n.now - n.s.askedAt)
-		b = binary.AppendUvarint(binary.AppendUvarint(b, n.s.voted), n.s.asking)
-		b = binary.AppendUvarint(b, n.s.seen)
+		flags(n.isUp, n.isLeaving, n.lease.hasLeft, n.lease.hasRequested, m.isCut[i][0], m.isCut[i][1])
+		seat(n.lease.self)
+		duty(n.lease.known)
+		span(n.now - n.lease.holderHeardAt)
+		span(n.now - n.lease.announcedAt)
+		span(n.now - n.lease.successorSeenAt)
+		span(n.now - n.lease.requestedAt)
+		b = binary.AppendUvarint(binary.AppendUvarint(b, n.lease.votedEpoch), n.lease.candidateEpoch)
+		b = binary.AppendUvarint(b, n.lease.highestSeenEpoch)
 		for k := range m.nodes {
-			flags(n.s.votes[name(k)])
+			flags(n.lease.votes[name(k)])
 		}
 	}
-	mail := make([]string, 0, len(m.mail))
-	for _, l := range m.mail {
+	mail := make([]string, 0, len(m.inFlight))
+	for _, l := range m.inFlight {
 		from := len(b)
 		seat(l.from)
 		seat(l.to)
@@ -273,113 +273,113 @@
 		b = b[:from]
 	}
 	slices.Sort(mail)
-	return fmt.Sprint(string(b), m.left, strings.Join(mail, "|"))
+	return fmt.Sprint(string(b), m.remaining, strings.Join(mail, "|"))
 }
 
 // Bounds of what holds once nothing more befalls the replicas.
 const (
-	way       = 20 * time.Millisecond
-	calmSlice = 10 * time.Millisecond
-	calmFor   = 6 * time.Second
-	mostGap   = 1900 * time.Millisecond // between two turns of the work, the first one after the last trouble included
-	lastPart  = 2 * time.Second         // of the calm, by which all has settled
+	linkDelay    = 20 * time.Millisecond
+	calmStep     = 10 * time.Millisecond
+	calmDuration = 6 * time.Second
+	maxRunGap    = 1900 * time.Millisecond // between two turns of the work, the first one after the last trouble included
+	settledPart  = 2 * time.Second         // of the calm, by which all has settled
 )
 
-// calm lets time pass without trouble and tells what is wrong: all that runs is to hear of a turn of the work again and
+// runUndisturbed lets time pass without trouble and tells what is wrong: all that runs is to hear of a turn of the work again and
 // again, where a majority is connected; and in the end one does it that all know, where all are.
-func (m *model) calm(heal bool) string {
+func (m *model) runUndisturbed(heal bool) string {
 	m = m.copy()
 	if heal {
 		for i := range m.nodes {
-			if !m.nodes[i].up || m.nodes[i].leaves {
+			if !m.nodes[i].isUp || m.nodes[i].isLeaving {
 				m.start(i)
 			}
 			for j := range i {
-				if m.cut[i][j] {
-					m.join(i, j)
+				if m.isCut[i][j] {
+					m.reconnect(i, j)
 				}
 			}
 		}
 	}
 	type due struct {
 		at time.Duration
-		l  letter
+		l  envelope
 	}
 	var later []due
 	var last, gap [replicas]time.Duration
 	turns := [replicas]int{}
-	for t := time.Duration(0); t < calmFor; t += calmSlice {
+	for t := time.Duration(0); t < calmDuration; t += calmStep {
 		for i := range m.nodes {
 			n := &m.nodes[i]
-			if n.now += calmSlice; !n.up || n.leaves {
+			if n.now += calmStep; !n.isUp || n.isLeaving {
 				continue
 			}
-			m.say(i, n.s.Step(m.view(i)))
-			if n.now >= n.s.Due(m.view(i), n.work) && (n.s.Holds() || m.plant == nil || !m.plant.claimed) {
-				n.work.Asked, n.work.Heard, last[i] = n.now, n.now, t
-				if t >= calmFor-lastPart {
+			m.send(i, n.lease.Step(m.view(i)))
+			if n.now >= n.lease.NextRun(m.view(i), n.times) && (n.lease.Holds() || m.injected == nil || !m.injected.onlyHolderRuns) {
+				n.times.LastOwn, n.times.LastKnown, last[i] = n.now, n.now, t
+				if t >= calmDuration-settledPart {
 					turns[i]++
 				}
 				term := peerlink.Term{}
-				if n.s.Holds() {
-					term = n.s.known.Term
-					n.s.Spoke(n.now)
-					m.say(i, []Tell{{Duty: n.s.word()}})
+				if n.lease.Holds() {
+					term = n.lease.known.Term
+					n.lease.NoteAnnounced(n.now)
+					m.send(i, []Message{{Duty: n.lease.statement()}})
 				}
 				for j := range m.nodes {
-					if o := &m.nodes[j]; j != i && m.linked(i, j) && o.s.Takes(term) {
-						o.work.Heard, o.work.Others, last[j] = o.now, o.now, t
+					if o := &m.nodes[j]; j != i && m.isConnected(i, j) && o.lease.AcceptsTerm(term) {
+						o.times.LastKnown, o.times.LastByOther, last[j] = o.now, o.now, t
 					}
 				}
 			}
 			gap[i] = max(gap[i], t-last[i])
 		}
-		for _, l := range m.mail {
-			later = append(later, due{t + way, l})
+		for _, l := range m.inFlight {
+			later = append(later, due{t + linkDelay, l})
 		}
-		m.mail = nil
+		m.inFlight = nil
 		for len(later) > 0 && later[0].at <= t {
 			m.deliver(later[0].l)
 			later = later[1:]
 		}
 	}
-	if m.fault != "" {
-		return m.fault
+	if m.violation != "" {
+		return m.violation
 	}
 	holders, all := 0, 0
 	for i := range m.nodes {
 		n := &m.nodes[i]
-		if !n.up || n.leaves {
+		if !n.isUp || n.isLeaving {
 			continue
 		}
 		all++
-		if gap[i] > mostGap {
+		if gap[i] > maxRunGap {
 			return fmt.Sprintf("%s hears of no turn for %v", name(i), gap[i])
 		}
-		if n.s.Holds() {
+		if n.lease.Holds() {
 			holders++
 		} else if turns[i] > 0 && heal {
 			return fmt.Sprintf("%s still does without a claim what another does", name(i))
 		}
-		if heal && n.s.known != m.nodes[0].s.known {
+		if heal && n.lease.known != m.nodes[0].lease.known {
 			return fmt.Sprintf("%s and %s know different holders", name(i), name(0))
 		}
 	}
-	if whole := heal || all == replicas && !m.cut[1][0] && !m.cut[2][0] && !m.cut[2][1]; whole && holders != 1 {
+	if whole := heal || all == replicas && !m.isCut[1][0] && !m.isCut[2][0] && !m.isCut[2][1]; whole && holders != 1 {
 		return fmt.Sprintf("%d holders", holders)
 	}
 	return ""
 }
 
-// settled is a farm whose duty is held.
-func settled(m *model) *model {
+// settledModel is a farm whose duty is held.
+func settledModel(m *model) *model {
 	for range 60 {
 		for i := range m.nodes {
 			m.nodes[i].now += 20 * time.Millisecond
-			m.say(i, m.nodes[i].s.Step(m.view(i)))
+			m.send(i, m.nodes[i].lease.Step(m.view(i)))
 		}
-		all := m.mail
-		m.mail = nil
+		all := m.inFlight
+		m.inFlight = nil
 		for _, l := range all {
 			m.deliver(l)
 		}
@@ -395,26 +395,26 @@
 		var next []*model
 		for _, m := range front {
 			states++
-			if states%calms == 0 && m.fault == "" {
-				if m.fault = m.calm(true); m.fault == "" {
-					m.fault = m.calm(false)
+			if states%calms == 0 && m.violation == "" {
+				if m.violation = m.runUndisturbed(true); m.violation == "" {
+					m.violation = m.runUndisturbed(false)
 				}
 			}
-			if m.fault != "" {
-				return states, m.fault + "\n" + strings.Join(m.path, "\n")
+			if m.violation != "" {
+				return states, m.violation + "\n" + strings.Join(m.path, "\n")
 			}
 			if d == deep {
 				continue
 			}
 			for _, a := range m.actions() {
 				c := m.copy()
-				a.do(c)
+				a.apply(c)
 				k := c.key()
 				if seen[k] {
 					continue
 				}
 				seen[k] = true
-				c.path = append(c.path, a.what)
+				c.path = append(c.path, a.label)
 				next = append(next, c)
 			}
 		}
@@ -423,45 +423,45 @@
 	return states, ""
 }
 
-func TestAllOrders(t *testing.T) {
-	for what, begin := range map[string]*model{"first start": newModel(usual, nil), "settled": settled(newModel(usual, nil))} {
-		states, fault := explore(begin, *depth, 53)
+func TestAllEventOrders(t *testing.T) {
+	for what, begin := range map[string]*model{"first start": newModel(defaultBudget, nil), "settled": settledModel(newModel(defaultBudget, nil))} {
+		states, fault := explore(begin, *exploreDepth, 53)
 		assert.Equal(t, fault, "", what)
-		t.Logf("%s: %d states, %d steps deep", what, states, *depth)
+		t.Logf("%s: %d states, %d steps deep", what, states, *exploreDepth)
 	}
 }
 
-var walks = flag.Int("steward.walks", 60, "long random orders that are played")
+var walkCount = flag.Int("steward.walks", 60, "long random orders that are played")
 
-// walk plays one long order by chance, more of everything, and ends in calm.
-func walk(seed uint64, p *planted) *model {
-	m := newModel(budget{}, nil)
+// randomWalk plays one long order by chance, more of everything, and ends in calm.
+func randomWalk(seed uint64, p *injectedFault) *model {
+	m := newModel(eventBudget{}, nil)
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	if rnd.IntN(2) == 0 {
-		m = settled(m)
+		m = settledModel(m)
 	}
-	m.left, m.plant = budget{ticks: 30, lost: 5, twice: 5, kills: 3, cuts: 3, leaves: 2}, p
+	m.remaining, m.injected = eventBudget{ticks: 30, losses: 5, duplicates: 5, kills: 3, cuts: 3, leaves: 2}, p
 	for range 60 {
 		all := m.actions()
-		if len(all) == 0 || m.fault != "" {
+		if len(all) == 0 || m.violation != "" {
 			break
 		}
 		a := all[rnd.IntN(len(all))]
-		a.do(m)
-		m.path = append(m.path, a.what)
+		a.apply(m)
+		m.path = append(m.path, a.label)
 	}
 	for _, heal := range []bool{true, false} {
-		if m.fault == "" {
-			m.fault = m.calm(heal)
+		if m.violation == "" {
+			m.violation = m.runUndisturbed(heal)
 		}
 	}
 	return m
 }
 
-func TestLongOrders(t *testing.T) {
-	for seed := range uint64(*walks) {
-		m := walk(seed, nil)
-		assert.Equal(t, m.fault, "", "seed %d\n%s", seed, strings.Join(m.path, "\n"))
+func TestRandomWalks(t *testing.T) {
+	for seed := range uint64(*walkCount) {
+		m := randomWalk(seed, nil)
+		assert.Equal(t, m.violation, "", "seed %d\n%s", seed, strings.Join(m.path, "\n"))
 	}
-	t.Logf("%d orders of 60 steps", *walks)
+	t.Logf("%d orders of 60 steps", *walkCount)
 }
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -10,33 +10,33 @@
 
 // Times of a duty.
 const (
-	Heartbeat = 600 * time.Millisecond // between two words of a holder at most
-	Silence   = 900 * time.Millisecond // without a word a holder is taken for lost
-	Unlinked  = 500 * time.Millisecond // and one that is not connected either
-	Stagger   = 300 * time.Millisecond // between the attempts of one and the next in rank
-	askEvery  = 400 * time.Millisecond
-	nameless  = time.Second // a successor that is gone for so long is replaced by another
-	never     = time.Duration(1) << 62
+	HeartbeatInterval = 600 * time.Millisecond // between two words of a holder at most
+	SilenceTimeout    = 900 * time.Millisecond // without a word a holder is taken for lost
+	DisconnectTimeout = 500 * time.Millisecond // and one that is not connected either
+	RankDelay         = 300 * time.Millisecond // between the attempts of one and the next in rank
+	voteRetryInterval = 400 * time.Millisecond
+	successorTimeout  = time.Second // a successor that is gone for so long is replaced by another
+	never             = time.Duration(1) << 62
 )
 
 // Peer is another replica that is connected and does not leave.
 type Peer struct {
 	peerlink.Seat
 	Zone    string
-	Elector bool // its vote counts
+	CanVote bool // its vote counts
 }
 
 // View is what a replica knows at a moment.
 type View struct {
-	Now      time.Duration // of its steady clock
-	UnixMS   uint64        // its time of day
-	Peers    []Peer
-	Elector  bool // its own vote counts
-	Electors int  // how many there are, those out of reach included
+	Now        time.Duration // of its steady clock
+	UnixMS     uint64        // its time of day
+	Peers      []Peer
+	CanVote    bool // its own vote counts
+	VoterCount int  // how many there are, those out of reach included
 }
 
-// Tell is a word that is to be told.
-type Tell struct {
+// Message is a word that is to be told.
+type Message struct {
 	To   string // empty: to all peers
 	Duty peerlink.Duty
 }
@@ -47,17 +47,17 @@
 	self peerlink.Seat
 	zone string
 
-	known   peerlink.Duty // the highest term, its holder and the next one
-	heard   time.Duration // when the holder last spoke, or was first told of
-	told    time.Duration // of a holder: when it last spoke
-	named   time.Duration // of a holder: when its successor was last connected
-	left    bool
-	voted   uint64 // the highest epoch that this replica voted for, in this life
-	seen    uint64 // the highest that anybody did, as far as was heard
-	asking  uint64 // the epoch that it wants; 0: none
-	askedAt time.Duration
-	asked   bool
-	votes   map[string]bool
+	known            peerlink.Duty // the highest term, its holder and the next one
+	holderHeardAt    time.Duration // when the holder last spoke, or was first told of
+	announcedAt      time.Duration // of a holder: when it last spoke
+	successorSeenAt  time.Duration // of a holder: when its successor was last connected
+	hasLeft          bool
+	votedEpoch       uint64 // the highest epoch that this replica voted for, in this life
+	highestSeenEpoch uint64 // the highest that anybody did, as far as was heard
+	candidateEpoch   uint64 // the epoch that it wants; 0: none
+	requestedAt      time.Duration
+	hasRequested     bool
+	votes            map[string]bool
 }
 
 // New makes a replica's part in a duty.
@@ -66,25 +66,27 @@
 }
 
 // Holds tells whether this replica has the duty.
-func (s *Lease) Holds() bool { return !s.left && s.known.Holder == s.self }
+func (s *Lease) Holds() bool { return !s.hasLeft && s.known.Holder == s.self }
 
 // Known is the term that holds as far as this replica knows, with its holder and the next one.
 func (s *Lease) Known() peerlink.Duty { return s.known }
 
-// Takes tells whether a word given in a term is to be heeded. The zero term claims nothing, so it is.
-func (s *Lease) Takes(t peerlink.Term) bool { return t == peerlink.Term{} || !s.known.Term.Above(t) }
+// AcceptsTerm tells whether a word given in a term is to be heeded. The zero term claims nothing, so it is.
+func (s *Lease) AcceptsTerm(t peerlink.Term) bool {
+	return t == peerlink.Term{} || !s.known.Term.Above(t)
+}
 
-// Greet is what a replica that has just been connected is told.
-func (s *Lease) Greet() peerlink.Duty { return s.word() }
+// Greeting is what a replica that has just been connected is told.
+func (s *Lease) Greeting() peerlink.Duty { return s.statement() }
 
-func (s *Lease) word() peerlink.Duty {
+func (s *Lease) statement() peerlink.Duty {
 	d := s.known
-	d.Voted = max(s.seen, s.voted)
+	d.Voted = max(s.highestSeenEpoch, s.votedEpoch)
 	return d
 }
 
-// Spoke notes that the holder has told its word to all.
-func (s *Lease) Spoke(now time.Duration) { s.told = now }
+// NoteAnnounced notes that the holder has told its word to all.
+func (s *Lease) NoteAnnounced(now time.Duration) { s.announcedAt = now }
 
 // Rank is this replica's among all that are connected.
 func (s *Lease) Rank(v View) int { return s.rank(v, func(Peer) bool { return true }) }
@@ -99,114 +101,114 @@
 	return Rank(s.duty, s.self.Name, names)
 }
 
-func (s *Lease) turn(v View) time.Duration {
-	return time.Duration(s.rank(v, func(p Peer) bool { return p.Elector })) * Stagger
+func (s *Lease) rankDelay(v View) time.Duration {
+	return time.Duration(s.rank(v, func(p Peer) bool { return p.CanVote })) * RankDelay
 }
 
-// majority tells whether enough electors are connected for a vote.
-func (s *Lease) majority(v View) bool {
+// isMajorityConnected tells whether enough electors are connected for a vote.
+func (s *Lease) isMajorityConnected(v View) bool {
 	n := 0
 	for _, p := range v.Peers {
-		if p.Elector {
+		if p.CanVote {
 			n++
 		}
 	}
-	if v.Elector {
+	if v.CanVote {
 		n++
 	}
-	return enough(n, v.Electors)
+	return isMajority(n, v.VoterCount)
 }
 
-func enough(n, of int) bool { return n >= of/2+1 }
+func isMajority(n, of int) bool { return n >= of/2+1 }
 
-func connected(v View, who peerlink.Seat) bool {
+func isConnected(v View, who peerlink.Seat) bool {
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who })
 }
 
-// follows is when this replica, the next one, takes the duty over.
-func (s *Lease) follows(v View) time.Duration {
-	if !connected(v, s.known.Holder) {
-		return s.heard + Unlinked
+// takeoverTime is when this replica, the next one, takes the duty over.
+func (s *Lease) takeoverTime(v View) time.Duration {
+	if !isConnected(v, s.known.Holder) {
+		return s.holderHeardAt + DisconnectTimeout
 	}
-	return s.heard + Silence
+	return s.holderHeardAt + SilenceTimeout
 }
 
-// wants is when this replica asks for a vote; never: it has no reason to.
-func (s *Lease) wants(v View) time.Duration {
-	if !v.Elector || !s.majority(v) {
+// electionTime is when this replica asks for a vote; never: it has no reason to.
+func (s *Lease) electionTime(v View) time.Duration {
+	if !v.CanVote || !s.isMajorityConnected(v) {
 		return never
 	}
-	at := s.heard + Silence + Stagger + s.turn(v) // the next one has its chance first
+	at := s.holderHeardAt + SilenceTimeout + RankDelay + s.rankDelay(v) // the next one has its chance first
 	switch {
 	case s.Holds():
-		if at = s.named + nameless; s.pick(v) == (peerlink.Seat{}) {
+		if at = s.successorSeenAt + successorTimeout; s.chooseSuccessor(v) == (peerlink.Seat{}) {
 			return never
 		}
 	case s.known.Term == peerlink.Term{}:
-		at = s.turn(v)
+		at = s.rankDelay(v)
 	}
-	if s.asked {
-		at = max(at, s.askedAt+askEvery+s.turn(v)) // of those who ask against each other the first in rank does so more often
+	if s.hasRequested {
+		at = max(at, s.requestedAt+voteRetryInterval+s.rankDelay(v)) // of those who ask against each other the first in rank does so more often
 	}
 	return at
 }
 
-// Wake is when Step has something to do, if nothing is heard before.
-func (s *Lease) Wake(v View) time.Duration {
+// NextStep is when Step has something to do, if nothing is heard before.
+func (s *Lease) NextStep(v View) time.Duration {
 	switch {
-	case s.left:
+	case s.hasLeft:
 		return never
 	case s.Holds():
-		if connected(v, s.known.Next) {
-			return s.told + Heartbeat
+		if isConnected(v, s.known.Next) {
+			return s.announcedAt + HeartbeatInterval
 		}
-		return min(s.told+Heartbeat, s.wants(v))
+		return min(s.announcedAt+HeartbeatInterval, s.electionTime(v))
 	case s.known.Next == s.self:
-		return min(s.follows(v), s.wants(v))
+		return min(s.takeoverTime(v), s.electionTime(v))
 	}
-	return s.wants(v)
+	return s.electionTime(v)
 }
 
 // Step does what is due.
-func (s *Lease) Step(v View) (out []Tell) {
-	if s.left {
+func (s *Lease) Step(v View) (out []Message) {
+	if s.hasLeft {
 		return nil
 	}
-	if s.Holds() && connected(v, s.known.Next) {
-		s.named = v.Now
+	if s.Holds() && isConnected(v, s.known.Next) {
+		s.successorSeenAt = v.Now
 	}
-	if !s.Holds() && s.known.Next == s.self && v.Now >= s.follows(v) {
-		out = append(out, s.follow(v))
+	if !s.Holds() && s.known.Next == s.self && v.Now >= s.takeoverTime(v) {
+		out = append(out, s.takeOver(v))
 	}
-	if v.Now >= s.wants(v) {
-		out = append(out, s.ask(v)...)
+	if v.Now >= s.electionTime(v) {
+		out = append(out, s.requestVotes(v)...)
 	}
-	if s.Holds() && v.Now >= s.told+Heartbeat {
-		s.told = v.Now
-		out = append(out, Tell{Duty: s.word()})
+	if s.Holds() && v.Now >= s.announcedAt+HeartbeatInterval {
+		s.announcedAt = v.Now
+		out = append(out, Message{Duty: s.statement()})
 	}
 	return out
 }
 
-// follow takes over as the successor that was named.
-func (s *Lease) follow(v View) Tell {
+// takeOver takes over as the successor that was named.
+func (s *Lease) takeOver(v View) Message {
 	t := s.known.Term
 	t.Step++
-	return s.take(v, t)
+	return s.startTerm(v, t)
 }
 
-// take begins a term, and names its successor, once for all of it.
-func (s *Lease) take(v View, t peerlink.Term) Tell {
-	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.pick(v)}
-	s.heard, s.told, s.named, s.asking = v.Now, v.Now, v.Now, 0
-	return Tell{Duty: s.word()}
+// startTerm begins a term, and names its successor, once for all of it.
+func (s *Lease) startTerm(v View, t peerlink.Term) Message {
+	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.chooseSuccessor(v)}
+	s.holderHeardAt, s.announcedAt, s.successorSeenAt, s.candidateEpoch = v.Now, v.Now, v.Now, 0
+	return Message{Duty: s.statement()}
 }
 
-// pick is who is to follow this replica: an elector, of another zone where there is one.
-func (s *Lease) pick(v View) peerlink.Seat {
+// chooseSuccessor is who is to follow this replica: an elector, of another zone where there is one.
+func (s *Lease) chooseSuccessor(v View) peerlink.Seat {
 	var fit []Peer
 	for _, p := range v.Peers {
-		if p.Elector {
+		if p.CanVote {
 			fit = append(fit, p)
 		}
 	}
@@ -224,94 +226,94 @@
 	}).Seat
 }
 
-// ask wants the votes of all. An epoch is the time of day where that is higher than the next number: votes are not on
+// requestVotes wants the votes of all. An epoch is the time of day where that is higher than the next number: votes are not on
 // disk, and one who has come back may vote again, but not for the number of a moment before.
-func (s *Lease) ask(v View) []Tell {
-	s.asked, s.askedAt = true, v.Now
-	s.asking = max(max(s.known.Term.Epoch, s.voted, s.seen)+1, v.UnixMS)
-	s.voted, s.votes = s.asking, map[string]bool{s.self.Name: true}
-	word := s.word()
-	word.Ask = s.asking
-	out := []Tell{{Duty: word}}
-	if enough(len(s.votes), v.Electors) {
-		out = append(out, s.take(v, peerlink.Term{Epoch: s.asking}))
+func (s *Lease) requestVotes(v View) []Message {
+	s.hasRequested, s.requestedAt = true, v.Now
+	s.candidateEpoch = max(max(s.known.Term.Epoch, s.votedEpoch, s.highestSeenEpoch)+1, v.UnixMS)
+	s.votedEpoch, s.votes = s.candidateEpoch, map[string]bool{s.self.Name: true}
+	word := s.statement()
+	word.Ask = s.candidateEpoch
+	out := []Message{{Duty: word}}
+	if isMajority(len(s.votes), v.VoterCount) {
+		out = append(out, s.startTerm(v, peerlink.Term{Epoch: s.candidateEpoch}))
 	}
 	return out
 }
 
-// Hear takes in another replica's word.
-func (s *Lease) Hear(v View, from peerlink.Seat, d peerlink.Duty) (out []Tell) {
-	if s.left {
+// Receive takes in another replica's word.
+func (s *Lease) Receive(v View, from peerlink.Seat, d peerlink.Duty) (out []Message) {
+	if s.hasLeft {
 		return nil
 	}
 	own := d.Holder == from
-	s.seen = max(s.seen, d.Voted, d.Ask)
+	s.highestSeenEpoch = max(s.highestSeenEpoch, d.Voted, d.Ask)
 	switch {
-	case s.over(d):
+	case s.supersedesKnown(d):
 		s.known = peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
-		s.heard = v.Now
-		if s.asking <= d.Term.Epoch {
-			s.asking = 0
+		s.holderHeardAt = v.Now
+		if s.candidateEpoch <= d.Term.Epoch {
+			s.candidateEpoch = 0
 		}
 	case d.Term == s.known.Term && d.Holder == s.known.Holder:
 		if own {
-			s.heard = v.Now
+			s.holderHeardAt = v.Now
 		}
 	case own || d.Ask > 0:
-		out = append(out, Tell{To: from.Name, Duty: s.word()}) // it is behind
+		out = append(out, Message{To: from.Name, Duty: s.statement()}) // it is behind
 	}
 	if own && d.Yields && d.Term == s.known.Term && s.known.Next == s.self {
-		out = append(out, s.follow(v))
+		out = append(out, s.takeOver(v))
 	}
-	if s.grants(v, from, d) {
-		s.voted = d.Ask
-		word := s.word()
+	if s.grantsVote(v, from, d) {
+		s.votedEpoch = d.Ask
+		word := s.statement()
 		word.Vote = d.Ask
-		out = append(out, Tell{To: from.Name, Duty: word})
+		out = append(out, Message{To: from.Name, Duty: word})
 	} else if d.Ask > 0 && len(out) == 0 {
-		out = append(out, Tell{To: from.Name, Duty: s.word()}) // it learns what is higher
+		out = append(out, Message{To: from.Name, Duty: s.statement()}) // it learns what is higher
 	}
-	if d.Vote > 0 && d.Vote == s.asking && s.asking > s.known.Term.Epoch && s.elector(v, from) {
+	if d.Vote > 0 && d.Vote == s.candidateEpoch && s.candidateEpoch > s.known.Term.Epoch && s.canVote(v, from) {
 		s.votes[from.Name] = true
-		if enough(len(s.votes), v.Electors) {
-			out = append(out, s.take(v, peerlink.Term{Epoch: s.asking}))
+		if isMajority(len(s.votes), v.VoterCount) {
+			out = append(out, s.startTerm(v, peerlink.Term{Epoch: s.candidateEpoch}))
 		}
 	}
 	return out
 }
 
-// over tells whether a word tells of more than is known. Two holders of one term there are only where a voter came
+// supersedesKnown tells whether a word tells of more than is known. Two holders of one term there are only where a voter came
 // back, and voted again, in the same millisecond; or while a clock is ahead. Then all agree on one by name.
-func (s *Lease) over(d peerlink.Duty) bool {
+func (s *Lease) supersedesKnown(d peerlink.Duty) bool {
 	return d.Term.Above(s.known.Term) || d.Term == s.known.Term && d.Holder.Name > s.known.Holder.Name
 }
 
-func (s *Lease) elector(v View, who peerlink.Seat) bool {
-	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who && p.Elector })
+func (s *Lease) canVote(v View, who peerlink.Seat) bool {
+	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who && p.CanVote })
 }
 
-// grants tells whether to vote for one who asks: once in an epoch, and, but for the holder itself, only where the
+// grantsVote tells whether to vote for one who asks: once in an epoch, and, but for the holder itself, only where the
 // holder is silent here too.
-func (s *Lease) grants(v View, from peerlink.Seat, d peerlink.Duty) bool {
-	if d.Ask <= s.voted || d.Ask <= s.known.Term.Epoch || !v.Elector || s.Holds() {
+func (s *Lease) grantsVote(v View, from peerlink.Seat, d peerlink.Duty) bool {
+	if d.Ask <= s.votedEpoch || d.Ask <= s.known.Term.Epoch || !v.CanVote || s.Holds() {
 		return false
 	}
-	return from == s.known.Holder || s.known.Term == peerlink.Term{} || v.Now >= s.heard+Unlinked && !connected(v, s.known.Holder) || v.Now >= s.heard+Silence
+	return from == s.known.Holder || s.known.Term == peerlink.Term{} || v.Now >= s.holderHeardAt+DisconnectTimeout && !isConnected(v, s.known.Holder) || v.Now >= s.holderHeardAt+SilenceTimeout
 }
 
 // Yield tells the next one to take over now; nothing where there is no next one. Until it has, this replica holds on.
-func (s *Lease) Yield() []Tell {
+func (s *Lease) Yield() []Message {
 	if !s.Holds() || s.known.Next == (peerlink.Seat{}) {
 		return nil
 	}
-	word := s.word()
+	word := s.statement()
 	word.Yields = true
-	return []Tell{{Duty: word}}
+	return []Message{{Duty: word}}
 }
 
 // Leave gives the duty up for good: this replica ends.
-func (s *Lease) Leave() []Tell {
+func (s *Lease) Leave() []Message {
 	out := s.Yield()
-	s.left = true
+	s.hasLeft = true
 	return out
 }
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -30,7 +30,7 @@
 	}
 	var duty *peerlink.Duty
 	if b.duty.Holds() {
-		d := b.duty.Greet()
+		d := b.duty.Greeting()
 		duty = &d
 	}
 	for _, all := range b.links {
@@ -64,7 +64,7 @@
 		s = &peerlink.Servers{Stamp: s.Stamp, By: s.By}
 	}
 	s.Reading = reading
-	if b.duty.Takes(term) {
+	if b.duty.AcceptsTerm(term) {
 		b.listed(s)
 	}
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -48,12 +48,12 @@
 		l := links[len(links)-1]
 		h := b.heardOf[l.peer.ID]
 		all = append(all, membership.Member{Voter: voterOf(l.peer), Eligible: l.peer.Voter, CaughtUp: h.report.Version >= known,
-			Leaving: l.leaving, Silent: b.silence(h, now)})
+			Leaving: l.leaving, SilentFor: b.silence(h, now)})
 	}
 	for _, v := range b.contents.Record.Decided.Voters {
 		if v.ID != b.self.ID && b.linkTo(v.ID) == nil {
 			h := b.heardOf[v.ID]
-			all = append(all, membership.Member{Voter: v, Leaving: h.left, Silent: b.silence(h, now)})
+			all = append(all, membership.Member{Voter: v, Leaving: h.left, SilentFor: b.silence(h, now)})
 		}
 	}
 	return all
@@ -78,7 +78,7 @@
 	if !membership.AllAlive(voters, members) {
 		j.calm = now
 	}
-	c, is := membership.Next(voters, members, now-j.calm)
+	c, is := membership.NextChange(voters, members, now-j.calm)
 	if !is || b.leaving || !touches {
 		j.since = now
 		return
@@ -96,7 +96,7 @@
 		defer b.mu.Unlock()
 		b.joining.busy = false
 		if err == nil {
-			b.log.Info("voters changed", "why", c.Why, "added", c.Add, "removed", c.Remove)
+			b.log.Info("voters changed", "why", c.Reason, "added", c.Add, "removed", c.Remove)
 		}
 	})
 }
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -14,30 +14,30 @@
 
 // Bounds of the set of voters, and how long one is waited for.
 const (
-	MostVoters    = 9                       // more make decisions slower and bear no more losses than they need to
-	LeastVoters   = 3                       // a set of so many is not made smaller: two bear the loss of none
-	AliveWithin   = 900 * time.Millisecond  // whoever was heard since is there
-	CalmFor       = time.Second             // all voters have been there for so long before one more joins: else it may replace one
-	ReplacedAfter = 2500 * time.Millisecond // of silence, where one that has caught up waits to be a voter
-	RemovedAfter  = 8 * time.Second         // of silence, where none waits
+	MaxVoters        = 9                       // more make decisions slower and bear no more losses than they need to
+	MinVoters        = 3                       // a set of so many is not made smaller: two bear the loss of none
+	AliveTimeout     = 900 * time.Millisecond  // whoever was heard since is there
+	StableBeforeJoin = time.Second             // all voters have been there for so long before one more joins: else it may replace one
+	ReplaceAfter     = 2500 * time.Millisecond // of silence, where one that has caught up waits to be a voter
+	RemoveAfter      = 8 * time.Second         // of silence, where none waits
 )
 
 // Member is a replica as another one sees it.
 type Member struct {
 	state.Voter
-	Eligible bool          // its disk may count
-	CaughtUp bool          // it knows the newest decided state
-	Leaving  bool          // it has said that it ends
-	Silent   time.Duration // since it was heard last
+	Eligible  bool          // its disk may count
+	CaughtUp  bool          // it knows the newest decided state
+	Leaving   bool          // it has said that it ends
+	SilentFor time.Duration // since it was heard last
 }
 
-func (m Member) alive() bool { return m.Silent < AliveWithin }
+func (m Member) isAlive() bool { return m.SilentFor < AliveTimeout }
 
 // Change is what the next state is to do with the voters.
 type Change struct {
 	Add    *state.Voter // nil: nobody is added
 	Remove string       // the ID of the one that goes; empty: nobody does
-	Why    string
+	Reason string
 }
 
 // Apply returns the voters after the change; ok is false where it does not fit
@@ -60,28 +60,28 @@
 	return after, len(after) > 0
 }
 
-// Next is the change that a replica with this view proposes; ok is false where
+// NextChange is the change that a replica with this view proposes; ok is false where
 // there is none. Members are all replicas that were heard, the one that asks
 // included, and voters that were not, with the time since then. Calm is for how long
 // all voters have been alive.
-func Next(voters []state.Voter, members []Member, calm time.Duration) (c Change, ok bool) {
+func NextChange(voters []state.Voter, members []Member, calm time.Duration) (c Change, ok bool) {
 	seen := map[string]Member{}
 	for _, m := range members {
 		seen[m.ID] = m
 	}
-	candidates := candidatesOf(voters, members)
-	if c, ok := sameMachine(voters, candidates); ok {
+	candidates := findCandidates(voters, members)
+	if c, ok := replaceSameMachine(voters, candidates); ok {
 		return c, true
 	}
-	gone, isGone := longestGone(voters, seen)
-	if len(candidates) > 0 && isGone && (gone.Leaving || gone.Silent >= ReplacedAfter) {
-		return Change{Add: &candidates[0], Remove: gone.ID, Why: "replaces " + gone.ID}, true
+	gone, isGone := longestAbsent(voters, seen)
+	if len(candidates) > 0 && isGone && (gone.Leaving || gone.SilentFor >= ReplaceAfter) {
+		return Change{Add: &candidates[0], Remove: gone.ID, Reason: "replaces " + gone.ID}, true
 	}
-	if len(candidates) > 0 && !isGone && len(voters) < MostVoters && calm >= CalmFor {
-		return Change{Add: &candidates[0], Why: "has caught up"}, true
+	if len(candidates) > 0 && !isGone && len(voters) < MaxVoters && calm >= StableBeforeJoin {
+		return Change{Add: &candidates[0], Reason: "has caught up"}, true
 	}
-	if isGone && len(voters) > LeastVoters && (gone.Leaving || gone.Silent >= RemovedAfter) {
-		return Change{Remove: gone.ID, Why: "has gone"}, true
+	if isGone && len(voters) > MinVoters && (gone.Leaving || gone.SilentFor >= RemoveAfter) {
+		return Change{Remove: gone.ID, Reason: "has gone"}, true
 	}
 	return Change{}, false
 }
@@ -92,22 +92,22 @@
 	if !slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == self }) {
 		return Change{}, false
 	}
-	if candidates := candidatesOf(voters, members); len(candidates) > 0 {
-		return Change{Add: &candidates[0], Remove: self, Why: "replaces " + self}, true
+	if candidates := findCandidates(voters, members); len(candidates) > 0 {
+		return Change{Add: &candidates[0], Remove: self, Reason: "replaces " + self}, true
 	}
-	return Change{Remove: self, Why: "ends"}, len(voters) > LeastVoters
+	return Change{Remove: self, Reason: "ends"}, len(voters) > MinVoters
 }
 
-// candidatesOf are the learners that may become voters, in a fixed order: those of zones with the fewest voters first, so
+// findCandidates are the learners that may become voters, in a fixed order: those of zones with the fewest voters first, so
 // that the loss of a zone takes few of them.
-func candidatesOf(voters []state.Voter, members []Member) (all []state.Voter) {
+func findCandidates(voters []state.Voter, members []Member) (all []state.Voter) {
 	in := map[string]int{} // voters by zone
 	for _, m := range members {
 		isVoter := slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == m.ID })
 		if isVoter {
 			in[m.Zone]++ // the members know it of voters of the first start too
 		}
-		if !isVoter && m.ID != "" && m.Eligible && m.CaughtUp && !m.Leaving && m.alive() {
+		if !isVoter && m.ID != "" && m.Eligible && m.CaughtUp && !m.Leaving && m.isAlive() {
 			all = append(all, m.Voter)
 		}
 	}
@@ -117,28 +117,28 @@
 	return all
 }
 
-// sameMachine replaces a voter whose machine is back with another disk: it can't
+// replaceSameMachine replaces a voter whose machine is back with another disk: it can't
 // come again.
-func sameMachine(voters, candidates []state.Voter) (Change, bool) {
+func replaceSameMachine(voters, candidates []state.Voter) (Change, bool) {
 	for i := range candidates {
 		for _, v := range voters {
 			if v.Inner == candidates[i].Inner {
-				return Change{Add: &candidates[i], Remove: v.ID, Why: "its machine came back without its disk"}, true
+				return Change{Add: &candidates[i], Remove: v.ID, Reason: "its machine came back without its disk"}, true
 			}
 		}
 	}
 	return Change{}, false
 }
 
-// longestGone is the voter that leaves, else the one that has been silent for
+// longestAbsent is the voter that leaves, else the one that has been silent for
 // longest.
-func longestGone(voters []state.Voter, seen map[string]Member) (gone Member, is bool) {
+func longestAbsent(voters []state.Voter, seen map[string]Member) (gone Member, is bool) {
 	for _, v := range voters {
 		m, heard := seen[v.ID]
-		if !heard || m.alive() && !m.Leaving {
+		if !heard || m.isAlive() && !m.Leaving {
 			continue
 		}
-		if !is || m.Leaving && !gone.Leaving || m.Leaving == gone.Leaving && m.Silent > gone.Silent {
+		if !is || m.Leaving && !gone.Leaving || m.Leaving == gone.Leaving && m.SilentFor > gone.SilentFor {
 			gone, is = m, true
 		}
 	}
@@ -155,5 +155,5 @@
 }
 
 func allAlive(voters []state.Voter, seen map[string]Member) bool {
-	return !slices.ContainsFunc(voters, func(v state.Voter) bool { m, heard := seen[v.ID]; return !heard || !m.alive() })
+	return !slices.ContainsFunc(voters, func(v state.Voter) bool { m, heard := seen[v.ID]; return !heard || !m.isAlive() })
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -18,8 +18,8 @@
 	return state.Voter{ID: id, Inner: strings.TrimRight(id, "0123456789")}
 }
 
-// machine is the name of one of any number of machines.
-func machine(i int) string { return strings.Repeat("z", i/20) + string(rune('a'+i%20)) }
+// machineName is the name of one of any number of machines.
+func machineName(i int) string { return strings.Repeat("z", i/20) + string(rune('a'+i%20)) }
 
 func voters(ids ...string) (all []state.Voter) {
 	for _, id := range ids {
@@ -28,43 +28,45 @@
 	return all
 }
 
-// at is a member that was heard so long ago; one that has caught up and may be a voter.
-func at(id string, silent time.Duration) Member {
-	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, Silent: silent}
+// memberSilentFor is a member that was heard so long ago; one that has caught up and may be a voter.
+func memberSilentFor(id string, silent time.Duration) Member {
+	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, SilentFor: silent}
 }
 
-func TestNext(t *testing.T) {
-	const long, calm = ReplacedAfter, CalmFor
-	leaves := at("c", 0)
+func TestNextChange(t *testing.T) {
+	const long, calm = ReplaceAfter, StableBeforeJoin
+	leaves := memberSilentFor("c", 0)
 	leaves.Leaving = true
-	behind, observer := at("d", 0), at("d", 0)
+	behind, observer := memberSilentFor("d", 0), memberSilentFor("d", 0)
 	behind.CaughtUp, observer.Eligible = false, false
-	all := func(more ...Member) []Member { return append([]Member{at("a", 0), at("b", 0)}, more...) }
+	all := func(more ...Member) []Member {
+		return append([]Member{memberSilentFor("a", 0), memberSilentFor("b", 0)}, more...)
+	}
 	for name, x := range map[string]struct {
 		voters  []state.Voter
 		members []Member
 		calm    time.Duration
 		want    string
 	}{
-		"nothing to do":                 {voters("a", "b", "c"), all(at("c", 0)), calm, ""},
-		"one joins":                     {voters("a", "b", "c"), all(at("c", 0), at("d", 0)), calm, "+d"},
-		"not before all are calm":       {voters("a", "b", "c"), all(at("c", 0), at("d", 0)), calm - 1, ""},
-		"not before it has caught up":   {voters("a", "b", "c"), all(at("c", 0), behind), calm, ""},
-		"nor one whose disk is none":    {voters("a", "b", "c"), all(at("c", 0), observer), calm, ""},
-		"not while one is silent":       {voters("a", "b", "c"), all(at("c", AliveWithin), at("d", 0)), 0, ""},
-		"it replaces one that is gone":  {voters("a", "b", "c"), all(at("c", long), at("d", 0)), 0, "+d-c"},
-		"or one that leaves":            {voters("a", "b", "c"), all(leaves, at("d", 0)), calm, "+d-c"},
-		"its own machine's old disk":    {voters("a", "b", "c1"), all(at("c1", 0), at("c2", 0)), 0, "+c2-c1"},
+		"nothing to do":                 {voters("a", "b", "c"), all(memberSilentFor("c", 0)), calm, ""},
+		"one joins":                     {voters("a", "b", "c"), all(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm, "+d"},
+		"not before all are calm":       {voters("a", "b", "c"), all(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm - 1, ""},
+		"not before it has caught up":   {voters("a", "b", "c"), all(memberSilentFor("c", 0), behind), calm, ""},
+		"nor one whose disk is none":    {voters("a", "b", "c"), all(memberSilentFor("c", 0), observer), calm, ""},
+		"not while one is silent":       {voters("a", "b", "c"), all(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
+		"it replaces one that is gone":  {voters("a", "b", "c"), all(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
+		"or one that leaves":            {voters("a", "b", "c"), all(leaves, memberSilentFor("d", 0)), calm, "+d-c"},
+		"its own machine's old disk":    {voters("a", "b", "c1"), all(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
 		"none leaves three":             {voters("a", "b", "c"), all(leaves), calm, ""},
-		"nor is removed from them":      {voters("a", "b", "c"), all(at("c", RemovedAfter)), 0, ""},
-		"one leaves four":               {voters("a", "b", "c", "d"), all(leaves, at("d", 0)), calm, "-c"},
-		"one is gone from four":         {voters("a", "b", "c", "d"), all(at("c", RemovedAfter), at("d", 0)), 0, "-c"},
-		"not before it is for long":     {voters("a", "b", "c", "d"), all(at("c", long), at("d", 0)), 0, ""},
-		"who leaves goes before silent": {voters("a", "b", "c", "d"), all(leaves, at("d", RemovedAfter)), 0, "-c"},
-		"one that was never heard":      {voters("a", "b", "c"), all(at("d", 0)), 0, ""},
+		"nor is removed from them":      {voters("a", "b", "c"), all(memberSilentFor("c", RemoveAfter)), 0, ""},
+		"one leaves four":               {voters("a", "b", "c", "d"), all(leaves, memberSilentFor("d", 0)), calm, "-c"},
+		"one is gone from four":         {voters("a", "b", "c", "d"), all(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
+		"not before it is for long":     {voters("a", "b", "c", "d"), all(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
+		"who leaves goes before silent": {voters("a", "b", "c", "d"), all(leaves, memberSilentFor("d", RemoveAfter)), 0, "-c"},
+		"one that was never heard":      {voters("a", "b", "c"), all(memberSilentFor("d", 0)), 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, ok := Next(x.voters, x.members, x.calm)
+			c, ok := NextChange(x.voters, x.members, x.calm)
 			got := ""
 			if c.Add != nil {
 				got += "+" + c.Add.ID
@@ -81,29 +83,29 @@
 	var now []state.Voter
 	var members []Member
 	for i := range 15 { // five in each zone, and the first start's voters all in the first, which they don't tell
-		m := at(machine(i), 0)
+		m := memberSilentFor(machineName(i), 0)
 		if m.Zone = fmt.Sprint("z", i/5); i < 3 {
 			now = append(now, m.Voter)
 			now[i].Zone = ""
 		}
 		members = append(members, m)
 	}
-	for c, ok := Next(now, members, CalmFor); ok; c, ok = Next(now, members, CalmFor) {
+	for c, ok := NextChange(now, members, StableBeforeJoin); ok; c, ok = NextChange(now, members, StableBeforeJoin) {
 		now, _ = c.Apply(now)
 	}
 	in := map[string]int{}
 	for _, v := range now {
 		in[v.Zone]++
 	}
-	assert.Assert(t, len(now) == MostVoters && in["z1"] == 3 && in["z2"] == 3, "%v", in)
+	assert.Assert(t, len(now) == MaxVoters && in["z1"] == 3 && in["z2"] == 3, "%v", in)
 }
 
 func TestResign(t *testing.T) {
-	_, ok := Resign(voters("a", "b", "c"), []Member{at("a", 0), at("b", 0), at("c", 0)}, "c")
+	_, ok := Resign(voters("a", "b", "c"), []Member{memberSilentFor("a", 0), memberSilentFor("b", 0), memberSilentFor("c", 0)}, "c")
 	assert.Assert(t, !ok) // two would bear no loss
 	_, ok = Resign(voters("a", "b", "c"), nil, "d")
 	assert.Assert(t, !ok) // it is none
-	c, ok := Resign(voters("a", "b", "c"), []Member{at("d", 0)}, "c")
+	c, ok := Resign(voters("a", "b", "c"), []Member{memberSilentFor("d", 0)}, "c")
 	assert.Assert(t, ok && c.Add.ID == "d" && c.Remove == "c")
 	c, ok = Resign(voters("a", "b", "c", "d"), nil, "c")
 	assert.Assert(t, ok && c.Add == nil && c.Remove == "c")
@@ -129,41 +131,41 @@
 		n := 3 + rnd.IntN(3)
 		var now []state.Voter
 		for i := range n {
-			now = append(now, voter(machine(i)+"0"))
+			now = append(now, voter(machineName(i)+"0"))
 		}
 		members := map[string]*Member{}
 		for _, v := range now {
-			m := at(v.ID, 0)
+			m := memberSilentFor(v.ID, 0)
 			members[v.ID] = &m
 		}
 		born := n
 		for range 40 {
 			down := 0
 			for _, v := range now {
-				if m := members[v.ID]; m == nil || !m.alive() {
+				if m := members[v.ID]; m == nil || !m.isAlive() {
 					down++
 				}
 			}
-			if ids := keys(members); down == 0 && rnd.IntN(2) == 0 {
+			if ids := aliveIDs(members); down == 0 && rnd.IntN(2) == 0 {
 				id := ids[rnd.IntN(len(ids))]
 				switch rnd.IntN(3) {
 				case 0: // it lost its disk
-					members[id].Silent = RemovedAfter
-					m := at(fmt.Sprint(members[id].Inner, born), 0)
+					members[id].SilentFor = RemoveAfter
+					m := memberSilentFor(fmt.Sprint(members[id].Inner, born), 0)
 					members[m.ID] = &m
 				case 1: // gone for good, another machine comes
-					members[id].Silent = RemovedAfter
-					m := at(machine(born)+"0", 0)
+					members[id].SilentFor = RemoveAfter
+					m := memberSilentFor(machineName(born)+"0", 0)
 					members[m.ID] = &m
 				case 2:
-					members[id].Silent = AliveWithin
+					members[id].SilentFor = AliveTimeout
 				}
 				born++
 			}
-			c, ok := Next(now, list(members), CalmFor)
+			c, ok := NextChange(now, allMembers(members), StableBeforeJoin)
 			for _, m := range members {
-				if m.Silent < ReplacedAfter {
-					m.Silent = 0
+				if m.SilentFor < ReplaceAfter {
+					m.SilentFor = 0
 				}
 			}
 			if !ok {
@@ -171,14 +173,14 @@
 			}
 			after, fits := c.Apply(now)
 			assert.Assert(t, fits)
-			assert.Assert(t, len(after) >= min(len(now), LeastVoters) && len(after) <= MostVoters, "seed %d: %v after %v", seed, after, now)
-			if majority(now, members) {
-				assert.Assert(t, majority(after, members), "seed %d: %+v leaves no majority", seed, c)
+			assert.Assert(t, len(after) >= min(len(now), MinVoters) && len(after) <= MaxVoters, "seed %d: %v after %v", seed, after, now)
+			if isMajorityAlive(now, members) {
+				assert.Assert(t, isMajorityAlive(after, members), "seed %d: %+v leaves no majority", seed, c)
 			}
 			now = after
 		}
 		for range 10 {
-			c, ok := Next(now, list(members), CalmFor)
+			c, ok := NextChange(now, allMembers(members), StableBeforeJoin)
 			if !ok {
 				break
 			}
@@ -186,17 +188,17 @@
 		}
 		alive := 0
 		for _, v := range now {
-			if m := members[v.ID]; m != nil && m.alive() {
+			if m := members[v.ID]; m != nil && m.isAlive() {
 				alive++
 			}
 		}
-		assert.Assert(t, alive == len(now) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(now), now, list(members))
+		assert.Assert(t, alive == len(now) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(now), now, allMembers(members))
 	}
 }
 
-func keys(m map[string]*Member) (all []string) {
+func aliveIDs(m map[string]*Member) (all []string) {
 	for k, x := range m {
-		if x.alive() {
+		if x.isAlive() {
 			all = append(all, k)
 		}
 	}
@@ -204,17 +206,17 @@
 	return all
 }
 
-func list(m map[string]*Member) (all []Member) {
+func allMembers(m map[string]*Member) (all []Member) {
 	for _, x := range m {
 		all = append(all, *x)
 	}
 	return all
 }
 
-func majority(voters []state.Voter, members map[string]*Member) bool {
+func isMajorityAlive(voters []state.Voter, members map[string]*Member) bool {
 	n := 0
 	for _, v := range voters {
-		if m := members[v.ID]; m != nil && m.alive() {
+		if m := members[v.ID]; m != nil && m.isAlive() {
 			n++
 		}
 	}
--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -159,7 +159,7 @@
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
 	l.told = b.held()
-	duty := b.duty.Greet()
+	duty := b.duty.Greeting()
 	l.news(&peerlink.Change{Census: b.known(), Servers: b.aged(l.told), Lately: b.fit.inForce()}, &duty)
 	b.tellDecided(l)
 	if k := b.keeps[h.Inner]; k != nil && k.stop != nil && b.calledBy(h.Inner) {
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -187,7 +187,7 @@
 	rctx, cancel := b.within(ctx, roundWithin)
 	reports := b.reports(rctx, func() bool { return false })
 	cancel()
-	trouble := b.store.Trouble()
+	trouble := b.store.LastError()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, decided := b.now(), b.contents.Record.Decided
@@ -197,7 +197,7 @@
 		Voters: len(decided.Voters), Majority: quorum.Majority(len(decided.Voters)),
 		Held: version(highest(b.contents.Record.Report())), Confirmed: version(decided.Config), FreshMS: -1,
 		Replicas: []api.ReplicaView{}, Proxies: []api.ProxyView{}, Zones: []api.ZoneOrder{}, Nodes: []api.NodeOrder{}}
-	if b.fresh.Ever {
+	if b.fresh.IsKnown {
 		s.FreshMS = (now - b.fresh.At).Milliseconds()
 	}
 	if trouble != nil {
--- a/internal/control/orderlog/orderlog.go
+++ b/internal/control/orderlog/orderlog.go
@@ -17,19 +17,19 @@
 
 // Bounds of a tally.
 const (
-	mostWaiting = 64   // orders to be written; more are lost
-	mostKept    = 4096 // on disk; older ones are removed at the start
-	memTable    = 256 << 10
-	cache       = 256 << 10
-	openFiles   = 32
-	syncAfter   = 500 * time.Millisecond // an order's acknowledgement waits for the disk too
+	maxQueued     = 64   // orders to be written; more are lost
+	maxKept       = 4096 // on disk; older ones are removed at the start
+	memTableBytes = 256 << 10
+	cacheBytes    = 256 << 10
+	maxOpenFiles  = 32
+	syncDelay     = 500 * time.Millisecond // an order's acknowledgement waits for the disk too
 )
 
-// Tally writes orders down in the background, so that a disk in trouble holds
+// Log writes orders down in the background, so that a disk in trouble holds
 // nobody up.
-type Tally struct {
+type Log struct {
 	log   logr.Logger
-	todo  chan api.Order
+	queue chan api.Order
 	quit  chan struct{}
 	done  chan struct{}
 	store *pebble.DB
@@ -39,8 +39,8 @@
 // Open begins to open the tally in a folder after a time, and calls told with
 // the newest orders of before, oldest first, once it is open. A tally that
 // can't be opened keeps nothing.
-func Open(fs vfs.FS, dir string, after time.Duration, most int, log logr.Logger, told func([]api.Order)) *Tally {
-	t := &Tally{log: log, todo: make(chan api.Order, mostWaiting), quit: make(chan struct{}), done: make(chan struct{})}
+func Open(fs vfs.FS, dir string, after time.Duration, most int, log logr.Logger, told func([]api.Order)) *Log {
+	t := &Log{log: log, queue: make(chan api.Order, maxQueued), quit: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(t.done)
 		select {
@@ -58,16 +58,16 @@
 	return t
 }
 
-// Note writes an order down when the disk gets to it.
-func (t *Tally) Note(o api.Order) {
+// Append writes an order down when the disk gets to it.
+func (t *Log) Append(o api.Order) {
 	select {
-	case t.todo <- o:
+	case t.queue <- o:
 	default:
 	}
 }
 
 // Close ends the tally; it waits for the disk at most d.
-func (t *Tally) Close(d time.Duration) {
+func (t *Log) Close(d time.Duration) {
 	close(t.quit)
 	select {
 	case <-t.done:
@@ -75,12 +75,12 @@
 	}
 }
 
-func (t *Tally) open(fs vfs.FS, dir string) error {
-	blocks := pebble.NewCache(cache)
+func (t *Log) open(fs vfs.FS, dir string) error {
+	blocks := pebble.NewCache(cacheBytes)
 	defer blocks.Unref()
 	// With a file system of its own it has no watcher that ticks.
 	opts := func() *pebble.Options {
-		return &pebble.Options{FS: fs, Cache: blocks, MemTableSize: memTable, MaxOpenFiles: openFiles, FormatMajorVersion: pebble.FormatNewest, Logger: quiet{t.log}}
+		return &pebble.Options{FS: fs, Cache: blocks, MemTableSize: memTableBytes, MaxOpenFiles: maxOpenFiles, FormatMajorVersion: pebble.FormatNewest, Logger: pebbleLogger{t.log}}
 	}
 	var err error
 	if t.store, err = pebble.Open(dir, opts()); pebble.IsCorruptionError(err) {
@@ -93,7 +93,7 @@
 }
 
 // read is the newest orders, oldest first; it removes those that are too old.
-func (t *Tally) read(most int) []api.Order {
+func (t *Log) read(most int) []api.Order {
 	it, err := t.store.NewIter(nil)
 	if err != nil {
 		t.log.Info("tally not read", "why", err.Error())
@@ -102,7 +102,7 @@
 	var all []api.Order
 	kept := 0
 	var last []byte
-	for ok := it.Last(); ok && kept < mostKept; ok = it.Prev() {
+	for ok := it.Last(); ok && kept < maxKept; ok = it.Prev() {
 		if kept == 0 && len(it.Key()) == 8 {
 			t.next = binary.BigEndian.Uint64(it.Key()) + 1
 		}
@@ -124,13 +124,13 @@
 	return all
 }
 
-func (t *Tally) run() {
+func (t *Log) run() {
 	var sync <-chan time.Time
-	for open := true; open || len(t.todo) > 0; {
+	for open := true; open || len(t.queue) > 0; {
 		select {
-		case o := <-t.todo:
+		case o := <-t.queue:
 			if t.write(o); sync == nil {
-				sync = time.After(syncAfter)
+				sync = time.After(syncDelay)
 			}
 		case <-sync:
 			sync = nil
@@ -146,7 +146,7 @@
 	}
 }
 
-func (t *Tally) write(o api.Order) {
+func (t *Log) write(o api.Order) {
 	value, err := json.Marshal(o)
 	if err == nil {
 		err = t.store.Set(binary.BigEndian.AppendUint64(nil, t.next), value, pebble.NoSync)
@@ -156,18 +156,18 @@
 	}
 }
 
-// quiet lets the library's lines go into the ring.
-type quiet struct{ log logr.Logger }
+// pebbleLogger lets the library's lines go into the ring.
+type pebbleLogger struct{ log logr.Logger }
 
-func (q quiet) Infof(string, ...any) {}
+func (q pebbleLogger) Infof(string, ...any) {}
 
-func (q quiet) Errorf(format string, args ...any) {
+func (q pebbleLogger) Errorf(format string, args ...any) {
 	q.log.Info("tally in trouble", "why", fmt.Sprintf(format, args...))
 }
 
 // Fatalf must not return, and a full disk is no reason for a replica to end: the
 // library's goroutine stops here, and nothing is noted any more.
-func (q quiet) Fatalf(format string, args ...any) {
+func (q pebbleLogger) Fatalf(format string, args ...any) {
 	q.log.Info("tally given up", "why", fmt.Sprintf(format, args...))
 	select {}
 }
--- a/internal/control/orderlog/orderlog_test.go
+++ b/internal/control/orderlog/orderlog_test.go
@@ -12,7 +12,7 @@
 	"pepperfall.example/pepperfall/api"
 )
 
-func open(fs vfs.FS) (*Tally, []api.Order) {
+func openLog(fs vfs.FS) (*Log, []api.Order) {
 	told := make(chan []api.Order, 1)
 	t := Open(fs, "tally", 0, 3, logr.Discard(), func(all []api.Order) { told <- all })
 	return t, <-told
@@ -25,55 +25,55 @@
 	return s
 }
 
-func TestOverRestarts(t *testing.T) {
+func TestEntriesSurviveRestart(t *testing.T) {
 	fs := vfs.NewMem()
-	x, all := open(fs)
+	x, all := openLog(fs)
 	assert.Equal(t, names(all), "")
 	for _, what := range []string{"r1", "r2", "r3", "r4"} {
-		x.Note(api.Order{What: what})
+		x.Append(api.Order{What: what})
 	}
 	x.Close(time.Minute)
-	x, all = open(fs)
+	x, all = openLog(fs)
 	assert.Equal(t, names(all), "r2 r3 r4 ")
-	x.Note(api.Order{What: "r5"})
+	x.Append(api.Order{What: "r5"})
 	x.Close(time.Minute)
-	x, all = open(fs)
+	x, all = openLog(fs)
 	assert.Equal(t, names(all), "r3 r4 r5 ")
 	x.Close(time.Minute)
 }
 
 // A power loss may take the latest orders, and no more.
-func TestPowerLost(t *testing.T) {
+func TestPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
-	x, _ := open(fs)
-	x.Note(api.Order{What: "r1"})
+	x, _ := openLog(fs)
+	x.Append(api.Order{What: "r1"})
 	x.Close(time.Minute)
-	x, _ = open(fs)
-	x.Note(api.Order{What: "r2"})
+	x, _ = openLog(fs)
+	x.Append(api.Order{What: "r2"})
 	after := fs.CrashClone(vfs.CrashCloneCfg{})
 	x.Close(time.Minute)
-	y, all := open(after)
+	y, all := openLog(after)
 	assert.Equal(t, names(all)[:3], "r1 ")
 	y.Close(time.Minute)
 }
 
 // A disk that takes nothing holds nobody up and ends no process.
-func TestDiskInTrouble(t *testing.T) {
+func TestDiskFailure(t *testing.T) {
 	full := errorfs.ErrInjected.If(errorfs.Writes)
 	x := Open(errorfs.Wrap(vfs.NewMem(), full), "tally", 0, 3, logr.Discard(), func([]api.Order) {})
-	for range 2 * mostWaiting {
-		x.Note(api.Order{What: "r1"})
+	for range 2 * maxQueued {
+		x.Append(api.Order{What: "r1"})
 	}
 	x.Close(time.Second)
 
-	x, _ = open(errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op) error {
+	x, _ = openLog(errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op) error {
 		if op.Kind == errorfs.OpFileWrite && len(op.Path) > 4 && op.Path[len(op.Path)-4:] == ".log" {
 			return errorfs.ErrInjected
 		}
 		return nil
 	})))
-	for range 2 * mostWaiting {
-		x.Note(api.Order{What: "r1"})
+	for range 2 * maxQueued {
+		x.Append(api.Order{What: "r1"})
 	}
 	x.Close(100 * time.Millisecond)
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -103,7 +103,7 @@
 func changes(base state.State, apply func(next *state.State) error) bool {
 	next := base.Clone()
 	next.Version++
-	return apply(&next) == nil && !next.Same(base)
+	return apply(&next) == nil && !next.SameContent(base)
 }
 
 // Show is the configuration in force.
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -170,22 +170,22 @@
 	first := base.Proposer == b.proposer() && b.firstUsed <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
 	b.mu.Unlock()
 	next, refused := b.combined(base, batch)
-	if next.Same(base) && b.stillLatest(ctx, base) {
+	if next.SameContent(base) && b.stillLatest(ctx, base) {
 		answerAll(batch, refused)
 		return true, true
 	}
-	if first && !next.Same(base) {
+	if first && !next.SameContent(base) {
 		return b.attemptFirst(ctx, base, next, batch, refused)
 	}
 	b.mu.Lock()
 	b.rounds = max(b.rounds, b.contents.Record.Promised.Round, quorum.FirstRound) + 1 + uint64(tries)
-	p := quorum.Propose(base, quorum.Ballot{Round: b.rounds, Proposer: b.proposer()})
+	p := quorum.NewProposal(base, quorum.Ballot{Round: b.rounds, Proposer: b.proposer()})
 	b.mu.Unlock()
 	if !b.prepare(ctx, p, base) {
 		return false, b.lost(p, base)
 	}
-	inherited := p.Inherited() != nil
-	if !inherited && next.Same(base) { // a majority has just promised, so base is the newest
+	inherited := p.InheritedValue() != nil
+	if !inherited && next.SameContent(base) { // a majority has just promised, so base is the newest
 		answerAll(batch, refused)
 		return true, true
 	}
@@ -204,7 +204,7 @@
 	b.mu.Lock()
 	b.firstUsed = next.Version
 	b.mu.Unlock()
-	p := quorum.ProposeFirst(base)
+	p := quorum.NewFirstRoundProposal(base)
 	if !b.commit(ctx, p, base, next, batch) {
 		return false, b.lost(p, base)
 	}
@@ -259,18 +259,18 @@
 
 // prepare asks the voters for promises until a majority has given them.
 func (b *Replica) prepare(ctx context.Context, p *quorum.Proposal, base state.State) bool {
-	message := p.Prepare()
+	message := p.PrepareMessage()
 	b.ask(ctx, base.Voters, func(string) peerlink.Ask { return peerlink.Ask{Prepare: &message} }, func(r *peerlink.Reply) {
 		if r.Promise != nil {
-			p.Promised(*r.Promise)
+			p.HandlePromise(*r.Promise)
 		}
-	}, func() bool { return p.Prepared() || p.Hopeless() })
-	return p.Prepared()
+	}, func() bool { return p.IsPrepared() || p.CannotSucceed() })
+	return p.IsPrepared()
 }
 
 // commit has a value accepted, with its configuration where an acceptor lacks that, and announces it once it is decided.
 func (b *Replica) commit(ctx context.Context, p *quorum.Proposal, base, next state.State, batch []*change) bool {
-	message := p.Choose(next)
+	message := p.ChooseValue(next)
 	config := b.configFor(ctx, p, batch)
 	if config == nil && message.Value.Config.Gen > 0 {
 		return false
@@ -283,19 +283,19 @@
 	}
 	b.ask(ctx, voters, func(id string) peerlink.Ask {
 		a := peerlink.Ask{Accept: &message}
-		if config != nil && !p.Holds(id, message.Value.Config) {
+		if config != nil && !p.HasConfig(id, message.Value.Config) {
 			a.Config = config
 		}
 		return a
 	}, func(r *peerlink.Reply) {
 		if r.Accepted != nil {
-			p.Accepted(*r.Accepted)
+			p.HandleAcceptance(*r.Accepted)
 		}
-	}, func() bool { return p.Decided() || p.Hopeless() })
-	if p.Decided() {
+	}, func() bool { return p.IsDecided() || p.CannotSucceed() })
+	if p.IsDecided() {
 		b.announce(p, config)
 	}
-	return p.Decided()
+	return p.IsDecided()
 }
 
 // configFor is the configuration of the value that is proposed: it came with a
@@ -311,7 +311,7 @@
 	config := b.contents.Configs[id.Digest]
 	var from []*link
 	for _, v := range p.Value().Voters {
-		if l := b.linkTo(v.ID); l != nil && p.Holds(v.ID, id) {
+		if l := b.linkTo(v.ID); l != nil && p.HasConfig(v.ID, id) {
 			from = append(from, l)
 		}
 	}
@@ -359,13 +359,13 @@
 func (b *Replica) lost(p *quorum.Proposal, base state.State) (again bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rounds = max(b.rounds, p.Outbid().Round)
+	b.rounds = max(b.rounds, p.HigherBallot().Round)
 	for _, v := range base.Voters {
-		if l := b.linkTo(v.ID); l != nil && p.Behind(v.ID) {
+		if l := b.linkTo(v.ID); l != nil && p.IsBehind(v.ID) {
 			b.tellDecided(l)
 		}
 	}
-	if s := p.Ahead(); s != nil {
+	if s := p.NewerDecided(); s != nil {
 		if s.Config.Gen == 0 || b.contents.Configs[s.Config.Digest] != nil {
 			b.learn(*s)
 		} else if l := b.linkOfHolder(s); l != nil {
--- a/internal/control/quorum/acceptor.go
+++ b/internal/control/quorum/acceptor.go
@@ -75,8 +75,8 @@
 	Value    *state.State // what it has accepted for the next version; nil: nothing
 }
 
-// Prepare answers a proposer's first message.
-func (r *Record) Prepare(p Prepare) Promise {
+// HandlePrepare answers a proposer's first message.
+func (r *Record) HandlePrepare(p Prepare) Promise {
 	m := Promise{ID: r.ID, Version: r.Decided.Version}
 	switch {
 	case p.Version <= r.Decided.Version:
@@ -93,9 +93,9 @@
 	return m
 }
 
-// Accept answers a proposer's second message. The configuration that the value
+// HandleAccept answers a proposer's second message. The configuration that the value
 // names has to be on the replica's disk with the record.
-func (r *Record) Accept(a Accept) Acceptance {
+func (r *Record) HandleAccept(a Accept) Acceptance {
 	m := Acceptance{ID: r.ID, Version: r.Decided.Version}
 	switch {
 	case a.Version <= r.Decided.Version:
--- a/internal/control/quorum/explore_test.go
+++ b/internal/control/quorum/explore_test.go
@@ -15,81 +15,81 @@
 )
 
 var (
-	walks      = flag.Int("quorum.walks", 200, "how many random walks are made through each model")
-	mostStates = flag.Int("quorum.states", 500, "how many states of each model are visited in order, at most")
+	walkCount = flag.Int("quorum.walks", 200, "how many random walks are made through each model")
+	maxStates = flag.Int("quorum.states", 500, "how many states of each model are visited in order, at most")
 )
 
-// stepsOfWalk is how long a walk is at most.
-const stepsOfWalk = 60
+// stepsPerWalk is how long a walk is at most.
+const stepsPerWalk = 60
 
-// walksForFaults are enough to find each fault that is planted.
-const walksForFaults = 40_000
+// walksPerInjectedFault are enough to find each fault that is planted.
+const walksPerInjectedFault = 40_000
 
 // rules are the steps of the protocol, each of which a test may break on purpose.
 type rules struct {
-	prepare   func(r *Record, p Prepare) Promise
-	accept    func(r *Record, a Accept) Acceptance
-	learn     func(r *Record, s state.State)
-	inherited func(p *Proposal) *state.State
-	decided   func(p *Proposal) bool
-	latest    func(base state.State, reports map[string]Report) bool
-	wiped     func(id string) string          // the identity after a disk was lost
-	crashed   func(before, now Record) Record // what is on disk after a crash; before: at the last message but one
+	prepare          func(r *Record, p Prepare) Promise
+	accept           func(r *Record, a Accept) Acceptance
+	learn            func(r *Record, s state.State)
+	inheritedValue   func(p *Proposal) *state.State
+	isDecided        func(p *Proposal) bool
+	isLatest         func(base state.State, reports map[string]Report) bool
+	idAfterWipe      func(id string) string          // the identity after a disk was lost
+	recordAfterCrash func(before, now Record) Record // what is on disk after a crash; before: at the last message but one
 }
 
-func sound() rules {
+func correctRules() rules {
 	return rules{
-		prepare:   (*Record).Prepare,
-		accept:    (*Record).Accept,
-		learn:     func(r *Record, s state.State) { r.Learn(s) },
-		inherited: (*Proposal).Inherited,
-		decided:   (*Proposal).Decided,
-		latest:    IsLatest,
-		wiped:     func(id string) string { return id + "'" },
-		crashed:   func(_, now Record) Record { return now },
+		prepare:          (*Record).HandlePrepare,
+		accept:           (*Record).HandleAccept,
+		learn:            func(r *Record, s state.State) { r.Learn(s) },
+		inheritedValue:   (*Proposal).InheritedValue,
+		isDecided:        (*Proposal).IsDecided,
+		isLatest:         IsLatest,
+		idAfterWipe:      func(id string) string { return id + "'" },
+		recordAfterCrash: func(_, now Record) Record { return now },
 	}
 }
 
-// attemptPlan is a proposal that a model may make at any moment, once.
-type attemptPlan struct {
-	by     int    // the replica
-	round  uint64 // FirstRound: without promises, by the proposer of what is decided there
-	change func(s state.State) state.State
+// plannedProposal is a proposal that a model may make at any moment, once.
+type plannedProposal struct {
+	replica int    // the replica
+	round   uint64 // FirstRound: without promises, by the proposer of what is decided there
+	change  func(s state.State) state.State
 }
 
 // model is a small system: what may happen in it, in any order.
 type model struct {
 	voters, replicas int
-	plans            []attemptPlan
+	plans            []plannedProposal
 	crashes, wipes   int
-	lossless         bool // no answer is lost
-	deaf             bool // nobody learns but by proposing
-	crashed          int  // the only replica that crashes; 0: any
+	noReplyLost      bool // no answer is lost
+	noLearning       bool // nobody learns but by proposing
+	onlyCrashing     int  // the only replica that crashes; 0: any
 }
 
-// running is a proposal under way.
-type running struct {
-	p        *Proposal
-	alive    bool
-	chosen   bool
-	prepared map[int]bool // asked
-	accepted map[int]bool // asked
-	message  Accept
+// runningProposal is a proposal under way.
+type runningProposal struct {
+	proposal  *Proposal
+	isRunning bool
+	hasChosen bool
+	prepared  map[int]bool // asked
+	accepted  map[int]bool // asked
+	message   Accept
 }
 
-// world is one state of a model.
-type world struct {
-	records []Record
-	before  []Record // at the last message but one
-	running []*running
-	crashes int
-	wipes   int
-	decided map[uint64]state.State
-	broken  string
+// systemState is one state of a model.
+type systemState struct {
+	records         []Record
+	previousRecords []Record // at the last message but one
+	running         []*runningProposal
+	crashes         int
+	wipes           int
+	decided         map[uint64]state.State
+	violation       string
 }
 
-func (w *world) clone() *world {
-	x := &world{records: slices.Clone(w.records), before: slices.Clone(w.before), crashes: w.crashes, wipes: w.wipes, decided: maps.Clone(w.decided)}
+func (w *systemState) clone() *systemState {
+	x := &systemState{records: slices.Clone(w.records), previousRecords: slices.Clone(w.previousRecords), crashes: w.crashes, wipes: w.wipes, decided: maps.Clone(w.decided)}
 	for _, r := range w.running {
 		if r == nil {
 			x.running = append(x.running, nil)
@@ -97,35 +97,35 @@
 		}
 		c := *r
 		c.prepared, c.accepted = maps.Clone(r.prepared), maps.Clone(r.accepted)
-		p := *r.p
+		p := *r.proposal
 		p.promises, p.accepted, p.refused, p.behind = maps.Clone(p.promises), maps.Clone(p.accepted), maps.Clone(p.refused), maps.Clone(p.behind)
-		c.p = &p
+		c.proposal = &p
 		x.running = append(x.running, &c)
 	}
 	return x
 }
 
-func (w *world) key() uint64 {
+func (w *systemState) key() uint64 {
 	b := fnv.New64a()
 	for i := range w.records {
 		r := &w.records[i]
-		fmt.Fprintf(b, "%s %d %v %v %s;", r.ID, r.Decided.Version, r.Promised, r.Accepted, brief(r.Value))
+		fmt.Fprintf(b, "%s %d %v %v %s;", r.ID, r.Decided.Version, r.Promised, r.Accepted, summarize(r.Value))
 	}
 	for _, r := range w.running {
 		if r == nil {
 			fmt.Fprint(b, "-;")
 			continue
 		}
-		fmt.Fprintf(b, "%v %v %v %v %s %v %v;", r.alive, r.chosen, r.prepared, r.accepted, brief(r.p.value), slices.Sorted(maps.Keys(r.p.promises)), r.p.accepted)
-		for _, id := range slices.Sorted(maps.Keys(r.p.promises)) {
-			fmt.Fprintf(b, "%v %s,", r.p.promises[id].Accepted, brief(r.p.promises[id].Value))
+		fmt.Fprintf(b, "%v %v %v %v %s %v %v;", r.isRunning, r.hasChosen, r.prepared, r.accepted, summarize(r.proposal.value), slices.Sorted(maps.Keys(r.proposal.promises)), r.proposal.accepted)
+		for _, id := range slices.Sorted(maps.Keys(r.proposal.promises)) {
+			fmt.Fprintf(b, "%v %s,", r.proposal.promises[id].Accepted, summarize(r.proposal.promises[id].Value))
 		}
 	}
 	fmt.Fprintf(b, "%d %d %d", w.crashes, w.wipes, len(w.decided))
 	return b.Sum64()
 }
 
-func brief(s *state.State) string {
+func summarize(s *state.State) string {
 	if s == nil {
 		return "none"
 	}
@@ -134,18 +134,18 @@
 
 func voterID(i int) string { return string(rune('a' + i)) }
 
-func (m *model) start() *world {
+func (m *model) start() *systemState {
 	var voters []state.Voter
 	for i := range m.voters {
 		voters = append(voters, state.Voter{ID: voterID(i)})
 	}
 	genesis := state.Genesis(voters)
 	genesis.Proposer = "p0"
-	w := &world{decided: map[uint64]state.State{1: genesis}, running: make([]*running, len(m.plans))}
+	w := &systemState{decided: map[uint64]state.State{1: genesis}, running: make([]*runningProposal, len(m.plans))}
 	for i := range m.replicas {
 		w.records = append(w.records, Record{ID: voterID(i), Decided: genesis})
 	}
-	w.before = slices.Clone(w.records)
+	w.previousRecords = slices.Clone(w.records)
 	return w
 }
 
@@ -153,7 +153,7 @@
 func explore(m model, r rules, most int) (states int, all bool, broken string) {
 	first := m.start()
 	seen := map[uint64]bool{first.key(): true}
-	stack := []*world{first}
+	stack := []*systemState{first}
 	for len(stack) > 0 {
 		w := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -178,7 +178,7 @@
 	for seed := range uint64(walks) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		w := m.start()
-		for range stepsOfWalk {
+		for range stepsPerWalk {
 			steps := m.steps(w, &r)
 			if len(steps) == 0 {
 				break
@@ -194,9 +194,9 @@
 }
 
 // check tells what is broken; decisions are checked when they are made.
-func (w *world) check(r *rules) string {
-	if w.broken != "" || len(w.decided) == 1 {
-		return w.broken
+func (w *systemState) check(r *rules) string {
+	if w.violation != "" || len(w.decided) == 1 {
+		return w.violation
 	}
 	n := len(w.records)
 	for subset := 1; subset < 1<<n; subset++ {
@@ -208,11 +208,11 @@
 		}
 		for i := range n {
 			base := w.records[i].Decided
-			if base.Version == 0 || !r.latest(base, reports) {
+			if base.Version == 0 || !r.isLatest(base, reports) {
 				continue
 			}
 			for v, s := range w.decided {
-				if v > base.Version && !onlyVoters(base, s) {
+				if v > base.Version && !differOnlyInVoters(base, s) {
 					return fmt.Sprintf("version %d is called the latest, though %d is decided", base.Version, v)
 				}
 			}
@@ -222,32 +222,32 @@
 }
 
 // steps are all that may happen next.
-func (m *model) steps(w *world, r *rules) (all []func(x *world)) {
-	add := func(does func(x *world)) { all = append(all, does) }
+func (m *model) steps(w *systemState, r *rules) (all []func(x *systemState)) {
+	add := func(does func(x *systemState)) { all = append(all, does) }
 	for k := range m.plans {
-		m.stepsOf(w, r, k, add)
+		m.proposalSteps(w, r, k, add)
 	}
 	for i := range w.records {
 		for j := range w.records {
-			if m.deaf {
+			if m.noLearning {
 				break
 			}
 			if s := w.records[j].Decided; s.Version > w.records[i].Decided.Version {
-				add(func(x *world) { x.before[i] = x.records[i]; r.learn(&x.records[i], s) })
+				add(func(x *systemState) { x.previousRecords[i] = x.records[i]; r.learn(&x.records[i], s) })
 			}
 		}
-		if w.crashes < m.crashes && (m.crashed == 0 || m.crashed == i) {
-			add(func(x *world) {
+		if w.crashes < m.crashes && (m.onlyCrashing == 0 || m.onlyCrashing == i) {
+			add(func(x *systemState) {
 				x.crashes++
-				x.records[i] = r.crashed(x.before[i], x.records[i])
+				x.records[i] = r.recordAfterCrash(x.previousRecords[i], x.records[i])
 				m.kill(x, i)
 			})
 		}
 		if w.wipes < m.wipes {
-			add(func(x *world) {
+			add(func(x *systemState) {
 				x.wipes++
-				x.records[i] = Record{ID: r.wiped(x.records[i].ID)}
-				x.before[i] = x.records[i]
+				x.records[i] = Record{ID: r.idAfterWipe(x.records[i].ID)}
+				x.previousRecords[i] = x.records[i]
 				m.kill(x, i)
 			})
 		}
@@ -256,118 +256,118 @@
 }
 
 // kill ends the proposals of a replica's process.
-func (m *model) kill(x *world, i int) {
+func (m *model) kill(x *systemState, i int) {
 	for k, run := range x.running {
-		if run != nil && m.plans[k].by == i {
-			run.alive = false
+		if run != nil && m.plans[k].replica == i {
+			run.isRunning = false
 		}
 	}
 }
 
-// stepsOf are those of one proposal: a question and its answer are one step, and the answer may be lost.
-func (m *model) stepsOf(w *world, r *rules, k int, add func(func(x *world))) {
+// proposalSteps are those of one proposal: a question and its answer are one step, and the answer may be lost.
+func (m *model) proposalSteps(w *systemState, r *rules, k int, add func(func(x *systemState))) {
 	plan, run := &m.plans[k], w.running[k]
-	base := w.records[plan.by].Decided
+	base := w.records[plan.replica].Decided
 	if run == nil {
-		if base.Version > 0 && (plan.round != FirstRound || base.Proposer == proposerOf(plan.by)) {
-			add(func(x *world) { x.running[k] = m.begin(plan, base, r) })
+		if base.Version > 0 && (plan.round != FirstRound || base.Proposer == proposerID(plan.replica)) {
+			add(func(x *systemState) { x.running[k] = m.begin(plan, base, r) })
 		}
 		return
 	}
-	if !run.alive {
+	if !run.isRunning {
 		return
 	}
 	for i := range w.records {
-		if plan.round != FirstRound && !run.prepared[i] && !run.chosen {
-			for _, lost := range m.losses() {
-				add(func(x *world) {
+		if plan.round != FirstRound && !run.prepared[i] && !run.hasChosen {
+			for _, lost := range m.replyLossOptions() {
+				add(func(x *systemState) {
 					run := x.running[k]
 					run.prepared[i] = true
-					x.before[i] = x.records[i]
-					if reply := r.prepare(&x.records[i], run.p.Prepare()); !lost {
-						run.p.Promised(reply)
+					x.previousRecords[i] = x.records[i]
+					if reply := r.prepare(&x.records[i], run.proposal.PrepareMessage()); !lost {
+						run.proposal.HandlePromise(reply)
 					}
 				})
 			}
 		}
-		if run.chosen && !run.accepted[i] {
-			for _, lost := range m.losses() {
-				add(func(x *world) {
+		if run.hasChosen && !run.accepted[i] {
+			for _, lost := range m.replyLossOptions() {
+				add(func(x *systemState) {
 					run := x.running[k]
 					run.accepted[i] = true
-					x.before[i] = x.records[i]
+					x.previousRecords[i] = x.records[i]
 					if reply := r.accept(&x.records[i], run.message); !lost {
-						run.p.Accepted(reply)
-						x.decide(run, plan.by, r)
+						run.proposal.HandleAcceptance(reply)
+						x.recordDecision(run, plan.replica, r)
 					}
 				})
 			}
 		}
 	}
-	if plan.round != FirstRound && !run.chosen && run.p.Prepared() {
-		add(func(x *world) { x.running[k].choose(plan, r) })
+	if plan.round != FirstRound && !run.hasChosen && run.proposal.IsPrepared() {
+		add(func(x *systemState) { x.running[k].choose(plan, r) })
 	}
 }
 
-func proposerOf(by int) string { return fmt.Sprint("p", by) }
+func proposerID(by int) string { return fmt.Sprint("p", by) }
 
-func (m *model) begin(plan *attemptPlan, base state.State, r *rules) *running {
-	run := &running{alive: true, prepared: map[int]bool{}, accepted: map[int]bool{}}
-	run.p = Propose(base, Ballot{Round: plan.round, Proposer: proposerOf(plan.by)})
+func (m *model) begin(plan *plannedProposal, base state.State, r *rules) *runningProposal {
+	run := &runningProposal{isRunning: true, prepared: map[int]bool{}, accepted: map[int]bool{}}
+	run.proposal = NewProposal(base, Ballot{Round: plan.round, Proposer: proposerID(plan.replica)})
 	if plan.round == FirstRound {
-		run.p = ProposeFirst(base)
+		run.proposal = NewFirstRoundProposal(base)
 		run.choose(plan, r)
 	}
 	return run
 }
 
-func (run *running) choose(plan *attemptPlan, r *rules) {
-	next := plan.change(run.p.base.Clone())
-	next.Proposer = proposerOf(plan.by)
-	if inherited := r.inherited(run.p); inherited != nil {
+func (run *runningProposal) choose(plan *plannedProposal, r *rules) {
+	next := plan.change(run.proposal.base.Clone())
+	next.Proposer = proposerID(plan.replica)
+	if inherited := r.inheritedValue(run.proposal); inherited != nil {
 		next = *inherited
 	}
-	next.Version = run.p.base.Version + 1
-	run.p.value = &next
-	run.message = Accept{Version: next.Version, Ballot: run.p.ballot, Value: next}
-	run.chosen = true
+	next.Version = run.proposal.base.Version + 1
+	run.proposal.value = &next
+	run.message = Accept{Version: next.Version, Ballot: run.proposal.ballot, Value: next}
+	run.hasChosen = true
 }
 
-// decide notes a decision and checks it.
-func (x *world) decide(run *running, by int, r *rules) {
-	if !r.decided(run.p) {
+// recordDecision notes a decision and checks it.
+func (x *systemState) recordDecision(run *runningProposal, by int, r *rules) {
+	if !r.isDecided(run.proposal) {
 		return
 	}
-	s := *run.p.value
-	run.alive = false
-	if was, ok := x.decided[s.Version]; ok && !(was.Same(s) && was.Proposer == s.Proposer) {
-		x.broken = fmt.Sprintf("two values of version %d: %s and %s", s.Version, brief(&was), brief(&s))
+	s := *run.proposal.value
+	run.isRunning = false
+	if was, ok := x.decided[s.Version]; ok && !(was.SameContent(s) && was.Proposer == s.Proposer) {
+		x.violation = fmt.Sprintf("two values of version %d: %s and %s", s.Version, summarize(&was), summarize(&s))
 	}
-	if was := x.decided[s.Version-1]; !was.Same(run.p.base) {
-		x.broken = fmt.Sprintf("version %d follows %s, not what was decided", s.Version, brief(&run.p.base))
+	if was := x.decided[s.Version-1]; !was.SameContent(run.proposal.base) {
+		x.violation = fmt.Sprintf("version %d follows %s, not what was decided", s.Version, summarize(&run.proposal.base))
 	}
 	x.decided[s.Version] = s
-	x.before[by] = x.records[by]
+	x.previousRecords[by] = x.records[by]
 	r.learn(&x.records[by], s)
 }
 
-// losses are whether an answer may be lost.
-func (m *model) losses() []bool {
-	if m.lossless {
+// replyLossOptions are whether an answer may be lost.
+func (m *model) replyLossOptions() []bool {
+	if m.noReplyLost {
 		return []bool{false}
 	}
 	return []bool{false, true}
 }
 
-func config(gen uint64) func(s state.State) state.State {
+func setConfig(gen uint64) func(s state.State) state.State {
 	return func(s state.State) state.State {
 		s.Config = state.ConfigID{Gen: gen}
 		return s
 	}
 }
 
-// replace puts one voter in place of another; an empty one adds or removes.
-func replace(old, by string) func(s state.State) state.State {
+// replaceVoter puts one voter in place of another; an empty one adds or removes.
+func replaceVoter(old, by string) func(s state.State) state.State {
 	return func(s state.State) state.State {
 		var after []state.Voter
 		for _, v := range s.Voters {
@@ -383,44 +383,44 @@
 }
 
 var models = map[string]model{
-	"two proposers":          {voters: 3, replicas: 3, crashes: 1, plans: []attemptPlan{{0, 2, config(1)}, {1, 3, config(2)}}},
-	"three proposers":        {voters: 3, replicas: 3, plans: []attemptPlan{{0, 2, config(1)}, {1, 3, config(2)}, {2, 4, config(3)}}},
-	"a disk is lost":         {voters: 3, replicas: 3, wipes: 1, plans: []attemptPlan{{0, 2, config(1)}, {1, 3, config(2)}, {2, 4, replace("a", "a'")}}},
-	"a voter is replaced":    {voters: 3, replicas: 4, crashes: 1, plans: []attemptPlan{{0, 2, replace("c", "d")}, {1, 3, config(2)}, {2, 4, config(3)}}},
-	"a voter joins":          {voters: 3, replicas: 4, plans: []attemptPlan{{0, 2, replace("", "d")}, {1, 3, config(2)}, {3, 4, config(3)}}},
-	"a voter leaves":         {voters: 4, replicas: 4, plans: []attemptPlan{{0, 2, replace("d", "")}, {3, 3, config(2)}, {1, 4, config(3)}}},
-	"one phase":              {voters: 3, replicas: 3, plans: []attemptPlan{{0, FirstRound, config(1)}, {1, 2, config(2)}, {0, 3, config(3)}}},
-	"one phase, then two":    {voters: 3, replicas: 3, crashes: 1, plans: []attemptPlan{{0, FirstRound, config(1)}, {0, 2, config(4)}, {1, 3, config(2)}}},
-	"one forgets":            {voters: 3, replicas: 3, crashes: 1, crashed: 2, lossless: true, deaf: true, plans: []attemptPlan{{0, 2, config(1)}, {1, 3, config(2)}}},
-	"three, none lost":       {voters: 3, replicas: 3, lossless: true, deaf: true, plans: []attemptPlan{{0, 2, config(1)}, {1, 3, config(2)}, {2, 4, config(3)}}},
-	"two, none lost":         {voters: 3, replicas: 3, lossless: true, deaf: true, plans: []attemptPlan{{0, 2, config(1)}, {1, 3, config(2)}}},
-	"replaced, then changed": {voters: 3, replicas: 4, lossless: true, plans: []attemptPlan{{0, 2, replace("c", "d")}, {0, 3, config(2)}, {3, 4, config(3)}}},
-	"five voters":            {voters: 5, replicas: 5, plans: []attemptPlan{{0, 2, config(1)}, {4, 3, config(2)}}},
+	"two proposers":          {voters: 3, replicas: 3, crashes: 1, plans: []plannedProposal{{0, 2, setConfig(1)}, {1, 3, setConfig(2)}}},
+	"three proposers":        {voters: 3, replicas: 3, plans: []plannedProposal{{0, 2, setConfig(1)}, {1, 3, setConfig(2)}, {2, 4, setConfig(3)}}},
+	"a disk is lost":         {voters: 3, replicas: 3, wipes: 1, plans: []plannedProposal{{0, 2, setConfig(1)}, {1, 3, setConfig(2)}, {2, 4, replaceVoter("a", "a'")}}},
+	"a voter is replaced":    {voters: 3, replicas: 4, crashes: 1, plans: []plannedProposal{{0, 2, replaceVoter("c", "d")}, {1, 3, setConfig(2)}, {2, 4, setConfig(3)}}},
+	"a voter joins":          {voters: 3, replicas: 4, plans: []plannedProposal{{0, 2, replaceVoter("", "d")}, {1, 3, setConfig(2)}, {3, 4, setConfig(3)}}},
+	"a voter leaves":         {voters: 4, replicas: 4, plans: []plannedProposal{{0, 2, replaceVoter("d", "")}, {3, 3, setConfig(2)}, {1, 4, setConfig(3)}}},
+	"one phase":              {voters: 3, replicas: 3, plans: []plannedProposal{{0, FirstRound, setConfig(1)}, {1, 2, setConfig(2)}, {0, 3, setConfig(3)}}},
+	"one phase, then two":    {voters: 3, replicas: 3, crashes: 1, plans: []plannedProposal{{0, FirstRound, setConfig(1)}, {0, 2, setConfig(4)}, {1, 3, setConfig(2)}}},
+	"one forgets":            {voters: 3, replicas: 3, crashes: 1, onlyCrashing: 2, noReplyLost: true, noLearning: true, plans: []plannedProposal{{0, 2, setConfig(1)}, {1, 3, setConfig(2)}}},
+	"three, none lost":       {voters: 3, replicas: 3, noReplyLost: true, noLearning: true, plans: []plannedProposal{{0, 2, setConfig(1)}, {1, 3, setConfig(2)}, {2, 4, setConfig(3)}}},
+	"two, none lost":         {voters: 3, replicas: 3, noReplyLost: true, noLearning: true, plans: []plannedProposal{{0, 2, setConfig(1)}, {1, 3, setConfig(2)}}},
+	"replaced, then changed": {voters: 3, replicas: 4, noReplyLost: true, plans: []plannedProposal{{0, 2, replaceVoter("c", "d")}, {0, 3, setConfig(2)}, {3, 4, setConfig(3)}}},
+	"five voters":            {voters: 5, replicas: 5, plans: []plannedProposal{{0, 2, setConfig(1)}, {4, 3, setConfig(2)}}},
 }
 
 // In no order of steps, with answers lost, processes killed, disks lost and voters changed, are two values decided for
 // one version, does a decision rest on anything but the decision before it, or does a majority call the latest what is not.
-func TestNoTwoDecisions(t *testing.T) {
+func TestNoConflictingDecisions(t *testing.T) {
 	for name, m := range models {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, all, broken := explore(m, sound(), *mostStates)
+			states, all, broken := explore(m, correctRules(), *maxStates)
 			assert.Equal(t, broken, "")
-			walked, broken := walk(m, sound(), *walks)
+			walked, broken := walk(m, correctRules(), *walkCount)
 			assert.Equal(t, broken, "")
-			t.Logf("%d states in order (all: %v), %d on %d walks", states, all, walked, *walks)
+			t.Logf("%d states in order (all: %v), %d on %d walks", states, all, walked, *walkCount)
 		})
 	}
 }
 
 // Each part of the mechanism is needed: without it some order of steps breaks an invariant.
-func TestPlantedFaults(t *testing.T) {
+func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, plant := range map[string]struct {
 		in    string
 		plant func(r *rules)
 	}{
 		"a promise is not on disk": {"one forgets", func(r *rules) {
-			r.crashed = func(before, now Record) Record {
+			r.recordAfterCrash = func(before, now Record) Record {
 				if now.Promised.Above(before.Promised) && now.Accepted == before.Accepted {
 					return before
 				}
@@ -428,7 +428,7 @@
 			}
 		}},
 		"an accepted value is not on disk": {"two proposers", func(r *rules) {
-			r.crashed = func(before, now Record) Record {
+			r.recordAfterCrash = func(before, now Record) Record {
 				if now.Accepted.Above(before.Accepted) {
 					return before
 				}
@@ -441,7 +441,7 @@
 				if a.Version == x.Decided.Version+1 && promised.Above(a.Ballot) {
 					x.Promised = Ballot{}
 				}
-				m := x.Accept(a)
+				m := x.HandleAccept(a)
 				if promised.Above(x.Promised) {
 					x.Promised = promised
 				}
@@ -450,16 +450,16 @@
 		}},
 		"a promise does not tell what was accepted": {"two, none lost", func(r *rules) {
 			r.prepare = func(x *Record, p Prepare) Promise {
-				m := x.Prepare(p)
+				m := x.HandlePrepare(p)
 				m.Accepted, m.Value = Ballot{}, nil
 				return m
 			}
 		}},
 		"an inherited value is not taken over": {"two, none lost", func(r *rules) {
-			r.inherited = func(*Proposal) *state.State { return nil }
+			r.inheritedValue = func(*Proposal) *state.State { return nil }
 		}},
 		"the value of the lowest ballot is taken over": {"three, none lost", func(r *rules) {
-			r.inherited = func(p *Proposal) *state.State {
+			r.inheritedValue = func(p *Proposal) *state.State {
 				var least Ballot
 				var value *state.State
 				for _, m := range p.promises {
@@ -471,13 +471,13 @@
 			}
 		}},
 		"a minority decides": {"two proposers", func(r *rules) {
-			r.decided = func(p *Proposal) bool { return p.value != nil && len(p.accepted) > 0 }
+			r.isDecided = func(p *Proposal) bool { return p.value != nil && len(p.accepted) > 0 }
 		}},
 		"a learner is counted": {"a voter joins", func(r *rules) {
-			r.decided = func(p *Proposal) bool { return p.value != nil && len(p.accepted) >= Majority(len(p.base.Voters)) }
+			r.isDecided = func(p *Proposal) bool { return p.value != nil && len(p.accepted) >= Majority(len(p.base.Voters)) }
 		}},
 		"the new voters alone decide": {"a voter is replaced", func(r *rules) {
-			r.decided = func(p *Proposal) bool {
+			r.isDecided = func(p *Proposal) bool {
 				return p.value != nil && IsMajority(p.value.Voters, func(id string) bool { return p.accepted[id] })
 			}
 		}},
@@ -486,47 +486,47 @@
 				if p.Version > x.Decided.Version+1 {
 					return Promise{ID: x.ID, Granted: true, Version: x.Decided.Version}
 				}
-				return x.Prepare(p)
+				return x.HandlePrepare(p)
 			}
 			r.accept = func(x *Record, a Accept) Acceptance {
 				if a.Version > x.Decided.Version+1 {
 					return Acceptance{ID: x.ID, Granted: true, Version: x.Decided.Version}
 				}
-				return x.Accept(a)
+				return x.HandleAccept(a)
 			}
-			r.latest = func(base state.State, reports map[string]Report) bool { return IsLatest(base, reports) }
+			r.isLatest = func(base state.State, reports map[string]Report) bool { return IsLatest(base, reports) }
 		}},
 		"a disk that was lost keeps its identity": {"a disk is lost", func(r *rules) {
-			r.wiped = func(id string) string { return id }
+			r.idAfterWipe = func(id string) string { return id }
 		}},
 		"a decided version is proposed again": {"two proposers", func(r *rules) {
 			r.prepare = func(x *Record, p Prepare) Promise {
 				if p.Version == x.Decided.Version {
 					return Promise{ID: x.ID, Granted: true, Version: x.Decided.Version}
 				}
-				return x.Prepare(p)
+				return x.HandlePrepare(p)
 			}
 			r.accept = func(x *Record, a Accept) Acceptance {
 				if a.Version == x.Decided.Version {
 					return Acceptance{ID: x.ID, Granted: true, Version: x.Decided.Version}
 				}
-				return x.Accept(a)
+				return x.HandleAccept(a)
 			}
 		}},
 		"what was accepted is not asked for by readers": {"two proposers", func(r *rules) {
-			r.latest = func(base state.State, reports map[string]Report) bool {
+			r.isLatest = func(base state.State, reports map[string]Report) bool {
 				return IsMajority(base.Voters, func(id string) bool { m, ok := reports[id]; return ok && m.Version <= base.Version })
 			}
 		}},
 		"readers ask a minority": {"two proposers", func(r *rules) {
-			r.latest = func(base state.State, reports map[string]Report) bool {
+			r.isLatest = func(base state.State, reports map[string]Report) bool {
 				m, ok := reports[base.Voters[0].ID]
 				return ok && m.Version <= base.Version && m.Value == nil
 			}
 		}},
 		"what is decided is forgotten for what is older": {"two proposers", func(r *rules) {
 			r.prepare = func(x *Record, p Prepare) Promise {
-				m := x.Prepare(p)
+				m := x.HandlePrepare(p)
 				if m.Granted {
 					x.Accepted, x.Value = Ballot{}, nil
 				}
@@ -536,9 +536,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := sound()
+			r := correctRules()
 			plant.plant(&r)
-			states, broken := walk(models[plant.in], r, walksForFaults)
+			states, broken := walk(models[plant.in], r, walksPerInjectedFault)
 			assert.Assert(t, broken != "", "not found in %d states", states)
 			t.Logf("%s, after %d states", broken, states)
 		})
@@ -547,16 +547,16 @@
 
 // The first round belongs to one proposer, and to one value of its.
 func TestFirstRoundTwice(t *testing.T) {
-	m := model{voters: 3, replicas: 3, plans: []attemptPlan{{0, FirstRound, config(1)}, {0, FirstRound, config(2)}}}
-	_, broken := walk(m, sound(), walksForFaults)
+	m := model{voters: 3, replicas: 3, plans: []plannedProposal{{0, FirstRound, setConfig(1)}, {0, FirstRound, setConfig(2)}}}
+	_, broken := walk(m, correctRules(), walksPerInjectedFault)
 	assert.Assert(t, broken != "")
 }
 
 // Voters were about to change: a majority of the old ones that know of nothing more is not enough, as the new ones may
 // have decided one version more.
-func TestReadersAskTheVotersThatAreToCome(t *testing.T) {
+func TestIsLatestNeedsMajorityOfNewVoters(t *testing.T) {
 	base := state.Genesis([]state.Voter{{ID: "a"}, {ID: "b"}, {ID: "c"}})
-	next := replace("c", "d")(base)
+	next := replaceVoter("c", "d")(base)
 	next.Version++
 	reports := map[string]Report{
 		"b": {ID: "b", Version: 1, Accepted: Ballot{Round: 2}, Value: &next},
@@ -567,7 +567,7 @@
 	assert.Assert(t, IsLatest(base, reports))
 	reports["d"] = Report{ID: "d", Version: 2}
 	assert.Assert(t, !IsLatest(base, reports))
-	changed := config(7)(next)
+	changed := setConfig(7)(next)
 	reports["b"] = Report{ID: "b", Version: 1, Accepted: Ballot{Round: 2}, Value: &changed}
 	reports["d"] = Report{ID: "d", Version: 1}
 	assert.Assert(t, !IsLatest(base, reports)) // b may be one of a majority that has decided another configuration
--- a/internal/control/quorum/proposal.go
+++ b/internal/control/quorum/proposal.go
@@ -22,35 +22,37 @@
 // Proposal is one attempt, under one ballot, to decide the version after a decided
 // state. It is not safe for use by several goroutines.
 type Proposal struct {
-	base     state.State
-	ballot   Ballot
-	promises map[string]Promise
-	value    *state.State
-	accepted map[string]bool
-	refused  map[string]bool
-	outbid   Ballot
-	ahead    *state.State
-	behind   map[string]uint64
-}
-
-// Propose begins an attempt.
-func Propose(base state.State, ballot Ballot) *Proposal {
+	base         state.State
+	ballot       Ballot
+	promises     map[string]Promise
+	value        *state.State
+	accepted     map[string]bool
+	refused      map[string]bool
+	higherBallot Ballot
+	newerDecided *state.State
+	behind       map[string]uint64
+}
+
+// NewProposal begins an attempt.
+func NewProposal(base state.State, ballot Ballot) *Proposal {
 	return &Proposal{base: base, ballot: ballot, promises: map[string]Promise{}, accepted: map[string]bool{}, refused: map[string]bool{}, behind: map[string]uint64{}}
 }
 
-// ProposeFirst begins an attempt under FirstRound, which starts with Choose. The proposer has to be the one of base,
+// NewFirstRoundProposal begins an attempt under FirstRound, which starts with Choose. The proposer has to be the one of base,
 // and must not have used that round for the version after it before.
-func ProposeFirst(base state.State) *Proposal {
-	return Propose(base, Ballot{Round: FirstRound, Proposer: base.Proposer})
+func NewFirstRoundProposal(base state.State) *Proposal {
+	return NewProposal(base, Ballot{Round: FirstRound, Proposer: base.Proposer})
 }
 
-// Prepare is the first message, for all voters of the base.
-func (p *Proposal) Prepare() Prepare { return Prepare{Version: p.base.Version + 1, Ballot: p.ballot} }
+// PrepareMessage is the first message, for all voters of the base.
+func (p *Proposal) PrepareMessage() Prepare {
+	return Prepare{Version: p.base.Version + 1, Ballot: p.ballot}
+}
 
-// Promised takes an answer to Prepare in. Answers of others than the base's
+// HandlePromise takes an answer to Prepare in. Answers of others than the base's
 // voters don't count.
-func (p *Proposal) Promised(m Promise) {
-	p.hear(m.ID, m.Promised, m.Decided)
+func (p *Proposal) HandlePromise(m Promise) {
+	p.noteReply(m.ID, m.Promised, m.Decided)
 	if m.Granted {
 		p.promises[m.ID] = m
 	} else if m.Version < p.base.Version {
@@ -58,26 +60,26 @@
 	}
 }
 
-func (p *Proposal) hear(id string, promised Ballot, decided *state.State) {
+func (p *Proposal) noteReply(id string, promised Ballot, decided *state.State) {
 	if _, is := p.base.Voter(id); is && promised != (Ballot{}) {
 		p.refused[id] = true
 	}
-	if promised.Above(p.outbid) {
-		p.outbid = promised
+	if promised.Above(p.higherBallot) {
+		p.higherBallot = promised
 	}
-	if decided != nil && (p.ahead == nil || decided.Version > p.ahead.Version) {
-		p.ahead = decided
+	if decided != nil && (p.newerDecided == nil || decided.Version > p.newerDecided.Version) {
+		p.newerDecided = decided
 	}
 }
 
-// Prepared tells whether a majority of the base's voters has promised.
-func (p *Proposal) Prepared() bool {
+// IsPrepared tells whether a majority of the base's voters has promised.
+func (p *Proposal) IsPrepared() bool {
 	return IsMajority(p.base.Voters, func(id string) bool { _, ok := p.promises[id]; return ok })
 }
 
-// Inherited is the value that has to be proposed, as a majority may have accepted
+// InheritedValue is the value that has to be proposed, as a majority may have accepted
 // it already; nil: any value may be.
-func (p *Proposal) Inherited() *state.State {
+func (p *Proposal) InheritedValue() *state.State {
 	var ballot Ballot
 	var value *state.State
 	for _, v := range p.base.Voters {
@@ -88,10 +90,10 @@
 	return value
 }
 
-// Choose sets the value and returns the second message, for all voters of the
+// ChooseValue sets the value and returns the second message, for all voters of the
 // base and of the value. A value that was inherited goes before v.
-func (p *Proposal) Choose(v state.State) Accept {
-	if inherited := p.Inherited(); inherited != nil {
+func (p *Proposal) ChooseValue(v state.State) Accept {
+	if inherited := p.InheritedValue(); inherited != nil {
 		v = *inherited
 	}
 	v.Version = p.base.Version + 1
@@ -99,9 +101,9 @@
 	return Accept{Version: v.Version, Ballot: p.ballot, Value: v}
 }
 
-// Accepted takes an answer to Accept in.
-func (p *Proposal) Accepted(m Acceptance) {
-	p.hear(m.ID, m.Promised, m.Decided)
+// HandleAcceptance takes an answer to Accept in.
+func (p *Proposal) HandleAcceptance(m Acceptance) {
+	p.noteReply(m.ID, m.Promised, m.Decided)
 	if m.Granted {
 		p.accepted[m.ID] = true
 	} else if m.Version < p.base.Version {
@@ -109,9 +111,9 @@
 	}
 }
 
-// Decided tells whether the value is decided: by a majority of the voters before
+// IsDecided tells whether the value is decided: by a majority of the voters before
 // it and, so that no later loss that they may bear loses it, of those after it.
-func (p *Proposal) Decided() bool {
+func (p *Proposal) IsDecided() bool {
 	if p.value == nil {
 		return false
 	}
@@ -122,20 +124,20 @@
 // Value is what was chosen; nil before Choose.
 func (p *Proposal) Value() *state.State { return p.value }
 
-// Outbid is the highest ballot that stands against this one; zero: none.
-func (p *Proposal) Outbid() Ballot { return p.outbid }
+// HigherBallot is the highest ballot that stands against this one; zero: none.
+func (p *Proposal) HigherBallot() Ballot { return p.higherBallot }
 
-// Ahead is a newer decided state that some acceptor told; nil: none did.
-func (p *Proposal) Ahead() *state.State { return p.ahead }
+// NewerDecided is a newer decided state that some acceptor told; nil: none did.
+func (p *Proposal) NewerDecided() *state.State { return p.newerDecided }
 
-// Hopeless tells whether this attempt can't succeed any more: the version is decided, or so many have promised
+// CannotSucceed tells whether this attempt can't succeed any more: the version is decided, or so many have promised
 // another ballot that no majority is left.
-func (p *Proposal) Hopeless() bool {
-	return p.ahead != nil || len(p.refused) > len(p.base.Voters)-Majority(len(p.base.Voters))
+func (p *Proposal) CannotSucceed() bool {
+	return p.newerDecided != nil || len(p.refused) > len(p.base.Voters)-Majority(len(p.base.Voters))
 }
 
-// Holds tells whether an acceptor has said that it has a configuration on its disk.
-func (p *Proposal) Holds(id string, config state.ConfigID) bool {
+// HasConfig tells whether an acceptor has said that it has a configuration on its disk.
+func (p *Proposal) HasConfig(id string, config state.ConfigID) bool {
 	for _, d := range p.promises[id].Holds {
 		if d == config.Digest {
 			return true
@@ -144,8 +146,8 @@
 	return false
 }
 
-// Behind tells whether an acceptor has to catch up with the base before it can vote.
-func (p *Proposal) Behind(id string) bool { _, is := p.behind[id]; return is }
+// IsBehind tells whether an acceptor has to catch up with the base before it can vote.
+func (p *Proposal) IsBehind(id string) bool { _, is := p.behind[id]; return is }
 
 // IsLatest tells whether nothing but other voters had been decided above base when
 // the reports were asked for. A majority of its voters then knew of nothing above it,
@@ -154,7 +156,7 @@
 func IsLatest(base state.State, reports map[string]Report) bool {
 	knows := func(id string) bool {
 		m, ok := reports[id]
-		return ok && m.Version <= base.Version && (m.Value == nil || m.Value.Version <= base.Version || onlyVoters(base, *m.Value))
+		return ok && m.Version <= base.Version && (m.Value == nil || m.Value.Version <= base.Version || differOnlyInVoters(base, *m.Value))
 	}
 	if !IsMajority(base.Voters, knows) {
 		return false
@@ -167,8 +169,8 @@
 	return true
 }
 
-// onlyVoters tells whether two states differ in their voters at most.
-func onlyVoters(a, b state.State) bool {
+// differOnlyInVoters tells whether two states differ in their voters at most.
+func differOnlyInVoters(a, b state.State) bool {
 	b.Voters = a.Voters
-	return a.Same(b)
+	return a.SameContent(b)
 }
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		b.log.Error(err, "the disk's files can't be read")
 	}
-	if found != statestore.Whole {
+	if found != statestore.Intact {
 		contents.Record.ID = s.Name + "/" + strconv.FormatInt(b.self.Life, 36)
 	}
 	if s.Bootstrap && found == statestore.Empty {
@@ -125,7 +125,7 @@
 	granted := false
 	b.mu.Lock()
 	if a.Prepare != nil {
-		m := b.contents.Record.Prepare(*a.Prepare)
+		m := b.contents.Record.HandlePrepare(*a.Prepare)
 		for d := range b.contents.Configs {
 			m.Holds = append(m.Holds, d)
 		}
@@ -159,8 +159,8 @@
 		}
 		b.contents.Configs[id.Digest] = a.Config.Pack()
 	}
-	m := b.contents.Record.Accept(*a.Accept)
-	b.contents.Keep()
+	m := b.contents.Record.HandleAccept(*a.Accept)
+	b.contents.DropUnreferenced()
 	return m, nil
 }
 
@@ -175,7 +175,7 @@
 	if s.Config.Gen > 0 && config == nil || !b.contents.Record.Learn(s) {
 		return
 	}
-	b.contents.Keep()
+	b.contents.DropUnreferenced()
 	b.put()
 	for _, v := range s.Voters {
 		b.keep(v.Inner)
@@ -233,7 +233,7 @@
 		}
 		b.contents.Configs[s.Config.Digest] = config
 		b.learn(*s)
-		b.contents.Keep()
+		b.contents.DropUnreferenced()
 		b.rouse()
 	})
 }
@@ -243,13 +243,13 @@
 
 // fetch gets a configuration from another replica in pieces.
 func (b *Replica) fetch(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
-	t := replicate.Begin(id)
+	t := replicate.NewTransfer(id)
 	for {
-		piece, err := b.piece(ctx, l, t.Next())
+		piece, err := b.piece(ctx, l, t.NextRequest())
 		if err != nil {
 			return nil, err
 		}
-		whole, err := t.Take(*piece)
+		whole, err := t.AddPiece(*piece)
 		if err != nil {
 			return nil, err
 		}
@@ -273,7 +273,7 @@
 	select {
 	case a := <-p.answers:
 		if a.reply == nil || a.reply.Piece == nil {
-			return nil, replicate.ErrPiece
+			return nil, replicate.ErrUnexpectedPiece
 		}
 		return a.reply.Piece, nil
 	case <-ctx.Done():
@@ -289,7 +289,7 @@
 	if config == nil {
 		return nil
 	}
-	piece, ok := replicate.Cut(r, config.Body)
+	piece, ok := replicate.CutPiece(r, config.Body)
 	if !ok {
 		return nil
 	}
--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestWhatALearnerProposesIsToldAtOnce(t *testing.T) {
-	play(t, membership.MostVoters+1, func(f *farm) {
+	play(t, membership.MaxVoters+1, func(f *farm) {
 		f.acknowledged(0, body(2, "a"))
 		learner := slices.IndexFunc(f.runs, func(r *running) bool { return !r.votes() })
 		f.end(slices.IndexFunc(f.runs, func(r *running) bool { return r.proposer() == f.runs[learner].decided().Proposer }), false)
--- a/internal/control/replicate/replicate.go
+++ b/internal/control/replicate/replicate.go
@@ -11,18 +11,18 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// PieceSize is how many bytes one message carries at most.
-const PieceSize = 128 << 10
+// MaxPieceBytes is how many bytes one message carries at most.
+const MaxPieceBytes = 128 << 10
 
-// MostBytes is how large a configuration may be.
-const MostBytes = 7 << 20
+// MaxConfigBytes is how large a configuration may be.
+const MaxConfigBytes = 7 << 20
 
 // Errors of a transfer. Whoever gets one begins anew, with another replica where
 // there is one.
 var (
-	ErrPiece  = errors.New("replicate: a piece that was not asked for")
-	ErrLarge  = errors.New("replicate: larger than a configuration may be")
-	ErrSpoilt = errors.New("replicate: the whole has another digest")
+	ErrUnexpectedPiece = errors.New("replicate: a piece that was not asked for")
+	ErrTooLarge        = errors.New("replicate: larger than a configuration may be")
+	ErrDigestMismatch  = errors.New("replicate: the whole has another digest")
 )
 
 // Request asks for a piece.
@@ -39,46 +39,48 @@
 	Bytes  []byte
 }
 
-// Cut answers a request from the whole; false: there is no such piece.
-func Cut(r Request, whole []byte) (Piece, bool) {
+// CutPiece answers a request from the whole; false: there is no such piece.
+func CutPiece(r Request, whole []byte) (Piece, bool) {
 	if r.Offset < 0 || r.Offset >= len(whole) {
 		return Piece{}, false
 	}
-	end := min(len(whole), r.Offset+PieceSize)
+	end := min(len(whole), r.Offset+MaxPieceBytes)
 	return Piece{Digest: r.Digest, Offset: r.Offset, Total: len(whole), Bytes: whole[r.Offset:end]}, true
 }
 
 // Transfer puts pieces together. It holds at most the whole.
 type Transfer struct {
-	id    state.ConfigID
-	bytes []byte
-	total int
+	id       state.ConfigID
+	received []byte
+	total    int
 }
 
-// Begin starts the transfer of a configuration.
-func Begin(id state.ConfigID) *Transfer { return &Transfer{id: id} }
+// NewTransfer starts the transfer of a configuration.
+func NewTransfer(id state.ConfigID) *Transfer { return &Transfer{id: id} }
 
-// Next is what to ask for.
-func (t *Transfer) Next() Request { return Request{Digest: t.id.Digest, Offset: len(t.bytes)} }
+// NextRequest is what to ask for.
+func (t *Transfer) NextRequest() Request {
+	return Request{Digest: t.id.Digest, Offset: len(t.received)}
+}
 
-// Take adds the piece that was asked for last. It returns the whole once it is
+// AddPiece adds the piece that was asked for last. It returns the whole once it is
 // complete and has the right digest; an error ends the transfer.
-func (t *Transfer) Take(p Piece) (whole []byte, err error) {
+func (t *Transfer) AddPiece(p Piece) (whole []byte, err error) {
 	switch {
-	case p.Total <= 0 || p.Total > MostBytes:
-		return nil, ErrLarge
-	case p.Digest != t.id.Digest || p.Offset != len(t.bytes) || len(p.Bytes) == 0 || len(p.Bytes) > PieceSize:
-		return nil, ErrPiece
+	case p.Total <= 0 || p.Total > MaxConfigBytes:
+		return nil, ErrTooLarge
+	case p.Digest != t.id.Digest || p.Offset != len(t.received) || len(p.Bytes) == 0 || len(p.Bytes) > MaxPieceBytes:
+		return nil, ErrUnexpectedPiece
 	case t.total != 0 && p.Total != t.total || p.Offset+len(p.Bytes) > p.Total:
-		return nil, ErrPiece
+		return nil, ErrUnexpectedPiece
 	}
 	t.total = p.Total
-	t.bytes = append(t.bytes, p.Bytes...)
-	if len(t.bytes) < t.total {
+	t.received = append(t.received, p.Bytes...)
+	if len(t.received) < t.total {
 		return nil, nil
 	}
-	if sha256.Sum256(t.bytes) != t.id.Digest {
-		return nil, ErrSpoilt
+	if sha256.Sum256(t.received) != t.id.Digest {
+		return nil, ErrDigestMismatch
 	}
-	return t.bytes, nil
+	return t.received, nil
 }
--- a/internal/control/replicate/replicate_test.go
+++ b/internal/control/replicate/replicate_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-func whole(n int) ([]byte, state.ConfigID) {
+func randomConfig(n int) ([]byte, state.ConfigID) {
 	text := make([]byte, n)
 	rnd := rand.New(rand.NewPCG(uint64(n), 1))
 	for i := range text {
@@ -20,17 +20,17 @@
 }
 
 func TestTransfer(t *testing.T) {
-	for _, n := range []int{1, PieceSize - 1, PieceSize, PieceSize + 1, 5*PieceSize + 7, MostBytes} {
-		text, id := whole(n)
-		transfer := Begin(id)
+	for _, n := range []int{1, MaxPieceBytes - 1, MaxPieceBytes, MaxPieceBytes + 1, 5*MaxPieceBytes + 7, MaxConfigBytes} {
+		text, id := randomConfig(n)
+		transfer := NewTransfer(id)
 		for pieces := 1; ; pieces++ {
-			p, ok := Cut(transfer.Next(), text)
-			assert.Assert(t, ok && len(p.Bytes) <= PieceSize)
-			got, err := transfer.Take(p)
+			p, ok := CutPiece(transfer.NextRequest(), text)
+			assert.Assert(t, ok && len(p.Bytes) <= MaxPieceBytes)
+			got, err := transfer.AddPiece(p)
 			assert.NilError(t, err)
 			if got != nil {
 				assert.Assert(t, string(got) == string(text))
-				assert.Equal(t, pieces, (n+PieceSize-1)/PieceSize)
+				assert.Equal(t, pieces, (n+MaxPieceBytes-1)/MaxPieceBytes)
 				break
 			}
 		}
@@ -38,31 +38,31 @@
 }
 
 // A piece that is spoilt, of another configuration, doubled, out of order or too large ends the transfer.
-func TestSpoiltTransfer(t *testing.T) {
-	text, id := whole(3 * PieceSize)
-	other, _ := whole(3*PieceSize + 1)
+func TestInvalidPieces(t *testing.T) {
+	text, id := randomConfig(3 * MaxPieceBytes)
+	other, _ := randomConfig(3*MaxPieceBytes + 1)
 	for name, x := range map[string]struct {
 		spoil func(p Piece, k int) Piece
 		err   error
 	}{
-		"a byte differs":   {func(p Piece, k int) Piece { return spoilt(p, k == 1) }, ErrSpoilt},
-		"another's digest": {func(p Piece, k int) Piece { p.Digest[0]++; return p }, ErrPiece},
+		"a byte differs":   {func(p Piece, k int) Piece { return flipBit(p, k == 1) }, ErrDigestMismatch},
+		"another's digest": {func(p Piece, k int) Piece { p.Digest[0]++; return p }, ErrUnexpectedPiece},
 		"another's bytes": {func(p Piece, k int) Piece {
-			q, _ := Cut(Request{p.Digest, p.Offset}, other[:len(text)])
+			q, _ := CutPiece(Request{p.Digest, p.Offset}, other[:len(text)])
 			return q
-		}, ErrSpoilt},
-		"doubled":   {func(p Piece, k int) Piece { p.Offset = 0; return p }, ErrPiece},
-		"empty":     {func(p Piece, k int) Piece { p.Bytes = nil; return p }, ErrPiece},
-		"too large": {func(p Piece, k int) Piece { p.Bytes = make([]byte, PieceSize+1); return p }, ErrPiece},
-		"no end":    {func(p Piece, k int) Piece { p.Total = MostBytes + 1; return p }, ErrLarge},
-		"grows":     {func(p Piece, k int) Piece { p.Total += k; return p }, ErrPiece},
+		}, ErrDigestMismatch},
+		"doubled":   {func(p Piece, k int) Piece { p.Offset = 0; return p }, ErrUnexpectedPiece},
+		"empty":     {func(p Piece, k int) Piece { p.Bytes = nil; return p }, ErrUnexpectedPiece},
+		"too large": {func(p Piece, k int) Piece { p.Bytes = make([]byte, MaxPieceBytes+1); return p }, ErrUnexpectedPiece},
+		"no end":    {func(p Piece, k int) Piece { p.Total = MaxConfigBytes + 1; return p }, ErrTooLarge},
+		"grows":     {func(p Piece, k int) Piece { p.Total += k; return p }, ErrUnexpectedPiece},
 	} {
 		t.Run(name, func(t *testing.T) {
-			transfer := Begin(id)
+			transfer := NewTransfer(id)
 			for k := range 4 {
-				p, ok := Cut(transfer.Next(), text)
+				p, ok := CutPiece(transfer.NextRequest(), text)
 				assert.Assert(t, ok, name)
-				got, err := transfer.Take(x.spoil(p, k))
+				got, err := transfer.AddPiece(x.spoil(p, k))
 				if err != nil {
 					assert.Assert(t, err == x.err, "%v", err)
 					return
@@ -71,13 +71,13 @@
 			}
 		})
 	}
-	_, ok := Cut(Request{Offset: len(text)}, text)
+	_, ok := CutPiece(Request{Offset: len(text)}, text)
 	assert.Assert(t, !ok)
-	_, ok = Cut(Request{Offset: -1}, text)
+	_, ok = CutPiece(Request{Offset: -1}, text)
 	assert.Assert(t, !ok)
 }
 
-func spoilt(p Piece, is bool) Piece {
+func flipBit(p Piece, is bool) Piece {
 	if !is {
 		return p
 	}
--- a/internal/control/rest.go
+++ b/internal/control/rest.go
@@ -27,13 +27,13 @@
 	if !nodeName.MatchString(name) {
 		return Invalid{errors.Errorf("%q is no name of a proxy", name)}
 	}
-	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.OfNode(name), Drain: true}, Floor: &least})
+	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name), Drain: true}, Floor: &least})
 	return err
 }
 
 // Wake takes an order that a proxy is to rest no longer.
 func (b *Replica) Wake(ctx context.Context, name string) error {
-	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.OfNode(name)}})
+	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name)}})
 	return err
 }
 
@@ -68,7 +68,7 @@
 func (r *register) room(now time.Duration, name string, held state.State, least Floor) error {
 	awake := func(zone string) (is, all int) {
 		for _, n := range r.names() {
-			g, rests := r.proxies[n], held.Order(state.OfNode(n)).Drain
+			g, rests := r.proxies[n], held.Order(state.NodeSubject(n)).Drain
 			if zone != "" && g.hello.Zone != zone || !rests && !g.counts(now) {
 				continue // one that has gone in order is missed only while it rests
 			}
--- a/internal/control/rig_test.go
+++ b/internal/control/rig_test.go
@@ -87,7 +87,7 @@
 		defer f.endAll(false)
 		f.startAll()
 		f.first = false
-		voters := min(n, membership.MostVoters)
+		voters := min(n, membership.MaxVoters)
 		f.until(max(5*time.Second, time.Duration(n)*time.Second), "settle", func() bool { return f.voting() == voters && f.fresh() == n })
 		story(f)
 	})
--- a/internal/control/state/order.go
+++ b/internal/control/state/order.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Order is an operator's order about a zone, a node (OfNode) or a server (OfServer).
+// Order is an operator's order about a zone, a node (NodeSubject) or a server (ServerSubject).
 // The higher Count holds: it is the version of the state that decided the order.
 type Order struct {
 	Zone  string // the subject
@@ -13,29 +13,29 @@
 	Until int64  `json:",omitempty"` // of a server: milliseconds of Unix time until which Word holds
 }
 
-// Over tells whether z is to hold in place of y of the same subject. No order has
+// Supersedes tells whether z is to hold in place of y of the same subject. No order has
 // the count 0.
-func (z Order) Over(y Order) bool {
+func (z Order) Supersedes(y Order) bool {
 	if z.Count != y.Count {
 		return z.Count > y.Count
 	}
 	return z.By > y.By
 }
 
-// nodeMark begins the subject of an order about a node; no zone is called so.
-const nodeMark = "node/"
+// nodePrefix begins the subject of an order about a node; no zone is called so.
+const nodePrefix = "node/"
 
-// OfNode is the subject of orders about a node: they are kept and compared as those about zones are.
-func OfNode(name string) string { return nodeMark + name }
+// NodeSubject is the subject of orders about a node: they are kept and compared as those about zones are.
+func NodeSubject(name string) string { return nodePrefix + name }
 
 // Node is the node that an order is about; false: it is about something else.
-func (z Order) Node() (name string, is bool) { return strings.CutPrefix(z.Zone, nodeMark) }
+func (z Order) Node() (name string, is bool) { return strings.CutPrefix(z.Zone, nodePrefix) }
 
-// serverMark begins the subject of an order about a server; no zone is called so.
-const serverMark = "server/"
+// serverPrefix begins the subject of an order about a server; no zone is called so.
+const serverPrefix = "server/"
 
-// OfServer is the subject of orders about a life of a server.
-func OfServer(id string) string { return serverMark + id }
+// ServerSubject is the subject of orders about a life of a server.
+func ServerSubject(id string) string { return serverPrefix + id }
 
 // Server is the server that an order is about; false: it is about something else.
-func (z Order) Server() (id string, is bool) { return strings.CutPrefix(z.Zone, serverMark) }
+func (z Order) Server() (id string, is bool) { return strings.CutPrefix(z.Zone, serverPrefix) }
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -88,8 +88,8 @@
 	return s
 }
 
-// Same tells whether two states agree in all that is decided about: not in their version and proposer.
-func (s State) Same(o State) bool {
+// SameContent tells whether two states agree in all that is decided about: not in their version and proposer.
+func (s State) SameContent(o State) bool {
 	return s.Config == o.Config && s.Lock == o.Lock && slices.Equal(s.Voters, o.Voters) && slices.Equal(s.Orders, o.Orders)
 }
 
@@ -129,9 +129,9 @@
 	s.Orders = slices.Insert(s.Orders, i, o)
 }
 
-// mostWithdrawn is how many withdrawn orders about nodes are kept, the newest
+// maxWithdrawn is how many withdrawn orders about nodes are kept, the newest
 // ones: agents that missed them have reconnected since.
-const mostWithdrawn = 256
+const maxWithdrawn = 256
 
 // Prune drops orders that have no effect any more, so that the state does not
 // grow with the number of changes: words on servers that ran out before
@@ -147,11 +147,11 @@
 			withdrawn = append(withdrawn, o.Count)
 		}
 	}
-	if len(withdrawn) <= mostWithdrawn {
+	if len(withdrawn) <= maxWithdrawn {
 		return
 	}
 	slices.Sort(withdrawn)
-	oldest := withdrawn[len(withdrawn)-mostWithdrawn]
+	oldest := withdrawn[len(withdrawn)-maxWithdrawn]
 	s.Orders = slices.DeleteFunc(s.Orders, func(o Order) bool {
 		_, node := o.Node()
 		return node && !o.Drain && o.Count < oldest
--- a/internal/control/statestore/example_test.go
+++ b/internal/control/statestore/example_test.go
@@ -20,7 +20,7 @@
 			fmt.Println(err)
 			return
 		}
-		fmt.Println("whole:", found == statestore.Whole, "empty:", found == statestore.Empty)
+		fmt.Println("whole:", found == statestore.Intact, "empty:", found == statestore.Empty)
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); s.Run(ctx) }()
--- a/internal/control/statestore/file.go
+++ b/internal/control/statestore/file.go
@@ -19,11 +19,11 @@
 // The files. Each begins with a line that tells its kind, the format's number,
 // a number of its own, the SHA-256 and length of the rest, and a checksum of the line.
 const (
-	recordFile   = "record"  // what this replica has decided, promised and accepted
-	configPrefix = "config-" // begins the names of configurations, each as its operator sent it
-	censusFile   = "census"  // nodes ever seen
-	aside        = ".new"    // ends the name of what is being written
-	format       = 2
+	recordFile    = "record"  // what this replica has decided, promised and accepted
+	configPrefix  = "config-" // begins the names of configurations, each as its operator sent it
+	censusFile    = "census"  // nodes ever seen
+	tempSuffix    = ".new"    // ends the name of what is being written
+	formatVersion = 2
 )
 
 // configName is the file of a configuration.
@@ -32,14 +32,14 @@
 // configKind is what the first line of every configuration's file says.
 const configKind = "config"
 
-func seal(kind string, number uint64, body []byte) []byte {
+func encodeFile(kind string, number uint64, body []byte) []byte {
 	sum := sha256.Sum256(body)
-	head := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, format, number, hex.EncodeToString(sum[:]), len(body))
+	head := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, formatVersion, number, hex.EncodeToString(sum[:]), len(body))
 	return append(fmt.Appendf(nil, "%s %08x\n", head, crc32.ChecksumIEEE([]byte(head))), body...)
 }
 
-// open undoes seal; anything out of place is an error.
-func open(kind string, all []byte) (number uint64, body []byte, err error) {
+// decodeFile undoes seal; anything out of place is an error.
+func decodeFile(kind string, all []byte) (number uint64, body []byte, err error) {
 	line, body, found := bytes.Cut(all, []byte("\n"))
 	if !found {
 		return 0, nil, errors.Errorf("%s: no first line", kind)
@@ -54,8 +54,8 @@
 	if _, err := fmt.Sscanf(text[:at], "pepperfall %s %d %d %s %d", &is, &form, &number, &sum, &length); err != nil || is != kind {
 		return 0, nil, errors.Errorf("%s: first line of another file", kind)
 	}
-	if form != format {
-		return 0, nil, errors.Errorf("%s: format %d, not %d", kind, form, format)
+	if form != formatVersion {
+		return 0, nil, errors.Errorf("%s: format %d, not %d", kind, form, formatVersion)
 	}
 	if len(body) != length {
 		return 0, nil, errors.Errorf("%s: %d bytes, not %d", kind, len(body), length)
@@ -66,10 +66,10 @@
 	return number, body, nil
 }
 
-// write puts a whole file in place; it lasts when write returns nil.
-func write(d world.Disk, dir, name string, all []byte) error {
+// writeFile puts a whole file in place; it lasts when write returns nil.
+func writeFile(d world.Disk, dir, name string, all []byte) error {
 	to := filepath.Join(dir, name)
-	f, err := d.Create(to + aside)
+	f, err := d.Create(to + tempSuffix)
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
@@ -81,7 +81,7 @@
 		err = e
 	}
 	if err == nil {
-		err = d.Rename(to+aside, to)
+		err = d.Rename(to+tempSuffix, to)
 	}
 	if err == nil {
 		err = d.SyncDir(dir)
@@ -89,16 +89,16 @@
 	return errors.Wrap(err, name)
 }
 
-// kindOf is what the first line of a file says that it is.
-func kindOf(name string) string {
+// fileKind is what the first line of a file says that it is.
+func fileKind(name string) string {
 	if strings.HasPrefix(name, configPrefix) {
 		return configKind
 	}
 	return name
 }
 
-// read returns nil without an error where there is no such file.
-func read(d world.Disk, dir, name string) (uint64, []byte, error) {
+// readFile returns nil without an error where there is no such file.
+func readFile(d world.Disk, dir, name string) (uint64, []byte, error) {
 	all, err := d.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil, nil
@@ -106,5 +106,5 @@
 	if err != nil {
 		return 0, nil, errors.Wrap(err, name)
 	}
-	return open(kindOf(name), all)
+	return decodeFile(fileKind(name), all)
 }
--- a/internal/control/statestore/inspect.go
+++ b/internal/control/statestore/inspect.go
@@ -12,21 +12,21 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Report is what a file of a store holds.
-type Report struct {
-	Name  string
-	There bool
-	Left  bool  // a leftover of a write that did not end, or a configuration that no record names; a start removes it
-	Alien bool  // no file of a store; a start leaves it
-	Fault error // why it can't be read
-	Says  string
+// FileReport is what a file of a store holds.
+type FileReport struct {
+	Name       string
+	Exists     bool
+	IsLeftover bool  // a leftover of a write that did not end, or a configuration that no record names; a start removes it
+	IsForeign  bool  // no file of a store; a start leaves it
+	Err        error // why it can't be read
+	Summary    string
 }
 
 // Inspection is a store's folder read without being changed.
 type Inspection struct {
-	Files    []Report
-	Found    Found // what a replica would find on start
-	Contents Contents
+	Files       []FileReport
+	FolderState FolderState // what a replica would find on start
+	Contents    Contents
 }
 
 // Inspect reads a folder as a start would, and changes nothing.
@@ -37,45 +37,45 @@
 	}
 	in := &Inspection{Contents: Contents{Configs: map[state.Digest]*peerlink.Configuration{}}}
 	var fault error
-	in.Found, fault = load(disk, dir, &in.Contents)
+	in.FolderState, fault = load(disk, dir, &in.Contents)
 	keep := map[string]bool{recordFile: true, censusFile: true}
-	for _, id := range named(&in.Contents.Record) {
+	for _, id := range referencedConfigs(&in.Contents.Record) {
 		keep[configName(id.Digest)] = true
 	}
 	for _, name := range names {
-		r := Report{Name: name, There: true}
+		r := FileReport{Name: name, Exists: true}
 		switch {
-		case strings.HasSuffix(name, aside) && isOurs(name):
-			r.Left, r.Says = true, "being written when the process ended"
-		case !isOurs(name):
-			r.Alien, r.Says = true, "no file of a replica"
+		case strings.HasSuffix(name, tempSuffix) && isStoreFile(name):
+			r.IsLeftover, r.Summary = true, "being written when the process ended"
+		case !isStoreFile(name):
+			r.IsForeign, r.Summary = true, "no file of a replica"
 		default:
 			in.describe(disk, dir, &r)
-			r.Left = r.Fault == nil && in.Found == Whole && !keep[name]
+			r.IsLeftover = r.Err == nil && in.FolderState == Intact && !keep[name]
 		}
 		in.Files = append(in.Files, r)
 	}
-	if _, there := in.file(recordFile); !there {
-		in.Files = append(in.Files, Report{Name: recordFile})
+	if _, there := in.findFile(recordFile); !there {
+		in.Files = append(in.Files, FileReport{Name: recordFile})
 	}
-	if fault != nil && !in.anyFault() {
-		in.Files = append(in.Files, Report{Name: recordFile, Fault: fault})
+	if fault != nil && !in.hasError() {
+		in.Files = append(in.Files, FileReport{Name: recordFile, Err: fault})
 	}
 	return in, nil
 }
 
-func (in *Inspection) file(name string) (Report, bool) {
+func (in *Inspection) findFile(name string) (FileReport, bool) {
 	for _, f := range in.Files {
 		if f.Name == name {
 			return f, true
 		}
 	}
-	return Report{}, false
+	return FileReport{}, false
 }
 
-func (in *Inspection) anyFault() bool {
+func (in *Inspection) hasError() bool {
 	for _, f := range in.Files {
-		if f.Fault != nil {
+		if f.Err != nil {
 			return true
 		}
 	}
@@ -83,26 +83,26 @@
 }
 
 // describe says what a file holds.
-func (in *Inspection) describe(disk world.Disk, dir string, r *Report) {
-	number, body, err := read(disk, dir, r.Name)
-	r.Fault = err
+func (in *Inspection) describe(disk world.Disk, dir string, r *FileReport) {
+	number, body, err := readFile(disk, dir, r.Name)
+	r.Err = err
 	if err != nil {
 		return
 	}
 	switch r.Name {
 	case recordFile:
 		d := in.Contents.Record.Decided
-		r.Says = fmt.Sprintf("version %d, %d voters, %d orders, replica %s", number, len(d.Voters), len(d.Orders), in.Contents.Record.ID)
+		r.Summary = fmt.Sprintf("version %d, %d voters, %d orders, replica %s", number, len(d.Voters), len(d.Orders), in.Contents.Record.ID)
 	case censusFile:
-		r.Says = fmt.Sprintf("names of nodes ever seen, %d bytes", len(body))
+		r.Summary = fmt.Sprintf("names of nodes ever seen, %d bytes", len(body))
 	default:
-		r.Says = fmt.Sprintf("r%d, %d bytes", number, len(body))
+		r.Summary = fmt.Sprintf("r%d, %d bytes", number, len(body))
 	}
 }
 
-// Clear removes a leftover.
-func Clear(disk world.Disk, dir, name string) error {
-	if !isOurs(name) || name == recordFile || name == censusFile {
+// RemoveLeftover removes a leftover.
+func RemoveLeftover(disk world.Disk, dir, name string) error {
+	if !isStoreFile(name) || name == recordFile || name == censusFile {
 		return errors.Errorf("statestore: %s is no leftover", name)
 	}
 	if err := disk.Remove(filepath.Join(dir, name)); err != nil {
--- a/internal/control/statestore/store.go
+++ b/internal/control/statestore/store.go
@@ -18,14 +18,14 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Found says what was on the disk at the start.
-type Found int
+// FolderState says what was on the disk at the start.
+type FolderState int
 
 // What may be found.
 const (
-	Empty  Found = iota // nothing
-	Whole               // all that was ever synced
-	Spoilt              // files that are missing or can't be read, so something may be lost
+	Empty   FolderState = iota // nothing
+	Intact                     // all that was ever synced
+	Damaged                    // files that are missing or can't be read, so something may be lost
 )
 
 // ErrNoDisk is the error of storing where there is no disk.
@@ -38,8 +38,8 @@
 	Configs map[state.Digest]*peerlink.Configuration
 }
 
-// named are the configurations that a record names.
-func named(r *quorum.Record) (all []state.ConfigID) {
+// referencedConfigs are the configurations that a record names.
+func referencedConfigs(r *quorum.Record) (all []state.ConfigID) {
 	if r.Decided.Config.Gen > 0 {
 		all = append(all, r.Decided.Config)
 	}
@@ -49,9 +49,9 @@
 	return all
 }
 
-// Keep drops the configurations that the record does not name.
-func (c *Contents) Keep() {
-	names := named(&c.Record)
+// DropUnreferenced drops the configurations that the record does not name.
+func (c *Contents) DropUnreferenced() {
+	names := referencedConfigs(&c.Record)
 	maps.DeleteFunc(c.Configs, func(d state.Digest, _ *peerlink.Configuration) bool {
 		return !slices.ContainsFunc(names, func(id state.ConfigID) bool { return id.Digest == d })
 	})
@@ -64,93 +64,93 @@
 	disk world.Disk // nil: there is none
 	dir  string
 
-	mu         sync.Mutex
-	want       *Contents // not on disk yet; nil: all is
-	put        uint64    // number of the last Put
-	synced     uint64    // number of the newest Put that is on disk
-	onDisk     map[string]bool
-	census     []string
-	wantCensus []string
-	trouble    error // of the last write; nil: it succeeded
-	waiters    []waiter
-	wake       chan struct{}
+	mu            sync.Mutex
+	pending       *Contents // not on disk yet; nil: all is
+	lastPut       uint64    // number of the last Put
+	synced        uint64    // number of the newest Put that is on disk
+	onDisk        map[string]bool
+	census        []string
+	pendingCensus []string
+	lastError     error // of the last write; nil: it succeeded
+	waiters       []waiter
+	wake          chan struct{}
 }
 
 // waiter waits until a Put is on disk.
 type waiter struct {
-	number uint64
-	end    chan error
+	put  uint64
+	done chan error
 }
 
 // Open reads a folder, and removes what no record names. A nil disk is an empty one.
-func Open(disk world.Disk, dir string) (*Store, Contents, Found, error) {
+func Open(disk world.Disk, dir string) (*Store, Contents, FolderState, error) {
 	s := &Store{disk: disk, dir: dir, onDisk: map[string]bool{}, wake: make(chan struct{}, 1)}
 	contents := Contents{Configs: map[state.Digest]*peerlink.Configuration{}}
 	if disk == nil {
 		return s, contents, Empty, nil
 	}
 	if err := disk.MkdirAll(dir); err != nil {
-		return s, contents, Spoilt, errors.Wrap(err, "statestore")
+		return s, contents, Damaged, errors.Wrap(err, "statestore")
 	}
 	names, err := disk.List(dir)
 	if err != nil {
-		return s, contents, Spoilt, errors.Wrap(err, "statestore")
+		return s, contents, Damaged, errors.Wrap(err, "statestore")
 	}
 	found, err := load(disk, dir, &contents)
-	if _, body, e := read(disk, dir, censusFile); e == nil && body != nil {
+	if _, body, e := readFile(disk, dir, censusFile); e == nil && body != nil {
 		_ = json.Unmarshal(body, &s.census) // it is told again
 	}
-	for _, id := range named(&contents.Record) {
+	for _, id := range referencedConfigs(&contents.Record) {
 		s.onDisk[configName(id.Digest)] = true
 	}
 	for _, name := range names {
-		if isOurs(name) && name != recordFile && name != censusFile && !s.onDisk[name] {
+		if isStoreFile(name) && name != recordFile && name != censusFile && !s.onDisk[name] {
 			_ = disk.Remove(filepath.Join(dir, name))
 		}
 	}
 	return s, contents, found, err
 }
 
-// isOurs tells whether a store may have written a file of this name.
-func isOurs(name string) bool {
-	name = strings.TrimSuffix(name, aside)
+// isStoreFile tells whether a store may have written a file of this name.
+func isStoreFile(name string) bool {
+	name = strings.TrimSuffix(name, tempSuffix)
 	return name == recordFile || name == censusFile || strings.HasPrefix(name, configPrefix)
 }
 
 // load reads the record and its configurations. Where one of them is spoilt or
 // missing nothing is taken over: the disk may have forgotten a promise.
-func load(disk world.Disk, dir string, c *Contents) (Found, error) {
-	_, body, err := read(disk, dir, recordFile)
+func load(disk world.Disk, dir string, c *Contents) (FolderState, error) {
+	_, body, err := readFile(disk, dir, recordFile)
 	if err != nil {
-		return Spoilt, err
+		return Damaged, err
 	}
 	if body == nil {
 		return Empty, nil
 	}
 	var record quorum.Record
 	if err := json.Unmarshal(body, &record); err != nil {
-		return Spoilt, errors.Wrap(err, recordFile)
+		return Damaged, errors.Wrap(err, recordFile)
 	}
 	configs := map[state.Digest]*peerlink.Configuration{}
-	for _, id := range named(&record) {
-		_, body, err := read(disk, dir, configName(id.Digest))
+	for _, id := range referencedConfigs(&record) {
+		_, body, err := readFile(disk, dir, configName(id.Digest))
 		if err == nil && (body == nil || sha256.Sum256(body) != id.Digest) {
 			err = errors.Errorf("%s: not the configuration that the record names", configName(id.Digest))
 		}
 		if err != nil {
-			return Spoilt, err
+			return Damaged, err
 		}
 		configs[id.Digest] = (&peerlink.Configuration{Gen: id.Gen, Digest: id.Digest, Body: body}).Pack()
 	}
 	c.Record, c.Configs = record, configs
-	return Whole, nil
+	return Intact, nil
 }
 
-// Trouble is why the last write failed; nil: it did not.
-func (s *Store) Trouble() error {
+// LastError is why the last write failed; nil: it did not.
+func (s *Store) LastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.trouble
+	return s.lastError
 }
 
 // Census are the names of nodes that were kept last.
@@ -160,12 +160,12 @@
 	return s.census
 }
 
-// KeepCensus has names of nodes written down; nobody waits for it.
-func (s *Store) KeepCensus(names []string) {
+// SaveCensus has names of nodes written down; nobody waits for it.
+func (s *Store) SaveCensus(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wantCensus = slices.Clone(names)
-	s.rouse()
+	s.pendingCensus = slices.Clone(names)
+	s.wakeWriter()
 }
 
 // Put has contents written and returns the number to Wait for. The maps and
@@ -174,18 +174,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.Configs = maps.Clone(c.Configs)
-	s.want = &c
-	s.put++
-	s.rouse()
-	return s.put
+	s.pending = &c
+	s.lastPut++
+	s.wakeWriter()
+	return s.lastPut
 }
 
-// Again has contents written that could not be.
-func (s *Store) Again() {
+// RetryPending has contents written that could not be.
+func (s *Store) RetryPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.want != nil {
-		s.rouse()
+	if s.pending != nil {
+		s.wakeWriter()
 	}
 }
 
@@ -203,17 +203,17 @@
 	}
 	w := waiter{number, make(chan error, 1)}
 	s.waiters = append(s.waiters, w)
-	s.rouse()
+	s.wakeWriter()
 	s.mu.Unlock()
 	select {
-	case err := <-w.end:
+	case err := <-w.done:
 		return err
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "statestore")
 	}
 }
 
-func (s *Store) rouse() {
+func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -231,25 +231,25 @@
 			return
 		case <-s.wake:
 		}
-		for ctx.Err() == nil && s.step() {
+		for ctx.Err() == nil && s.writeNext() {
 		}
 	}
 }
 
-// step writes what is wanted now; false: nothing is, or it failed.
-func (s *Store) step() bool {
+// writeNext writes what is wanted now; false: nothing is, or it failed.
+func (s *Store) writeNext() bool {
 	s.mu.Lock()
-	want, number, names := s.want, s.put, s.wantCensus
-	s.wantCensus = nil
+	want, number, names := s.pending, s.lastPut, s.pendingCensus
+	s.pendingCensus = nil
 	s.mu.Unlock()
 	switch {
 	case want != nil:
-		return s.written(want, number, s.writeContents(want))
+		return s.finishPut(want, number, s.writeContents(want))
 	case names != nil:
-		err := write(s.disk, s.dir, censusFile, seal(censusFile, 0, encode(names)))
+		err := writeFile(s.disk, s.dir, censusFile, encodeFile(censusFile, 0, encodeJSON(names)))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.trouble = err; err == nil {
+		if s.lastError = err; err == nil {
 			s.census = names
 		}
 		return err == nil
@@ -261,7 +261,7 @@
 // removes others after it.
 func (s *Store) writeContents(c *Contents) error {
 	keep := map[string]bool{}
-	for _, id := range named(&c.Record) {
+	for _, id := range referencedConfigs(&c.Record) {
 		name := configName(id.Digest)
 		keep[name] = true
 		if s.onDisk[name] {
@@ -271,12 +271,12 @@
 		if config == nil {
 			return errors.Errorf("statestore: %s is not at hand", name)
 		}
-		if err := write(s.disk, s.dir, name, seal(configKind, id.Gen, config.Body)); err != nil {
+		if err := writeFile(s.disk, s.dir, name, encodeFile(configKind, id.Gen, config.Body)); err != nil {
 			return err
 		}
 		s.onDisk[name] = true
 	}
-	if err := write(s.disk, s.dir, recordFile, seal(recordFile, c.Record.Decided.Version, encode(c.Record))); err != nil {
+	if err := writeFile(s.disk, s.dir, recordFile, encodeFile(recordFile, c.Record.Decided.Version, encodeJSON(c.Record))); err != nil {
 		return err
 	}
 	for name := range s.onDisk {
@@ -288,28 +288,28 @@
 	return nil
 }
 
-// written tells those who wait how a write ended.
-func (s *Store) written(c *Contents, number uint64, err error) bool {
+// finishPut tells those who wait how a write ended.
+func (s *Store) finishPut(c *Contents, number uint64, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = err
+	s.lastError = err
 	if err == nil {
 		s.synced = number
-		if s.want == c {
-			s.want = nil
+		if s.pending == c {
+			s.pending = nil
 		}
 	}
 	s.waiters = slices.DeleteFunc(s.waiters, func(w waiter) bool {
-		if w.number > number {
+		if w.put > number {
 			return false
 		}
-		w.end <- err
+		w.done <- err
 		return true
 	})
 	return err == nil
 }
 
-func encode(v any) []byte {
+func encodeJSON(v any) []byte {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // plain structs
--- a/internal/control/statestore/store_test.go
+++ b/internal/control/statestore/store_test.go
@@ -35,7 +35,7 @@
 	return c
 }
 
-func start(t *testing.T, d *sim.Disk, want Found) (*Store, Contents, func()) {
+func openAndRun(t *testing.T, d *sim.Disk, want FolderState) (*Store, Contents, func()) {
 	t.Helper()
 	s, c, found, err := Open(d.Mount(), "/data")
 	assert.Equal(t, found, want, "%v", err)
@@ -45,7 +45,7 @@
 	return s, c, func() { stop(); <-done }
 }
 
-func within(d time.Duration) context.Context {
+func contextWithin(d time.Duration) context.Context {
 	ctx, stop := context.WithCancel(context.Background())
 	time.AfterFunc(d, stop)
 	return ctx
@@ -53,12 +53,12 @@
 
 // Power is lost at any moment of many writes: what was waited for is there, whole, with the configurations that it
 // names, and nothing that was not put. Each write, rename and removal not yet synced is lost or kept by itself.
-func TestPowerLost(t *testing.T) {
+func TestPowerLoss(t *testing.T) {
 	for seed := range uint64(600) {
 		synctest.Test(t, func(t *testing.T) {
 			d := sim.NewDisk(seed)
-			s, _, stop := start(t, d, Empty)
-			assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(1, 3, 0))))
+			s, _, stop := openAndRun(t, d, Empty)
+			assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(1, 3, 0))))
 			d.SetLatency(time.Millisecond)
 			synced, put := uint64(1), uint64(1)
 			going, over := make(chan struct{}), make(chan struct{})
@@ -71,7 +71,7 @@
 					default:
 					}
 					put = v
-					if s.Wait(within(time.Second), s.Put(contents(v, v+2, (v%2)*(v+3)))) == nil {
+					if s.Wait(contextWithin(time.Second), s.Put(contents(v, v+2, (v%2)*(v+3)))) == nil {
 						synced = v
 					}
 				}
@@ -82,11 +82,11 @@
 			stop()
 			<-over
 			d.SetLatency(0)
-			s, c, stop := start(t, d, Whole)
+			s, c, stop := openAndRun(t, d, Intact)
 			got := c.Record.Decided.Version
 			assert.Assert(t, got >= synced && got <= put, "%d, synced %d, put %d", got, synced, put)
-			assert.Equal(t, len(c.Configs), len(named(&c.Record)))
-			assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(put+1, 1, 0))))
+			assert.Equal(t, len(c.Configs), len(referencedConfigs(&c.Record)))
+			assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(put+1, 1, 0))))
 			names, _ := d.Mount().List("/data")
 			assert.DeepEqual(t, names, []string{configName(config(1).Digest), "record"}) // nothing half written, nothing left over
 			stop()
@@ -96,7 +96,7 @@
 }
 
 // A file that is spoilt or missing leaves nothing to rely on.
-func TestSpoilt(t *testing.T) {
+func TestDamagedFile(t *testing.T) {
 	for _, name := range []string{"record", configName(config(3).Digest), configName(config(4).Digest)} {
 		for _, gone := range []bool{false, true} {
 			if gone && name == "record" {
@@ -104,19 +104,19 @@
 			}
 			synctest.Test(t, func(t *testing.T) {
 				d := sim.NewDisk(1)
-				s, _, stop := start(t, d, Empty)
-				assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(1, 3, 4))))
+				s, _, stop := openAndRun(t, d, Empty)
+				assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(1, 3, 4))))
 				stop()
 				if gone {
 					assert.NilError(t, d.Mount().Remove("/data/"+name))
 				} else {
 					d.Spoil("/data/" + name)
 				}
-				s, c, stop := start(t, d, Spoilt)
+				s, c, stop := openAndRun(t, d, Damaged)
 				assert.Assert(t, c.Record.ID == "" && c.Record.Decided.Version == 0 && len(c.Configs) == 0)
-				assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(7, 3, 0))))
+				assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(7, 3, 0))))
 				stop()
-				_, c, stop = start(t, d, Whole)
+				_, c, stop = openAndRun(t, d, Intact)
 				assert.Equal(t, c.Record.Decided.Version, uint64(7))
 				stop()
 			})
@@ -124,28 +124,28 @@
 	}
 }
 
-func TestDiskInTrouble(t *testing.T) {
+func TestDiskFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := sim.NewDisk(1)
-		s, _, stop := start(t, d, Empty)
+		s, _, stop := openAndRun(t, d, Empty)
 		d.Hang()
 		for v := range uint64(5) { // all wait for the same disk, and one write serves them
-			go func() { _ = s.Wait(within(5*time.Second), s.Put(contents(v+1, v+1, 0))) }()
+			go func() { _ = s.Wait(contextWithin(5*time.Second), s.Put(contents(v+1, v+1, 0))) }()
 		}
-		assert.ErrorIs(t, s.Wait(within(time.Second), s.Put(contents(6, 6, 0))), context.Canceled)
+		assert.ErrorIs(t, s.Wait(contextWithin(time.Second), s.Put(contents(6, 6, 0))), context.Canceled)
 		d.Release()
-		assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(7, 7, 0))))
+		assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(7, 7, 0))))
 		d.SetFull(true)
-		assert.Assert(t, s.Wait(within(time.Second), s.Put(contents(8, 8, 0))) != nil)
-		assert.Assert(t, s.Trouble() != nil)
+		assert.Assert(t, s.Wait(contextWithin(time.Second), s.Put(contents(8, 8, 0))) != nil)
+		assert.Assert(t, s.LastError() != nil)
 		d.SetFull(false)
-		s.Again() // what could not be written is, once there is room
+		s.RetryPending() // what could not be written is, once there is room
 		time.Sleep(100 * time.Millisecond)
-		assert.NilError(t, s.Trouble())
-		s.KeepCensus([]string{"proxy-1"})
+		assert.NilError(t, s.LastError())
+		s.SaveCensus([]string{"proxy-1"})
 		time.Sleep(100 * time.Millisecond)
 		stop()
-		s, c, stop := start(t, d, Whole)
+		s, c, stop := openAndRun(t, d, Intact)
 		assert.Assert(t, c.Record.Decided.Version == 8 && s.Census()[0] == "proxy-1")
 		stop()
 		none, _, found, _ := Open(nil, "")
@@ -156,10 +156,10 @@
 }
 
 // What is on disk does not grow with the number of changes.
-func TestDiskStaysFlat(t *testing.T) {
+func TestDiskUsageIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := sim.NewDisk(1)
-		s, _, stop := start(t, d, Empty)
+		s, _, stop := openAndRun(t, d, Empty)
 		size := func() (n int) {
 			names, err := d.Mount().List("/data")
 			assert.NilError(t, err)
@@ -172,7 +172,7 @@
 		}
 		var early int
 		for v := uint64(1); v <= 10000; v++ {
-			assert.NilError(t, s.Wait(within(time.Second), s.Put(contents(v, 10000+v, 0))))
+			assert.NilError(t, s.Wait(contextWithin(time.Second), s.Put(contents(v, 10000+v, 0))))
 			if v == 10 {
 				early = size()
 			}
--- a/internal/control/worst_test.go
+++ b/internal/control/worst_test.go
@@ -145,7 +145,7 @@
 			time.Sleep(time.Duration(late) * time.Millisecond)
 			f.end(1, late/moments(10)%2 == 0)
 			f.acknowledged(0, body(3, "a"))
-			assert.Assert(t, len(f.runs[0].decided().Voters) >= membership.LeastVoters)
+			assert.Assert(t, len(f.runs[0].decided().Voters) >= membership.MinVoters)
 			if late/moments(10)%4 == 0 {
 				f.gone[1] = true
 				f.successor()
@@ -332,7 +332,7 @@
 			assert.Assert(t, !order || first.Order("z0").Drain, "after %d ms", late)
 			for i := range n {
 				s := f.runs[i].decided()
-				assert.Assert(t, s.Same(first), "after %d ms: %+v, %+v", late, s, first)
+				assert.Assert(t, s.SameContent(first), "after %d ms: %+v, %+v", late, s, first)
 			}
 			f.acknowledged(0, body(4, "c"))
 		})
--- a/internal/dataplane/agent/fold.go
+++ b/internal/dataplane/agent/fold.go
@@ -62,7 +62,7 @@
 		is |= PartConfiguration
 	}
 	for _, z := range c.Zones {
-		if old, ok := s.zones[z.Zone]; !ok || z.Over(old) {
+		if old, ok := s.zones[z.Zone]; !ok || z.Supersedes(old) {
 			s.zones[z.Zone] = z
 			is |= PartZones
 		}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -208,7 +208,7 @@
 	if c.Zones != nil {
 		drained, rest := map[string]bool{}, false
 		for _, z := range c.Zones {
-			if z.Over(g.zones[z.Zone]) {
+			if z.Supersedes(g.zones[z.Zone]) {
 				g.zones[z.Zone] = z
 			}
 		}
--- a/internal/operations/operatorclient/state.go
+++ b/internal/operations/operatorclient/state.go
@@ -21,16 +21,16 @@
 	for _, f := range in.Files {
 		state := "whole"
 		switch {
-		case f.Fault != nil:
-			state, f.Says = "SPOILT", f.Fault.Error()
-		case f.Left:
+		case f.Err != nil:
+			state, f.Summary = "SPOILT", f.Err.Error()
+		case f.IsLeftover:
 			state = "leftover"
-		case f.Alien:
+		case f.IsForeign:
 			state = "alien"
-		case !f.There:
+		case !f.Exists:
 			state = "none"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\n", f.Name, state, clean(f.Says))
+		fmt.Fprintf(t, "%s\t%s\t%s\n", f.Name, state, clean(f.Summary))
 	}
 	_ = t.Flush()
 	for _, o := range in.Contents.Record.Decided.Orders {
@@ -40,12 +40,12 @@
 		}
 		fmt.Fprintf(out, "zone %s: drained %v, order %d by %s\n", clean(o.Zone), o.Drain, o.Count, clean(o.By))
 	}
-	fmt.Fprintln(out, "on start: "+map[statestore.Found]string{
-		statestore.Empty:  "a replica begins as a new one; unless its settings say bootstrap it fetches all from the others",
-		statestore.Whole:  "a replica goes on from here under the same identity",
-		statestore.Spoilt: "a replica begins as a new one and fetches all from the others: what it may have promised is not relied on",
-	}[in.Found])
-	return in.Found != statestore.Spoilt, nil
+	fmt.Fprintln(out, "on start: "+map[statestore.FolderState]string{
+		statestore.Empty:   "a replica begins as a new one; unless its settings say bootstrap it fetches all from the others",
+		statestore.Intact:  "a replica goes on from here under the same identity",
+		statestore.Damaged: "a replica begins as a new one and fetches all from the others: what it may have promised is not relied on",
+	}[in.FolderState])
+	return in.FolderState != statestore.Damaged, nil
 }
 
 // Mend is one thing that a repair does.
@@ -63,8 +63,8 @@
 	}
 	var all []Mend
 	for _, f := range in.Files {
-		if f.Left {
-			all = append(all, Mend{"remove the leftover " + f.Name, func() error { return statestore.Clear(disk, dir, f.Name) }})
+		if f.IsLeftover {
+			all = append(all, Mend{"remove the leftover " + f.Name, func() error { return statestore.RemoveLeftover(disk, dir, f.Name) }})
 		}
 	}
 	return all, nil
