--- a/internal/control/delivery/delivery_test.go
+++ b/internal/control/delivery/delivery_test.go
@@ -54,7 +54,7 @@
 			}
 			if h.ShouldSend(a, now) {
 				a.Sent = h.Current()
-				told = append(told, now)
+				sent = append(sent, now)
 				a.Held = a.Sent
 			}
 		}
@@ -89,7 +89,7 @@
 	assert.Assert(t, !h.ShouldSend(&fresh, 25*time.Second) && h.ShouldSend(&fresh, 25*time.Second+upstreamGrace+fresh.PingInterval), "one that has just come is left to the replica it will follow")
 }
 
-// Nothing is forgotten too early, and nothing grows.
+// The history is bounded and still knows since when a holder of the previous configuration is behind.
 func TestHistoryIsBounded(t *testing.T) {
 	h, rnd, now := &History{}, rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 	for gen := uint64(1); gen < 20000; gen++ {
--- a/internal/control/state/order.go
+++ b/internal/control/state/order.go
@@ -8,9 +8,9 @@
 	Zone  string // the subject
 	Count uint64
 	By    string // the replica that proposed the order
-	Drain bool   // nothing is to be sent to the zone's servers; of a node: it rests
-	Word  string `json:",omitempty"` // of a server: how far it is to be trusted; empty: as all proxies saw
-	Until int64  `json:",omitempty"` // of a server: milliseconds of Unix time until which Word holds
+	Drain bool   // of a zone: send nothing to its servers; of a node: take it out of service
+	Word  string `json:",omitempty"` // of a server: the health that the operator assigns; empty: as observed by the proxies
+	Until int64  `json:",omitempty"` // of a server: end of the validity of Word, in milliseconds of Unix time
 }
 
 // Supersedes tells whether z is to hold in place of y of the same subject. No order has
