--- a/internal/control/delivery/history.go
+++ b/internal/control/delivery/history.go
@@ -13,33 +13,33 @@
 
 // Version identifies a configuration.
 type Version struct {
-	Gen      uint64 // its number; 0: none
-	Checksum uint32 // of its text
+	Gen      uint64 // its number; 0 stands for no configuration
+	Checksum uint32 // checksum of its text
 }
 
 // Confirmation is the latest moment at which a majority is known to have held nothing newer than the state decided
 // here. All moments are on one monotonic clock.
 type Confirmation struct {
-	IsKnown bool
+	IsKnown bool // false if there was no such moment, and At is not set
 	At      time.Duration
 }
 
 // History holds the current configuration and those that it superseded.
 type History struct {
 	current      Version
-	currentSince time.Duration       // when current was learnt
-	superseded   []supersededVersion // in the order of their numbers
+	currentSince time.Duration       // when current was learned
+	superseded   []supersededVersion // ordered by number, lowest first
 }
 
-// supersededVersion is a configuration that was in force here.
+// supersededVersion is a configuration that was current on this replica.
 type supersededVersion struct {
 	version      Version
-	supersededAt time.Duration // when a newer one was learnt
-	confirmed    Confirmation  // as of then
+	supersededAt time.Duration // when a newer configuration was learned
+	confirmed    Confirmation  // at that time
 }
 
-// SetCurrent takes in that a configuration is in force from now on. Its number has to
-// be above the one before.
+// SetCurrent makes v the current configuration from now on. Its number must be higher than that of the previous one;
+// confirmed is the confirmation of the previous one.
 func (h *History) SetCurrent(v Version, now time.Duration, confirmed Confirmation) {
 	if h.current.Gen > 0 {
 		h.superseded = append(h.superseded, supersededVersion{h.current, now, confirmed})
@@ -54,8 +54,8 @@
 	}
 }
 
-// dropEveryOther forgets every other configuration. A holder of one that is forgotten counts as
-// holding the one before: as behind for longer, and as confirmed up to an earlier moment.
+// dropEveryOther removes every other superseded configuration. A holder of a removed one is then treated as a holder
+// of the one before: as behind for longer, and as confirmed up to an earlier moment.
 func (h *History) dropEveryOther() {
 	kept := h.superseded[:0]
 	for i := 0; i < len(h.superseded); i += 2 {
@@ -67,10 +67,9 @@
 // Current returns the current configuration, or the zero Version if there is none.
 func (h *History) Current() Version { return h.current }
 
-// BehindSince tells whether a holder of v lacks the configuration in force, and since
-// when: the moment at which the first one above v was learnt, or the earliest that
-// is remembered.
-func (h *History) BehindSince(v Version) (since time.Duration, is bool) {
+// BehindSince reports whether a holder of v lacks the current configuration and since when: the moment at which the
+// first configuration above v was learned, or the earliest one in the history.
+func (h *History) BehindSince(v Version) (since time.Duration, behind bool) {
 	switch i := h.lastUpTo(v.Gen); {
 	case h.current.Gen == 0 || v.Gen > h.current.Gen || v == h.current:
 		return 0, false
@@ -96,8 +95,8 @@
 	return h.superseded[i].confirmed
 }
 
-// lastUpTo is the index of the newest superseded configuration whose number is gen at
-// most; -1: there is none.
+// lastUpTo returns the index of the newest superseded configuration whose number is at most gen, or -1 if there is
+// none.
 func (h *History) lastUpTo(gen uint64) int {
 	i := len(h.superseded) - 1
 	for i >= 0 && h.superseded[i].version.Gen > gen {
--- a/internal/control/lease/example_test.go
+++ b/internal/control/lease/example_test.go
@@ -27,12 +27,12 @@
 		}
 		return v
 	}
-	var told func(from string, now time.Duration, words []lease.Message)
-	told = func(from string, now time.Duration, words []lease.Message) { // in order, to those who live
-		for _, w := range words {
+	var deliver func(from string, now time.Duration, messages []lease.Message)
+	deliver = func(from string, now time.Duration, messages []lease.Message) { // in order, to running replicas
+		for _, m := range messages {
 			for _, n := range names {
-				if n != from && n != gone && (w.To == "" || w.To == n) {
-					told(n, now, all[n].Receive(view(n, now), seats[from], w.Duty))
+				if n != from && n != gone && (m.To == "" || m.To == n) {
+					deliver(n, now, leases[n].Receive(view(n, now), seats[from], m.Duty))
 				}
 			}
 		}
--- a/internal/control/lease/explore_test.go
+++ b/internal/control/lease/explore_test.go
@@ -25,16 +25,17 @@
 type model struct {
 	nodes        [replicas]testReplica
 	inFlight     []envelope
-	isCut        [replicas][replicas]bool
-	incarnations int64
+	isCut        [replicas][replicas]bool // pairs of replicas whose connection is down
+	incarnations int64                    // number of starts of replicas so far
 	unixMS       uint64
-	claims       map[peerlink.Term]peerlink.Duty // all ever made
-	remaining    eventBudget
-	path         []string
-	violation    string
+	claims       map[peerlink.Term]peerlink.Duty // all claims ever made, by term
+	remaining    eventBudget                     // events that may still occur
+	path         []string                        // labels of the actions so far
+	violation    string                          // the first violated invariant; empty: none
 	injected     *injectedFault
 }
 
+// testReplica is a replica of a model.
 type testReplica struct {
 	lease     *Lease
 	now       time.Duration
@@ -43,12 +44,13 @@
 	times     TaskTimes
 }
 
+// envelope is a message in flight.
 type envelope struct {
 	from, to peerlink.Seat
 	duty     peerlink.Duty
 }
 
-// eventBudget is how often something may still befall the replicas.
+// eventBudget is how often each kind of event may still occur.
 type eventBudget struct{ ticks, losses, duplicates, kills, cuts, leaves int8 }
 
 var defaultBudget = eventBudget{ticks: 4, losses: 2, duplicates: 1, kills: 1, cuts: 1, leaves: 1}
@@ -78,6 +80,7 @@
 	}
 }
 
+// exchangeGreetings puts the greetings of a new connection in flight.
 func (m *model) exchangeGreetings(i, j int) {
 	a, b := m.nodes[i].lease, m.nodes[j].lease
 	m.inFlight = append(m.inFlight, envelope{a.self, b.self, a.Greeting()}, envelope{b.self, a.self, b.Greeting()})
@@ -111,7 +114,7 @@
 	return &c
 }
 
-// send puts what a replica tells on its way and looks at what it claims.
+// send puts the messages of a replica in flight and checks what it claims.
 func (m *model) send(i int, out []Message) {
 	n := m.nodes[i].lease
 	if m.injected != nil && m.injected.afterStep != nil {
@@ -128,33 +131,34 @@
 	m.checkClaim(n.known)
 }
 
-// checkClaim holds a claim against all made before it: one holder, and one successor, in a term.
+// checkClaim compares a claim with all earlier ones: a term has one holder and one successor.
 func (m *model) checkClaim(d peerlink.Duty) {
 	if d.Term == (peerlink.Term{}) {
 		return
 	}
-	c := peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
-	if old, ok := m.claims[d.Term]; ok && old != c && m.violation == "" {
-		m.violation = fmt.Sprintf("two claims of one term: %v and %v", old, c)
+	claim := peerlink.Duty{Term: d.Term, Holder: d.Holder, Next: d.Next}
+	if old, ok := m.claims[d.Term]; ok && old != claim && m.violation == "" {
+		m.violation = fmt.Sprintf("two claims of one term: %v and %v", old, claim)
 	}
 	m.claims[d.Term] = claim
 }
 
+// deliver hands a message to its receiver and checks that no outdated term is accepted.
 func (m *model) deliver(l envelope) {
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		from := slices.IndexFunc(m.nodes[:], func(x testReplica) bool { return x.lease.self == l.from })
 		if n.lease.self != l.to || from < 0 || !m.isConnected(i, from) {
-			continue // its connection is over
+			continue // the connection is down
 		}
-		was := n.lease.known.Term
+		before := n.lease.known.Term
 		if m.injected != nil && m.injected.beforeReceive != nil {
 			m.injected.beforeReceive(n.lease, &l.duty)
 		}
-		takes := l.duty.Holder == l.from && n.lease.AcceptsTerm(l.duty.Term)
+		accepts := l.duty.Holder == l.from && n.lease.AcceptsTerm(l.duty.Term)
 		m.send(i, n.lease.Receive(m.view(i), l.from, l.duty))
-		if m.violation == "" && (takes && was.Above(l.duty.Term) && l.duty.Term != peerlink.Term{} || was.Above(n.lease.known.Term)) {
-			m.violation = fmt.Sprintf("%s takes a word of %v after %v", name(i), l.duty.Term, was)
+		if m.violation == "" && (accepts && before.Above(l.duty.Term) && l.duty.Term != peerlink.Term{} || before.Above(n.lease.known.Term)) {
+			m.violation = fmt.Sprintf("%s accepts a message of term %v after %v", name(i), l.duty.Term, before)
 		}
 	}
 }
@@ -255,10 +259,10 @@
 		flags(n.isUp, n.isLeaving, n.lease.hasLeft, n.lease.hasRequested, m.isCut[i][0], m.isCut[i][1])
 		seat(n.lease.self)
 		duty(n.lease.known)
-		span(n.now - n.lease.holderHeardAt)
-		span(n.now - n.lease.announcedAt)
-		span(n.now - n.lease.successorSeenAt)
-		span(n.now - n.lease.requestedAt)
+		duration(n.now - n.lease.holderHeardAt)
+		duration(n.now - n.lease.announcedAt)
+		duration(n.now - n.lease.successorSeenAt)
+		duration(n.now - n.lease.requestedAt)
 		b = binary.AppendUvarint(binary.AppendUvarint(b, n.lease.votedEpoch), n.lease.candidateEpoch)
 		b = binary.AppendUvarint(b, n.lease.highestSeenEpoch)
 		for k := range m.nodes {
@@ -280,15 +284,16 @@
 
 // Timing of a run without further faults.
 const (
-	linkDelay    = 20 * time.Millisecond
-	calmStep     = 10 * time.Millisecond
+	linkDelay    = 20 * time.Millisecond // delay of each message
+	calmStep     = 10 * time.Millisecond // time between two steps
 	calmDuration = 6 * time.Second
-	maxRunGap    = 1900 * time.Millisecond // between two turns of the work, the first one after the last trouble included
-	settledPart  = 2 * time.Second         // of the calm, by which all has settled
+	maxRunGap    = 1900 * time.Millisecond // maximum time between two runs of the task, measured from the last fault on
+	settledPart  = 2 * time.Second         // at the end of the run, when the system must have settled
 )
 
-// runUndisturbed lets time pass without trouble and tells what is wrong: all that runs is to hear of a turn of the work again and
-// again, where a majority is connected; and in the end one does it that all know, where all are.
+// runUndisturbed lets time pass without faults and returns what is wrong, if anything. Where a majority is connected,
+// every running replica must keep learning of runs of the task. If heal is true, all replicas are started and
+// connected first; in the end exactly one then runs the task, and all know it as the holder.
 func (m *model) runUndisturbed(heal bool) string {
 	m = m.copy()
 	if heal {
@@ -303,13 +308,13 @@
 			}
 		}
 	}
-	type due struct {
-		at time.Duration
-		l  envelope
+	type delayed struct {
+		at       time.Duration
+		envelope envelope
 	}
 	var pending []delayed
 	var last, gap [replicas]time.Duration
-	turns := [replicas]int{}
+	runs := [replicas]int{}
 	for t := time.Duration(0); t < calmDuration; t += calmStep {
 		for i := range m.nodes {
 			n := &m.nodes[i]
@@ -320,7 +325,7 @@
 			if n.now >= n.lease.NextRun(m.view(i), n.times) && (n.lease.Holds() || m.injected == nil || !m.injected.onlyHolderRuns) {
 				n.times.LastOwn, n.times.LastKnown, last[i] = n.now, n.now, t
 				if t >= calmDuration-settledPart {
-					turns[i]++
+					runs[i]++
 				}
 				term := peerlink.Term{}
 				if n.lease.Holds() {
@@ -337,12 +342,12 @@
 			gap[i] = max(gap[i], t-last[i])
 		}
 		for _, l := range m.inFlight {
-			later = append(later, due{t + linkDelay, l})
+			pending = append(pending, delayed{t + linkDelay, l})
 		}
 		m.inFlight = nil
-		for len(later) > 0 && later[0].at <= t {
-			m.deliver(later[0].l)
-			later = later[1:]
+		for len(pending) > 0 && pending[0].at <= t {
+			m.deliver(pending[0].envelope)
+			pending = pending[1:]
 		}
 	}
 	if m.violation != "" {
@@ -354,9 +359,9 @@
 		if !n.isUp || n.isLeaving {
 			continue
 		}
-		all++
+		running++
 		if gap[i] > maxRunGap {
-			return fmt.Sprintf("%s hears of no turn for %v", name(i), gap[i])
+			return fmt.Sprintf("%s learns of no run of the task for %v", name(i), gap[i])
 		}
 		if n.lease.Holds() {
 			holders++
@@ -367,13 +372,13 @@
 			return fmt.Sprintf("%s and %s know different holders", name(i), name(0))
 		}
 	}
-	if whole := heal || all == replicas && !m.isCut[1][0] && !m.isCut[2][0] && !m.isCut[2][1]; whole && holders != 1 {
+	if allConnected := heal || running == replicas && !m.isCut[1][0] && !m.isCut[2][0] && !m.isCut[2][1]; allConnected && holders != 1 {
 		return fmt.Sprintf("%d holders", holders)
 	}
 	return ""
 }
 
-// settledModel is a farm whose duty is held.
+// settledModel lets the replicas run until one holds the duty.
 func settledModel(m *model) *model {
 	for range 60 {
 		for i := range m.nodes {
@@ -399,7 +404,7 @@
 		var next []*model
 		for _, m := range frontier {
 			states++
-			if states%calms == 0 && m.violation == "" {
+			if states%recoveryEvery == 0 && m.violation == "" {
 				if m.violation = m.runUndisturbed(true); m.violation == "" {
 					m.violation = m.runUndisturbed(false)
 				}
@@ -427,6 +432,7 @@
 	return states, ""
 }
 
+// All short sequences of events, from the first start and from a settled system.
 func TestAllEventOrders(t *testing.T) {
 	for what, begin := range map[string]*model{"first start": newModel(defaultBudget, nil), "settled": settledModel(newModel(defaultBudget, nil))} {
 		states, fault := explore(begin, *exploreDepth, 53)
@@ -437,14 +443,15 @@
 
 var walkCount = flag.Int("steward.walks", 60, "long random orders that are played")
 
-// randomWalk plays one long order by chance, more of everything, and ends in calm.
-func randomWalk(seed uint64, p *injectedFault) *model {
+// randomWalk plays one long random sequence of events, with more faults than explore, and then lets the system run
+// without faults.
+func randomWalk(seed uint64, fault *injectedFault) *model {
 	m := newModel(eventBudget{}, nil)
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	if rnd.IntN(2) == 0 {
 		m = settledModel(m)
 	}
-	m.remaining, m.injected = eventBudget{ticks: 30, losses: 5, duplicates: 5, kills: 3, cuts: 3, leaves: 2}, p
+	m.remaining, m.injected = eventBudget{ticks: 30, losses: 5, duplicates: 5, kills: 3, cuts: 3, leaves: 2}, fault
 	for range 60 {
 		all := m.actions()
 		if len(all) == 0 || m.violation != "" {
@@ -462,6 +469,7 @@
 	return m
 }
 
+// Long random sequences of events keep the invariants, and the system recovers afterwards.
 func TestRandomWalks(t *testing.T) {
 	for seed := range uint64(*walkCount) {
 		m := randomWalk(seed, nil)
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -10,13 +10,13 @@
 
 // Timeouts and intervals of a duty.
 const (
-	HeartbeatInterval = 600 * time.Millisecond // between two words of a holder at most
-	SilenceTimeout    = 900 * time.Millisecond // without a word a holder is taken for lost
-	DisconnectTimeout = 500 * time.Millisecond // and one that is not connected either
-	RankDelay         = 300 * time.Millisecond // between the attempts of one and the next in rank
-	voteRetryInterval = 400 * time.Millisecond
-	successorTimeout  = time.Second // a successor that is gone for so long is replaced by another
-	never             = time.Duration(1) << 62
+	HeartbeatInterval = 600 * time.Millisecond // maximum time between two messages of a holder
+	SilenceTimeout    = 900 * time.Millisecond // a holder that is silent for so long is considered lost
+	DisconnectTimeout = 500 * time.Millisecond // the shorter timeout for a holder that is also disconnected
+	RankDelay         = 300 * time.Millisecond // delay between the attempts of replicas of successive ranks
+	voteRetryInterval = 400 * time.Millisecond // between two requests for votes, plus the delay by rank
+	successorTimeout  = time.Second            // a successor that is disconnected for so long is replaced
+	never             = time.Duration(1) << 62 // a time that is never reached
 )
 
 // Peer is another replica that is connected and is not leaving.
@@ -28,16 +28,16 @@
 
 // View is what a replica knows of itself and of its peers at one moment.
 type View struct {
-	Now        time.Duration // of its steady clock
-	UnixMS     uint64        // its time of day
+	Now        time.Duration // monotonic time
+	UnixMS     uint64        // time of day, in milliseconds of Unix time
 	Peers      []Peer
-	CanVote    bool // its own vote counts
-	VoterCount int  // how many there are, those out of reach included
+	CanVote    bool // this replica's own vote counts
+	VoterCount int  // number of all replicas whose votes count, including unreachable ones
 }
 
-// Message is a word that is to be told.
+// Message is a statement that is to be sent.
 type Message struct {
-	To   string // empty: to all peers
+	To   string // name of the receiver; empty: all peers
 	Duty peerlink.Duty
 }
 
@@ -47,17 +47,17 @@
 	self peerlink.Seat
 	zone string
 
-	known            peerlink.Duty // the highest term, its holder and the next one
-	holderHeardAt    time.Duration // when the holder last spoke, or was first told of
-	announcedAt      time.Duration // of a holder: when it last spoke
-	successorSeenAt  time.Duration // of a holder: when its successor was last connected
-	hasLeft          bool
-	votedEpoch       uint64 // the highest epoch that this replica voted for, in this life
-	highestSeenEpoch uint64 // the highest that anybody did, as far as was heard
-	candidateEpoch   uint64 // the epoch that it wants; 0: none
-	requestedAt      time.Duration
-	hasRequested     bool
-	votes            map[string]bool
+	known            peerlink.Duty   // the highest known term, its holder and its successor
+	holderHeardAt    time.Duration   // when the holder last sent a message, or first became known
+	announcedAt      time.Duration   // if this replica is the holder: when it last sent a message to all
+	successorSeenAt  time.Duration   // if this replica is the holder: when its successor was last connected
+	hasLeft          bool            // this replica has given up its part for good
+	votedEpoch       uint64          // the highest epoch that this replica has voted for since its start
+	highestSeenEpoch uint64          // the highest epoch known that any replica has voted for
+	candidateEpoch   uint64          // the epoch for which this replica requests votes; 0: none
+	requestedAt      time.Duration   // when this replica last requested votes
+	hasRequested     bool            // whether requestedAt is set
+	votes            map[string]bool // replicas that voted for candidateEpoch
 }
 
 // New returns the part of the replica self, which is in zone, in a duty.
@@ -65,27 +65,29 @@
 	return &Lease{duty: duty, self: self, zone: zone}
 }
 
-// Holds tells whether this replica has the duty.
+// Holds reports whether this replica holds the duty.
 func (s *Lease) Holds() bool { return !s.hasLeft && s.known.Holder == s.self }
 
 // Known returns the newest term that this replica knows, with its holder and successor.
 func (s *Lease) Known() peerlink.Duty { return s.known }
 
-// AcceptsTerm tells whether a word given in a term is to be heeded. The zero term claims nothing, so it is.
+// AcceptsTerm reports whether a message sent in term t is to be processed, that is, whether the term is not outdated.
+// The zero term claims nothing and is always accepted.
 func (s *Lease) AcceptsTerm(t peerlink.Term) bool {
 	return t == peerlink.Term{} || !s.known.Term.Above(t)
 }
 
-// Greeting is what a replica that has just been connected is told.
+// Greeting returns the statement to send to a replica that has just connected.
 func (s *Lease) Greeting() peerlink.Duty { return s.statement() }
 
+// statement returns what this replica knows of the duty.
 func (s *Lease) statement() peerlink.Duty {
 	d := s.known
 	d.Voted = max(s.highestSeenEpoch, s.votedEpoch)
 	return d
 }
 
-// NoteAnnounced notes that the holder has told its word to all.
+// NoteAnnounced records that the holder has sent a statement to all peers.
 func (s *Lease) NoteAnnounced(now time.Duration) { s.announcedAt = now }
 
 // Rank returns this replica's rank among all connected replicas.
@@ -101,11 +103,12 @@
 	return Rank(s.duty, s.self.Name, names)
 }
 
+// rankDelay returns the delay that this replica's rank among the connected replicas with a vote causes.
 func (s *Lease) rankDelay(v View) time.Duration {
 	return time.Duration(s.rank(v, func(p Peer) bool { return p.CanVote })) * RankDelay
 }
 
-// isMajorityConnected tells whether enough electors are connected for a vote.
+// isMajorityConnected reports whether enough replicas with a vote are connected for an election.
 func (s *Lease) isMajorityConnected(v View) bool {
 	n := 0
 	for _, p := range v.Peers {
@@ -119,13 +122,13 @@
 	return isMajority(n, v.VoterCount)
 }
 
-func isMajority(n, of int) bool { return n >= of/2+1 }
+func isMajority(n, total int) bool { return n >= total/2+1 }
 
 func isConnected(v View, who peerlink.Seat) bool {
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who })
 }
 
-// takeoverTime is when this replica, the next one, takes the duty over.
+// takeoverTime returns when this replica, being the successor, takes over the duty.
 func (s *Lease) takeoverTime(v View) time.Duration {
 	if !isConnected(v, s.known.Holder) {
 		return s.holderHeardAt + DisconnectTimeout
@@ -133,12 +136,12 @@
 	return s.holderHeardAt + SilenceTimeout
 }
 
-// electionTime is when this replica asks for a vote; never: it has no reason to.
+// electionTime returns when this replica requests votes, or never if it has no reason to.
 func (s *Lease) electionTime(v View) time.Duration {
 	if !v.CanVote || !s.isMajorityConnected(v) {
 		return never
 	}
-	at := s.holderHeardAt + SilenceTimeout + RankDelay + s.rankDelay(v) // the next one has its chance first
+	at := s.holderHeardAt + SilenceTimeout + RankDelay + s.rankDelay(v) // the successor may take over first
 	switch {
 	case s.Holds():
 		if at = s.successorSeenAt + successorTimeout; s.chooseSuccessor(v) == (peerlink.Seat{}) {
@@ -148,12 +151,12 @@
 		at = s.rankDelay(v)
 	}
 	if s.hasRequested {
-		at = max(at, s.requestedAt+voteRetryInterval+s.rankDelay(v)) // of those who ask against each other the first in rank does so more often
+		at = max(at, s.requestedAt+voteRetryInterval+s.rankDelay(v)) // among competing candidates, the first in rank retries most often
 	}
 	return at
 }
 
-// NextStep is when Step has something to do, if nothing is heard before.
+// NextStep returns when Step has something to do next, unless a message arrives before.
 func (s *Lease) NextStep(v View) time.Duration {
 	switch {
 	case s.hasLeft:
@@ -169,7 +172,7 @@
 	return s.electionTime(v)
 }
 
-// Step does what is due.
+// Step does what is due at v.Now and returns the messages to send.
 func (s *Lease) Step(v View) (out []Message) {
 	if s.hasLeft {
 		return nil
@@ -190,26 +193,28 @@
 	return out
 }
 
-// takeOver takes over as the successor that was named.
+// takeOver begins the next term as the successor named by the holder, without a vote.
 func (s *Lease) takeOver(v View) Message {
 	t := s.known.Term
 	t.Step++
 	return s.startTerm(v, t)
 }
 
-// startTerm begins a term, and names its successor, once for all of it.
+// startTerm makes this replica the holder in a new term. It names the successor, which stays the same for the whole
+// term.
 func (s *Lease) startTerm(v View, t peerlink.Term) Message {
 	s.known = peerlink.Duty{Term: t, Holder: s.self, Next: s.chooseSuccessor(v)}
 	s.holderHeardAt, s.announcedAt, s.successorSeenAt, s.candidateEpoch = v.Now, v.Now, v.Now, 0
 	return Message{Duty: s.statement()}
 }
 
-// chooseSuccessor is who is to follow this replica: an elector, of another zone where there is one.
+// chooseSuccessor returns the replica to name as successor: one that has a vote, preferably in another zone. It is the
+// zero Seat if there is none.
 func (s *Lease) chooseSuccessor(v View) peerlink.Seat {
-	var fit []Peer
+	var candidates []Peer
 	for _, p := range v.Peers {
 		if p.CanVote {
-			fit = append(fit, p)
+			candidates = append(candidates, p)
 		}
 	}
 	if len(candidates) == 0 {
@@ -226,27 +231,28 @@
 	}).Seat
 }
 
-// requestVotes wants the votes of all. An epoch is the time of day where that is higher than the next number: votes are not on
-// disk, and one who has come back may vote again, but not for the number of a moment before.
+// requestVotes asks all peers for their vote in a new epoch and votes for itself. The epoch is at least the time of
+// day in milliseconds: votes are not stored on disk, so a replica that restarts may vote again, but not for an epoch
+// of the moment before.
 func (s *Lease) requestVotes(v View) []Message {
 	s.hasRequested, s.requestedAt = true, v.Now
 	s.candidateEpoch = max(max(s.known.Term.Epoch, s.votedEpoch, s.highestSeenEpoch)+1, v.UnixMS)
 	s.votedEpoch, s.votes = s.candidateEpoch, map[string]bool{s.self.Name: true}
-	word := s.statement()
-	word.Ask = s.candidateEpoch
-	out := []Message{{Duty: word}}
+	statement := s.statement()
+	statement.Ask = s.candidateEpoch
+	out := []Message{{Duty: statement}}
 	if isMajority(len(s.votes), v.VoterCount) {
 		out = append(out, s.startTerm(v, peerlink.Term{Epoch: s.candidateEpoch}))
 	}
 	return out
 }
 
-// Receive takes in another replica's word.
+// Receive processes a statement from another replica and returns the messages to send in response.
 func (s *Lease) Receive(v View, from peerlink.Seat, d peerlink.Duty) (out []Message) {
 	if s.hasLeft {
 		return nil
 	}
-	own := d.Holder == from
+	fromHolder := d.Holder == from
 	s.highestSeenEpoch = max(s.highestSeenEpoch, d.Voted, d.Ask)
 	switch {
 	case s.supersedesKnown(d):
@@ -256,22 +262,22 @@
 			s.candidateEpoch = 0
 		}
 	case d.Term == s.known.Term && d.Holder == s.known.Holder:
-		if own {
+		if fromHolder {
 			s.holderHeardAt = v.Now
 		}
-	case own || d.Ask > 0:
-		out = append(out, Message{To: from.Name, Duty: s.statement()}) // it is behind
+	case fromHolder || d.Ask > 0:
+		out = append(out, Message{To: from.Name, Duty: s.statement()}) // the sender's knowledge is outdated
 	}
-	if own && d.Yields && d.Term == s.known.Term && s.known.Next == s.self {
+	if fromHolder && d.Yields && d.Term == s.known.Term && s.known.Next == s.self {
 		out = append(out, s.takeOver(v))
 	}
 	if s.grantsVote(v, from, d) {
 		s.votedEpoch = d.Ask
-		word := s.statement()
-		word.Vote = d.Ask
-		out = append(out, Message{To: from.Name, Duty: word})
+		answer := s.statement()
+		answer.Vote = d.Ask
+		out = append(out, Message{To: from.Name, Duty: answer})
 	} else if d.Ask > 0 && len(out) == 0 {
-		out = append(out, Message{To: from.Name, Duty: s.statement()}) // it learns what is higher
+		out = append(out, Message{To: from.Name, Duty: s.statement()}) // refuses the vote and reports the higher epoch or the holder
 	}
 	if d.Vote > 0 && d.Vote == s.candidateEpoch && s.candidateEpoch > s.known.Term.Epoch && s.canVote(v, from) {
 		s.votes[from.Name] = true
@@ -282,18 +288,20 @@
 	return out
 }
 
-// supersedesKnown tells whether a word tells of more than is known. Two holders of one term there are only where a voter came
-// back, and voted again, in the same millisecond; or while a clock is ahead. Then all agree on one by name.
+// supersedesKnown reports whether a statement takes precedence over what is known. One term can have two holders only
+// if a voter restarted and voted again in the same millisecond, or while a clock is ahead. All replicas then agree on
+// one holder by comparing names.
 func (s *Lease) supersedesKnown(d peerlink.Duty) bool {
 	return d.Term.Above(s.known.Term) || d.Term == s.known.Term && d.Holder.Name > s.known.Holder.Name
 }
 
+// canVote reports whether a replica is connected and has a vote.
 func (s *Lease) canVote(v View, who peerlink.Seat) bool {
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who && p.CanVote })
 }
 
-// grantsVote tells whether to vote for one who asks: once in an epoch, and, but for the holder itself, only where the
-// holder is silent here too.
+// grantsVote reports whether to vote for a replica that requests votes. A replica votes once in an epoch and, unless
+// the holder itself asks, only if the holder is silent or disconnected here too.
 func (s *Lease) grantsVote(v View, from peerlink.Seat, d peerlink.Duty) bool {
 	if d.Ask <= s.votedEpoch || d.Ask <= s.known.Term.Epoch || !v.CanVote || s.Holds() {
 		return false
@@ -301,17 +309,18 @@
 	return from == s.known.Holder || s.known.Term == peerlink.Term{} || v.Now >= s.holderHeardAt+DisconnectTimeout && !isConnected(v, s.known.Holder) || v.Now >= s.holderHeardAt+SilenceTimeout
 }
 
-// Yield tells the next one to take over now; nothing where there is no next one. Until it has, this replica holds on.
+// Yield returns the message that asks the successor to take over now, or nothing if there is no successor. This
+// replica stays the holder until the successor has taken over.
 func (s *Lease) Yield() []Message {
 	if !s.Holds() || s.known.Next == (peerlink.Seat{}) {
 		return nil
 	}
-	word := s.statement()
-	word.Yields = true
-	return []Message{{Duty: word}}
+	statement := s.statement()
+	statement.Yields = true
+	return []Message{{Duty: statement}}
 }
 
-// Leave gives the duty up for good: this replica ends.
+// Leave gives up the duty for good, because this replica is shutting down, and returns the messages to send.
 func (s *Lease) Leave() []Message {
 	out := s.Yield()
 	s.hasLeft = true
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -13,29 +13,29 @@
 
 // Bounds of the set of voters, and timeouts for changing it.
 const (
-	MaxVoters        = 9                       // more make decisions slower and bear no more losses than they need to
-	MinVoters        = 3                       // a set of so many is not made smaller: two bear the loss of none
-	AliveTimeout     = 900 * time.Millisecond  // whoever was heard since is there
-	StableBeforeJoin = time.Second             // all voters have been there for so long before one more joins: else it may replace one
-	ReplaceAfter     = 2500 * time.Millisecond // of silence, where one that has caught up waits to be a voter
-	RemoveAfter      = 8 * time.Second         // of silence, where none waits
+	MaxVoters        = 9                       // more voters slow decisions down without tolerating more losses than necessary
+	MinVoters        = 3                       // a set of this size is not reduced further: two voters tolerate no loss
+	AliveTimeout     = 900 * time.Millisecond  // a replica that was heard within this time is alive
+	StableBeforeJoin = time.Second             // all voters must be alive for so long before one is added: it may be needed as a replacement
+	ReplaceAfter     = 2500 * time.Millisecond // of silence, if a learner that has caught up is available
+	RemoveAfter      = 8 * time.Second         // of silence, if no learner is available
 )
 
 // Member is a replica as another replica sees it.
 type Member struct {
 	state.Voter
-	Eligible  bool          // its disk may count
+	Eligible  bool          // it may become a voter: its disk is fit to count in a majority
 	CaughtUp  bool          // it knows the newest decided state
-	Leaving   bool          // it has said that it ends
-	SilentFor time.Duration // since it was heard last
+	Leaving   bool          // it has announced that it is shutting down
+	SilentFor time.Duration // time since its last message
 }
 
 func (m Member) isAlive() bool { return m.SilentFor < AliveTimeout }
 
 // Change is a change of the voters for the next state.
 type Change struct {
-	Add    *state.Voter // nil: nobody is added
-	Remove string       // the ID of the one that goes; empty: nobody does
+	Add    *state.Voter // nil if no voter is added
+	Remove string       // ID of the voter to remove; empty if none is removed
 	Reason string
 }
 
@@ -58,12 +58,11 @@
 	return after, len(after) > 0
 }
 
-// NextChange is the change that a replica with this view proposes; ok is false where
-// there is none. Members are all replicas that were heard, the one that asks
-// included, and voters that were not, with the time since then. Calm is for how long
-// all voters have been alive.
-func NextChange(voters []state.Voter, members []Member, calm time.Duration) (c Change, ok bool) {
-	seen := map[string]Member{}
+// NextChange returns the change that a replica with this view proposes; ok is false if there is none. members are all
+// replicas that were heard, including the caller, and all voters that were not, with the time since their last
+// message. stableFor is how long all voters have been alive.
+func NextChange(voters []state.Voter, members []Member, stableFor time.Duration) (c Change, ok bool) {
+	byID := map[string]Member{}
 	for _, m := range members {
 		byID[m.ID] = m
 	}
@@ -71,15 +70,15 @@
 	if c, ok := replaceSameMachine(voters, candidates); ok {
 		return c, true
 	}
-	gone, isGone := longestAbsent(voters, seen)
-	if len(candidates) > 0 && isGone && (gone.Leaving || gone.SilentFor >= ReplaceAfter) {
-		return Change{Add: &candidates[0], Remove: gone.ID, Reason: "replaces " + gone.ID}, true
+	absent, found := longestAbsent(voters, byID)
+	if len(candidates) > 0 && found && (absent.Leaving || absent.SilentFor >= ReplaceAfter) {
+		return Change{Add: &candidates[0], Remove: absent.ID, Reason: "replaces " + absent.ID}, true
 	}
-	if len(candidates) > 0 && !isGone && len(voters) < MaxVoters && calm >= StableBeforeJoin {
+	if len(candidates) > 0 && !found && len(voters) < MaxVoters && stableFor >= StableBeforeJoin {
 		return Change{Add: &candidates[0], Reason: "has caught up"}, true
 	}
-	if isGone && len(voters) > MinVoters && (gone.Leaving || gone.SilentFor >= RemoveAfter) {
-		return Change{Remove: gone.ID, Reason: "has gone"}, true
+	if found && len(voters) > MinVoters && (absent.Leaving || absent.SilentFor >= RemoveAfter) {
+		return Change{Remove: absent.ID, Reason: "has gone"}, true
 	}
 	return Change{}, false
 }
@@ -96,10 +95,10 @@
 	return Change{Remove: self, Reason: "ends"}, len(voters) > MinVoters
 }
 
-// findCandidates are the learners that may become voters, in a fixed order: those of zones with the fewest voters first, so
-// that the loss of a zone takes few of them.
+// findCandidates returns the learners that may become voters, in a fixed order: those in zones with the fewest voters
+// first, so that the loss of a zone affects few voters.
 func findCandidates(voters []state.Voter, members []Member) (all []state.Voter) {
-	in := map[string]int{} // voters by zone
+	votersInZone := map[string]int{}
 	for _, m := range members {
 		isVoter := slices.ContainsFunc(voters, func(v state.Voter) bool { return v.ID == m.ID })
 		if isVoter {
@@ -115,8 +114,8 @@
 	return all
 }
 
-// replaceSameMachine replaces a voter whose machine is back with another disk: it can't
-// come again.
+// replaceSameMachine replaces a voter whose machine has come back with another disk, since a voter with the old disk
+// cannot return.
 func replaceSameMachine(voters, candidates []state.Voter) (Change, bool) {
 	for i := range candidates {
 		for _, v := range voters {
@@ -128,16 +127,15 @@
 	return Change{}, false
 }
 
-// longestAbsent is the voter that leaves, else the one that has been silent for
-// longest.
-func longestAbsent(voters []state.Voter, seen map[string]Member) (gone Member, is bool) {
+// longestAbsent returns a voter that is leaving or, if there is none, the voter that has been silent for longest.
+func longestAbsent(voters []state.Voter, byID map[string]Member) (absent Member, found bool) {
 	for _, v := range voters {
-		m, heard := seen[v.ID]
-		if !heard || m.isAlive() && !m.Leaving {
+		m, known := byID[v.ID]
+		if !known || m.isAlive() && !m.Leaving {
 			continue
 		}
-		if !is || m.Leaving && !gone.Leaving || m.Leaving == gone.Leaving && m.SilentFor > gone.SilentFor {
-			gone, is = m, true
+		if !found || m.Leaving && !absent.Leaving || m.Leaving == absent.Leaving && m.SilentFor > absent.SilentFor {
+			absent, found = m, true
 		}
 	}
 	return absent, found
@@ -152,6 +150,6 @@
 	return allAlive(voters, byID)
 }
 
-func allAlive(voters []state.Voter, seen map[string]Member) bool {
-	return !slices.ContainsFunc(voters, func(v state.Voter) bool { m, heard := seen[v.ID]; return !heard || !m.isAlive() })
+func allAlive(voters []state.Voter, byID map[string]Member) bool {
+	return !slices.ContainsFunc(voters, func(v state.Voter) bool { m, known := byID[v.ID]; return !known || !m.isAlive() })
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -18,7 +18,7 @@
 	return state.Voter{ID: id, Inner: strings.TrimRight(id, "0123456789")}
 }
 
-// machineName is the name of one of any number of machines.
+// machineName returns the name of the machine with this number.
 func machineName(i int) string { return strings.Repeat("z", i/20) + string(rune('a'+i%20)) }
 
 func voters(ids ...string) (all []state.Voter) {
@@ -28,18 +28,18 @@
 	return all
 }
 
-// memberSilentFor is a member that was heard so long ago; one that has caught up and may be a voter.
+// memberSilentFor returns a member that is eligible and has caught up, and whose last message is so long ago.
 func memberSilentFor(id string, silent time.Duration) Member {
 	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, SilentFor: silent}
 }
 
 func TestNextChange(t *testing.T) {
 	const long, calm = ReplaceAfter, StableBeforeJoin
-	leaves := memberSilentFor("c", 0)
-	leaves.Leaving = true
+	leaving := memberSilentFor("c", 0)
+	leaving.Leaving = true
 	behind, observer := memberSilentFor("d", 0), memberSilentFor("d", 0)
 	behind.CaughtUp, observer.Eligible = false, false
-	all := func(more ...Member) []Member {
+	withAAndB := func(more ...Member) []Member {
 		return append([]Member{memberSilentFor("a", 0), memberSilentFor("b", 0)}, more...)
 	}
 	for name, x := range map[string]struct {
@@ -48,22 +48,22 @@
 		calm    time.Duration
 		want    string
 	}{
-		"nothing to do":                 {voters("a", "b", "c"), all(memberSilentFor("c", 0)), calm, ""},
-		"one joins":                     {voters("a", "b", "c"), all(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm, "+d"},
-		"not before all are calm":       {voters("a", "b", "c"), all(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm - 1, ""},
-		"not before it has caught up":   {voters("a", "b", "c"), all(memberSilentFor("c", 0), behind), calm, ""},
-		"nor one whose disk is none":    {voters("a", "b", "c"), all(memberSilentFor("c", 0), observer), calm, ""},
-		"not while one is silent":       {voters("a", "b", "c"), all(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
-		"it replaces one that is gone":  {voters("a", "b", "c"), all(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
-		"or one that leaves":            {voters("a", "b", "c"), all(leaves, memberSilentFor("d", 0)), calm, "+d-c"},
-		"its own machine's old disk":    {voters("a", "b", "c1"), all(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
-		"none leaves three":             {voters("a", "b", "c"), all(leaves), calm, ""},
-		"nor is removed from them":      {voters("a", "b", "c"), all(memberSilentFor("c", RemoveAfter)), 0, ""},
-		"one leaves four":               {voters("a", "b", "c", "d"), all(leaves, memberSilentFor("d", 0)), calm, "-c"},
-		"one is gone from four":         {voters("a", "b", "c", "d"), all(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
-		"not before it is for long":     {voters("a", "b", "c", "d"), all(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
-		"who leaves goes before silent": {voters("a", "b", "c", "d"), all(leaves, memberSilentFor("d", RemoveAfter)), 0, "-c"},
-		"one that was never heard":      {voters("a", "b", "c"), all(memberSilentFor("d", 0)), 0, ""},
+		"nothing to do":                 {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0)), calm, ""},
+		"one joins":                     {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm, "+d"},
+		"not before all are calm":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), calm - 1, ""},
+		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), behind), calm, ""},
+		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), observer), calm, ""},
+		"not while one is silent":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
+		"it replaces one that is gone":  {voters("a", "b", "c"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
+		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, memberSilentFor("d", 0)), calm, "+d-c"},
+		"its own machine's old disk":    {voters("a", "b", "c1"), withAAndB(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
+		"none leaves three":             {voters("a", "b", "c"), withAAndB(leaving), calm, ""},
+		"nor is removed from them":      {voters("a", "b", "c"), withAAndB(memberSilentFor("c", RemoveAfter)), 0, ""},
+		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", 0)), calm, "-c"},
+		"one is gone from four":         {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
+		"not before it is for long":     {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
+		"who leaves goes before silent": {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", RemoveAfter)), 0, "-c"},
+		"one that was never heard":      {voters("a", "b", "c"), withAAndB(memberSilentFor("d", 0)), 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, ok := NextChange(x.voters, x.members, x.calm)
@@ -82,7 +82,7 @@
 func TestNoZoneHoldsAMajorityOfTheVoters(t *testing.T) {
 	var current []state.Voter
 	var members []Member
-	for i := range 15 { // five in each zone, and the first start's voters all in the first, which they don't tell
+	for i := range 15 { // five per zone; the voters of the first start are all in the first zone, which their records do not name
 		m := memberSilentFor(machineName(i), 0)
 		if m.Zone = fmt.Sprint("z", i/5); i < 3 {
 			current = append(current, m.Voter)
@@ -90,21 +90,21 @@
 		}
 		members = append(members, m)
 	}
-	for c, ok := NextChange(now, members, StableBeforeJoin); ok; c, ok = NextChange(now, members, StableBeforeJoin) {
-		now, _ = c.Apply(now)
+	for c, ok := NextChange(current, members, StableBeforeJoin); ok; c, ok = NextChange(current, members, StableBeforeJoin) {
+		current, _ = c.Apply(current)
 	}
 	votersInZone := map[string]int{}
 	for _, v := range current {
 		votersInZone[v.Zone]++
 	}
-	assert.Assert(t, len(now) == MaxVoters && in["z1"] == 3 && in["z2"] == 3, "%v", in)
+	assert.Assert(t, len(current) == MaxVoters && votersInZone["z1"] == 3 && votersInZone["z2"] == 3, "%v", votersInZone)
 }
 
 func TestResign(t *testing.T) {
 	_, ok := Resign(voters("a", "b", "c"), []Member{memberSilentFor("a", 0), memberSilentFor("b", 0), memberSilentFor("c", 0)}, "c")
-	assert.Assert(t, !ok) // two would bear no loss
+	assert.Assert(t, !ok) // the two voters left would tolerate no loss
 	_, ok = Resign(voters("a", "b", "c"), nil, "d")
-	assert.Assert(t, !ok) // it is none
+	assert.Assert(t, !ok) // d is not a voter
 	c, ok := Resign(voters("a", "b", "c"), []Member{memberSilentFor("d", 0)}, "c")
 	assert.Assert(t, ok && c.Add.ID == "d" && c.Remove == "c")
 	c, ok = Resign(voters("a", "b", "c", "d"), nil, "c")
@@ -131,17 +131,17 @@
 		n := 3 + rnd.IntN(3)
 		var current []state.Voter
 		for i := range n {
-			now = append(now, voter(machineName(i)+"0"))
+			current = append(current, voter(machineName(i)+"0"))
 		}
 		members := map[string]*Member{}
-		for _, v := range now {
+		for _, v := range current {
 			m := memberSilentFor(v.ID, 0)
 			members[v.ID] = &m
 		}
 		machines := n
 		for range 40 {
 			down := 0
-			for _, v := range now {
+			for _, v := range current {
 				if m := members[v.ID]; m == nil || !m.isAlive() {
 					down++
 				}
@@ -149,20 +149,20 @@
 			if ids := aliveIDs(members); down == 0 && rnd.IntN(2) == 0 {
 				id := ids[rnd.IntN(len(ids))]
 				switch rnd.IntN(3) {
-				case 0: // it lost its disk
+				case 0: // the machine lost its disk and returns with another one
 					members[id].SilentFor = RemoveAfter
-					m := memberSilentFor(fmt.Sprint(members[id].Inner, born), 0)
+					m := memberSilentFor(fmt.Sprint(members[id].Inner, machines), 0)
 					members[m.ID] = &m
-				case 1: // gone for good, another machine comes
+				case 1: // the machine is gone for good and a new one joins
 					members[id].SilentFor = RemoveAfter
-					m := memberSilentFor(machineName(born)+"0", 0)
+					m := memberSilentFor(machineName(machines)+"0", 0)
 					members[m.ID] = &m
 				case 2:
 					members[id].SilentFor = AliveTimeout
 				}
 				machines++
 			}
-			c, ok := NextChange(now, allMembers(members), StableBeforeJoin)
+			c, ok := NextChange(current, allMembers(members), StableBeforeJoin)
 			for _, m := range members {
 				if m.SilentFor < ReplaceAfter {
 					m.SilentFor = 0
@@ -173,26 +173,26 @@
 			}
 			after, fits := c.Apply(current)
 			assert.Assert(t, fits)
-			assert.Assert(t, len(after) >= min(len(now), MinVoters) && len(after) <= MaxVoters, "seed %d: %v after %v", seed, after, now)
-			if isMajorityAlive(now, members) {
+			assert.Assert(t, len(after) >= min(len(current), MinVoters) && len(after) <= MaxVoters, "seed %d: %v after %v", seed, after, current)
+			if isMajorityAlive(current, members) {
 				assert.Assert(t, isMajorityAlive(after, members), "seed %d: %+v leaves no majority", seed, c)
 			}
 			current = after
 		}
 		for range 10 {
-			c, ok := NextChange(now, allMembers(members), StableBeforeJoin)
+			c, ok := NextChange(current, allMembers(members), StableBeforeJoin)
 			if !ok {
 				break
 			}
 			current, _ = c.Apply(current)
 		}
 		alive := 0
-		for _, v := range now {
+		for _, v := range current {
 			if m := members[v.ID]; m != nil && m.isAlive() {
 				alive++
 			}
 		}
-		assert.Assert(t, alive == len(now) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(now), now, allMembers(members))
+		assert.Assert(t, alive == len(current) && alive >= n-1, "seed %d: %d of %d voters are there: %v, %+v", seed, alive, len(current), current, allMembers(members))
 	}
 }
 
--- a/internal/control/orderlog/orderlog.go
+++ b/internal/control/orderlog/orderlog.go
@@ -17,16 +17,15 @@
 
 // Bounds of a log.
 const (
-	maxQueued     = 64   // orders to be written; more are lost
-	maxKept       = 4096 // on disk; older ones are removed at the start
+	maxQueued     = 64   // orders waiting to be written; further ones are dropped
+	maxKept       = 4096 // orders kept on disk; older ones are removed at the start
 	memTableBytes = 256 << 10
 	cacheBytes    = 256 << 10
 	maxOpenFiles  = 32
-	syncDelay     = 500 * time.Millisecond // an order's acknowledgement waits for the disk too
+	syncDelay     = 500 * time.Millisecond // delays syncs, as the acknowledgements of orders wait for the same disk
 )
 
-// Log writes orders down in the background, so that a disk in trouble holds
-// nobody up.
+// Log writes orders to disk in the background, so that a slow or failing disk blocks no caller.
 type Log struct {
 	log   logr.Logger
 	queue chan api.Order
@@ -36,10 +35,9 @@
 	next  uint64 // key of the next entry
 }
 
-// Open begins to open the tally in a folder after a time, and calls told with
-// the newest orders of before, oldest first, once it is open. A tally that
-// can't be opened keeps nothing.
-func Open(fs vfs.FS, dir string, after time.Duration, most int, log logr.Logger, told func([]api.Order)) *Log {
+// Open opens the log in the folder dir in the background, after a delay. Once the log is open it calls onOpen with up
+// to maxRead of the newest earlier orders, oldest first. If the log cannot be opened, it keeps nothing.
+func Open(fs vfs.FS, dir string, delay time.Duration, maxRead int, log logr.Logger, onOpen func([]api.Order)) *Log {
 	t := &Log{log: log, queue: make(chan api.Order, maxQueued), quit: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(t.done)
@@ -58,7 +56,7 @@
 	return t
 }
 
-// Append writes an order down when the disk gets to it.
+// Append queues an order to be written. It never blocks; the order is dropped if the queue is full.
 func (t *Log) Append(o api.Order) {
 	select {
 	case t.queue <- o:
@@ -66,7 +64,7 @@
 	}
 }
 
-// Close ends the tally; it waits for the disk at most d.
+// Close ends the log. It waits at most d for pending writes.
 func (t *Log) Close(d time.Duration) {
 	close(t.quit)
 	select {
@@ -92,8 +90,8 @@
 	return errors.Wrap(err, "order log")
 }
 
-// read is the newest orders, oldest first; it removes those that are too old.
-func (t *Log) read(most int) []api.Order {
+// read returns up to maxRead of the newest orders, oldest first, and removes all but the newest maxKept from disk.
+func (t *Log) read(maxRead int) []api.Order {
 	it, err := t.store.NewIter(nil)
 	if err != nil {
 		t.log.Info("cannot read the order log", "why", err.Error())
@@ -102,8 +100,8 @@
 	var all []api.Order
 	count := 0
 	var last []byte
-	for ok := it.Last(); ok && kept < maxKept; ok = it.Prev() {
-		if kept == 0 && len(it.Key()) == 8 {
+	for ok := it.Last(); ok && count < maxKept; ok = it.Prev() {
+		if count == 0 && len(it.Key()) == 8 {
 			t.next = binary.BigEndian.Uint64(it.Key()) + 1
 		}
 		var o api.Order
@@ -156,18 +154,18 @@
 	}
 }
 
-// pebbleLogger lets the library's lines go into the ring.
+// pebbleLogger passes error lines of the database to the replica's log.
 type pebbleLogger struct{ log logr.Logger }
 
 func (q pebbleLogger) Infof(string, ...any) {}
 
 func (q pebbleLogger) Errorf(format string, args ...any) {
-	q.log.Info("tally in trouble", "why", fmt.Sprintf(format, args...))
+	q.log.Info("order log database reports an error", "why", fmt.Sprintf(format, args...))
 }
 
-// Fatalf must not return, and a full disk is no reason for a replica to end: the
-// library's goroutine stops here, and nothing is noted any more.
+// Fatalf must not return, but a full disk is no reason to end the replica. It blocks the calling goroutine of the
+// database for good, and nothing is written to the log any more.
 func (q pebbleLogger) Fatalf(format string, args ...any) {
-	q.log.Info("tally given up", "why", fmt.Sprintf(format, args...))
+	q.log.Info("order log database failed, no more orders are logged", "why", fmt.Sprintf(format, args...))
 	select {}
 }
--- a/internal/control/orderlog/orderlog_test.go
+++ b/internal/control/orderlog/orderlog_test.go
@@ -13,9 +13,9 @@
 )
 
 func openLog(fs vfs.FS) (*Log, []api.Order) {
-	told := make(chan []api.Order, 1)
-	t := Open(fs, "tally", 0, 3, logr.Discard(), func(all []api.Order) { told <- all })
-	return t, <-told
+	opened := make(chan []api.Order, 1)
+	t := Open(fs, "tally", 0, 3, logr.Discard(), func(all []api.Order) { opened <- all })
+	return t, <-opened
 }
 
 func names(all []api.Order) (s string) {
@@ -42,7 +42,7 @@
 	x.Close(time.Minute)
 }
 
-// A power loss may take the latest orders, and no more.
+// A power loss may lose the latest orders, but no others.
 func TestPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	x, _ := openLog(fs)
@@ -57,7 +57,7 @@
 	y.Close(time.Minute)
 }
 
-// A disk that takes nothing holds nobody up and ends no process.
+// A disk that fails all writes blocks no caller and does not end the process.
 func TestDiskFailure(t *testing.T) {
 	full := errorfs.ErrInjected.If(errorfs.Writes)
 	x := Open(errorfs.Wrap(vfs.NewMem(), full), "tally", 0, 3, logr.Discard(), func([]api.Order) {})
--- a/internal/control/quorum/acceptor.go
+++ b/internal/control/quorum/acceptor.go
@@ -75,7 +75,7 @@
 	Value    *state.State // accepted for the next version; nil if nothing is
 }
 
-// HandlePrepare answers a proposer's first message.
+// HandlePrepare answers the message of the first phase.
 func (r *Record) HandlePrepare(p Prepare) Promise {
 	m := Promise{ID: r.ID, Version: r.Decided.Version}
 	switch {
@@ -93,8 +93,8 @@
 	return m
 }
 
-// HandleAccept answers a proposer's second message. The configuration that the value
-// names has to be on the replica's disk with the record.
+// HandleAccept answers the message of the second phase. The configuration that the value names must be synced to the
+// replica's disk together with the record.
 func (r *Record) HandleAccept(a Accept) Acceptance {
 	m := Acceptance{ID: r.ID, Version: r.Decided.Version}
 	switch {
--- a/internal/control/quorum/explore_test.go
+++ b/internal/control/quorum/explore_test.go
@@ -19,10 +19,10 @@
 	maxStates = flag.Int("quorum.states", 500, "how many states of each model are visited in order, at most")
 )
 
-// stepsPerWalk is how long a walk is at most.
+// stepsPerWalk is the maximum length of a random walk.
 const stepsPerWalk = 60
 
-// walksPerInjectedFault are enough to find each fault that is planted.
+// walksPerInjectedFault is enough to find every injected fault.
 const walksPerInjectedFault = 40_000
 
 // rules are the steps of the protocol. A test may replace any of them to inject a fault.
@@ -33,8 +33,8 @@
 	inheritedValue   func(p *Proposal) *state.State
 	isDecided        func(p *Proposal) bool
 	isLatest         func(base state.State, reports map[string]Report) bool
-	idAfterWipe      func(id string) string          // the identity after a disk was lost
-	recordAfterCrash func(before, now Record) Record // what is on disk after a crash; before: at the last message but one
+	idAfterWipe      func(id string) string            // identity of a replica after the loss of its disk
+	recordAfterCrash func(previous, now Record) Record // what is on disk after a crash; previous is the record before the last message
 }
 
 func correctRules() rules {
@@ -50,10 +50,10 @@
 	}
 }
 
-// plannedProposal is a proposal that a model may make at any moment, once.
+// plannedProposal is a proposal that a replica of a model may make once, at any moment.
 type plannedProposal struct {
-	replica int    // the replica
-	round   uint64 // FirstRound: without promises, by the proposer of what is decided there
+	replica int    // index of the replica that proposes
+	round   uint64 // FirstRound: without promises, only by the proposer of the state decided at that replica
 	change  func(s state.State) state.State
 }
 
@@ -62,30 +62,30 @@
 	voters, replicas int
 	plans            []plannedProposal
 	crashes, wipes   int
-	noReplyLost      bool // no answer is lost
-	noLearning       bool // nobody learns but by proposing
-	onlyCrashing     int  // the only replica that crashes; 0: any
+	noReplyLost      bool // no reply is lost
+	noLearning       bool // replicas learn decided states only by proposing
+	onlyCrashing     int  // index of the only replica that crashes; 0: any replica may
 }
 
-// runningProposal is a proposal under way.
+// runningProposal is a proposal in progress.
 type runningProposal struct {
 	proposal  *Proposal
 	isRunning bool
 	hasChosen bool
-	prepared  map[int]bool // asked
-	accepted  map[int]bool // asked
+	prepared  map[int]bool // replicas that were sent the message of the first phase
+	accepted  map[int]bool // replicas that were sent the message of the second phase
 	message   Accept
 }
 
 // systemState is one state of a model.
 type systemState struct {
 	records         []Record
-	previousRecords []Record // at the last message but one
+	previousRecords []Record // each record before the last message that its replica handled
 	running         []*runningProposal
 	crashes         int
 	wipes           int
-	decided         map[uint64]state.State
-	violation       string
+	decided         map[uint64]state.State // by version
+	violation       string                 // the first violated invariant; empty: none
 }
 
 func (w *systemState) clone() *systemState {
@@ -105,6 +105,7 @@
 	return x
 }
 
+// key returns a hash that identifies the state.
 func (w *systemState) key() uint64 {
 	b := fnv.New64a()
 	for i := range w.records {
@@ -134,6 +135,7 @@
 
 func voterID(i int) string { return string(rune('a' + i)) }
 
+// start returns the initial state.
 func (m *model) start() *systemState {
 	var voters []state.Voter
 	for i := range m.voters {
@@ -194,7 +196,9 @@
 	return len(seen), ""
 }
 
-// check tells what is broken; decisions are checked when they are made.
+// check returns the violated invariant, if any. For each set of replicas whose reports a reader may have, IsLatest
+// must not call a state the latest if a newer one, other than a change of voters, is decided. Decisions are checked in
+// recordDecision.
 func (w *systemState) check(r *rules) string {
 	if w.violation != "" || len(w.decided) == 1 {
 		return w.violation
@@ -222,9 +226,9 @@
 	return ""
 }
 
-// steps are all that may happen next.
+// steps returns all steps that are possible next.
 func (m *model) steps(w *systemState, r *rules) (all []func(x *systemState)) {
-	add := func(does func(x *systemState)) { all = append(all, does) }
+	add := func(step func(x *systemState)) { all = append(all, step) }
 	for k := range m.plans {
 		m.proposalSteps(w, r, k, add)
 	}
@@ -256,7 +260,7 @@
 	return all
 }
 
-// kill ends the proposals of a replica's process.
+// kill ends the proposals of the process of a replica.
 func (m *model) kill(x *systemState, i int) {
 	for k, run := range x.running {
 		if run != nil && m.plans[k].replica == i {
@@ -265,7 +269,7 @@
 	}
 }
 
-// proposalSteps are those of one proposal: a question and its answer are one step, and the answer may be lost.
+// proposalSteps adds the steps of one proposal. A request and its reply are one step; the reply may be lost.
 func (m *model) proposalSteps(w *systemState, r *rules, k int, add func(func(x *systemState))) {
 	plan, run := &m.plans[k], w.running[k]
 	base := w.records[plan.replica].Decided
@@ -334,17 +338,17 @@
 	run.hasChosen = true
 }
 
-// recordDecision notes a decision and checks it.
+// recordDecision records a decision, if there is one, and checks it against the earlier ones.
 func (x *systemState) recordDecision(run *runningProposal, by int, r *rules) {
 	if !r.isDecided(run.proposal) {
 		return
 	}
 	s := *run.proposal.value
 	run.isRunning = false
-	if was, ok := x.decided[s.Version]; ok && !(was.SameContent(s) && was.Proposer == s.Proposer) {
-		x.violation = fmt.Sprintf("two values of version %d: %s and %s", s.Version, summarize(&was), summarize(&s))
+	if previous, ok := x.decided[s.Version]; ok && !(previous.SameContent(s) && previous.Proposer == s.Proposer) {
+		x.violation = fmt.Sprintf("two values of version %d: %s and %s", s.Version, summarize(&previous), summarize(&s))
 	}
-	if was := x.decided[s.Version-1]; !was.SameContent(run.proposal.base) {
+	if base := x.decided[s.Version-1]; !base.SameContent(run.proposal.base) {
 		x.violation = fmt.Sprintf("version %d follows %s, not what was decided", s.Version, summarize(&run.proposal.base))
 	}
 	x.decided[s.Version] = s
@@ -352,7 +356,7 @@
 	r.learn(&x.records[by], s)
 }
 
-// replyLossOptions are whether an answer may be lost.
+// replyLossOptions returns the possible values of whether a reply is lost.
 func (m *model) replyLossOptions() []bool {
 	if m.noReplyLost {
 		return []bool{false}
@@ -360,6 +364,7 @@
 	return []bool{false, true}
 }
 
+// setConfig returns a change that sets the configuration.
 func setConfig(gen uint64) func(s state.State) state.State {
 	return func(s state.State) state.State {
 		s.Config = state.ConfigID{Gen: gen}
@@ -367,7 +372,8 @@
 	}
 }
 
-// replaceVoter puts one voter in place of another; an empty one adds or removes.
+// replaceVoter returns a change that replaces the voter old by another one. An empty name adds or removes a voter
+// only.
 func replaceVoter(old, by string) func(s state.State) state.State {
 	return func(s state.State) state.State {
 		var after []state.Voter
@@ -399,8 +405,9 @@
 	"five voters":            {voters: 5, replicas: 5, plans: []plannedProposal{{0, 2, setConfig(1)}, {4, 3, setConfig(2)}}},
 }
 
-// In no order of steps, with answers lost, processes killed, disks lost and voters changed, are two values decided for
-// one version, does a decision rest on anything but the decision before it, or does a majority call the latest what is not.
+// In every order of steps, with lost replies, crashes, lost disks and changes of voters: no version is decided with
+// two values, every decision is based on the decision before it, and IsLatest does not report a state as the latest if
+// a newer one is decided.
 func TestNoConflictingDecisions(t *testing.T) {
 	for name, m := range models {
 		t.Run(name, func(t *testing.T) {
@@ -414,24 +421,24 @@
 	}
 }
 
-// Each part of the mechanism is needed: without it some order of steps breaks an invariant.
+// Each part of the protocol is necessary: without it, some order of steps violates an invariant.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, plant := range map[string]struct {
 		in    string
 		plant func(r *rules)
 	}{
 		"a promise is not on disk": {"one forgets", func(r *rules) {
-			r.recordAfterCrash = func(before, now Record) Record {
-				if now.Promised.Above(before.Promised) && now.Accepted == before.Accepted {
-					return before
+			r.recordAfterCrash = func(previous, now Record) Record {
+				if now.Promised.Above(previous.Promised) && now.Accepted == previous.Accepted {
+					return previous
 				}
 				return now
 			}
 		}},
 		"an accepted value is not on disk": {"two proposers", func(r *rules) {
-			r.recordAfterCrash = func(before, now Record) Record {
-				if now.Accepted.Above(before.Accepted) {
-					return before
+			r.recordAfterCrash = func(previous, now Record) Record {
+				if now.Accepted.Above(previous.Accepted) {
+					return previous
 				}
 				return now
 			}
@@ -461,7 +468,7 @@
 		}},
 		"the value of the lowest ballot is taken over": {"three, none lost", func(r *rules) {
 			r.inheritedValue = func(p *Proposal) *state.State {
-				var least Ballot
+				var lowest Ballot
 				var value *state.State
 				for _, m := range p.promises {
 					if m.Value != nil && (value == nil || lowest.Above(m.Accepted)) {
@@ -553,8 +560,8 @@
 	assert.Assert(t, broken != "")
 }
 
-// Voters were about to change: a majority of the old ones that know of nothing more is not enough, as the new ones may
-// have decided one version more.
+// While a change of voters is being accepted, a majority of the old voters that know of nothing newer is not enough
+// for IsLatest, since the new voters may have decided a further version.
 func TestIsLatestNeedsMajorityOfNewVoters(t *testing.T) {
 	base := state.Genesis([]state.Voter{{ID: "a"}, {ID: "b"}, {ID: "c"}})
 	next := replaceVoter("c", "d")(base)
--- a/internal/control/quorum/proposal.go
+++ b/internal/control/quorum/proposal.go
@@ -26,32 +26,32 @@
 	base         state.State
 	ballot       Ballot
 	promises     map[string]Promise
-	value        *state.State
+	value        *state.State // the proposed value; nil until one is chosen
 	accepted     map[string]bool
-	refused      map[string]bool
-	higherBallot Ballot
-	newerDecided *state.State
-	behind       map[string]uint64
+	refused      map[string]bool   // voters of base that have promised a higher ballot
+	higherBallot Ballot            // the highest ballot that any acceptor reported
+	newerDecided *state.State      // the newest decided state above base that any acceptor reported
+	behind       map[string]uint64 // newest decided version of acceptors that lack base
 }
 
-// NewProposal begins an attempt.
+// NewProposal starts an attempt to decide the version after base.
 func NewProposal(base state.State, ballot Ballot) *Proposal {
 	return &Proposal{base: base, ballot: ballot, promises: map[string]Promise{}, accepted: map[string]bool{}, refused: map[string]bool{}, behind: map[string]uint64{}}
 }
 
-// NewFirstRoundProposal begins an attempt under FirstRound, which starts with Choose. The proposer has to be the one of base,
-// and must not have used that round for the version after it before.
+// NewFirstRoundProposal starts an attempt under FirstRound, which needs no promises and begins with ChooseValue. The
+// caller must be the proposer of base and must not have used this round for the next version before.
 func NewFirstRoundProposal(base state.State) *Proposal {
 	return NewProposal(base, Ballot{Round: FirstRound, Proposer: base.Proposer})
 }
 
-// PrepareMessage is the first message, for all voters of the base.
+// PrepareMessage returns the message of the first phase, to be sent to all voters of base.
 func (p *Proposal) PrepareMessage() Prepare {
 	return Prepare{Version: p.base.Version + 1, Ballot: p.ballot}
 }
 
-// HandlePromise takes an answer to Prepare in. Answers of others than the base's
-// voters don't count.
+// HandlePromise processes an answer to the message of the first phase. Answers from replicas that are not voters of
+// base do not count.
 func (p *Proposal) HandlePromise(m Promise) {
 	p.noteReply(m.ID, m.Promised, m.Decided)
 	if m.Granted {
@@ -61,8 +61,9 @@
 	}
 }
 
+// noteReply records a higher ballot or a newer decided state that an acceptor reports.
 func (p *Proposal) noteReply(id string, promised Ballot, decided *state.State) {
-	if _, is := p.base.Voter(id); is && promised != (Ballot{}) {
+	if _, ok := p.base.Voter(id); ok && promised != (Ballot{}) {
 		p.refused[id] = true
 	}
 	if promised.Above(p.higherBallot) {
@@ -73,13 +74,13 @@
 	}
 }
 
-// IsPrepared tells whether a majority of the base's voters has promised.
+// IsPrepared reports whether a majority of the voters of base has promised.
 func (p *Proposal) IsPrepared() bool {
 	return IsMajority(p.base.Voters, func(id string) bool { _, ok := p.promises[id]; return ok })
 }
 
-// InheritedValue is the value that has to be proposed, as a majority may have accepted
-// it already; nil: any value may be.
+// InheritedValue returns the value that must be proposed because a majority may already have accepted it, or nil if
+// any value may be proposed.
 func (p *Proposal) InheritedValue() *state.State {
 	var ballot Ballot
 	var value *state.State
@@ -91,8 +92,8 @@
 	return value
 }
 
-// ChooseValue sets the value and returns the second message, for all voters of the
-// base and of the value. A value that was inherited goes before v.
+// ChooseValue sets the value and returns the message of the second phase, to be sent to all voters of base and of the
+// value. An inherited value takes precedence over v.
 func (p *Proposal) ChooseValue(v state.State) Accept {
 	if inherited := p.InheritedValue(); inherited != nil {
 		v = *inherited
@@ -102,7 +103,7 @@
 	return Accept{Version: v.Version, Ballot: p.ballot, Value: v}
 }
 
-// HandleAcceptance takes an answer to Accept in.
+// HandleAcceptance processes an answer to the message of the second phase.
 func (p *Proposal) HandleAcceptance(m Acceptance) {
 	p.noteReply(m.ID, m.Promised, m.Decided)
 	if m.Granted {
@@ -112,8 +113,8 @@
 	}
 }
 
-// IsDecided tells whether the value is decided: by a majority of the voters before
-// it and, so that no later loss that they may bear loses it, of those after it.
+// IsDecided reports whether the value is decided. It must be accepted by a majority of the voters of base and also of
+// the voters that the value names, so that the loss of any minority of the new voters cannot lose the decision.
 func (p *Proposal) IsDecided() bool {
 	if p.value == nil {
 		return false
@@ -125,19 +126,20 @@
 // Value returns the chosen value, or nil before ChooseValue.
 func (p *Proposal) Value() *state.State { return p.value }
 
-// HigherBallot is the highest ballot that stands against this one; zero: none.
+// HigherBallot returns the highest competing ballot that an acceptor has promised, or the zero Ballot if there is
+// none.
 func (p *Proposal) HigherBallot() Ballot { return p.higherBallot }
 
-// NewerDecided is a newer decided state that some acceptor told; nil: none did.
+// NewerDecided returns the newest decided state above base that an acceptor reported, or nil if there is none.
 func (p *Proposal) NewerDecided() *state.State { return p.newerDecided }
 
-// CannotSucceed tells whether this attempt can't succeed any more: the version is decided, or so many have promised
-// another ballot that no majority is left.
+// CannotSucceed reports whether this attempt can no longer succeed: the version is already decided, or so many voters
+// have promised another ballot that no majority is left.
 func (p *Proposal) CannotSucceed() bool {
 	return p.newerDecided != nil || len(p.refused) > len(p.base.Voters)-Majority(len(p.base.Voters))
 }
 
-// HasConfig tells whether an acceptor has said that it has a configuration on its disk.
+// HasConfig reports whether an acceptor has said in its promise that it has a configuration on its disk.
 func (p *Proposal) HasConfig(id string, config state.ConfigID) bool {
 	for _, d := range p.promises[id].Holds {
 		if d == config.Digest {
@@ -147,8 +149,8 @@
 	return false
 }
 
-// IsBehind tells whether an acceptor has to catch up with the base before it can vote.
-func (p *Proposal) IsBehind(id string) bool { _, is := p.behind[id]; return is }
+// IsBehind reports whether an acceptor must catch up with base before it can vote.
+func (p *Proposal) IsBehind(id string) bool { _, ok := p.behind[id]; return ok }
 
 // IsLatest reports whether nothing above base, except changes of the voters, had been decided when the reports were
 // requested. It needs reports from a majority of the voters of base that know of nothing above it and have accepted
@@ -170,7 +172,7 @@
 	return true
 }
 
-// differOnlyInVoters tells whether two states differ in their voters at most.
+// differOnlyInVoters reports whether two states have the same content apart from their voters.
 func differOnlyInVoters(a, b state.State) bool {
 	b.Voters = a.Voters
 	return a.SameContent(b)
--- a/internal/control/replicate/replicate.go
+++ b/internal/control/replicate/replicate.go
@@ -11,17 +11,17 @@
 	"pepperfall.example/pepperfall/internal/control/state"
 )
 
-// MaxPieceBytes is how many bytes one message carries at most.
+// MaxPieceBytes is the maximum number of bytes that one message carries.
 const MaxPieceBytes = 128 << 10
 
-// MaxConfigBytes is how large a configuration may be.
+// MaxConfigBytes is the maximum size of a configuration.
 const MaxConfigBytes = 7 << 20
 
 // Errors of a transfer. After any of them the transfer must be restarted, with another replica if there is one.
 var (
-	ErrUnexpectedPiece = errors.New("replicate: a piece that was not asked for")
-	ErrTooLarge        = errors.New("replicate: larger than a configuration may be")
-	ErrDigestMismatch  = errors.New("replicate: the whole has another digest")
+	ErrUnexpectedPiece = errors.New("replicate: received a piece that was not requested")
+	ErrTooLarge        = errors.New("replicate: configuration is empty or exceeds the maximum size")
+	ErrDigestMismatch  = errors.New("replicate: digest of the received configuration does not match")
 )
 
 // Request asks for a piece of a configuration.
@@ -38,7 +38,8 @@
 	Bytes  []byte
 }
 
-// CutPiece answers a request from the whole; false: there is no such piece.
+// CutPiece answers a request from the bytes of the whole configuration. It returns false if the offset lies outside of
+// them.
 func CutPiece(r Request, whole []byte) (Piece, bool) {
 	if r.Offset < 0 || r.Offset >= len(whole) {
 		return Piece{}, false
@@ -51,19 +52,19 @@
 type Transfer struct {
 	id       state.ConfigID
 	received []byte
-	total    int
+	total    int // size of the whole configuration in bytes; 0 before the first piece
 }
 
 // NewTransfer starts the transfer of a configuration.
 func NewTransfer(id state.ConfigID) *Transfer { return &Transfer{id: id} }
 
-// NextRequest is what to ask for.
+// NextRequest returns the request for the next piece.
 func (t *Transfer) NextRequest() Request {
 	return Request{Digest: t.id.Digest, Offset: len(t.received)}
 }
 
-// AddPiece adds the piece that was asked for last. It returns the whole once it is
-// complete and has the right digest; an error ends the transfer.
+// AddPiece adds the piece that was requested last. It returns the whole configuration once it is complete and its
+// digest matches, and nil before. An error ends the transfer.
 func (t *Transfer) AddPiece(p Piece) (whole []byte, err error) {
 	switch {
 	case p.Total <= 0 || p.Total > MaxConfigBytes:
--- a/internal/control/replicate/replicate_test.go
+++ b/internal/control/replicate/replicate_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// A piece that is spoilt, of another configuration, doubled, out of order or too large ends the transfer.
+// A piece that is corrupt, of another configuration, repeated, out of order or too large ends the transfer.
 func TestInvalidPieces(t *testing.T) {
 	text, id := randomConfig(3 * MaxPieceBytes)
 	other, _ := randomConfig(3*MaxPieceBytes + 1)
@@ -62,7 +62,7 @@
 			for k := range 4 {
 				p, ok := CutPiece(transfer.NextRequest(), text)
 				assert.Assert(t, ok, name)
-				got, err := transfer.AddPiece(x.spoil(p, k))
+				got, err := transfer.AddPiece(x.change(p, k))
 				if err != nil {
 					assert.Assert(t, err == x.err, "%v", err)
 					return
@@ -77,8 +77,8 @@
 	assert.Assert(t, !ok)
 }
 
-func flipBit(p Piece, is bool) Piece {
-	if !is {
+func flipBit(p Piece, apply bool) Piece {
+	if !apply {
 		return p
 	}
 	p.Bytes = append([]byte{}, p.Bytes...)
--- a/internal/control/state/order.go
+++ b/internal/control/state/order.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// Order is an operator's order about a zone, a node (NodeSubject) or a server (ServerSubject).
-// The higher Count holds: it is the version of the state that decided the order.
+// Order is an operator's order about a zone, a node (see NodeSubject) or a server (see ServerSubject). Of two orders
+// about the same subject the one with the higher Count applies; Count is the version of the state that decided the
+// order.
 type Order struct {
 	Zone  string // the subject
 	Count uint64
@@ -13,8 +14,7 @@
 	Until int64  `json:",omitempty"` // of a server: end of the validity of Word, in milliseconds of Unix time
 }
 
-// Supersedes tells whether z is to hold in place of y of the same subject. No order has
-// the count 0.
+// Supersedes reports whether z applies instead of y, which has the same subject. Count is at least 1 in every order.
 func (z Order) Supersedes(y Order) bool {
 	if z.Count != y.Count {
 		return z.Count > y.Count
@@ -22,20 +22,20 @@
 	return z.By > y.By
 }
 
-// nodePrefix begins the subject of an order about a node; no zone is called so.
+// nodePrefix begins the subject of an order about a node. No zone name begins with it.
 const nodePrefix = "node/"
 
-// NodeSubject is the subject of orders about a node: they are kept and compared as those about zones are.
+// NodeSubject returns the subject of orders about a node. They are stored and compared like those about zones.
 func NodeSubject(name string) string { return nodePrefix + name }
 
-// Node is the node that an order is about; false: it is about something else.
-func (z Order) Node() (name string, is bool) { return strings.CutPrefix(z.Zone, nodePrefix) }
+// Node returns the node that the order is about, or false if it is about something else.
+func (z Order) Node() (name string, ok bool) { return strings.CutPrefix(z.Zone, nodePrefix) }
 
-// serverPrefix begins the subject of an order about a server; no zone is called so.
+// serverPrefix begins the subject of an order about a server. No zone name begins with it.
 const serverPrefix = "server/"
 
-// ServerSubject is the subject of orders about a life of a server.
+// ServerSubject returns the subject of orders about one incarnation of a server.
 func ServerSubject(id string) string { return serverPrefix + id }
 
-// Server is the server that an order is about; false: it is about something else.
-func (z Order) Server() (id string, is bool) { return strings.CutPrefix(z.Zone, serverPrefix) }
+// Server returns the server that the order is about, or false if it is about something else.
+func (z Order) Server() (id string, ok bool) { return strings.CutPrefix(z.Zone, serverPrefix) }
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -87,7 +87,7 @@
 	return s
 }
 
-// SameContent tells whether two states agree in all that is decided about: not in their version and proposer.
+// SameContent reports whether two states are equal except for their versions and proposers.
 func (s State) SameContent(o State) bool {
 	return s.Config == o.Config && s.Lock == o.Lock && slices.Equal(s.Voters, o.Voters) && slices.Equal(s.Orders, o.Orders)
 }
@@ -128,8 +128,8 @@
 	s.Orders = slices.Insert(s.Orders, i, o)
 }
 
-// maxWithdrawn is how many withdrawn orders about nodes are kept, the newest
-// ones: agents that missed them have reconnected since.
+// maxWithdrawn is how many of the newest withdrawn orders about nodes are kept. Agents that missed older ones have
+// reconnected since.
 const maxWithdrawn = 256
 
 // Prune drops orders that no longer have any effect, so that the state does not grow with the number of changes:
--- a/internal/control/statestore/file.go
+++ b/internal/control/statestore/file.go
@@ -20,9 +20,9 @@
 // the kind, the SHA-256 and length of the body in bytes, and a checksum of the line.
 const (
 	recordFile    = "record"  // what this replica has decided, promised and accepted
-	configPrefix  = "config-" // begins the names of configurations, each as its operator sent it
-	censusFile    = "census"  // nodes ever seen
-	tempSuffix    = ".new"    // ends the name of what is being written
+	configPrefix  = "config-" // begins the names of configuration files, which hold the text that the operator sent
+	censusFile    = "census"  // names of all nodes ever seen
+	tempSuffix    = ".new"    // ends the names of files that are being written
 	formatVersion = 2
 )
 
@@ -32,15 +32,17 @@
 // configKind is the kind in the header line of every configuration file.
 const configKind = "config"
 
+// encodeFile returns the contents of a file: a header line and the body.
 func encodeFile(kind string, number uint64, body []byte) []byte {
-	sum := sha256.Sum256(body)
-	head := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, formatVersion, number, hex.EncodeToString(sum[:]), len(body))
-	return append(fmt.Appendf(nil, "%s %08x\n", head, crc32.ChecksumIEEE([]byte(head))), body...)
+	digest := sha256.Sum256(body)
+	header := fmt.Sprintf("pepperfall %s %d %d %s %d", kind, formatVersion, number, hex.EncodeToString(digest[:]), len(body))
+	return append(fmt.Appendf(nil, "%s %08x\n", header, crc32.ChecksumIEEE([]byte(header))), body...)
 }
 
-// decodeFile undoes seal; anything out of place is an error.
-func decodeFile(kind string, all []byte) (number uint64, body []byte, err error) {
-	line, body, found := bytes.Cut(all, []byte("\n"))
+// decodeFile checks the contents of a file against its header line and returns the number and the body. Any mismatch
+// is an error.
+func decodeFile(kind string, contents []byte) (number uint64, body []byte, err error) {
+	line, body, found := bytes.Cut(contents, []byte("\n"))
 	if !found {
 		return 0, nil, errors.Errorf("%s: header line is missing", kind)
 	}
@@ -54,8 +56,8 @@
 	if _, err := fmt.Sscanf(header[:checksumAt], "pepperfall %s %d %d %s %d", &gotKind, &version, &number, &digest, &length); err != nil || gotKind != kind {
 		return 0, nil, errors.Errorf("%s: header line is malformed or of another kind of file", kind)
 	}
-	if form != formatVersion {
-		return 0, nil, errors.Errorf("%s: format %d, not %d", kind, form, formatVersion)
+	if version != formatVersion {
+		return 0, nil, errors.Errorf("%s: format version %d, want %d", kind, version, formatVersion)
 	}
 	if len(body) != length {
 		return 0, nil, errors.Errorf("%s: body has %d bytes, want %d", kind, len(body), length)
@@ -66,10 +68,10 @@
 	return number, body, nil
 }
 
-// writeFile puts a whole file in place; it lasts when write returns nil.
-func writeFile(d world.Disk, dir, name string, all []byte) error {
-	to := filepath.Join(dir, name)
-	f, err := d.Create(to + tempSuffix)
+// writeFile atomically replaces a whole file. The file is durable once writeFile returns nil.
+func writeFile(d world.Disk, dir, name string, contents []byte) error {
+	path := filepath.Join(dir, name)
+	f, err := d.Create(path + tempSuffix)
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
@@ -81,7 +83,7 @@
 		err = closeErr
 	}
 	if err == nil {
-		err = d.Rename(to+tempSuffix, to)
+		err = d.Rename(path+tempSuffix, path)
 	}
 	if err == nil {
 		err = d.SyncDir(dir)
@@ -89,7 +91,7 @@
 	return errors.Wrap(err, name)
 }
 
-// fileKind is what the first line of a file says that it is.
+// fileKind returns the kind that the header line of a file must have.
 func fileKind(name string) string {
 	if strings.HasPrefix(name, configPrefix) {
 		return configKind
@@ -97,14 +99,14 @@
 	return name
 }
 
-// readFile returns nil without an error where there is no such file.
+// readFile returns the number and the body of a file, or a nil body without an error if the file does not exist.
 func readFile(d world.Disk, dir, name string) (uint64, []byte, error) {
-	all, err := d.ReadFile(filepath.Join(dir, name))
+	contents, err := d.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil, nil
 	}
 	if err != nil {
 		return 0, nil, errors.Wrap(err, name)
 	}
-	return decodeFile(fileKind(name), all)
+	return decodeFile(fileKind(name), contents)
 }
--- a/internal/control/statestore/inspect.go
+++ b/internal/control/statestore/inspect.go
@@ -12,20 +12,20 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// FileReport is what a file of a store holds.
+// FileReport describes a file in the folder of a store.
 type FileReport struct {
 	Name       string
 	Exists     bool
-	IsLeftover bool  // a leftover of a write that did not end, or a configuration that no record names; a start removes it
-	IsForeign  bool  // no file of a store; a start leaves it
-	Err        error // why it can't be read
-	Summary    string
+	IsLeftover bool   // left by an interrupted write, or not referenced by the record; removed at the next start
+	IsForeign  bool   // not a file of a store; kept at the next start
+	Err        error  // why it cannot be read
+	Summary    string // what it holds
 }
 
 // Inspection is what a store's folder holds.
 type Inspection struct {
 	Files       []FileReport
-	FolderState FolderState // what a replica would find on start
+	FolderState FolderState // what a replica would find at its start
 	Contents    Contents
 }
 
@@ -36,11 +36,11 @@
 		return nil, errors.Wrap(err, "statestore")
 	}
 	in := &Inspection{Contents: Contents{Configs: map[state.Digest]*peerlink.Configuration{}}}
-	var fault error
-	in.FolderState, fault = load(disk, dir, &in.Contents)
-	keep := map[string]bool{recordFile: true, censusFile: true}
+	var loadErr error
+	in.FolderState, loadErr = load(disk, dir, &in.Contents)
+	referenced := map[string]bool{recordFile: true, censusFile: true}
 	for _, id := range referencedConfigs(&in.Contents.Record) {
-		keep[configName(id.Digest)] = true
+		referenced[configName(id.Digest)] = true
 	}
 	for _, name := range names {
 		r := FileReport{Name: name, Exists: true}
@@ -51,15 +51,15 @@
 			r.IsForeign, r.Summary = true, "no file of a replica"
 		default:
 			in.describe(disk, dir, &r)
-			r.IsLeftover = r.Err == nil && in.FolderState == Intact && !keep[name]
+			r.IsLeftover = r.Err == nil && in.FolderState == Intact && !referenced[name]
 		}
 		in.Files = append(in.Files, r)
 	}
-	if _, there := in.findFile(recordFile); !there {
+	if _, found := in.findFile(recordFile); !found {
 		in.Files = append(in.Files, FileReport{Name: recordFile})
 	}
-	if fault != nil && !in.hasError() {
-		in.Files = append(in.Files, FileReport{Name: recordFile, Err: fault})
+	if loadErr != nil && !in.hasError() {
+		in.Files = append(in.Files, FileReport{Name: recordFile, Err: loadErr})
 	}
 	return in, nil
 }
@@ -82,7 +82,7 @@
 	return false
 }
 
-// describe says what a file holds.
+// describe fills in the summary or the error of a file.
 func (in *Inspection) describe(disk world.Disk, dir string, r *FileReport) {
 	number, body, err := readFile(disk, dir, r.Name)
 	r.Err = err
@@ -100,10 +100,10 @@
 	}
 }
 
-// RemoveLeftover removes a leftover.
+// RemoveLeftover removes a leftover file. It refuses the record, the census and files that are not a store's.
 func RemoveLeftover(disk world.Disk, dir, name string) error {
 	if !isStoreFile(name) || name == recordFile || name == censusFile {
-		return errors.Errorf("statestore: %s is no leftover", name)
+		return errors.Errorf("statestore: %s is not a leftover file", name)
 	}
 	if err := disk.Remove(filepath.Join(dir, name)); err != nil {
 		return errors.Wrap(err, name)
--- a/internal/control/statestore/store.go
+++ b/internal/control/statestore/store.go
@@ -18,14 +18,14 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// FolderState says what was on the disk at the start.
+// FolderState is the state of a store's folder at the start.
 type FolderState int
 
 // The states of a folder.
 const (
-	Empty   FolderState = iota // nothing
-	Intact                     // all that was ever synced
-	Damaged                    // files that are missing or can't be read, so something may be lost
+	Empty   FolderState = iota // there is no record
+	Intact                     // everything that was ever synced is there
+	Damaged                    // files are missing or unreadable, so something may be lost
 )
 
 // ErrNoDisk is returned by Store.Wait if there is no disk.
@@ -37,7 +37,8 @@
 	Configs map[state.Digest]*peerlink.Configuration
 }
 
-// referencedConfigs are the configurations that a record names.
+// referencedConfigs returns the configurations that a record references: the decided one and, if different, the
+// accepted one.
 func referencedConfigs(r *quorum.Record) (all []state.ConfigID) {
 	if r.Decided.Config.Gen > 0 {
 		all = append(all, r.Decided.Config)
@@ -48,9 +49,9 @@
 	return all
 }
 
-// DropUnreferenced drops the configurations that the record does not name.
+// DropUnreferenced drops the configurations that the record does not reference.
 func (c *Contents) DropUnreferenced() {
-	names := referencedConfigs(&c.Record)
+	ids := referencedConfigs(&c.Record)
 	maps.DeleteFunc(c.Configs, func(d state.Digest, _ *peerlink.Configuration) bool {
 		return !slices.ContainsFunc(ids, func(id state.ConfigID) bool { return id.Digest == d })
 	})
@@ -63,15 +64,15 @@
 	dir  string
 
 	mu            sync.Mutex
-	pending       *Contents // not on disk yet; nil: all is
-	lastPut       uint64    // number of the last Put
-	synced        uint64    // number of the newest Put that is on disk
-	onDisk        map[string]bool
-	census        []string
-	pendingCensus []string
-	lastError     error // of the last write; nil: it succeeded
+	pending       *Contents       // not yet on disk; nil if everything is
+	lastPut       uint64          // number of the last Put
+	synced        uint64          // number of the newest Put that is on disk
+	onDisk        map[string]bool // names of the configuration files on disk
+	census        []string        // as last written or read
+	pendingCensus []string        // to be written; nil if nothing is
+	lastError     error           // of the last write; nil if it succeeded
 	waiters       []waiter
-	wake          chan struct{}
+	wake          chan struct{} // buffers one signal to the writer
 }
 
 // waiter waits until a Put is on disk.
@@ -80,7 +81,8 @@
 	done chan error
 }
 
-// Open reads a folder, and removes what no record names. A nil disk is an empty one.
+// Open reads a folder and removes files of a store that the record does not reference. A nil disk is treated as an
+// empty one. The store can be used even if the error is not nil; the error says why the folder could not be read.
 func Open(disk world.Disk, dir string) (*Store, Contents, FolderState, error) {
 	s := &Store{disk: disk, dir: dir, onDisk: map[string]bool{}, wake: make(chan struct{}, 1)}
 	contents := Contents{Configs: map[state.Digest]*peerlink.Configuration{}}
@@ -95,8 +97,8 @@
 		return s, contents, Damaged, errors.Wrap(err, "statestore")
 	}
 	found, err := load(disk, dir, &contents)
-	if _, body, e := readFile(disk, dir, censusFile); e == nil && body != nil {
-		_ = json.Unmarshal(body, &s.census) // it is told again
+	if _, body, censusErr := readFile(disk, dir, censusFile); censusErr == nil && body != nil {
+		_ = json.Unmarshal(body, &s.census) // if it fails, the agents report the nodes again
 	}
 	for _, id := range referencedConfigs(&contents.Record) {
 		s.onDisk[configName(id.Digest)] = true
@@ -109,14 +111,14 @@
 	return s, contents, found, err
 }
 
-// isStoreFile tells whether a store may have written a file of this name.
+// isStoreFile reports whether a store may have written a file of this name.
 func isStoreFile(name string) bool {
 	name = strings.TrimSuffix(name, tempSuffix)
 	return name == recordFile || name == censusFile || strings.HasPrefix(name, configPrefix)
 }
 
-// load reads the record and its configurations. Where one of them is spoilt or
-// missing nothing is taken over: the disk may have forgotten a promise.
+// load reads the record and its configurations. If any of them is damaged or missing, nothing is used, as a promise
+// may have been lost.
 func load(disk world.Disk, dir string, c *Contents) (FolderState, error) {
 	_, body, err := readFile(disk, dir, recordFile)
 	if err != nil {
@@ -144,7 +146,7 @@
 	return Intact, nil
 }
 
-// LastError is why the last write failed; nil: it did not.
+// LastError returns why the last write failed, or nil if it succeeded.
 func (s *Store) LastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +160,7 @@
 	return s.census
 }
 
-// SaveCensus has names of nodes written down; nobody waits for it.
+// SaveCensus has the names of all nodes ever seen written in the background.
 func (s *Store) SaveCensus(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +180,7 @@
 	return s.lastPut
 }
 
-// RetryPending has contents written that could not be.
+// RetryPending retries to write contents whose last write failed.
 func (s *Store) RetryPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,6 +213,7 @@
 	}
 }
 
+// wakeWriter signals the writer that something is pending.
 func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -234,21 +237,21 @@
 	}
 }
 
-// writeNext writes what is wanted now; false: nothing is, or it failed.
+// writeNext writes what is pending and reports whether it succeeded in writing something.
 func (s *Store) writeNext() bool {
 	s.mu.Lock()
-	want, number, names := s.pending, s.lastPut, s.pendingCensus
+	contents, number, census := s.pending, s.lastPut, s.pendingCensus
 	s.pendingCensus = nil
 	s.mu.Unlock()
 	switch {
-	case want != nil:
-		return s.finishPut(want, number, s.writeContents(want))
-	case names != nil:
-		err := writeFile(s.disk, s.dir, censusFile, encodeFile(censusFile, 0, encodeJSON(names)))
+	case contents != nil:
+		return s.finishPut(contents, number, s.writeContents(contents))
+	case census != nil:
+		err := writeFile(s.disk, s.dir, censusFile, encodeFile(censusFile, 0, encodeJSON(census)))
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.lastError = err; err == nil {
-			s.census = names
+			s.census = census
 		}
 		return err == nil
 	}
@@ -258,7 +261,7 @@
 // writeContents writes configurations before the record that references them, and removes other configurations after
 // it.
 func (s *Store) writeContents(c *Contents) error {
-	keep := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, id := range referencedConfigs(&c.Record) {
 		name := configName(id.Digest)
 		referenced[name] = true
@@ -286,7 +289,7 @@
 	return nil
 }
 
-// finishPut tells those who wait how a write ended.
+// finishPut records the result of a write, reports it to waiting callers and returns whether it succeeded.
 func (s *Store) finishPut(c *Contents, number uint64, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/statestore/store_test.go
+++ b/internal/control/statestore/store_test.go
@@ -52,8 +52,9 @@
 	return ctx
 }
 
-// Power is lost at any moment of many writes: what was waited for is there, whole, with the configurations that it
-// names, and nothing that was not put. Each write, rename and removal not yet synced is lost or kept by itself.
+// Power is lost at any moment during many writes. Afterwards everything that Wait confirmed is there, together with
+// the configurations it references, and nothing that was never put. The simulated disk keeps or loses each unsynced
+// write, rename and removal independently.
 func TestPowerLoss(t *testing.T) {
 	for seed := range uint64(600) {
 		synctest.Test(t, func(t *testing.T) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// A file that is spoilt or missing leaves nothing to rely on.
+// If a file is damaged or missing, none of the contents is used.
 func TestDamagedFile(t *testing.T) {
 	for _, name := range []string{"record", configName(config(3).Digest), configName(config(4).Digest)} {
 		for _, gone := range []bool{false, true} {
@@ -130,7 +131,7 @@
 		d := sim.NewDisk(1)
 		s, _, stop := openAndRun(t, d, Empty)
 		d.Hang()
-		for v := range uint64(5) { // all wait for the same disk, and one write serves them
+		for v := range uint64(5) { // all wait for the blocked disk; one write then completes them all
 			go func() { _ = s.Wait(contextWithin(5*time.Second), s.Put(contents(v+1, v+1, 0))) }()
 		}
 		assert.ErrorIs(t, s.Wait(contextWithin(time.Second), s.Put(contents(6, 6, 0))), context.Canceled)
@@ -140,7 +141,7 @@
 		assert.Assert(t, s.Wait(contextWithin(time.Second), s.Put(contents(8, 8, 0))) != nil)
 		assert.Assert(t, s.LastError() != nil)
 		d.SetFull(false)
-		s.RetryPending() // what could not be written is, once there is room
+		s.RetryPending() // the failed contents are written once there is space
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, s.LastError())
 		s.SaveCensus([]string{"proxy-1"})
@@ -156,7 +157,7 @@
 	})
 }
 
-// What is on disk does not grow with the number of changes.
+// Disk usage does not grow with the number of changes.
 func TestDiskUsageIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := sim.NewDisk(1)
