--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -48,16 +48,16 @@
 	h := &agent{conn: c, name: hello.Name, life: hello.Life, agent: delivery.Agent{ConnectedAt: b.now()}}
 	b.mu.Lock()
 	b.agents[h] = true
-	h.seat = b.fit.seat()
+	h.seat = b.healthJudge.seat()
 	b.arrive(*hello)
-	h.change(&peerlink.Change{Zones: b.orders(h.name)}) // its first Ping tells whether it lacks the configuration
+	h.change(&peerlink.Change{Zones: b.ordersFor(h.name)}) // its first Ping tells whether it lacks the configuration
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		delete(b.agents, h)
 		if g := b.proxies.proxies[h.name]; g != nil && g.hello.Life == h.life && !b.attended(h.name) {
-			g.up, g.ready = false, false
+			g.connected, g.ready = false, false
 			b.stirred()
 		}
 	}()
@@ -86,7 +86,7 @@
 	if old := b.proxies.proxies[h.Name]; old != nil && old.hello.Life > h.Life {
 		return
 	}
-	if _, isNew := b.proxies.see(h, b.now()); isNew {
+	if _, isNew := b.proxies.noteConnected(h, b.now()); isNew {
 		b.store.SaveCensus(b.proxies.names())
 	}
 	b.stirred()
@@ -96,7 +96,7 @@
 func (b *Replica) meet(all []peerlink.Member) {
 	isNew := false
 	for _, m := range all {
-		isNew = b.proxies.add(m, b.now()) || isNew
+		isNew = b.proxies.addKnown(m, b.now()) || isNew
 	}
 	if isNew {
 		b.store.SaveCensus(b.proxies.names())
@@ -115,39 +115,39 @@
 	if g == nil || g.hello.Life != h.life {
 		return // an earlier life's connection
 	}
-	if !g.alive(now) {
+	if !g.isAlive(now) {
 		b.stirred()
 	}
-	g.heard = now
+	g.lastHeard = now
 	if p := f.Ping; p != nil {
-		if g.every = p.Every; h.agent.PingInterval != p.Every {
+		if g.pingInterval = p.Every; h.agent.PingInterval != p.Every {
 			h.agent.PingInterval = p.Every
 			h.conn.SetSilence(peerlink.Suits(p.Every))
 		}
 		if h.gen = p.Gen; g.ready != p.Ready {
-			if g.ready = p.Ready; g.ready && g.risen == 0 {
-				g.risen = now
+			if g.ready = p.Ready; g.ready && g.firstReadyAt == 0 {
+				g.firstReadyAt = now
 			}
 			b.stirred()
 		}
-		g.rests = p.Rests
+		g.readyButResting = p.Rests
 		if p.Parts > 0 {
-			g.parts = p.Parts
+			g.quotaParts = p.Parts
 		}
 		if p.Figures != nil {
 			g.figures, g.figuresAt = p.Figures, now
 		}
 		if p.Asked != nil {
-			g.asked, g.askedAt = p.Asked, now
+			g.requestCounts, g.requestCountsAt = p.Asked, now
 		}
 		if p.Heads != nil {
-			g.heads, g.headsAt = p.Heads[:min(len(p.Heads), homing.MostHosts)], now
+			g.hostCounts, g.hostCountsAt = p.Heads[:min(len(p.Heads), homing.MostHosts)], now
 		}
 		h.packs, h.agent.Held, h.agent.IsUpstream = p.Packs, delivery.Version{Gen: p.Held, Checksum: p.Sum}, p.Upstream
 		b.deliver(h)
 		b.upstream(h, p.Upstream) // ahead of the Pong, which tells how old the list is that was sent
 		pong := b.pong(p, now)
-		pong.Want, pong.Asks, pong.Wanted = now < b.ops.wants, now < b.ops.asks, b.fit.wanted(h)
+		pong.Want, pong.Asks, pong.Wanted = now < b.ops.wants, now < b.ops.asks, b.healthJudge.wanted(h)
 		_ = h.conn.Send(&peerlink.Frame{Pong: pong})
 	}
 	if f.Report != nil && h.upstream {
@@ -157,12 +157,12 @@
 		h.ack, h.gen = max(h.ack, a.No), a.Gen
 	}
 	if f.Leaving != nil {
-		if g.left = max(now, 1); *f.Leaving != peerlink.Gone {
-			g.grace = b.live.Load().Terms.Bounds.Grace
+		if g.leftAt = max(now, 1); *f.Leaving != peerlink.Gone {
+			g.grace = b.liveSettings.Load().Terms.Bounds.Grace
 		} else {
 			g.grace = 0
 		}
-		g.given = g.given || *f.Leaving == peerlink.Given
+		g.quotaReleased = g.quotaReleased || *f.Leaving == peerlink.Given
 		b.log.Info("proxy leaves", "name", h.name, "why", *f.Leaving)
 		b.stirred()
 	}
@@ -171,14 +171,14 @@
 // pong tells how fresh what a proxy has in force is, and whether this replica is in
 // touch with a majority; the mutex is held.
 func (b *Replica) pong(p *peerlink.Ping, now time.Duration) *peerlink.Pong {
-	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.touched.IsKnown, List: b.read.tell(now)}
+	pong := &peerlink.Pong{Sent: p.Sent, InTouch: b.majorityContact.IsKnown, List: b.newestReading.tell(now)}
 	if pong.List != nil {
 		pong.List.Pages = 0 // agents don't read the list
 	}
-	if b.touched.IsKnown {
-		pong.TouchAge = now - b.touched.At
+	if b.majorityContact.IsKnown {
+		pong.TouchAge = now - b.majorityContact.At
 	}
-	if at := b.versions.Confirmed(inForce(p), b.fresh); at.IsKnown {
+	if at := b.configurationHistory.Confirmed(inForce(p), b.decidedConfirmed); at.IsKnown {
 		pong.Fresh, pong.Age = true, now-at.At
 	}
 	return pong
@@ -192,8 +192,8 @@
 // deliver sends an agent the configuration in force where that is due; the mutex is
 // held.
 func (b *Replica) deliver(h *agent) {
-	if b.configuration != nil && b.versions.ShouldSend(&h.agent, b.now()) {
-		h.agent.Sent = b.versions.Current()
+	if b.configuration != nil && b.configurationHistory.ShouldSend(&h.agent, b.now()) {
+		h.agent.Sent = b.configurationHistory.Current()
 		h.change(&peerlink.Change{Configuration: b.configuration})
 	}
 }
@@ -201,19 +201,19 @@
 // stirred notes that the census may have changed; the mutex may be held.
 func (b *Replica) stirred() {
 	select {
-	case b.stir <- struct{}{}:
+	case b.censusChanged <- struct{}{}:
 	default:
 	}
 }
 
 // watch tells the agents whenever the census has changed.
 func (b *Replica) watch(ctx context.Context) {
-	t := b.w.NewTimer(lookEvery)
+	t := b.world.NewTimer(lookEvery)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C():
-		case <-b.stir:
+		case <-b.censusChanged:
 		case <-ctx.Done():
 			return
 		}
@@ -221,10 +221,10 @@
 		b.mu.Lock()
 		for h := range b.agents {
 			b.deliver(h)
-			b.reportLag(h)
+			b.logAgentLag(h)
 		}
-		b.reportContact()
-		if b.recount(); b.told != b.census {
+		b.logContactLoss()
+		if b.recount(); b.sentCensus != b.census {
 			if wait := b.owed(); wait > 0 {
 				next = min(next, wait)
 			} else {
@@ -232,7 +232,7 @@
 			}
 		}
 		b.mu.Unlock()
-		if !b.pause(ctx, stirEvery) {
+		if !b.sleep(ctx, stirEvery) {
 			return
 		}
 		t.Reset(next)
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -20,7 +20,7 @@
 
 // farmhand is an agent on a machine of its own, connected to one replica.
 type farmhand struct {
-	f    *farm
+	f    *clusterFixture
 	mu   sync.Mutex
 	gen  uint64 // of the newest configuration told
 	sum  uint32
@@ -32,7 +32,7 @@
 	conn *peerlink.Conn
 }
 
-func (f *farm) agent(name string, at int) *farmhand {
+func (f *clusterFixture) agent(name string, at int) *farmhand {
 	p := f.net.Host("10.1.0." + name)
 	ctx, stop := context.WithCancel(context.Background())
 	h := &farmhand{f: f, stop: stop}
@@ -90,7 +90,7 @@
 }
 
 // get calls a replica's ctl or dir.
-func (f *farm) call(method, url string, text []byte) (int, string) {
+func (f *clusterFixture) call(method, url string, text []byte) (int, string) {
 	f.t.Helper()
 	p := f.net.Host("10.9.0.1")
 	defer p.Kill()
@@ -109,33 +109,33 @@
 
 // An agent hears of what a majority holds and of nothing else, and how fresh that is.
 func TestAgentsHearOfWhatIsHeldByMost(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.agent("1", 0), f.agent("2", 2)
 		defer a.stop()
 		defer b.stop()
-		f.acknowledged(0, body(2, "a"))
-		f.until(100*time.Millisecond, "told by who took it", a.sees(func(h *farmhand) bool { return h.gen == 2 }))
-		f.until(500*time.Millisecond, "told by another", b.sees(func(h *farmhand) bool { return h.gen == 2 }))
-		f.until(time.Second, "fresh", a.sees(func(h *farmhand) bool { return h.ever && h.age < 800*time.Millisecond }))
-		f.halfAccepted(0, body(3, "a"))
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
+		f.waitFor(100*time.Millisecond, "told by who took it", a.sees(func(h *farmhand) bool { return h.gen == 2 }))
+		f.waitFor(500*time.Millisecond, "told by another", b.sees(func(h *farmhand) bool { return h.gen == 2 }))
+		f.waitFor(time.Second, "fresh", a.sees(func(h *farmhand) bool { return h.ever && h.age < 800*time.Millisecond }))
+		f.acceptOnOneDisk(0, configurationBody(3, "a"))
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, a.sees(func(h *farmhand) bool { return h.gen == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.until(3*time.Second, "mended", b.sees(func(h *farmhand) bool { return h.gen == 3 }))
-		f.until(time.Second, "mended", a.sees(func(h *farmhand) bool { return h.gen == 3 }))
+		f.waitFor(3*time.Second, "mended", b.sees(func(h *farmhand) bool { return h.gen == 3 }))
+		f.waitFor(time.Second, "mended", a.sees(func(h *farmhand) bool { return h.gen == 3 }))
 		// Cut off, a replica's word ages; what it does not know may be in force.
-		f.cut(ips(0), ips(1, 2), sim.Silent)
+		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
-		f.acknowledged(1, body(4, "a"))
+		f.replaceUntilAcknowledged(1, configurationBody(4, "a"))
 		assert.Assert(t, a.sees(func(h *farmhand) bool { return h.gen == 3 && h.age > 4*time.Second })())
-		f.cut(ips(0), ips(1, 2), sim.Open)
-		f.until(3*time.Second, "told after the cut", a.sees(func(h *farmhand) bool { return h.gen == 4 && h.age < time.Second }))
+		f.partition(ips(0), ips(1, 2), sim.Open)
+		f.waitFor(3*time.Second, "told after the cut", a.sees(func(h *farmhand) bool { return h.gen == 4 && h.age < time.Second }))
 	})
 }
 
 func TestCensus(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.agent("1", 0), f.agent("2", 0)
 		defer a.stop()
 		is := func(ready, shares int) func() bool {
@@ -149,24 +149,24 @@
 				return n == ready && h.who.Shares == shares
 			})
 		}
-		f.until(2*time.Second, "both ready", func() bool { return a.sees(func(h *farmhand) bool { return h.who != nil })() && is(2, 2)() })
+		f.waitFor(2*time.Second, "both ready", func() bool { return a.sees(func(h *farmhand) bool { return h.who != nil })() && is(2, 2)() })
 		status, text := f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
 		b.stop()
-		f.until(2*time.Second, "one left", is(1, 2)) // the silent one may be passing
+		f.waitFor(2*time.Second, "one left", is(1, 2)) // the silent one may be passing
 		_, text = f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80"],"ttl_s":1}`+"\n")
-		f.end(0, true)
+		f.kill(0, true)
 		f.start(0)
-		f.until(3*time.Second, "back", is(1, 2)) // a restart forgets no proxy
+		f.waitFor(3*time.Second, "back", is(1, 2)) // a restart forgets no proxy
 		time.Sleep(62 * time.Second)
 		assert.Assert(t, is(1, 1)())
 	})
 }
 
 func TestCtl(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		at := "http://" + ip(1) + ":8200/-/"
 		for _, c := range []struct {
 			method, path, text string
@@ -174,8 +174,8 @@
 		}{
 			{"GET", "Config.Show", "", 503},
 			{"POST", "Config.Replace", `{"gen":"r1"`, 400},
-			{"POST", "Config.Replace", string(body(2, "a")), 200},
-			{"POST", "Config.Replace", string(body(1, "a")), 200},
+			{"POST", "Config.Replace", string(configurationBody(2, "a")), 200},
+			{"POST", "Config.Replace", string(configurationBody(1, "a")), 200},
 			{"POST", "Config.Replace", "x" + string(make([]byte, mostBody)), 413},
 			{"GET", "Config.Show", "", 200},
 			{"POST", "Drain.Begin/z1", "", 200},
@@ -187,12 +187,12 @@
 			status, text := f.call(c.method, at+c.path, []byte(c.text))
 			assert.Equal(t, status, c.status, "%s: %s", c.path, text)
 			if c.path == "Config.Show" && status == 200 {
-				assert.Equal(t, text, string(body(2, "a")))
+				assert.Equal(t, text, string(configurationBody(2, "a")))
 			}
 		}
-		f.runs[1].stop() // an order in flight is finished, then nobody is served
-		assert.NilError(t, <-f.runs[1].done)
-		f.runs[1].done <- nil
+		f.replicas[1].stop() // an order in flight is finished, then nobody is served
+		assert.NilError(t, <-f.replicas[1].done)
+		f.replicas[1].done <- nil
 		status, _ := f.call("GET", at+"Config.Show", nil)
 		assert.Equal(t, status, 0)
 	})
@@ -228,7 +228,7 @@
 
 func TestListsDutyIsTakenOver(t *testing.T) {
 	p := &platform{servers: []string{row("a", "ready"), row("b", "ready")}}
-	platformed(t, 4, p, func(f *farm) {
+	runClusterWithPlatform(t, 4, p, func(f *clusterFixture) {
 		h := f.agent("1", 0)
 		defer h.stop()
 		states := func(want string) func() bool {
@@ -245,7 +245,7 @@
 			defer p.mu.Unlock()
 			p.servers = rows
 		}
-		f.until(2*time.Second, "a list", h.sees(func(h *farmhand) bool { return h.list != nil }))
+		f.waitFor(2*time.Second, "a list", h.sees(func(h *farmhand) bool { return h.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
 		p.mu.Lock()
 		before := p.calls
@@ -255,24 +255,24 @@
 		assert.Assert(t, p.calls-before <= 2*21, "%d calls", p.calls-before) // one replica asks
 		p.mu.Unlock()
 		set(row("a", "draining"), row("b", "ready"))
-		f.until(time.Second, "drains", states("a true;b false;"))
+		f.waitFor(time.Second, "drains", states("a true;b false;"))
 		holder := 0
 		for i := 1; i < 4; i++ {
-			if f.runs[i].holdsNow() {
+			if f.replicas[i].holdsNow() {
 				holder = i
 			}
 		}
 		if holder == 0 {
-			f.cut(ips(0), []string{"10.8.0.1"}, sim.Silent) // it only loses the platform
+			f.partition(ips(0), []string{"10.8.0.1"}, sim.Silent) // it only loses the platform
 		} else {
-			f.end(holder, true)
+			f.kill(holder, true)
 		}
 		set(row("a", "ready"), row("b", "draining"), row("c", "ready"))
-		f.until(3*time.Second, "taken over", states("a true;b true;c false;")) // no life comes back from draining
+		f.waitFor(3*time.Second, "taken over", states("a true;b true;c false;")) // no life comes back from draining
 	})
 }
 
-func (r *running) holdsNow() bool {
+func (r *runningReplica) holdsNow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duty.Holds()
@@ -281,8 +281,8 @@
 // An agent that was told another text of the same number is told the one that holds.
 func TestTwinTextIsTold(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
-		f.acknowledged(0, body(5, "a"))
-		held := f.runs[0].configured()
+		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
+		held := f.replicas[0].configurationInForce()
 		h, stop := f.helper(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
 		defer stop()
 		f.pass(2*time.Second, h)
@@ -296,9 +296,9 @@
 // may have been taken away.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
 	playAgents(t, 3, func(f *crowd) {
-		f.acknowledged(0, body(2, "a"))
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		in := func(gen uint64) peerlink.Ping {
-			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.runs[0].configured().Sum()}
+			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
 		}
 		proxy, stop := f.helper(0, "1", in(2))
 		defer stop()
@@ -307,7 +307,7 @@
 			assert.Assert(t, proxy.pong.Fresh && proxy.pong.Age < time.Second && proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
 		newest("the newest in force")
-		f.acknowledged(1, body(3, "a"))
+		f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
 		decided := time.Now()
 		outdated := func(what string) {
 			f.pass(time.Second, proxy)
@@ -334,7 +334,7 @@
 // The platform's address, the zones and the rate change in service.
 func TestSettingsChange(t *testing.T) {
 	one, two := &platform{servers: []string{row("a", "ready")}}, &platform{servers: []string{row("b", "ready")}}
-	platformed(t, 3, one, func(f *farm) {
+	runClusterWithPlatform(t, 3, one, func(f *clusterFixture) {
 		ln, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
 		assert.NilError(t, err)
 		s := &http.Server{Handler: two}
@@ -342,9 +342,9 @@
 		go func() { _ = s.Serve(ln) }()
 		lists := func(id string) func() bool {
 			return func() bool {
-				for _, r := range f.runs {
+				for _, r := range f.replicas {
 					r.mu.Lock()
-					is := r.list != nil && len(r.list.List) == 1 && r.list.List[0].ID == id
+					is := r.serverList != nil && len(r.serverList.List) == 1 && r.serverList.List[0].ID == id
 					r.mu.Unlock()
 					if !is {
 						return false
@@ -353,16 +353,16 @@
 				return true
 			}
 		}
-		f.until(2*time.Second, "the first list", lists("a"))
-		assert.ErrorIs(t, f.runs[0].Drain(context.Background(), "z9", true), ErrZone)
-		for i, r := range f.runs {
+		f.waitFor(2*time.Second, "the first list", lists("a"))
+		assert.ErrorIs(t, f.replicas[0].Drain(context.Background(), "z9", true), ErrUnknownZone)
+		for i, r := range f.replicas {
 			next := f.settings(i)
 			next.Provider.Cloud = settings.Cloud{Address: "10.8.0.2:80", RatePerS: 8}
 			next.Network.Zones["z9"] = "r"
 			r.SetSettings(next)
 		}
-		f.until(2*time.Second, "the other list", lists("b"))
-		assert.NilError(t, f.runs[0].Drain(context.Background(), "z9", true))
+		f.waitFor(2*time.Second, "the other list", lists("b"))
+		assert.NilError(t, f.replicas[0].Drain(context.Background(), "z9", true))
 		time.Sleep(2 * time.Second)
 		two.mu.Lock()
 		before := two.calls
--- a/internal/control/asked.go
+++ b/internal/control/asked.go
@@ -8,11 +8,11 @@
 	"pepperfall.example/pepperfall/api"
 )
 
-// askedFor is how long a proxy's counts by route are told on; it tells them every 5 s.
-const askedFor = 15 * time.Second
+// maxRequestCountsAge is how long a proxy's counts by route are told on; it tells them every 5 s.
+const maxRequestCountsAge = 15 * time.Second
 
-// Asked sums what proxies were asked for in the last minute, and has them tell it.
-func (b *Replica) Asked() *api.Asked {
+// RequestCounts sums what proxies were asked for in the last minute, and has them tell it.
+func (b *Replica) RequestCounts() *api.Asked {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -24,12 +24,12 @@
 	sums := map[int]uint64{}
 	for _, n := range b.proxies.names() {
 		g := b.proxies.proxies[n]
-		if !g.alive(now) || !g.ready || g.left > 0 {
+		if !g.isAlive(now) || !g.ready || g.leftAt > 0 {
 			continue
 		}
 		a.Ready++
-		x := g.asked
-		if x == nil || x.Span <= 0 || g.askedAt < b.ops.since || now-g.askedAt > askedFor || b.configuration == nil || x.Gen != b.configuration.Gen {
+		x := g.requestCounts
+		if x == nil || x.Span <= 0 || g.requestCountsAt < b.ops.since || now-g.requestCountsAt > maxRequestCountsAge || b.configuration == nil || x.Gen != b.configuration.Gen {
 			continue
 		}
 		if ms := x.Span.Milliseconds(); a.Proxies == 0 || ms < a.SpanMS {
--- a/internal/control/compare.go
+++ b/internal/control/compare.go
@@ -35,12 +35,12 @@
 	for ctx.Err() == nil {
 		began := b.now()
 		b.round(ctx)
-		t := b.w.NewTimer(max(soon, roundEvery-(b.now()-began)))
+		t := b.world.NewTimer(max(soon, roundEvery-(b.now()-began)))
 		select {
 		case <-t.C():
-		case <-b.kick:
+		case <-b.roundWanted:
 			t.Stop()
-			if !b.pause(ctx, soon) {
+			if !b.sleep(ctx, soon) {
 				return
 			}
 		case <-ctx.Done():
@@ -52,8 +52,8 @@
 // round compares how far all are: it confirms what is decided, helps those that
 // are behind, finishes what a proposer has left behind, and sees to the voters.
 func (b *Replica) round(ctx context.Context) {
-	began, known := b.now(), b.decided().Version
-	rctx, cancel := b.within(ctx, roundWithin)
+	began, known := b.now(), b.decidedState().Version
+	rctx, cancel := b.withTimeout(ctx, roundWithin)
 	reports := b.reports(rctx, func() bool { return false })
 	cancel()
 	b.mu.Lock()
@@ -62,13 +62,13 @@
 	b.noteContact(base, reports, began)
 	for id, m := range reports {
 		if l := b.linkTo(id); l != nil && m.Version < base.Version {
-			b.tellDecided(l)
+			b.sendDecided(l)
 		}
 	}
 	b.store.RetryPending()
 	b.finish(base, reports)
-	b.tend(known)
-	b.forget()
+	b.maintainVoters(known)
+	b.forgetSilentReplicas()
 }
 
 // noteContact takes in what a round that began at a moment says of this replica's
@@ -77,39 +77,39 @@
 // be told while the next version is being accepted.
 func (b *Replica) noteContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
-		b.fresh = delivery.Confirmation{IsKnown: true, At: max(b.fresh.At, began)}
+		b.decidedConfirmed = delivery.Confirmation{IsKnown: true, At: max(b.decidedConfirmed.At, began)}
 	}
 	answered := func(id string) bool { _, ok := reports[id]; return ok }
-	if quorum.IsMajority(base.Voters, answered) && base.Version >= b.newest {
-		b.touched = delivery.Confirmation{IsKnown: true, At: began}
+	if quorum.IsMajority(base.Voters, answered) && base.Version >= b.newestReported {
+		b.majorityContact = delivery.Confirmation{IsKnown: true, At: began}
 	}
-	b.newest = 0
+	b.newestReported = 0
 	for _, m := range reports {
-		b.newest = max(b.newest, m.Version)
+		b.newestReported = max(b.newestReported, m.Version)
 	}
 }
 
 // finish has a value decided, or found not to be, that somebody accepted and that
 // nobody has seen to for a whole round; the mutex is held.
 func (b *Replica) finish(base state.State, reports map[string]quorum.Report) {
-	before := b.accepted
-	b.accepted = map[string]undecided{}
+	before := b.acceptedUndecided
+	b.acceptedUndecided = map[string]undecided{}
 	left := false
 	for id, m := range reports {
 		if m.Version == base.Version && m.Accepted != (quorum.Ballot{}) {
-			b.accepted[id] = undecided{m.Version, m.Accepted}
-			left = left || before[id] == b.accepted[id]
+			b.acceptedUndecided[id] = undecided{m.Version, m.Accepted}
+			left = left || before[id] == b.acceptedUndecided[id]
 		}
 	}
-	if !left || b.finishing || b.leaving {
+	if !left || b.finishInProgress || b.leaving {
 		return
 	}
-	b.finishing = true
-	b.background(func(ctx context.Context) {
+	b.finishInProgress = true
+	b.runInBackground(func(ctx context.Context) {
 		_ = b.decide(ctx, nil, func(*state.State) error { return nil })
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.finishing = false
+		b.finishInProgress = false
 	})
 }
 
@@ -123,14 +123,14 @@
 
 func (b *Replica) collect(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
 	p := b.newPoll()
-	defer p.end()
+	defer p.cancel()
 	b.mu.Lock()
 	all[b.self.ID] = b.contents.Record.Report()
 	for _, links := range b.links {
 		p.ask(links[len(links)-1], peerlink.Ask{Report: true})
 	}
 	b.mu.Unlock()
-	for left := p.out; left > 0 && !enough(); left-- {
+	for left := p.sentCount; left > 0 && !enough(); left-- {
 		select {
 		case a := <-p.answers:
 			if a.reply == nil || a.reply.Report == nil {
@@ -139,7 +139,7 @@
 			m := *a.reply.Report
 			all[m.ID] = m
 			b.mu.Lock()
-			b.heardOf[m.ID] = lastReport{report: m, at: b.now()}
+			b.lastReports[m.ID] = lastReport{report: m, at: b.now()}
 			b.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -149,7 +149,7 @@
 
 // stillLatest tells whether a majority says that nothing but other voters is decided above base.
 func (b *Replica) stillLatest(ctx context.Context, base state.State) bool {
-	ctx, cancel := b.within(ctx, roundWithin)
+	ctx, cancel := b.withTimeout(ctx, roundWithin)
 	defer cancel()
 	reports := map[string]quorum.Report{}
 	latest := func() bool { return quorum.IsLatest(base, reports) }
@@ -158,21 +158,21 @@
 }
 
 // confirm returns what is decided once a majority of its voters has said that
-// nothing was decided above it when confirm was called; else ErrUnsettled.
+// nothing was decided above it when confirm was called; else ErrNoMajority.
 func (b *Replica) confirm(ctx context.Context) (state.State, error) {
 	b.mu.Lock()
-	reached := b.reachesMajority()
+	reached := b.isMajorityReachable()
 	b.mu.Unlock()
 	if !reached {
-		return state.State{}, ErrUnsettled
+		return state.State{}, ErrNoMajority
 	}
 	reports := map[string]quorum.Report{}
 	var base state.State
 	latest := func() bool {
-		base = b.decided()
+		base = b.decidedState()
 		return quorum.IsLatest(base, reports)
 	}
-	rctx, cancel := b.within(ctx, roundWithin)
+	rctx, cancel := b.withTimeout(ctx, roundWithin)
 	b.collect(rctx, reports, latest)
 	cancel()
 	if latest() {
@@ -182,5 +182,5 @@
 	if err := b.decide(ctx, nil, func(*state.State) error { return nil }); err != nil {
 		return state.State{}, err
 	}
-	return b.decided(), nil
+	return b.decidedState(), nil
 }
--- a/internal/control/compare_test.go
+++ b/internal/control/compare_test.go
@@ -23,7 +23,7 @@
 			reports[id] = quorum.Report{Version: version}
 		}
 		b.noteContact(base, reports, at)
-		return b.touched.IsKnown && b.touched.At == at
+		return b.majorityContact.IsKnown && b.majorityContact.At == at
 	}
 	assert.Assert(t, !round(4), "nobody has answered")
 	assert.Assert(t, round(4, "b"))
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -66,7 +66,7 @@
 }
 
 // leavesUnseen has the first server leave once it has been read again, and tells when.
-func (p *longList) leavesUnseen(f *farm) (left time.Time) {
+func (p *longList) leavesUnseen(f *clusterFixture) (left time.Time) {
 	p.mu.Lock()
 	p.onPage = func(_ string, first int, _ string) {
 		if first == 0 {
@@ -74,7 +74,7 @@
 		}
 	}
 	p.mu.Unlock()
-	f.until(drainWithin, "read again", func() bool {
+	f.waitFor(drainWithin, "read again", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.onPage == nil
@@ -82,15 +82,15 @@
 	return left
 }
 
-func (r *running) knowsLeaving() bool {
+func (r *runningReplica) knowsLeaving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list != nil && len(r.list.List) == longServers && r.list.List[0].Draining
+	return r.serverList != nil && len(r.serverList.List) == longServers && r.serverList.List[0].Draining
 }
 
 // holder is who reads the list; -1: nobody.
-func (f *farm) holder() int {
-	for i, r := range f.runs {
+func (f *clusterFixture) holder() int {
+	for i, r := range f.replicas {
 		if r != nil && r.holdsNow() {
 			return i
 		}
@@ -99,12 +99,12 @@
 }
 
 // named is the replica that may follow the holder without a vote.
-func (f *farm) named(holder int) int {
+func (f *clusterFixture) named(holder int) int {
 	r := f.at(holder)
 	r.mu.Lock()
 	next := r.duty.Known().Next.Name
 	r.mu.Unlock()
-	for i := range f.runs {
+	for i := range f.replicas {
 		if f.settings(i).Self.Name == next {
 			return i
 		}
@@ -113,45 +113,45 @@
 }
 
 // nextReadingDue lets time pass until the next reading is about to begin.
-func (f *farm) nextReadingDue(holder int) {
-	f.until(drainWithin, "next reading", func() bool {
+func (f *clusterFixture) nextReadingDue(holder int) {
+	f.waitFor(drainWithin, "next reading", func() bool {
 		r := f.at(holder)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return !r.reads.busy && r.now() >= r.reads.work.LastOwn+r.reads.work.Period-20*time.Millisecond
+		return !r.ownReading.busy && r.now() >= r.ownReading.work.LastOwn+r.ownReading.work.Period-20*time.Millisecond
 	})
 }
 
 func TestLeavingServerIsKnownInTimeAtManyReplicasOfALongList(t *testing.T) {
-	for name, trouble := range map[string]func(f *farm, p *longList, left time.Time){
-		"calm": func(*farm, *longList, time.Time) {},
-		"reader loses power before its next reading": func(f *farm, _ *longList, _ time.Time) {
+	for name, trouble := range map[string]func(f *clusterFixture, p *longList, left time.Time){
+		"calm": func(*clusterFixture, *longList, time.Time) {},
+		"reader loses power before its next reading": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader := f.holder()
 			f.nextReadingDue(reader)
-			f.end(reader, true)
+			f.kill(reader, true)
 		},
-		"reader and its successor lose power before the next reading": func(f *farm, _ *longList, _ time.Time) {
+		"reader and its successor lose power before the next reading": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader := f.holder()
 			next := f.named(reader)
 			f.nextReadingDue(reader)
-			f.end(reader, true)
-			f.end(next, true)
+			f.kill(reader, true)
+			f.kill(next, true)
 		},
-		"reader cut off from one replica that ranks last": func(f *farm, _ *longList, _ time.Time) {
+		"reader cut off from one replica that ranks last": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader, last, rank := f.holder(), -1, -1
-			for i, r := range f.runs {
+			for i, r := range f.replicas {
 				r.mu.Lock()
 				if n := r.duty.Rank(r.view()); i != reader && n > rank {
 					last, rank = i, n
 				}
 				r.mu.Unlock()
 			}
-			f.cut(ips(reader), ips(last), sim.Silent)
+			f.partition(ips(reader), ips(last), sim.Silent)
 		},
-		"reader loses its way to the platform": func(f *farm, _ *longList, _ time.Time) {
+		"reader loses its way to the platform": func(f *clusterFixture, _ *longList, _ time.Time) {
 			reader := f.holder()
 			f.nextReadingDue(reader)
-			f.cut(ips(reader), []string{"10.8.0.1"}, sim.Silent)
+			f.partition(ips(reader), []string{"10.8.0.1"}, sim.Silent)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -159,20 +159,20 @@
 			if strings.Contains(name, "rank") {
 				replicas = longReplicas
 			}
-			set := &farm{t: t, drain: drainWithin, rate: 2100}
-			set.run(replicas, http.Handler(p), func(f *farm) {
+			set := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: 2100}
+			set.run(replicas, http.Handler(p), func(f *clusterFixture) {
 				time.Sleep(settleFor)
 				left := p.leavesUnseen(f)
 				trouble(f, p, left)
 				known := func() bool {
-					for _, r := range f.runs {
+					for _, r := range f.replicas {
 						if r != nil && !r.knowsLeaving() {
 							return false
 						}
 					}
 					return true
 				}
-				f.until(time.Minute, "known", known)
+				f.waitFor(time.Minute, "known", known)
 				took := time.Since(left)
 				assert.Assert(f.t, took <= drainWithin-upstreamLost, "known everywhere after %v", took)
 			})
@@ -184,8 +184,8 @@
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
 	const drain = 4 * drainWithin
 	p := &longList{}
-	set := &farm{t: t, drain: drain, rate: 2100}
-	set.run(longReplicas, http.Handler(p), func(f *farm) {
+	set := &clusterFixture{t: t, drainTime: drain, cloudRate: 2100}
+	set.run(longReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(5 * time.Second)
 		callers := map[string]bool{}
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -29,11 +29,11 @@
 
 // duties does this replica's part in what one replica does for all.
 func (b *Replica) duties(ctx context.Context) {
-	if !b.pause(ctx, listAfter) {
+	if !b.sleep(ctx, listAfter) {
 		return
 	}
 	b.mu.Lock()
-	b.reads.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
+	b.ownReading.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
@@ -42,16 +42,16 @@
 		next := min(b.duty.NextStep(v), now+time.Second)
 		if due := b.due(v); due > now {
 			next = min(next, due)
-		} else if r := &b.reads; !r.busy {
+		} else if r := &b.ownReading; !r.busy {
 			r.busy, r.work.LastOwn = true, now
-			stamp := max(b.w.Now().UnixNano(), b.stamp+1)
+			stamp := max(b.world.Now().UnixNano(), b.listStamp+1)
 			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
 		}
 		b.mu.Unlock()
-		t := b.w.NewTimer(max(soon, next-now))
+		t := b.world.NewTimer(max(soon, next-now))
 		select {
 		case <-t.C():
-		case <-b.spur:
+		case <-b.dutyWakeup:
 		case <-ctx.Done():
 		}
 		t.Stop()
@@ -60,29 +60,29 @@
 
 // due is when this replica reads the list; the mutex is held.
 func (b *Replica) due(v lease.View) time.Duration {
-	if b.live.Load().Provider.Cloud.Address == "" || b.leaving {
+	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return v.Now + time.Second
 	}
-	w := &b.reads.work
-	w.Period, w.LastKnown, w.LastByOther = max(listing.LeastPeriod, b.read.period), b.read.heard, b.others
-	return max(b.reads.again, b.duty.NextRun(v, b.reads.work))
+	w := &b.ownReading.work
+	w.Period, w.LastKnown, w.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.heard, b.othersReadingAt
+	return max(b.ownReading.again, b.duty.NextRun(v, b.ownReading.work))
 }
 
 // readOnce reads the list and takes it over.
 func (b *Replica) readOnce(ctx context.Context, stamp int64) {
-	set := b.live.Load()
+	set := b.liveSettings.Load()
 	began := b.now()
 	terms := listing.Terms{RatePerS: set.Provider.Cloud.RatePerS, Drain: set.Terms.Bounds.Drain}
 	list, pages, err := b.readList(ctx, set.Provider.Cloud.Address, terms)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.spurred()
-	r := &b.reads
+	r := &b.ownReading
 	if r.busy = false; err != nil {
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
 		r.failures++
 		r.again = b.now() + listAgain
-		if b.others > r.work.LastOwn-r.work.Period {
+		if b.othersReadingAt > r.work.LastOwn-r.work.Period {
 			b.tellDuty(b.duty.Yield()) // another can
 		}
 		return
@@ -102,7 +102,7 @@
 // view is what this replica knows of the others; the mutex is held.
 func (b *Replica) view() lease.View {
 	voters := b.contents.Record.Decided.Voters
-	v := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.w.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
+	v := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.world.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
 	none := len(voters) == 0 // then all count
 	if none {
 		v.CanVote, v.VoterCount = true, len(b.replicas)
@@ -142,7 +142,7 @@
 // spurred has the duty looked at now; the mutex may be held.
 func (b *Replica) spurred() {
 	select {
-	case b.spur <- struct{}{}:
+	case b.dutyWakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -19,7 +19,7 @@
 	}
 	behind, follow, longest := 0, 0, time.Duration(0)
 	for h := range b.agents {
-		if at, is := b.versions.BehindSinceConnected(&h.agent); is {
+		if at, is := b.configurationHistory.BehindSinceConnected(&h.agent); is {
 			behind++
 			longest = max(longest, now-at)
 		}
@@ -29,18 +29,18 @@
 	}
 	reached := 0
 	for _, v := range b.contents.Record.Decided.Voters {
-		if b.reaches(v.ID) {
+		if b.isReachable(v.ID) {
 			reached++
 		}
 	}
 	return []metrics.Figure{
 		metrics.Count("control_state_version", "Version of the decided state.", int(b.contents.Record.Decided.Version)),
-		metrics.Count("control_configuration", "Number of the configuration in force.", int(b.versions.Current().Gen)),
-		metrics.Seconds("control_touch_age_seconds", "Since a majority last answered this replica, which lacked nothing.", since(b.touched.IsKnown, b.touched.At)),
-		metrics.Seconds("control_confirmed_age_seconds", "Since a majority last confirmed that nothing newer was decided.", since(b.fresh.IsKnown, b.fresh.At)),
-		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.read.known, b.read.began)),
-		metrics.Seconds("control_list_reading_seconds", "For how long this replica's last reading of the list took.", b.reads.took),
-		{Name: "control_list_readings_failed_total", Help: "Readings of the list by this replica that failed.", Kind: metrics.Counter, Value: float64(b.reads.failures)},
+		metrics.Count("control_configuration", "Number of the configuration in force.", int(b.configurationHistory.Current().Gen)),
+		metrics.Seconds("control_touch_age_seconds", "Since a majority last answered this replica, which lacked nothing.", since(b.majorityContact.IsKnown, b.majorityContact.At)),
+		metrics.Seconds("control_confirmed_age_seconds", "Since a majority last confirmed that nothing newer was decided.", since(b.decidedConfirmed.IsKnown, b.decidedConfirmed.At)),
+		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.newestReading.known, b.newestReading.began)),
+		metrics.Seconds("control_list_reading_seconds", "For how long this replica's last reading of the list took.", b.ownReading.took),
+		{Name: "control_list_readings_failed_total", Help: "Readings of the list by this replica that failed.", Kind: metrics.Counter, Value: float64(b.ownReading.failures)},
 		metrics.Count("control_voters", "Replicas that vote.", len(b.contents.Record.Decided.Voters)),
 		metrics.Count("control_voters_reached", "Those of them that this one has heard lately, itself included.", reached),
 		metrics.Count("control_agents", "Agents that are connected.", len(b.agents)),
--- a/internal/control/fit.go
+++ b/internal/control/fit.go
@@ -87,10 +87,10 @@
 
 // serviceOf is the service of a server of the list; the replica's mutex is held.
 func (b *Replica) serviceOf(id string) string {
-	f := b.fit
-	if f.list != b.list {
-		f.list, f.in = b.list, map[string]string{}
-		for _, s := range b.list.List {
+	f := b.healthJudge
+	if f.list != b.serverList {
+		f.list, f.in = b.serverList, map[string]string{}
+		for _, s := range b.serverList.List {
 			f.in[s.ID] = s.Backend
 		}
 	}
@@ -138,7 +138,7 @@
 // report takes in what an agent's proxy saw and sends each keeper its part; the mutex is held.
 func (b *Replica) report(h *agent, packed []byte) {
 	s, err := serverhealth.Unpack(packed)
-	if err != nil || s.Witness != h.name || b.list == nil || !b.self.Judges {
+	if err != nil || s.Witness != h.name || b.serverList == nil || !b.self.Judges {
 		return
 	}
 	names := b.judgesThere()
@@ -148,7 +148,7 @@
 			return service != "" && keeperOf(service, names) == name
 		})
 		if name == b.self.Name {
-			b.fit.take(part, b.now())
+			b.healthJudge.take(part, b.now())
 			continue
 		}
 		all := b.links[name]
@@ -159,7 +159,7 @@
 // reaped takes in evidence that another replica sends on; the mutex is held.
 func (b *Replica) reaped(packed []byte) {
 	if s, err := serverhealth.Unpack(packed); err == nil && b.self.Judges {
-		b.fit.take(s, b.now())
+		b.healthJudge.take(s, b.now())
 	}
 }
 
@@ -171,44 +171,44 @@
 
 // verdictsTold takes in what another replica tells of verdicts; the mutex is held.
 func (b *Replica) verdictsTold(l *link, c *peerlink.Change) {
-	f := b.fit
+	f := b.healthJudge
 	for _, v := range c.Lately {
 		f.lately[v.Server] = lasting{v, b.now()}
 	}
 	if c.Verdicts == nil || c.Verdicts.By != l.peer.Name {
 		return
 	}
-	if whole := c.Verdicts.Onto(l.verdictsHeard); whole != nil {
-		l.verdictsHeard = whole
+	if whole := c.Verdicts.Onto(l.receivedVerdicts); whole != nil {
+		l.receivedVerdicts = whole
 		f.heard[l.peer.Name] = &heard{whole, b.now()}
 	}
 }
 
 // judges joins what was heard, ever again.
 func (b *Replica) judges(ctx context.Context) {
-	for b.pause(ctx, judgeEvery) {
+	for b.sleep(ctx, judgeEvery) {
 		b.mu.Lock()
 		now := b.now()
 		names := b.judgesThere()
-		b.fit.epoch = b.epochOf(names)
-		if now < judgeAfter || b.list == nil {
+		b.healthJudge.epoch = b.epochOf(names)
+		if now < judgeAfter || b.serverList == nil {
 			b.mu.Unlock()
 			continue
 		}
 		all := b.judged()
 		mine, adopt := b.keepsOf(all, names, now)
-		inbox, regions := b.fit.inbox, b.live.Load().Network.Zones
-		b.fit.inbox = nil
+		inbox, regions := b.healthJudge.inbox, b.liveSettings.Load().Network.Zones
+		b.healthJudge.inbox = nil
 		b.mu.Unlock()
 
-		b.fit.work.Lock()
-		b.fit.floor.Adopt(now, adopt)
+		b.healthJudge.work.Lock()
+		b.healthJudge.floor.Adopt(now, adopt)
 		for _, x := range inbox {
-			b.fit.floor.Hear(x.at, x.s)
+			b.healthJudge.floor.Hear(x.at, x.s)
 		}
-		b.fit.floor.Place(regions)
-		v := b.fit.floor.Step(now, mine)
-		b.fit.work.Unlock()
+		b.healthJudge.floor.Place(regions)
+		v := b.healthJudge.floor.Step(now, mine)
+		b.healthJudge.work.Unlock()
 
 		b.mu.Lock()
 		b.ruled(v, all, now)
@@ -218,9 +218,9 @@
 
 // judged are the servers of the list; the mutex is held.
 func (b *Replica) judged() (all []serverhealth.Server) {
-	zones := b.live.Load().Network.Zones
-	for _, s := range b.list.List {
-		all = append(all, serverhealth.Server{ID: s.ID, Service: s.Backend, Region: zones[s.Zone], Capacity: s.Capacity, Closed: s.Draining || b.zones[s.Zone].Drain})
+	zones := b.liveSettings.Load().Network.Zones
+	for _, s := range b.serverList.List {
+		all = append(all, serverhealth.Server{ID: s.ID, Service: s.Backend, Region: zones[s.Zone], Capacity: s.Capacity, Closed: s.Draining || b.ordersInForce[s.Zone].Drain})
 	}
 	return all
 }
@@ -228,7 +228,7 @@
 // keepsOf are the servers whose services this replica keeps, and what it takes over of those that it has not kept yet;
 // the mutex is held.
 func (b *Replica) keepsOf(all []serverhealth.Server, names []string, now time.Duration) (mine []serverhealth.Server, adopt []serverhealth.Verdict) {
-	f := b.fit
+	f := b.healthJudge
 	kept := map[string]bool{}
 	for _, s := range all {
 		if keeperOf(s.Service, names) != b.self.Name {
@@ -247,21 +247,21 @@
 
 // ruled puts the floor's verdicts in force, and tells others and agents what is new; the mutex is held.
 func (b *Replica) ruled(v *serverhealth.Verdicts, servers []serverhealth.Server, now time.Duration) {
-	f := b.fit
+	f := b.healthJudge
 	b.noteVerdicts(v)
-	v.By, v.Stamp = b.self.Name, b.w.Now().UnixNano()
+	v.By, v.Stamp = b.self.Name, b.world.Now().UnixNano()
 	if f.mine != nil {
 		v.Stamp = max(v.Stamp, f.mine.Stamp+1)
 	}
 	f.mine = v
 	for _, all := range b.links {
 		l := all[len(all)-1]
-		if p := v.Since(l.verdicts); p != nil && l.peer.Judges {
-			l.verdicts = v
-			l.news(&peerlink.Change{Verdicts: p}, nil)
+		if p := v.Since(l.sentVerdicts); p != nil && l.peer.Judges {
+			l.sentVerdicts = v
+			l.sendChange(&peerlink.Change{Verdicts: p}, nil)
 		}
 	}
-	next := &serverhealth.Verdicts{By: b.self.Name, Stamp: v.Stamp, List: serverhealth.Overrule(servers, serverhealth.Join(servers, b.lists(now)...), b.words())}
+	next := &serverhealth.Verdicts{By: b.self.Name, Stamp: v.Stamp, List: serverhealth.Overrule(servers, serverhealth.Join(servers, b.lists(now)...), b.serverOrders())}
 	for _, x := range next.List {
 		f.lately[x.Server] = lasting{x, now}
 	}
@@ -283,7 +283,7 @@
 
 // lists are the verdicts of all keepers; those of one that is out of reach weigh less and less. The mutex is held.
 func (b *Replica) lists(now time.Duration) [][]serverhealth.Verdict {
-	f := b.fit
+	f := b.healthJudge
 	all := [][]serverhealth.Verdict{f.mine.List}
 	for name, h := range f.heard {
 		if len(b.links[name]) > 0 {
@@ -309,18 +309,18 @@
 	levels := make(map[string]serverhealth.Level, len(v.List))
 	for _, x := range v.List {
 		levels[x.Server] = x.Level
-		if b.fit.levels[x.Server] == x.Level {
+		if b.healthJudge.levels[x.Server] == x.Level {
 			continue
 		}
 		why := strings.TrimSpace(fmt.Sprintf("%s (%d outcomes, %.2f against; proxies: %d against, %d for; relapses: %d)", x.Why, x.Number, x.Share, x.Against, x.For, x.Relapses))
 		b.log.Info("verdict", "server", x.Server, "service", x.Service, "level", x.Level.String(), "why", why)
-		b.keepOrder(api.Order{At: b.w.Now().UTC(), Kind: api.OrderVerdict, What: x.Server, End: x.Level.String(), Why: why})
+		b.keepOrder(api.Order{At: b.world.Now().UTC(), Kind: api.OrderVerdict, What: x.Server, End: x.Level.String(), Why: why})
 	}
-	for id, l := range b.fit.levels {
+	for id, l := range b.healthJudge.levels {
 		if _, there := levels[id]; !there && l > serverhealth.Fit {
 			b.log.Info("verdict", "server", id, "level", serverhealth.Fit.String())
-			b.keepOrder(api.Order{At: b.w.Now().UTC(), Kind: api.OrderVerdict, What: id, End: serverhealth.Fit.String()})
+			b.keepOrder(api.Order{At: b.world.Now().UTC(), Kind: api.OrderVerdict, What: id, End: serverhealth.Fit.String()})
 		}
 	}
-	b.fit.levels = levels
+	b.healthJudge.levels = levels
 }
--- a/internal/control/force.go
+++ b/internal/control/force.go
@@ -11,18 +11,18 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// confirmConfiguration puts a decided configuration in force; the mutex is held.
-func (b *Replica) confirmConfiguration(p *peerlink.Configuration) {
+// applyConfiguration puts a decided configuration in force; the mutex is held.
+func (b *Replica) applyConfiguration(p *peerlink.Configuration) {
 	if b.configuration != nil && p.Gen <= b.configuration.Gen {
 		return
 	}
-	b.enter(p)
-	b.background(func(context.Context) { // a large one takes long
+	b.setConfiguration(p)
+	b.runInBackground(func(context.Context) { // a large one takes long
 		parsed, err := routeconfig.Parse(p.Body)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if b.configuration == p && err == nil {
-			b.parsed = parsed
+			b.parsedConfiguration = parsed
 		}
 	})
 	b.log.Info("configuration in force", "gen", p.Gen)
@@ -31,18 +31,18 @@
 	}
 }
 
-// enter notes a decided configuration as the one in force; the mutex is held.
-func (b *Replica) enter(p *peerlink.Configuration) {
+// setConfiguration notes a decided configuration as the one in force; the mutex is held.
+func (b *Replica) setConfiguration(p *peerlink.Configuration) {
 	b.configuration = p
-	b.versions.SetCurrent(delivery.Version{Gen: p.Gen, Checksum: p.Sum()}, b.now(), b.fresh)
+	b.configurationHistory.SetCurrent(delivery.Version{Gen: p.Gen, Checksum: p.Sum()}, b.now(), b.decidedConfirmed)
 }
 
-// confirmZone does the same with an order about a zone.
-func (b *Replica) confirmZone(z peerlink.Zone) {
-	if !z.Supersedes(b.zones[z.Zone]) {
+// applyOrder does the same with an order about a zone.
+func (b *Replica) applyOrder(z peerlink.Zone) {
+	if !z.Supersedes(b.ordersInForce[z.Zone]) {
 		return
 	}
-	b.zones[z.Zone] = z
+	b.ordersInForce[z.Zone] = z
 	b.log.Info("order in force", "about", z.Zone, "drain", z.Drain, "count", z.Count)
 	if _, is := z.Server(); is {
 		return // verdicts tell of it
@@ -53,24 +53,24 @@
 	}
 	for h := range b.agents {
 		if !is || h.name == node {
-			h.change(&peerlink.Change{Zones: b.orders(h.name)})
+			h.change(&peerlink.Change{Zones: b.ordersFor(h.name)})
 		}
 	}
 }
 
-// orders are the confirmed ones that concern a proxy; the mutex is held.
-func (b *Replica) orders(proxy string) (all []peerlink.Zone) {
-	for _, name := range slices.Sorted(maps.Keys(b.zones)) {
-		_, server := b.zones[name].Server()
-		if node, is := b.zones[name].Node(); !server && (!is || node == proxy) {
-			all = append(all, b.zones[name])
+// ordersFor are the confirmed ones that concern a proxy; the mutex is held.
+func (b *Replica) ordersFor(proxy string) (all []peerlink.Zone) {
+	for _, name := range slices.Sorted(maps.Keys(b.ordersInForce)) {
+		_, server := b.ordersInForce[name].Server()
+		if node, is := b.ordersInForce[name].Node(); !server && (!is || node == proxy) {
+			all = append(all, b.ordersInForce[name])
 		}
 	}
 	return all
 }
 
-func (b *Replica) pause(ctx context.Context, d time.Duration) bool {
-	t := b.w.NewTimer(d)
+func (b *Replica) sleep(ctx context.Context, d time.Duration) bool {
+	t := b.world.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C():
--- a/internal/control/guard_test.go
+++ b/internal/control/guard_test.go
@@ -16,43 +16,43 @@
 // A replica back with an empty disk is asked at every moment from its start on, while
 // new versions come or nobody else can be reached: it shows nothing older than
 // what had been acknowledged when it was asked.
-func TestEmptyDiskAskedAtOnce(t *testing.T) {
+func TestEmptyDiskReadAtOnce(t *testing.T) {
 	for _, n := range []int{3, 4} {
 		for _, alone := range []bool{false, true} {
-			play(t, n, func(f *farm) {
+			runCluster(t, n, func(f *clusterFixture) {
 				ctx := context.Background()
-				f.acknowledged(1, body(2, "a"))
+				f.replaceUntilAcknowledged(1, configurationBody(2, "a"))
 				f.disks[n-1].Hang() // it is left behind
-				f.acknowledged(1, body(3, "a"))
-				assert.NilError(t, f.runs[1].Drain(ctx, "z0", true))
-				f.end(0, true)
+				f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
+				assert.NilError(t, f.replicas[1].Drain(ctx, "z0", true))
+				f.kill(0, true)
 				f.disks[0].Wipe()
 				if !alone {
 					f.disks[n-1].Release() // two of the voters have to be whole for a third to come back as another one
 				} else { // who is left of those that acknowledged can't be reached
-					f.cut(ips(0, n-1), ips(1, 2, 3, 4)[:n-2], sim.Silent)
+					f.partition(ips(0, n-1), ips(1, 2, 3, 4)[:n-2], sim.Silent)
 				}
 				f.start(0)
 				acked := uint64(3)
 				for began := time.Now(); time.Since(began) < 6*time.Second; {
 					least := acked
-					if p, err := f.runs[0].Show(ctx); err == nil {
+					if p, err := f.replicas[0].CurrentConfiguration(ctx); err == nil {
 						assert.Assert(t, p.Gen >= least && !alone, "%d: r%d shown %v after the start", n, p.Gen, time.Since(began))
 					}
 					if alone {
-						assert.Assert(t, !f.runs[0].votes())
+						assert.Assert(t, !f.replicas[0].isVoting())
 					}
-					next := body(int(acked)+1, "a")
+					next := configurationBody(int(acked)+1, "a")
 					if f.replace(1, next) == nil {
 						acked++
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
-				assert.Equal(t, f.runs[0].votes(), !alone)
+				assert.Equal(t, f.replicas[0].isVoting(), !alone)
 				f.disks[n-1].Release()
-				f.cut(ips(0, n-1), ips(1, 2, 3, 4)[:n-2], sim.Open)
-				f.until(4*time.Second, "vote", func() bool { return f.voting() == n })
-				f.shows(0, body(int(f.runs[1].configured().Gen), "a"))
+				f.partition(ips(0, n-1), ips(1, 2, 3, 4)[:n-2], sim.Open)
+				f.waitFor(4*time.Second, "vote", func() bool { return f.countVoting() == n })
+				f.assertShows(0, configurationBody(int(f.replicas[1].configurationInForce().Gen), "a"))
 			})
 		}
 	}
@@ -60,30 +60,30 @@
 
 // Of three in two zones the pair is dark: the one that is left promises nothing and
 // calls nothing fresh, and what was acknowledged is there when they are back.
-func TestPairDark(t *testing.T) {
-	play(t, 3, func(f *farm) {
+func TestTwoOfThreeLosePower(t *testing.T) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		ctx := context.Background()
-		f.acknowledged(0, body(2, "a"))
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		h := f.agent("1", 1)
-		f.until(3*time.Second, "fresh", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second }))
-		f.acknowledged(2, body(3, "a")) // on the disks of any two
-		assert.NilError(t, f.runs[2].Drain(ctx, "z1", true))
-		f.end(0, true)
-		f.end(2, true)
+		f.waitFor(3*time.Second, "fresh", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second }))
+		f.replaceUntilAcknowledged(2, configurationBody(3, "a")) // on the disks of any two
+		assert.NilError(t, f.replicas[2].Drain(ctx, "z1", true))
+		f.kill(0, true)
+		f.kill(2, true)
 		dark := time.Now()
 		for range 10 {
-			assert.ErrorIs(t, f.replace(1, body(4, "b")), ErrUnsettled)
-			assert.ErrorIs(t, f.runs[1].Drain(ctx, "z1", false), ErrUnsettled)
-			_, err := f.runs[1].Show(ctx)
-			assert.ErrorIs(t, err, ErrUnsettled)
+			assert.ErrorIs(t, f.replace(1, configurationBody(4, "b")), ErrNoMajority)
+			assert.ErrorIs(t, f.replicas[1].Drain(ctx, "z1", false), ErrNoMajority)
+			_, err := f.replicas[1].CurrentConfiguration(ctx)
+			assert.ErrorIs(t, err, ErrNoMajority)
 			time.Sleep(300 * time.Millisecond)
 		}
 		age := time.Since(dark)
 		assert.Assert(t, h.sees(func(h *farmhand) bool { return h.age > age-2*time.Second && h.gen <= 3 })(), "%v of %v", h.age, age)
 		f.start(0)
 		f.start(2)
-		f.until(4*time.Second, "show", func() bool { p, err := f.runs[1].Show(ctx); return err == nil && p.Gen >= 3 })
-		f.until(4*time.Second, "drained", func() bool { return f.runs[0].zone("z1").Drain })
+		f.waitFor(4*time.Second, "show", func() bool { p, err := f.replicas[1].CurrentConfiguration(ctx); return err == nil && p.Gen >= 3 })
+		f.waitFor(4*time.Second, "drained", func() bool { return f.replicas[0].orderInForce("z1").Drain })
 		h.stop()
 	})
 }
@@ -91,40 +91,40 @@
 // Begin reaches one side of a cut and finish the other. Where neither is a majority
 // neither is acknowledged, where one is its order holds; after the cut all hold the
 // same, and the next order holds whatever either side has kept.
-func TestDrainOrdersOnTwoSides(t *testing.T) {
+func TestDrainOrdersAcrossPartition(t *testing.T) {
 	for _, n := range []int{4, 5} {
 		for _, begin := range []bool{true, false} {
-			play(t, n, func(f *farm) {
+			runCluster(t, n, func(f *clusterFixture) {
 				ctx := context.Background()
-				assert.NilError(t, f.runs[0].Drain(ctx, "z0", !begin))
+				assert.NilError(t, f.replicas[0].Drain(ctx, "z0", !begin))
 				time.Sleep(time.Second) // all have it in force
 				left, right := ips(0, 1), ips(2, 3, 4)[:n-2]
-				f.cut(left, right, sim.Silent)
+				f.partition(left, right, sim.Silent)
 				done := make(chan error, 1)
-				go func() { done <- f.runs[0].Drain(ctx, "z0", !begin) }()
-				err := f.runs[n-1].Drain(ctx, "z0", begin)
-				assert.ErrorIs(t, <-done, ErrUnsettled)
+				go func() { done <- f.replicas[0].Drain(ctx, "z0", !begin) }()
+				err := f.replicas[n-1].Drain(ctx, "z0", begin)
+				assert.ErrorIs(t, <-done, ErrNoMajority)
 				if n == 4 {
-					assert.ErrorIs(t, err, ErrUnsettled)
+					assert.ErrorIs(t, err, ErrNoMajority)
 					time.Sleep(2 * time.Second)
-					assert.Equal(t, f.runs[3].zone("z0").Drain, !begin) // a minority's order is not in force
+					assert.Equal(t, f.replicas[3].orderInForce("z0").Drain, !begin) // a minority's order is not in force
 				}
-				f.until(6*time.Second, "order", func() bool { return n == 4 || f.runs[2].Drain(ctx, "z0", begin) == nil })
-				f.cut(left, right, sim.Open)
+				f.waitFor(6*time.Second, "order", func() bool { return n == 4 || f.replicas[2].Drain(ctx, "z0", begin) == nil })
+				f.partition(left, right, sim.Open)
 				var holds peerlink.Zone
 				same := func() bool {
-					holds = f.runs[0].zone("z0")
-					for _, r := range f.runs {
-						if r.zone("z0") != holds {
+					holds = f.replicas[0].orderInForce("z0")
+					for _, r := range f.replicas {
+						if r.orderInForce("z0") != holds {
 							return false
 						}
 					}
 					return true
 				}
-				f.until(6*time.Second, "one order", same)
+				f.waitFor(6*time.Second, "one order", same)
 				assert.Assert(t, n == 4 || holds.Drain == begin)
 				for i, drain := range []bool{begin, !begin, begin} {
-					f.until(3*time.Second, "order", func() bool { return f.runs[i].Drain(ctx, "z0", drain) == nil })
+					f.waitFor(3*time.Second, "order", func() bool { return f.replicas[i].Drain(ctx, "z0", drain) == nil })
 					time.Sleep(time.Second)
 					assert.Assert(t, same() && holds.Drain == drain, "%v", holds)
 				}
@@ -136,22 +136,22 @@
 // An older version that comes again is acknowledged by what is decided above it. While a newer one is on one disk
 // only, the older one is still what is decided.
 func TestOlderVersionAgain(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(2, "a"))
-		f.halfAccepted(0, body(3, "a"))
-		f.cut(ips(0), ips(1, 2), sim.Silent)
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
+		f.acceptOnOneDisk(0, configurationBody(3, "a"))
+		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(2 * time.Second)
-		assert.ErrorIs(t, f.replace(0, body(2, "a")), ErrUnsettled) // nobody says that it is still the newest
-		f.cut(ips(0), ips(1, 2), sim.Open)
+		assert.ErrorIs(t, f.replace(0, configurationBody(2, "a")), ErrNoMajority) // nobody says that it is still the newest
+		f.partition(ips(0), ips(1, 2), sim.Open)
 		f.disks[1].Release()
-		f.until(5*time.Second, "newer", func() bool { return idOf(f.runs[1].configured()).Gen == 3 })
-		assert.NilError(t, f.replace(1, body(2, "a")))
-		f.end(0, true)
+		f.waitFor(5*time.Second, "newer", func() bool { return idOf(f.replicas[1].configurationInForce()).Gen == 3 })
+		assert.NilError(t, f.replace(1, configurationBody(2, "a")))
+		f.kill(0, true)
 		f.disks[2].Release()
 		for i := range 2 {
-			f.shows(i+1, body(3, "a"))
-			assert.NilError(t, f.replace(i+1, body(2, "b")))
-			f.shows(i+1, body(3, "a"))
+			f.assertShows(i+1, configurationBody(3, "a"))
+			assert.NilError(t, f.replace(i+1, configurationBody(2, "b")))
+			f.assertShows(i+1, configurationBody(3, "a"))
 		}
 	})
 }
@@ -161,24 +161,24 @@
 // of those who never heard of it.
 func TestOrderInProgressWhenADiskIsLost(t *testing.T) {
 	for late := 50 * time.Millisecond; late < 600*time.Millisecond; late += 50 * time.Millisecond {
-		play(t, 3, func(f *farm) {
-			f.acknowledged(0, body(2, "a"))
-			f.until(time.Second, "all", func() bool { return idOf(f.runs[2].configured()).Gen == 2 })
+		runCluster(t, 3, func(f *clusterFixture) {
+			f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
+			f.waitFor(time.Second, "all", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == 2 })
 			f.disks[0].Hang()
 			f.disks[2].SetLatency(150 * time.Millisecond)
 			done := make(chan error, 1)
-			go func() { done <- f.replace(0, body(3, "a")) }()
+			go func() { done <- f.replace(0, configurationBody(3, "a")) }()
 			time.Sleep(late)
-			f.end(1, true)
+			f.kill(1, true)
 			f.disks[1].Wipe()
 			f.start(1)
 			err := <-done
-			f.cut(ips(2), ips(0, 1), sim.Silent)
-			f.end(0, true)
+			f.partition(ips(2), ips(0, 1), sim.Silent)
+			f.kill(0, true)
 			f.start(0)
 			for began := time.Now(); time.Since(began) < 4*time.Second; time.Sleep(100 * time.Millisecond) {
 				for i := range 2 {
-					p, no := f.runs[i].Show(context.Background())
+					p, no := f.replicas[i].CurrentConfiguration(context.Background())
 					assert.Assert(t, no != nil || err != nil || p.Gen == 3, "acknowledged, %v: r%d", late, p)
 				}
 			}
@@ -191,32 +191,32 @@
 func TestFirstStart(t *testing.T) {
 	for _, n := range []int{3, 4, 5} {
 		for _, comes := range []bool{true, false} {
-			play(t, n, func(f *farm) {
-				f.endAll(false)
+			runCluster(t, n, func(f *clusterFixture) {
+				f.killAll(false)
 				for _, d := range f.disks {
 					d.Wipe()
 				}
-				f.first = true
-				f.cut(ips(2), ips(0, 1, 3, 4), sim.Silent)
+				f.bootstrap = true
+				f.partition(ips(2), ips(0, 1, 3, 4), sim.Silent)
 				for i := range n {
 					f.start(n - 1 - i) // seeds that are not listening yet
 					time.Sleep(100 * time.Millisecond)
 				}
-				f.acknowledged(0, body(2, "a"))
-				assert.ErrorIs(t, f.replace(2, body(3, "b")), ErrUnsettled)
+				f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
+				assert.ErrorIs(t, f.replace(2, configurationBody(3, "b")), ErrNoMajority)
 				time.Sleep(4 * time.Second)
-				assert.ErrorIs(t, f.replace(2, body(3, "b")), ErrUnsettled)
-				_, err := f.runs[2].Show(context.Background())
-				assert.ErrorIs(t, err, ErrUnsettled)
+				assert.ErrorIs(t, f.replace(2, configurationBody(3, "b")), ErrNoMajority)
+				_, err := f.replicas[2].CurrentConfiguration(context.Background())
+				assert.ErrorIs(t, err, ErrNoMajority)
 				if comes {
-					f.cut(ips(2), ips(0, 1, 3, 4), sim.Open)
-					f.until(5*time.Second, "vote", func() bool { return f.voting() == n })
-					f.shows(2, body(2, "a"))
+					f.partition(ips(2), ips(0, 1, 3, 4), sim.Open)
+					f.waitFor(5*time.Second, "vote", func() bool { return f.countVoting() == n })
+					f.assertShows(2, configurationBody(2, "a"))
 				}
-				f.until(2*time.Second, "the same voters", func() bool { // one change may be on its way
-					want := f.runs[0].decided()
+				f.waitFor(2*time.Second, "the same voters", func() bool { // one change may be on its way
+					want := f.replicas[0].decidedState()
 					for i := range n {
-						if (i != 2 || comes) && !slices.Equal(f.runs[i].decided().Voters, want.Voters) {
+						if (i != 2 || comes) && !slices.Equal(f.replicas[i].decidedState().Voters, want.Voters) {
 							return false
 						}
 					}
@@ -229,47 +229,47 @@
 
 // A replica that stood still while an order was under way does not acknowledge it: a voter that answered may have lost its
 // disk since, and vouch again.
-func TestLateIsNotAcknowledged(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(2, "a"))
+func TestSuspendedReplicaDoesNotAcknowledge(t *testing.T) {
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		for i := 1; i < 3; i++ {
 			f.disks[i].Hang()
 		}
 		order := make(chan error, 2)
-		go func() { order <- f.replace(0, body(3, "a")) }()
-		go func() { order <- f.runs[0].Drain(context.Background(), "z0", true) }()
+		go func() { order <- f.replace(0, configurationBody(3, "a")) }()
+		go func() { order <- f.replicas[0].Drain(context.Background(), "z0", true) }()
 		time.Sleep(200 * time.Millisecond)
-		f.jump[0].by.Store(int64(callWithin))
+		f.clocks[0].offset.Store(int64(callTimeout))
 		for i := 1; i < 3; i++ {
 			f.disks[i].Release()
 		}
-		assert.ErrorIs(t, <-order, ErrUnsettled)
-		assert.ErrorIs(t, <-order, ErrUnsettled)
-		f.acknowledged(0, body(3, "a"))
+		assert.ErrorIs(t, <-order, ErrNoMajority)
+		assert.ErrorIs(t, <-order, ErrNoMajority)
+		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 	})
 }
 
 // Eight orders at once, over and over, answers lost on their way: each is acknowledged, orders about zones within a
 // second, and what was acknowledged is so again at any replica, also at one whose settings don't know the zone.
 func TestManyOrdersAtOnce(t *testing.T) {
-	play(t, 4, func(f *farm) {
+	runCluster(t, 4, func(f *clusterFixture) {
 		ctx := context.Background()
 		for _, d := range f.disks {
 			d.SetLatency(8 * time.Millisecond)
 		}
-		assert.NilError(t, f.runs[0].Drain(ctx, "z0", false))
+		assert.NilError(t, f.replicas[0].Drain(ctx, "z0", false))
 		few := *f.settings(3)
 		few.Network.Zones = map[string]string{"z1": "r"}
-		f.runs[3].live.Store(&few)
+		f.replicas[3].liveSettings.Store(&few)
 		for round := range 15 {
 			orders := []func(at int) error{}
 			for i := range 5 {
 				gen := 10*round + 2 + (i*3)%7
-				orders = append(orders, func(at int) error { return f.replace(at, body(gen, "a")) })
+				orders = append(orders, func(at int) error { return f.replace(at, configurationBody(gen, "a")) })
 			}
 			for i := range 3 {
 				zone, drain := []string{"z0", "z1", "z0"}[i], i == 1
-				orders = append(orders, func(at int) error { return f.runs[at].Drain(ctx, zone, drain) })
+				orders = append(orders, func(at int) error { return f.replicas[at].Drain(ctx, zone, drain) })
 			}
 			took := make(chan time.Duration, len(orders))
 			for i, order := range orders {
@@ -280,12 +280,12 @@
 						if err == nil || time.Since(began) > 5*time.Second {
 							break
 						}
-						assert.Check(t, errors.Is(err, ErrUnsettled), "%v", err)
+						assert.Check(t, errors.Is(err, ErrNoMajority), "%v", err)
 					}
 					d := time.Since(began)
 					if assert.Check(t, d < 2*time.Second && (i < 5 || d < time.Second), "order %d: %v", i, d); round%3 == 0 && i < 6 { // its answer was lost
 						err := order((i + 3) % 4)
-						assert.Check(t, err == nil || errors.Is(err, ErrUnsettled), "%v", err)
+						assert.Check(t, err == nil || errors.Is(err, ErrNoMajority), "%v", err)
 					}
 					took <- d
 				}()
@@ -293,14 +293,14 @@
 			for range orders {
 				<-took
 			}
-			f.shows(round%4, body(10*round+8, "a"))
+			f.assertShows(round%4, configurationBody(10*round+8, "a"))
 		}
-		assert.NilError(t, f.runs[0].Drain(ctx, "z0", true))
-		assert.NilError(t, f.runs[3].Drain(ctx, "z0", true))
-		assert.ErrorIs(t, f.runs[3].Drain(ctx, "nowhere", true), ErrZone)
+		assert.NilError(t, f.replicas[0].Drain(ctx, "z0", true))
+		assert.NilError(t, f.replicas[3].Drain(ctx, "z0", true))
+		assert.ErrorIs(t, f.replicas[3].Drain(ctx, "nowhere", true), ErrUnknownZone)
 		time.Sleep(time.Second)
-		for _, r := range f.runs {
-			assert.Assert(t, r.zone("z0").Drain && r.zone("z1").Drain)
+		for _, r := range f.replicas {
+			assert.Assert(t, r.orderInForce("z0").Drain && r.orderInForce("z1").Drain)
 		}
 	})
 }
--- a/internal/control/held_test.go
+++ b/internal/control/held_test.go
@@ -12,33 +12,33 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-func (r *running) confirmed() (gen uint64, drained bool, age time.Duration) {
+func (r *runningReplica) confirmed() (gen uint64, drained bool, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.configuration != nil {
 		gen = r.configuration.Gen
 	}
-	if !r.fresh.IsKnown {
-		return gen, r.zones["z0"].Drain, math.MaxInt64
+	if !r.decidedConfirmed.IsKnown {
+		return gen, r.ordersInForce["z0"].Drain, math.MaxInt64
 	}
-	return gen, r.zones["z0"].Drain, r.now() - r.fresh.At
+	return gen, r.ordersInForce["z0"].Drain, r.now() - r.decidedConfirmed.At
 }
 
 // What a majority holds is in force at the other replicas without a round of theirs, also where their disk hangs; it
 // makes nobody's word fresher.
-func TestHeldIsTold(t *testing.T) {
-	play(t, 4, func(f *farm) {
-		f.acknowledged(0, body(1, "a"))
+func TestDecisionIsAppliedEverywhereAtOnce(t *testing.T) {
+	runCluster(t, 4, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
 		time.Sleep(2 * time.Second)
 		f.disks[3].Hang()
 		for gen := 2; gen < 10; gen++ {
 			began := time.Now()
-			assert.NilError(t, f.replace(0, body(gen, "a")))
-			assert.NilError(t, f.runs[0].Drain(context.Background(), "z0", gen%2 == 0))
+			assert.NilError(t, f.replace(0, configurationBody(gen, "a")))
+			assert.NilError(t, f.replicas[0].Drain(context.Background(), "z0", gen%2 == 0))
 			time.Sleep(2 * 20 * time.Millisecond) // the farm's longest way, and once more for what it carries
 			took := time.Since(began)
 			for i := range 4 {
-				got, drained, _ := f.runs[i].confirmed()
+				got, drained, _ := f.replicas[i].confirmed()
 				assert.Assert(t, int(got) == gen && drained == (gen%2 == 0), "replica-%d: r%d, drained %v", i, got, drained)
 			}
 			assert.Assert(t, took < roundEvery, "%v", took)
@@ -48,36 +48,36 @@
 }
 
 // A replica that hears no majority is told by one that does: its word is the newest, and as old as before.
-func TestHeldIsNotFresh(t *testing.T) {
-	play(t, 4, func(f *farm) {
-		f.acknowledged(0, body(1, "a"))
+func TestReceivedStateIsNotConfirmed(t *testing.T) {
+	runCluster(t, 4, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
 		time.Sleep(2 * time.Second)
-		f.cut(ips(3), ips(1, 2), sim.Silent) // replica-0 hears all
+		f.partition(ips(3), ips(1, 2), sim.Silent) // replica-0 hears all
 		time.Sleep(2 * time.Second)
-		_, _, age := f.runs[3].confirmed()
+		_, _, age := f.replicas[3].confirmed()
 		assert.Assert(t, age > time.Second, "%v", age)
-		assert.NilError(t, f.replace(0, body(2, "a")))
+		assert.NilError(t, f.replace(0, configurationBody(2, "a")))
 		time.Sleep(40 * time.Millisecond)
-		gen, _, now := f.runs[3].confirmed()
+		gen, _, now := f.replicas[3].confirmed()
 		assert.Equal(t, gen, uint64(2))
 		assert.Assert(t, now > age, "%v after %v", now, age)
 		// Whoever has the version before is confirmed no further than it was then, also once the majority is back.
-		before := f.runs[3].upTo(1)
-		assert.Assert(t, before < f.runs[3].now()-time.Second, "%v", before)
-		f.cut(ips(3), ips(1, 2), sim.Open)
+		before := f.replicas[3].confirmedUpTo(1)
+		assert.Assert(t, before < f.replicas[3].now()-time.Second, "%v", before)
+		f.partition(ips(3), ips(1, 2), sim.Open)
 		time.Sleep(3 * time.Second)
-		_, _, age = f.runs[3].confirmed()
-		assert.Assert(t, age < time.Second && f.runs[3].upTo(1) == before, "%v, %v after %v", age, f.runs[3].upTo(1), before)
+		_, _, age = f.replicas[3].confirmed()
+		assert.Assert(t, age < time.Second && f.replicas[3].confirmedUpTo(1) == before, "%v, %v after %v", age, f.replicas[3].confirmedUpTo(1), before)
 	})
 }
 
-// upTo is the moment up to which a proxy with a version in force is confirmed.
-func (r *running) upTo(gen uint64) time.Duration {
+// confirmedUpTo is the moment up to which a proxy with a version in force is confirmed.
+func (r *runningReplica) confirmedUpTo(gen uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, sum := range r.contents.Configs {
 		if sum.Gen == gen {
-			return r.versions.Confirmed(inForce(&peerlink.Ping{Gen: gen, Held: gen, Sum: sum.Sum()}), r.fresh).At
+			return r.configurationHistory.Confirmed(inForce(&peerlink.Ping{Gen: gen, Held: gen, Sum: sum.Sum()}), r.decidedConfirmed).At
 		}
 	}
 	return -1
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// told is what an operator did, and what came of it.
-type told struct {
+// operation is what an operator did, and what came of it.
+type operation struct {
 	write bool
 	gen   int
 	text  string
@@ -28,17 +28,17 @@
 	text     string // shown
 }
 
-// held is the configuration in force.
-type held struct {
+// registerState is the configuration in force.
+type registerState struct {
 	gen  int
 	text string
 }
 
-// oneRegister is one configuration that operators put and read: what a replicated control plane has to look like.
-var oneRegister = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{held{}} },
+// registerModel is one configuration that operators put and read: what a replicated control plane has to look like.
+var registerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(s, in, out any) []any {
-		state, ask, got := s.(held), in.(told), out.(outcome)
+		state, ask, got := s.(registerState), in.(operation), out.(outcome)
 		if !ask.write {
 			if got.unclear || got.gen == state.gen && got.text == state.text {
 				return []any{state}
@@ -50,7 +50,7 @@
 		}
 		after := state
 		if ask.gen > state.gen {
-			after = held{ask.gen, ask.text}
+			after = registerState{ask.gen, ask.text}
 		}
 		conflict := ask.gen == state.gen && ask.text != state.text
 		switch {
@@ -74,13 +74,13 @@
 
 // Operators at all replicas put and read configurations, with equal numbers now and then, while machines lose power and
 // disks, are cut off and replaced. What they see is what one register would have shown them.
-func TestOperatorsSeeOneRegister(t *testing.T) {
-	model := oneRegister.ToModel()
-	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
+func TestOperationsAreLinearizable(t *testing.T) {
+	model := registerModel.ToModel()
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			n := 3 + int(seed)%3
-			play(t, n, func(f *farm) {
+			runCluster(t, n, func(f *clusterFixture) {
 				var mu sync.Mutex
 				var history []porcupine.Operation
 				began := time.Now()
@@ -91,13 +91,13 @@
 						rnd := rand.New(rand.NewPCG(seed, uint64(client+10)))
 						for time.Now().Before(until) {
 							time.Sleep(time.Duration(rnd.IntN(400)) * time.Millisecond)
-							r := f.at(rnd.IntN(len(f.runs)))
+							r := f.at(rnd.IntN(len(f.replicas)))
 							if r == nil {
 								continue
 							}
-							ask := told{write: rnd.IntN(3) > 0, gen: 2 + int(time.Since(began)/(300*time.Millisecond)) + rnd.IntN(2), text: fmt.Sprint(client, "-", rnd.IntN(2))}
+							ask := operation{write: rnd.IntN(3) > 0, gen: 2 + int(time.Since(began)/(300*time.Millisecond)) + rnd.IntN(2), text: fmt.Sprint(client, "-", rnd.IntN(2))}
 							call := time.Since(began)
-							got := r.told(ask)
+							got := r.runOperation(ask)
 							end := time.Since(began)
 							if got.unclear && !ask.write {
 								continue
@@ -111,17 +111,17 @@
 						}
 					})
 				}
-				in := &trouble{replicas: make([]sync.Mutex, n)}
+				in := &faultState{replicas: make([]sync.Mutex, n)}
 				all.Go(func() {
 					rnd := rand.New(rand.NewPCG(seed, 70))
 					for time.Now().Before(until) {
-						f.befall(rnd, in)
+						f.injectFault(rnd, in)
 						time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 					}
 				})
 				all.Wait()
-				in.over.Store(true)
-				f.until(10*time.Second, "settle", func() bool { return f.voting() == n })
+				in.finished.Store(true)
+				f.waitFor(10*time.Second, "settle", func() bool { return f.countVoting() == n })
 				result := porcupine.CheckOperationsTimeout(model, history, 0)
 				if result != porcupine.Ok {
 					for _, o := range history {
@@ -135,24 +135,24 @@
 	}
 }
 
-// told carries out what an operator asks a replica for.
-func (r *running) told(ask told) outcome {
+// runOperation carries out what an operator asks a replica for.
+func (r *runningReplica) runOperation(ask operation) outcome {
 	ctx := context.Background()
 	if !ask.write {
-		p, err := r.Show(ctx)
+		p, err := r.CurrentConfiguration(ctx)
 		switch {
-		case err == ErrNothing:
+		case err == ErrNoConfiguration:
 			return outcome{}
 		case err != nil:
 			return outcome{unclear: true}
 		}
 		return outcome{gen: int(p.Gen), text: textOf(p.Body)}
 	}
-	done, err := r.Replace(ctx, body(ask.gen, ask.text))
+	done, err := r.Replace(ctx, configurationBody(ask.gen, ask.text))
 	switch err.(type) {
 	case nil:
 		return outcome{inForce: done.InForce, gen: int(done.Held.Gen)}
-	case Conflict:
+	case ConflictError:
 		return outcome{conflict: true}
 	}
 	return outcome{unclear: true}
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -37,7 +37,7 @@
 func (b *Replica) serveHTTP(ctx context.Context) (func(), error) {
 	var all []*http.Server
 	stop := func() {
-		ctx, cancel := b.within(context.Background(), closeWithin)
+		ctx, cancel := b.withTimeout(context.Background(), closeWithin)
 		defer cancel()
 		for _, s := range all {
 			_ = s.Shutdown(ctx)
@@ -48,7 +48,7 @@
 		if addr == "" {
 			continue
 		}
-		ln, err := b.w.Listen(ctx, "tcp", addr)
+		ln, err := b.world.Listen(ctx, "tcp", addr)
 		if err != nil {
 			stop()
 			return nil, errors.Wrap(err, "replica")
@@ -72,7 +72,7 @@
 		case err != nil:
 			refuse(w, http.StatusServiceUnavailable, err)
 		default:
-			var done Replaced
+			var done ReplaceResult
 			err := b.noted(r, api.OrderConfig, genOf(body), func(ctx context.Context) (err error) {
 				done, err = b.Replace(ctx, body)
 				return err
@@ -81,7 +81,7 @@
 		}
 	})
 	m.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
-		p, err := b.Show(r.Context())
+		p, err := b.CurrentConfiguration(r.Context())
 		if err != nil {
 			finish(w, err)
 			return
@@ -108,7 +108,7 @@
 		finish(w, b.noted(r, api.OrderRest, name, func(ctx context.Context) error {
 			least, err := floorOf(r.URL.Query())
 			if err != nil {
-				return Invalid{err}
+				return InvalidError{err}
 			}
 			return b.Rest(ctx, name, least)
 		}))
@@ -127,10 +127,10 @@
 			}
 			if take {
 				want := state.Lock{Token: ask.Token, Who: ask.Who, Since: ask.Since.UnixNano(), For: time.Duration(ask.ForMS) * time.Millisecond}
-				finish(w, b.LockFor(r.Context(), want))
+				finish(w, b.AcquireLock(r.Context(), want))
 				return
 			}
-			finish(w, b.Unlock(r.Context(), ask.Token))
+			finish(w, b.ReleaseLock(r.Context(), ask.Token))
 		})
 	}
 }
@@ -144,11 +144,11 @@
 			if text := q.Get(api.JudgeFor); text != "" {
 				s, err := strconv.ParseFloat(text, 64)
 				if err != nil || !(s > 0 && s <= api.JudgeMost.Seconds()) {
-					return Invalid{errors.Errorf("%s: %q is no number of seconds up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
+					return InvalidError{errors.Errorf("%s: %q is no number of seconds up to %.0f", api.JudgeFor, text, api.JudgeMost.Seconds())}
 				}
 				holds = time.Duration(s * float64(time.Second))
 			}
-			return b.Judge(ctx, id, q.Get(api.JudgeWord), holds)
+			return b.OrderVerdict(ctx, id, q.Get(api.JudgeWord), holds)
 		}))
 	})
 }
@@ -181,7 +181,7 @@
 }
 
 // answerReplace answers a configuration: where one above it is in force, that is said.
-func answerReplace(w http.ResponseWriter, done Replaced, err error) {
+func answerReplace(w http.ResponseWriter, done ReplaceResult, err error) {
 	if err != nil {
 		finish(w, err)
 		return
@@ -192,14 +192,14 @@
 
 // statusOf is the answer to an order that did not go through; 503: it may be in force or may not.
 func statusOf(err error) int {
-	var invalid Invalid
+	var invalid InvalidError
 	var tight Tight
-	var taken Taken
-	var conflict Conflict
+	var taken LockTakenError
+	var conflict ConflictError
 	switch {
 	case errors.As(err, &invalid):
 		return http.StatusBadRequest
-	case errors.Is(err, ErrZone), errors.Is(err, ErrNode), errors.Is(err, ErrServer):
+	case errors.Is(err, ErrUnknownZone), errors.Is(err, ErrUnknownProxy), errors.Is(err, ErrUnknownServer):
 		return http.StatusNotFound
 	case errors.As(err, &tight), errors.As(err, &conflict):
 		return http.StatusConflict
@@ -225,7 +225,7 @@
 		q := r.URL.Query()
 		b.mu.Lock()
 		regions := b.regionsFor(q.Get(api.LookupName), q.Get(api.LookupRegion))
-		fronts := b.proxies.fronts(regions, q.Get(api.LookupName)+" "+q.Get(api.LookupZone), b.now())
+		fronts := b.proxies.frontAddresses(regions, q.Get(api.LookupName)+" "+q.Get(api.LookupZone), b.now())
 		b.mu.Unlock()
 		if len(fronts) == 0 {
 			refuse(w, http.StatusServiceUnavailable, errors.New("no node is ready"))
@@ -236,22 +236,22 @@
 			fronts = fronts[:api.MostAddresses]
 		}
 		w.Header().Set("Content-Type", jsonType)
-		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(answersFor, b.live.Load().Terms.Bounds.TTLMax).Seconds()})
+		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(answersFor, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
 	return m
 }
 
 // regionsFor are those in which clients of a host and a region are told proxies; the mutex is held.
 func (b *Replica) regionsFor(name, region string) []string {
-	if b.parsed == nil {
+	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
-	homes, bound, free := b.parsed.HomesOf(name)
+	homes, bound, free := b.parsedConfiguration.HomesOf(name)
 	if len(homes) == 0 || slices.Contains(homes, region) {
 		return []string{region}
 	}
 	host, now := homing.Host(routeconfig.Bare(name)), b.now()
-	if !b.roads.Home(host, bound, free, func() homing.Heads { return b.proxies.heads(host, now) }, now) {
+	if !b.hostRoutes.Home(host, bound, free, func() homing.Heads { return b.proxies.sumHostCounts(host, now) }, now) {
 		return []string{region}
 	}
 	return homes // else every bound body would go from one region to the other
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -12,19 +12,19 @@
 )
 
 // join brings a proxy in that is ready at once.
-func join(r *register, name string, now time.Duration) *proxy {
-	g, _ := r.see(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
+func join(r *proxyRegistry, name string, now time.Duration) *proxy {
+	g, _ := r.noteConnected(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
 	g.ready = true
-	if g.risen == 0 {
-		g.risen = now
+	if g.firstReadyAt == 0 {
+		g.firstReadyAt = now
 	}
 	return g
 }
 
-func hearAll(r *register, now time.Duration, but ...string) {
+func hearAll(r *proxyRegistry, now time.Duration, but ...string) {
 	for _, n := range r.names() {
 		if len(but) == 0 || n != but[0] {
-			r.proxies[n].heard = now
+			r.proxies[n].lastHeard = now
 		}
 	}
 }
@@ -32,7 +32,7 @@
 // One that has given its parts up counts no more from then on, whatever it says later; its next life joins anew, and
 // leaves unused what one behind a cut still holds.
 func TestGivenPartsAreOthersAtOnce(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b", "c"} {
 		join(r, n, at)
@@ -40,7 +40,7 @@
 	at += 5 * time.Second
 	hearAll(r, at)
 	g := r.proxies["a"]
-	g.left, g.grace, g.given = at, 6*time.Second, true
+	g.leftAt, g.grace, g.quotaReleased = at, 6*time.Second, true
 	_, shares, _ := r.members(at)
 	assert.Equal(t, shares, 2)
 
@@ -64,14 +64,14 @@
 // A proxy that joins others is told of to a rising part of places; those that all began at once, and one that was
 // killed and comes back, to all at once.
 func TestJoinersRise(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
 		join(r, n, at)
 	}
 	told := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
-			for _, f := range r.fronts([]string{"r"}, "place "+string(rune('0'+i)), now) {
+			for _, f := range r.frontAddresses([]string{"r"}, "place "+string(rune('0'+i)), now) {
 				if f == name {
 					n++
 				}
@@ -82,7 +82,7 @@
 	assert.Equal(t, told("b", at), 100) // a first start
 	at += 10 * time.Second
 	hearAll(r, at)
-	r.proxies["b"].up = false
+	r.proxies["b"].connected = false
 	join(r, "b", at) // it was killed
 	assert.Equal(t, told("b", at), 100)
 	join(r, "e", at)
@@ -99,10 +99,10 @@
 // A joiner takes from the others only once their proxies have said that they go by as many parts as there are with it,
 // however long their agents were heard by then; a later join makes it no stranger again.
 func TestJoinersWaitForTheOthersWord(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b"} {
-		join(r, n, at).parts = 2
+		join(r, n, at).quotaParts = 2
 	}
 	at += time.Second
 	join(r, "c", at)
@@ -113,13 +113,13 @@
 		return all[i].Silent
 	}
 	assert.Equal(t, silent("c", 0), 2)
-	r.proxies["a"].parts = 3
+	r.proxies["a"].quotaParts = 3
 	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // no time has to pass
 	assert.Equal(t, silent("c", 20*time.Second), 1)      // and none is enough: b's lead knows nothing of it
-	r.proxies["b"].parts = 4
+	r.proxies["b"].quotaParts = 4
 	assert.Equal(t, silent("c", 20*time.Second), 0)
 	at += 21 * time.Second
-	r.proxies["c"].parts = 3
+	r.proxies["c"].quotaParts = 3
 	join(r, "d", at)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
@@ -127,7 +127,7 @@
 
 // Where every proxy leaves at once, clients are sent to those whose doors are still open, and to nobody behind a shut one.
 func TestLeaversAreBetterThanNone(t *testing.T) {
-	r := newRegister(nil, 0)
+	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b"} {
 		join(r, n, at)
@@ -135,17 +135,17 @@
 	at += 10 * time.Second
 	hearAll(r, at)
 	leave := func(n string) {
-		r.proxies[n].left, r.proxies[n].grace, r.proxies[n].ready = at, 6*time.Second, false
+		r.proxies[n].leftAt, r.proxies[n].grace, r.proxies[n].ready = at, 6*time.Second, false
 	}
 	leave("a")
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", at), []string{"b"})
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"b"})
 	leave("b")
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", at), []string{"a", "b"})
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"a", "b"})
 	at += 2 * time.Second
 	hearAll(r, at)
-	r.proxies["a"].given = true
-	assert.DeepEqual(t, r.fronts([]string{"r"}, "p", at), []string{"b"})
+	r.proxies["a"].quotaReleased = true
+	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"b"})
 	at += time.Second
 	hearAll(r, at)
-	assert.Equal(t, len(r.fronts([]string{"r"}, "p", at)), 0)
+	assert.Equal(t, len(r.frontAddresses([]string{"r"}, "p", at)), 0)
 }
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -9,19 +9,19 @@
 // listed takes over a list that this replica has read or another has told. One
 // without servers says that the last one still holds. The mutex is held.
 func (b *Replica) listed(s *peerlink.Servers) {
-	if s.Stamp <= b.stamp {
+	if s.Stamp <= b.listStamp {
 		return
 	}
-	b.stamp = s.Stamp
-	if b.read.take(s.Reading, b.now()); s.By != b.self.Name {
-		b.others = b.read.began
+	b.listStamp = s.Stamp
+	if b.newestReading.take(s.Reading, b.now()); s.By != b.self.Name {
+		b.othersReadingAt = b.newestReading.began
 	}
 	if len(s.List) > 0 {
 		s = b.sober(s)
-		if b.list == nil || s.Since(b.list) != nil {
+		if b.serverList == nil || s.Since(b.serverList) != nil {
 			held := *s
 			held.Term, held.Reading = peerlink.Term{}, peerlink.Reading{} // whoever is told it later knows newer ones
-			b.list = &held
+			b.serverList = &held
 			b.tellList()
 		}
 	}
@@ -43,23 +43,23 @@
 	p := &peerlink.Servers{Stamp: s.Stamp, By: s.By, Part: true}
 	reading := s.Reading
 	if len(s.List) > 0 {
-		if news := s.Since(l.told); news != nil {
+		if news := s.Since(l.sentList); news != nil {
 			x := *news
 			p = &x
 		}
 	}
 	p.Term, p.Reading = s.Term, reading
-	if whole := p.Onto(l.told); whole != nil {
-		l.told = whole
+	if whole := p.Onto(l.sentList); whole != nil {
+		l.sentList = whole
 	}
-	l.news(&peerlink.Change{Servers: p}, d)
+	l.sendChange(&peerlink.Change{Servers: p}, d)
 }
 
 // listTold takes over what another replica tells of the list, but for one whose duty another has by now; the mutex is held.
 func (b *Replica) listTold(l *link, s *peerlink.Servers) {
 	term, reading := s.Term, s.Reading
-	if whole := s.Onto(l.heard); whole != nil {
-		l.heard, s = whole, whole
+	if whole := s.Onto(l.receivedList); whole != nil {
+		l.receivedList, s = whole, whole
 	} else { // nothing of it was told before
 		s = &peerlink.Servers{Stamp: s.Stamp, By: s.By}
 	}
@@ -73,13 +73,13 @@
 func (b *Replica) sober(s *peerlink.Servers) *peerlink.Servers {
 	x := *s
 	x.List = slices.Clone(s.List)
-	now := make(map[string]bool, len(b.drained))
+	now := make(map[string]bool, len(b.drainedServers))
 	for i := range x.List {
 		s := &x.List[i]
-		if s.Draining = s.Draining || b.drained[s.ID]; s.Draining {
+		if s.Draining = s.Draining || b.drainedServers[s.ID]; s.Draining {
 			now[s.ID] = true
 		}
 	}
-	b.drained = now
+	b.drainedServers = now
 	return &x
 }
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -59,8 +59,8 @@
 // Whoever read the list before it grew, or never did, doesn't keep the holder of the duty from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
 	p := &growing{servers: 700, begun: map[string]time.Time{}}
-	set := &farm{t: t, drain: drainWithin, rate: 2100}
-	set.run(longReplicas, http.Handler(p), func(f *farm) {
+	set := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: 2100}
+	set.run(longReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -51,7 +51,7 @@
 	for i := range pagesOfList {
 		p.servers = append(p.servers, row(longID(i), "ready"))
 	}
-	platformed(t, 3, p, func(f *farm) {
+	runClusterWithPlatform(t, 3, p, func(f *clusterFixture) {
 		h := f.agent("1", 0)
 		defer h.stop()
 		known := h.sees(func(h *farmhand) bool { return h.list != nil && len(h.list.List) == pagesOfList })
@@ -69,8 +69,8 @@
 	for i := range 10 {
 		p.servers = append(p.servers, row(longID(i), "ready"))
 	}
-	set := &farm{t: t, drain: drainWithin, rate: platformRate}
-	set.run(longReplicas, p, func(f *farm) {
+	set := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: platformRate}
+	set.run(longReplicas, p, func(f *clusterFixture) {
 		goes := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -81,10 +81,10 @@
 		time.Sleep(8 * time.Second)
 		goes(false)
 		back := time.Now()
-		f.until(time.Minute, "read by all again", func() bool {
-			for _, r := range f.runs {
+		f.waitFor(time.Minute, "read by all again", func() bool {
+			for _, r := range f.replicas {
 				r.mu.Lock()
-				age := r.now() - r.read.began
+				age := r.now() - r.newestReading.began
 				r.mu.Unlock()
 				if age > time.Since(back) {
 					return false
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -25,14 +25,14 @@
 	return fmt.Sprintf("median %v, 99th %v, worst %v of %d", at(0.5), at(0.99), all[len(all)-1].Round(100*time.Microsecond), len(all))
 }
 
-// lastProposer is where the replica runs that proposed what is decided.
-func (f *farm) lastProposer() int {
-	for _, i := range f.there() {
-		if f.runs[i].proposer() == f.runs[i].decided().Proposer {
+// linkToLastProposer is where the replica runs that proposed what is decided.
+func (f *clusterFixture) lastProposer() int {
+	for _, i := range f.runningIndexes() {
+		if f.replicas[i].proposerID() == f.replicas[i].decidedState().Proposer {
 			return i
 		}
 	}
-	return f.there()[0]
+	return f.runningIndexes()[0]
 }
 
 func without(all []int, one int) (rest []int) {
@@ -45,10 +45,10 @@
 }
 
 // acks sends configurations one after the other, to replicas by chance, and returns how long each took until it was taken.
-func (f *farm) acks(rnd *rand.Rand, gen *int, n int, at ...int) (all []time.Duration) {
+func (f *clusterFixture) acks(rnd *rand.Rand, gen *int, n int, at ...int) (all []time.Duration) {
 	for range n {
 		*gen++
-		text := body(*gen, "m")
+		text := configurationBody(*gen, "m")
 		began := time.Now()
 		for f.replace(at[rnd.IntN(len(at))], text) != nil {
 			time.Sleep(50 * time.Millisecond)
@@ -72,7 +72,7 @@
 	}{{"3 in a region", 3, time.Millisecond}, {"4 over regions", 4, 20 * time.Millisecond}, {"5 over regions", 5, 20 * time.Millisecond}} {
 		var calm, lost, killed, cut, slow, whole, joined []time.Duration
 		for seed := range seeds {
-			play(t, x.n, func(f *farm) {
+			runCluster(t, x.n, func(f *clusterFixture) {
 				f.net.Set(sim.Faults{Least: x.way, Most: x.way})
 				for _, d := range f.disks {
 					d.SetLatency(time.Millisecond)
@@ -86,20 +86,20 @@
 				f.acks(rnd, &gen, 1, 0) // the first replica proposed last
 				calm = append(calm, f.acks(rnd, &gen, 20, all...)...)
 				f.acks(rnd, &gen, 1, 0)
-				f.end(x.n-1, true)
+				f.kill(x.n-1, true)
 				lost = append(lost, f.acks(rnd, &gen, 10, all[:x.n-1]...)...)
 				f.start(x.n - 1)
-				time.Sleep(syncs)
+				time.Sleep(rejoinTimeout)
 				last := f.lastProposer()
-				f.end(last, true)
+				f.kill(last, true)
 				killed = append(killed, f.acks(rnd, &gen, 1, without(all, last)...)...)
 				f.start(last)
-				time.Sleep(syncs)
+				time.Sleep(rejoinTimeout)
 				last = f.lastProposer()
-				f.cut(ips(last), ips(without(all, last)...), sim.Silent)
+				f.partition(ips(last), ips(without(all, last)...), sim.Silent)
 				cut = append(cut, f.acks(rnd, &gen, 1, without(all, last)...)...)
-				f.cut(ips(last), ips(without(all, last)...), sim.Open)
-				time.Sleep(syncs)
+				f.partition(ips(last), ips(without(all, last)...), sim.Open)
+				time.Sleep(rejoinTimeout)
 				last = f.lastProposer()
 				f.disks[last].SetLatency(30 * time.Millisecond)
 				slow = append(slow, f.acks(rnd, &gen, 3, all...)...)
@@ -107,18 +107,18 @@
 				if !*measured {
 					return
 				}
-				f.gone[0] = true
-				f.end(0, true)
+				f.removed[0] = true
+				f.kill(0, true)
 				time.Sleep(time.Second)
-				next := f.successor()
+				next := f.startReplacement()
 				began := time.Now()
-				f.until(4*syncs, "whole", func() bool { return f.voting() == x.n && len(f.runs[next].decided().Voters) == x.n })
+				f.waitFor(4*rejoinTimeout, "whole", func() bool { return f.countVoting() == x.n && len(f.replicas[next].decidedState().Voters) == x.n })
 				whole = append(whole, time.Since(began))
 				began = time.Now()
-				f.end(next, true)
+				f.kill(next, true)
 				f.disks[next].Wipe()
 				f.start(next)
-				f.until(4*syncs, "whole", func() bool { return f.voting() == x.n && len(f.runs[next].decided().Voters) == x.n })
+				f.waitFor(4*rejoinTimeout, "whole", func() bool { return f.countVoting() == x.n && len(f.replicas[next].decidedState().Voters) == x.n })
 				joined = append(joined, time.Since(began))
 			})
 		}
@@ -138,15 +138,15 @@
 // measureCatchUp prints how long a replica needs that missed some changes.
 func measureCatchUp(t *testing.T) {
 	for _, missed := range []int{10, 100, 1000} {
-		play(t, 3, func(f *farm) {
-			f.acknowledged(0, body(1, "a"))
-			f.end(2, true)
+		runCluster(t, 3, func(f *clusterFixture) {
+			f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
+			f.kill(2, true)
 			for gen := range missed {
-				f.acknowledged(0, body(2+gen, "a"))
+				f.replaceUntilAcknowledged(0, configurationBody(2+gen, "a"))
 			}
 			began := time.Now()
 			f.start(2)
-			f.until(5*time.Second, "caught up", func() bool { return idOf(f.runs[2].configured()).Gen == uint64(missed+1) })
+			f.waitFor(5*time.Second, "caught up", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == uint64(missed+1) })
 			took := time.Since(began)
 			size := 0
 			names, err := f.disks[0].Mount().List("/data")
@@ -155,7 +155,7 @@
 				text, _ := f.disks[0].Mount().ReadFile("/data/" + name)
 				size += len(text)
 			}
-			_, err = f.runs[2].Show(context.Background())
+			_, err = f.replicas[2].CurrentConfiguration(context.Background())
 			t.Logf("%d changes missed: caught up after %v (shown: %v); %d bytes on a disk in %d files", missed, took, err == nil, size, len(names))
 		})
 	}
--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -16,29 +16,29 @@
 
 // link is an open connection to another replica.
 type link struct {
-	conn    *peerlink.Conn
-	peer    peerlink.Hello
-	dialled bool
-	no      uint64            // of the last change sent
-	told    *peerlink.Servers // as told to the other last
-	heard   *peerlink.Servers // as the other told last
-	since   time.Duration     // when it came up
-	leaving bool
-	pending map[uint64]*poll
+	conn             *peerlink.Conn
+	peer             peerlink.Hello
+	dialled          bool
+	lastChangeNumber uint64            // of the last change sent
+	sentList         *peerlink.Servers // as told to the other last
+	receivedList     *peerlink.Servers // as the other told last
+	connectedAt      time.Duration     // when it came up
+	leaving          bool
+	openPolls        map[uint64]*poll
 
-	verdicts, verdictsHeard *serverhealth.Verdicts // as told to the other last, and by it
+	sentVerdicts, receivedVerdicts *serverhealth.Verdicts // as told to the other last, and by it
 }
 
-// keep is an address that is dialled, unless the one there has dialled us.
-type keep struct {
-	stop context.CancelFunc // of the present dialling; nil: it waits
-	wake chan struct{}
-	gone bool // it is dialled no more
+// dialTarget is an address that is dialled, unless the one there has dialled us.
+type dialTarget struct {
+	stopDialling context.CancelFunc // of the present dialling; nil: it waits
+	wakeup       chan struct{}
+	removed      bool // it is dialled no more
 }
 
 // SetSettings takes over what a settings file says that may change in service.
 func (b *Replica) SetSettings(s *settings.Settings) {
-	b.live.Store(s)
+	b.liveSettings.Store(s)
 	b.SetSeeds(s.Network.Seeds)
 	b.spurred()
 }
@@ -53,81 +53,83 @@
 		if err != nil {
 			continue
 		}
-		b.seeds = append(b.seeds, b.set.Inner(host))
+		b.seeds = append(b.seeds, b.settings.Inner(host))
 	}
 	for _, s := range b.seeds {
-		b.keep(s)
+		b.keepConnected(s)
 	}
 }
 
-// keep holds a connection to the replica at an address; the mutex is held.
-func (b *Replica) keep(addr string) {
-	if addr == "" || addr == b.self.Inner || b.keeps[addr] != nil || b.ctx == nil || b.ctx.Err() != nil {
+// keepConnected holds a connection to the replica at an address; the mutex is held.
+func (b *Replica) keepConnected(addr string) {
+	if addr == "" || addr == b.self.Inner || b.dialTargets[addr] != nil || b.ctx == nil || b.ctx.Err() != nil {
 		return
 	}
-	k := &keep{wake: make(chan struct{}, 1)}
-	b.keeps[addr] = k
-	b.jobs.Go(func() { b.hold(b.ctx, addr, k) })
+	k := &dialTarget{wakeup: make(chan struct{}, 1)}
+	b.dialTargets[addr] = k
+	b.jobs.Go(func() { b.maintainConnection(b.ctx, addr, k) })
 }
 
-func (b *Replica) hold(ctx context.Context, addr string, k *keep) {
-	d := &peerlink.Dialer{Net: b.w, Hello: b.self, Log: b.log}
+func (b *Replica) maintainConnection(ctx context.Context, addr string, k *dialTarget) {
+	d := &peerlink.Dialer{Net: b.world, Hello: b.self, Log: b.log}
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		if k.gone {
+		if k.removed {
 			b.mu.Unlock()
 			return
 		}
-		if b.calledBy(addr) {
+		if b.isDialledBy(addr) {
 			b.mu.Unlock()
 			select {
-			case <-k.wake:
+			case <-k.wakeup:
 			case <-ctx.Done():
 			}
 			continue
 		}
 		kctx, stop := context.WithCancel(ctx)
-		k.stop = stop
+		k.stopDialling = stop
 		b.mu.Unlock()
-		d.Keep(kctx, addr, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error { return b.talk(ctx, c, h, true) })
+		d.Keep(kctx, addr, func(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
+			return b.runReplicaSession(ctx, c, h, true)
+		})
 		stop()
 		b.mu.Lock()
-		k.stop = nil
+		k.stopDialling = nil
 		b.mu.Unlock()
 	}
 }
 
-// forgottenAfter is how long a replica that is no voter may be silent before it is left for good.
-const forgottenAfter = time.Minute
+// forgetAfter is how long a replica that is no voter may be silent before it is left for good.
+const forgetAfter = time.Minute
 
-// forget leaves replicas that are gone for good, so that neither this one nor agents dial them for ever; the mutex is
+// forgetSilentReplicas leaves replicas that are gone for good, so that neither this one nor agents dial them for ever; the mutex is
 // held.
-func (b *Replica) forget() {
+func (b *Replica) forgetSilentReplicas() {
 	now := b.now()
 	for name, h := range b.replicas {
 		_, votes := b.contents.Record.Decided.Voter(h.ID)
-		at := max(b.heardOf[h.ID].at, b.firstHeard[name])
-		if name == b.self.Name || votes || len(b.links[name]) > 0 || now-at < forgottenAfter {
+		at := max(b.lastReports[h.ID].at, b.firstSeen[name])
+		if name == b.self.Name || votes || len(b.links[name]) > 0 || now-at < forgetAfter {
 			continue
 		}
 		b.log.Info("replica forgotten", "name", name)
 		delete(b.replicas, name)
-		delete(b.heardOf, h.ID)
-		delete(b.firstHeard, name)
-		if k := b.keeps[h.Inner]; k != nil && !slices.Contains(b.seeds, h.Inner) {
-			k.gone = true
-			if k.stop != nil {
-				k.stop()
+		delete(b.lastReports, h.ID)
+		delete(b.firstSeen, name)
+		if k := b.dialTargets[h.Inner]; k != nil && !slices.Contains(b.seeds, h.Inner) {
+			k.removed = true
+			if k.stopDialling != nil {
+				k.stopDialling()
 			}
-			delete(b.keeps, h.Inner)
+			delete(b.dialTargets, h.Inner)
 		}
 		b.stirred()
 	}
 }
 
-// calledBy tells whether the replica at an address has dialled this one and is the
+// isDialledBy tells whether the replica at an address has dialled this one and is the
 // one of the two that is to: the one whose name is lower. The mutex is held.
-func (b *Replica) calledBy(addr string) bool {
+func (b *Replica) isDialledBy(addr string) bool {
 	for name, all := range b.links {
 		for _, l := range all {
 			if !l.dialled && l.peer.Inner == addr && name < b.self.Name {
@@ -138,35 +140,35 @@
 	return false
 }
 
-// accept runs a session that another process has dialled.
-func (b *Replica) accept(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
+// acceptSession runs a session that another process has dialled.
+func (b *Replica) acceptSession(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
 	switch h.Role {
 	case peerlink.Replica:
-		return b.talk(ctx, c, h, false)
+		return b.runReplicaSession(ctx, c, h, false)
 	case peerlink.Agent:
 		return b.attend(ctx, c, h)
 	}
 	return errors.Errorf("replica: a %q has no business here", h.Role)
 }
 
-// talk runs a session with another replica.
-func (b *Replica) talk(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello, dialled bool) error {
+// runReplicaSession runs a session with another replica.
+func (b *Replica) runReplicaSession(ctx context.Context, c *peerlink.Conn, h *peerlink.Hello, dialled bool) error {
 	if h.Role != peerlink.Replica || h.Name == b.self.Name {
 		return errors.Errorf("replica: %q %s is no other replica", h.Role, h.Name)
 	}
 	b.mu.Lock()
-	l := &link{conn: c, peer: *h, dialled: dialled, since: b.now(), pending: map[uint64]*poll{}}
+	l := &link{conn: c, peer: *h, dialled: dialled, connectedAt: b.now(), openPolls: map[uint64]*poll{}}
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
-	l.told = b.held()
+	l.sentList = b.held()
 	duty := b.duty.Greeting()
-	l.news(&peerlink.Change{Census: b.known(), Servers: b.aged(l.told), Lately: b.fit.inForce()}, &duty)
-	b.tellDecided(l)
-	if k := b.keeps[h.Inner]; k != nil && k.stop != nil && b.calledBy(h.Inner) {
-		k.stop()
+	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.aged(l.sentList), Lately: b.healthJudge.inForce()}, &duty)
+	b.sendDecided(l)
+	if k := b.dialTargets[h.Inner]; k != nil && k.stopDialling != nil && b.isDialledBy(h.Inner) {
+		k.stopDialling()
 	}
 	b.mu.Unlock()
-	b.rouse()
+	b.requestRound()
 	b.spurred()
 	b.log.Info("replica connected", "name", h.Name, "dialled", dialled)
 	defer func() {
@@ -176,12 +178,12 @@
 		if len(b.links[h.Name]) == 0 {
 			delete(b.links, h.Name)
 		}
-		for _, p := range l.pending {
-			p.answers <- answer{from: h.ID}
+		for _, p := range l.openPolls {
+			p.answers <- pollAnswer{from: h.ID}
 		}
-		if k := b.keeps[h.Inner]; k != nil {
+		if k := b.dialTargets[h.Inner]; k != nil {
 			select {
-			case k.wake <- struct{}{}:
+			case k.wakeup <- struct{}{}:
 			default:
 			}
 		}
@@ -193,36 +195,36 @@
 		if err != nil {
 			return err
 		}
-		b.take(ctx, l, f)
+		b.handleFrame(ctx, l, f)
 	}
 }
 
-// news sends a numbered change with a word on the duty, which may be nil.
-func (l *link) news(c *peerlink.Change, d *peerlink.Duty) {
-	l.no++
-	c.No = l.no
+// sendChange sends a numbered change with a word on the duty, which may be nil.
+func (l *link) sendChange(c *peerlink.Change, d *peerlink.Duty) {
+	l.lastChangeNumber++
+	c.No = l.lastChangeNumber
 	_ = l.conn.Send(&peerlink.Frame{Change: c, Duty: d})
 }
 
-// take takes in what another replica says.
-func (b *Replica) take(ctx context.Context, l *link, f *peerlink.Frame) {
+// handleFrame takes in what another replica says.
+func (b *Replica) handleFrame(ctx context.Context, l *link, f *peerlink.Frame) {
 	if f.Ask != nil {
-		b.answer(ctx, l, f.Ask)
+		b.answerQuestion(ctx, l, f.Ask)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if f.Leaving != nil {
 		l.leaving = true
-		h := b.heardOf[l.peer.ID]
+		h := b.lastReports[l.peer.ID]
 		h.left = true
-		b.heardOf[l.peer.ID] = h
+		b.lastReports[l.peer.ID] = h
 		b.stirred()
 	}
 	if f.Duty != nil {
 		b.hearDuty(l, f.Duty)
 	}
 	if f.Decided != nil {
-		b.hearDecided(l, f.Decided)
+		b.receiveDecided(l, f.Decided)
 	}
 	if f.Report != nil {
 		b.reaped(f.Report)
@@ -240,9 +242,9 @@
 		}
 	}
 	if r := f.Reply; r != nil {
-		if p := l.pending[r.ID]; p != nil {
-			delete(l.pending, r.ID)
-			p.answers <- answer{l.peer.ID, r}
+		if p := l.openPolls[r.ID]; p != nil {
+			delete(l.openPolls, r.ID)
+			p.answers <- pollAnswer{l.peer.ID, r}
 		}
 	}
 }
@@ -254,73 +256,73 @@
 		return
 	}
 	b.replicas[h.Name] = h
-	b.firstHeard[h.Name] = b.now()
+	b.firstSeen[h.Name] = b.now()
 	if !known {
 		b.log.Info("new replica", "name", h.Name, "voter", h.Voter)
 	}
-	b.keep(h.Inner)
+	b.keepConnected(h.Inner)
 	b.stirred()
 }
 
-// background runs a job with a bound of time; the mutex may be held.
-func (b *Replica) background(job func(ctx context.Context)) {
+// runInBackground runs a job with a bound of time; the mutex may be held.
+func (b *Replica) runInBackground(job func(ctx context.Context)) {
 	b.jobs.Go(func() {
-		ctx, cancel := b.within(b.ctx, callWithin)
+		ctx, cancel := b.withTimeout(b.ctx, callTimeout)
 		defer cancel()
 		job(ctx)
 	})
 }
 
-// known tells another replica whom this one knows; the mutex is held.
-func (b *Replica) known() *peerlink.Census {
-	c := &peerlink.Census{Replicas: byName(b.replicas)}
+// knownMembers tells another replica whom this one knows; the mutex is held.
+func (b *Replica) knownMembers() *peerlink.Census {
+	c := &peerlink.Census{Replicas: sortedByName(b.replicas)}
 	for _, n := range b.proxies.names() {
-		c.Proxies = append(c.Proxies, peerlink.Member{Hello: lean(b.proxies.proxies[n].hello)})
+		c.Proxies = append(c.Proxies, peerlink.Member{Hello: memberHello(b.proxies.proxies[n].hello)})
 	}
 	return c
 }
 
-// answer is what came back on a question; a nil reply is a broken connection.
-type answer struct {
+// pollAnswer is what came back on a question; a nil reply is a broken connection.
+type pollAnswer struct {
 	from  string // the ID of the replier's disk
 	reply *peerlink.Reply
 }
 
 // poll is a number of questions whose answers are awaited.
 type poll struct {
-	b       *Replica
-	answers chan answer
-	out     int
-	asked   map[*link]uint64
+	replica     *Replica
+	answers     chan pollAnswer
+	sentCount   int
+	questionIDs map[*link]uint64
 }
 
 func (b *Replica) newPoll() *poll {
-	return &poll{b: b, answers: make(chan answer, 64), asked: map[*link]uint64{}}
+	return &poll{replica: b, answers: make(chan pollAnswer, 64), questionIDs: map[*link]uint64{}}
 }
 
 // ask puts a question to another replica; it is false where that can't be sent.
 // The mutex is held.
 func (p *poll) ask(l *link, a peerlink.Ask) bool {
-	if l == nil || p.out == cap(p.answers) {
+	if l == nil || p.sentCount == cap(p.answers) {
 		return false
 	}
-	p.b.asks++
-	a.ID = p.b.asks
+	p.replica.lastQuestionID++
+	a.ID = p.replica.lastQuestionID
 	if l.conn.Send(&peerlink.Frame{Ask: &a}) != nil {
 		return false
 	}
-	l.pending[a.ID] = p
-	p.asked[l] = a.ID
-	p.out++
+	l.openPolls[a.ID] = p
+	p.questionIDs[l] = a.ID
+	p.sentCount++
 	return true
 }
 
-// end forgets the questions that were not answered.
-func (p *poll) end() {
-	p.b.mu.Lock()
-	defer p.b.mu.Unlock()
-	for l, id := range p.asked {
-		delete(l.pending, id)
+// cancel forgets the questions that were not answered.
+func (p *poll) cancel() {
+	p.replica.mu.Lock()
+	defer p.replica.mu.Unlock()
+	for l, id := range p.questionIDs {
+		delete(l.openPolls, id)
 	}
 }
 
@@ -335,7 +337,7 @@
 	return nil
 }
 
-// within bounds a time by the replica's clock.
-func (b *Replica) within(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
-	return world.WithTimeout(ctx, b.w, d)
+// withTimeout bounds a time by the replica's clock.
+func (b *Replica) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+	return world.WithTimeout(ctx, b.world, d)
 }
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -80,10 +80,10 @@
 		if !nodeName.MatchString(id) {
 			return nil, errors.Errorf("%q is no id of a server", id)
 		}
-		return b.Explain(id), nil
+		return b.ExplainVerdict(id), nil
 	})
 	add(api.OpsHistory, func(*http.Request) (any, error) { return b.History(), nil })
-	add(api.OpsAsked, func(*http.Request) (any, error) { return b.Asked(), nil })
+	add(api.OpsAsked, func(*http.Request) (any, error) { return b.RequestCounts(), nil })
 	add(api.OpsLog, func(r *http.Request) (any, error) {
 		from := uint64(0)
 		if text := r.URL.Query().Get(api.LogFrom); text != "" {
@@ -98,8 +98,8 @@
 
 // noted carries an order out and keeps what became of it.
 func (b *Replica) noted(r *http.Request, kind, what string, order func(ctx context.Context) error) error {
-	began, at := b.now(), b.w.Now()
-	err := order(withToken(r.Context(), r.URL.Query().Get(api.LockToken)))
+	began, at := b.now(), b.world.Now()
+	err := order(withLockToken(r.Context(), r.URL.Query().Get(api.LockToken)))
 	o := api.Order{At: at.UTC(), Kind: kind, What: what[:min(len(what), mostWhat)], From: r.RemoteAddr, TookMS: (b.now() - began).Milliseconds(), End: "acknowledged"}
 	if err != nil {
 		if o.End, o.Why = "unclear", err.Error(); statusOf(err) != http.StatusServiceUnavailable {
@@ -161,7 +161,7 @@
 func (b *Replica) History() *api.History {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := &api.History{Replica: b.self.Name, Since: b.start.UTC(), Orders: []api.Order{}}
+	h := &api.History{Replica: b.self.Name, Since: b.startedAt.UTC(), Orders: []api.Order{}}
 	if n := uint64(len(b.ops.orders)); n > 0 {
 		h.Lost, h.Orders = b.ops.next-n, b.ops.inOrder()
 	}
@@ -170,7 +170,7 @@
 
 // Log tells the ring's lines from a number on.
 func (b *Replica) Log(from uint64) *api.Log {
-	l := &api.Log{Replica: b.self.Name, At: b.w.Now().UTC(), Lines: []api.LogLine{}}
+	l := &api.Log{Replica: b.self.Name, At: b.world.Now().UTC(), Lines: []api.LogLine{}}
 	if b.ops.ring == nil {
 		return l
 	}
@@ -184,7 +184,7 @@
 
 // Status asks the other replicas what they hold and tells that, and what else this one knows.
 func (b *Replica) Status(ctx context.Context) *api.Status {
-	rctx, cancel := b.within(ctx, roundWithin)
+	rctx, cancel := b.withTimeout(ctx, roundWithin)
 	reports := b.reports(rctx, func() bool { return false })
 	cancel()
 	trouble := b.store.LastError()
@@ -192,18 +192,18 @@
 	defer b.mu.Unlock()
 	now, decided := b.now(), b.contents.Record.Decided
 	b.ops.wants = now + wantsFor
-	s := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.w.Now().UTC(), UpMS: now.Milliseconds(),
+	s := &api.Status{Replica: b.self.Name, Zone: b.self.Zone, Region: b.self.Region, At: b.world.Now().UTC(), UpMS: now.Milliseconds(),
 		Voter: b.self.Voter, Eligible: b.isVoter(), Leaving: b.leaving,
 		Voters: len(decided.Voters), Majority: quorum.Majority(len(decided.Voters)),
 		Held: version(highest(b.contents.Record.Report())), Confirmed: version(decided.Config), FreshMS: -1,
 		Replicas: []api.ReplicaView{}, Proxies: []api.ProxyView{}, Zones: []api.ZoneOrder{}, Nodes: []api.NodeOrder{}}
-	if b.fresh.IsKnown {
-		s.FreshMS = (now - b.fresh.At).Milliseconds()
+	if b.decidedConfirmed.IsKnown {
+		s.FreshMS = (now - b.decidedConfirmed.At).Milliseconds()
 	}
 	if trouble != nil {
 		s.Disk = trouble.Error()
 	}
-	for _, h := range byName(b.replicas) {
+	for _, h := range sortedByName(b.replicas) {
 		m, answered := reports[h.ID]
 		_, votes := decided.Voter(h.ID)
 		self := h.Name == b.self.Name
@@ -223,7 +223,7 @@
 		}
 	}
 	if l := decided.Lock; l.Token != "" {
-		left := max(0, l.For-(now-b.locks.at))
+		left := max(0, l.For-(now-b.observedLock.firstSeen))
 		s.Lock = api.LockView{Who: l.Who, Since: time.Unix(0, l.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
 	d := b.duty.Known()
@@ -267,10 +267,10 @@
 	s.LeftOut = max(0, len(names)-api.MostProxies)
 	for _, n := range names[:len(names)-s.LeftOut] {
 		g := b.proxies.proxies[n]
-		v := api.ProxyView{Name: n, Zone: g.hello.Zone, Region: g.hello.Region, Front: g.hello.Front, Alive: g.alive(now),
-			HeardMS: (now - g.heard).Milliseconds()}
-		v.Ready = v.Alive && g.ready && g.left == 0
-		v.Life, v.ToRest, v.Rests = g.hello.Life, b.proxies.rests[n], v.Alive && g.rests && g.left == 0
+		v := api.ProxyView{Name: n, Zone: g.hello.Zone, Region: g.hello.Region, Front: g.hello.Front, Alive: g.isAlive(now),
+			HeardMS: (now - g.lastHeard).Milliseconds()}
+		v.Ready = v.Alive && g.ready && g.leftAt == 0
+		v.Life, v.ToRest, v.Rests = g.hello.Life, b.proxies.resting[n], v.Alive && g.readyButResting && g.leftAt == 0
 		if f := g.figures; f != nil && v.Alive && now-g.figuresAt < figuresFor {
 			v.Figures = &api.Figures{AgeMS: (now - g.figuresAt).Milliseconds(), Open: f.Open, Clients: f.Clients, SpanMS: f.Span.Milliseconds(),
 				Served: f.Served, Refused: f.Refused, Failed: f.Failed}
@@ -286,7 +286,7 @@
 	}
 	s.Versions = routeconfig.VersionsAt(slices.Values(s.Proxies))
 	for _, n := range names {
-		if b.proxies.proxies[n].counts(now) {
+		if b.proxies.proxies[n].isCounted(now) {
 			s.Shares++
 		}
 	}
@@ -295,7 +295,7 @@
 // lags says why a proxy may serve something old.
 func lags(v api.ProxyView, g *proxy, confirmed string) string {
 	switch {
-	case g.left > 0:
+	case g.leftAt > 0:
 		return "it leaves"
 	case !v.Linked:
 		return "not connected to this replica"
@@ -318,13 +318,13 @@
 
 // listView tells of the list; the mutex is held.
 func (b *Replica) listView(now time.Duration) api.ListView {
-	l := api.ListView{Stamp: b.stamp, HeardMS: -1, Servers: []api.ServersIn{}}
-	if b.list == nil {
+	l := api.ListView{Stamp: b.listStamp, HeardMS: -1, Servers: []api.ServersIn{}}
+	if b.serverList == nil {
 		return l
 	}
-	l.By, l.HeardMS = b.list.By, (now - b.read.heard).Milliseconds()
+	l.By, l.HeardMS = b.serverList.By, (now - b.newestReading.heard).Milliseconds()
 	in := map[string]*api.ServersIn{}
-	for _, s := range b.list.List {
+	for _, s := range b.serverList.List {
 		z := in[s.Zone]
 		if z == nil {
 			z = &api.ServersIn{Zone: s.Zone}
@@ -333,7 +333,7 @@
 		switch {
 		case s.Draining:
 			z.Draining++
-		case s.WarmLeft > time.Duration(b.w.Now().UnixNano()-b.list.Stamp):
+		case s.WarmLeft > time.Duration(b.world.Now().UnixNano()-b.serverList.Stamp):
 			z.Cold++
 		default:
 			z.Ready++
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -16,7 +16,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-func (f *farm) get(i int, path string, into any) int {
+func (f *clusterFixture) get(i int, path string, into any) int {
 	f.t.Helper()
 	c := http.Client{Transport: &http.Transport{DialContext: f.net.Dial, DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	res, err := c.Get("http://" + ip(i) + ":8200" + path)
@@ -29,13 +29,13 @@
 }
 
 func TestWhatOperatorsAreTold(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(3, "a"))
-		f.until(time.Second, "hold", func() bool {
-			return f.runs[2].configured() != nil && f.runs[2].Status(context.Background()).Confirmed.Gen == "r3"
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
+		f.waitFor(time.Second, "hold", func() bool {
+			return f.replicas[2].configurationInForce() != nil && f.replicas[2].Status(context.Background()).Confirmed.Gen == "r3"
 		})
 		ring := logring.New(f.net, 4, io.Discard)
-		f.runs[1].ShowLog(ring)
+		f.replicas[1].ShowLog(ring)
 		ring.Logger().Info("one", "n", 1)
 		ring.Dump("two")
 		f.disks[2].SetFull(true)
@@ -43,7 +43,7 @@
 		res, err := c.Post("http://"+ip(1)+":8200"+api.DrainBegin+"z1", "", nil)
 		assert.NilError(t, err)
 		res.Body.Close()
-		f.end(0, true)
+		f.kill(0, true)
 		time.Sleep(3 * time.Second)
 		var s api.Status
 		assert.Equal(t, f.get(2, api.OpsStatus, &s), 200)
@@ -71,12 +71,12 @@
 // Each replica tells who has the list's duty, who is next and in which term, also after the holder has gone; and which
 // version is in force at which proxies, by name where one may serve something old.
 func TestDutyAndVersionsAreTold(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(3, "a"))
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 		defer f.agent("1", 1).stop()
 		behind := f.agent("2", 1)
 		defer behind.stop()
-		f.until(3*time.Second, "in force", behind.sees(func(h *farmhand) bool { return h.gen == 3 }))
+		f.waitFor(3*time.Second, "in force", behind.sees(func(h *farmhand) bool { return h.gen == 3 }))
 		told := func(of ...int) (s api.Status) {
 			for _, i := range of {
 				was := s
@@ -89,12 +89,12 @@
 		was := told(0, 1, 2).Duties[0]
 		assert.Assert(t, was.Holder != "" && was.Next != "" && was.Next != was.Holder && was.Epoch > 0, "%+v", was)
 		assert.DeepEqual(t, told(1).Versions, []api.VersionAt{{Gen: "r3", Proxies: 2, Lag: []string{}}})
-		f.cut([]string{"10.1.0.2"}, ips(0, 1, 2), sim.Silent)
-		f.acknowledged(0, body(4, "a"))
+		f.partition([]string{"10.1.0.2"}, ips(0, 1, 2), sim.Silent)
+		f.replaceUntilAcknowledged(0, configurationBody(4, "a"))
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, told(1).Versions, []api.VersionAt{{Gen: "r4", Proxies: 1, Lag: []string{}}, {Gen: "", Proxies: 1, Lag: []string{"proxy-2"}}})
 		holder := int(was.Holder[len(was.Holder)-1] - '0')
-		f.end(holder, false)
+		f.kill(holder, false)
 		time.Sleep(3 * time.Second)
 		is := told((holder+1)%3, (holder+2)%3).Duties[0]
 		assert.Assert(t, is.Holder == was.Next && is.Next != was.Holder && is.Next != "", "%+v", is)
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -46,7 +46,7 @@
 // is read zone by zone, side by side: each page waits for the one before it.
 func (b *Replica) readList(ctx context.Context, address string, terms listing.Terms) (list []peerlink.Server, pages int, err error) {
 	b.mu.Lock()
-	zones, known := b.listZones(), b.read.pages
+	zones, known := b.listZones(), b.newestReading.pages
 	b.mu.Unlock()
 	r := &listReader{b: b, address: address, terms: terms}
 	zoned := zones
@@ -65,9 +65,9 @@
 
 // listZones are the zones that the settings name or in which servers were listed; the mutex is held.
 func (b *Replica) listZones() []string {
-	zones := slices.Sorted(maps.Keys(b.live.Load().Network.Zones))
-	if b.list != nil {
-		zones = withZonesOf(zones, b.list.List)
+	zones := slices.Sorted(maps.Keys(b.liveSettings.Load().Network.Zones))
+	if b.serverList != nil {
+		zones = withZonesOf(zones, b.serverList.List)
 	}
 	return zones
 }
@@ -102,7 +102,7 @@
 	r.next = max(r.next, now) + r.terms.Gap(readers)
 	wait := r.next - now - aheadOfPace/time.Duration(readers)
 	r.mu.Unlock()
-	return wait <= 0 || r.b.pause(ctx, wait)
+	return wait <= 0 || r.b.sleep(ctx, wait)
 }
 
 // readers is how many replicas may read the list now: the holder of the duty alone, or all.
@@ -153,7 +153,7 @@
 func (r *listReader) pages(ctx context.Context, zone string, most int) (list []peerlink.Server, pages int, whole bool, err error) {
 	for token := ""; pages < most; {
 		page, err := r.page(ctx, zone, token)
-		for tries := 0; err != nil && tries < retries(err) && r.b.pause(ctx, listAgain); tries++ {
+		for tries := 0; err != nil && tries < retries(err) && r.b.sleep(ctx, listAgain); tries++ {
 			page, err = r.page(ctx, zone, token)
 		}
 		if err != nil {
@@ -186,7 +186,7 @@
 	if !r.turn(ctx) {
 		return nil, ctx.Err()
 	}
-	ctx, cancel := r.b.within(ctx, listWithin)
+	ctx, cancel := r.b.withTimeout(ctx, listWithin)
 	defer cancel()
 	query := url.Values{}
 	if zone != "" {
@@ -200,7 +200,7 @@
 	if err != nil {
 		return nil, err
 	}
-	res, err := r.b.cloud.Do(req)
+	res, err := r.b.cloudClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/register.go
+++ b/internal/control/register.go
@@ -19,13 +19,13 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// genesisMark begins the ID of a disk that the first start names as a voter.
-const genesisMark = "genesis/"
+// genesisPrefix begins the ID of a disk that the first start names as a voter.
+const genesisPrefix = "genesis/"
 
-// restore reads the disk. An empty or spoilt one gives this replica a new identity:
+// restoreFromDisk reads the disk. An empty or spoilt one gives this replica a new identity:
 // what it may have promised under the old one is never relied on again.
-func (b *Replica) restore(disk world.Disk) {
-	s := b.set.Self
+func (b *Replica) restoreFromDisk(disk world.Disk) {
+	s := b.settings.Self
 	store, contents, found, err := statestore.Open(disk, s.DataDir)
 	if err != nil {
 		b.log.Error(err, "the disk's files can't be read")
@@ -34,39 +34,39 @@
 		contents.Record.ID = s.Name + "/" + strconv.FormatInt(b.self.Life, 36)
 	}
 	if s.Bootstrap && found == statestore.Empty {
-		b.begin(&contents.Record)
+		b.initializeGenesis(&contents.Record)
 	}
 	b.store, b.contents = store, contents
 	b.self.ID = contents.Record.ID
-	b.put()
+	b.persist()
 }
 
-// enforce puts in force what was decided in earlier lives; nobody else runs yet.
-func (b *Replica) enforce() {
+// applyRestoredState puts in force what was decided in earlier lives; nobody else runs yet.
+func (b *Replica) applyRestoredState() {
 	d := b.contents.Record.Decided
 	if p := b.contents.Configs[d.Config.Digest]; p != nil {
-		b.enter(p)
-		b.parsed, _ = routeconfig.Parse(p.Body)
+		b.setConfiguration(p)
+		b.parsedConfiguration, _ = routeconfig.Parse(p.Body)
 	}
 	for _, o := range d.Orders {
-		b.confirmZone(o)
+		b.applyOrder(o)
 	}
 	b.noteLock(d.Lock)
 }
 
-// begin sets the state of the first start: the seeds, which are the same for all
+// initializeGenesis sets the state of the first start: the seeds, which are the same for all
 // then, are the voters.
-func (b *Replica) begin(r *quorum.Record) {
+func (b *Replica) initializeGenesis(r *quorum.Record) {
 	var voters []state.Voter
-	for _, seed := range b.set.Network.Seeds {
+	for _, seed := range b.settings.Network.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			continue
 		}
-		inner := b.set.Inner(host)
-		voters = append(voters, state.Voter{ID: genesisMark + inner, Inner: inner})
+		inner := b.settings.Inner(host)
+		voters = append(voters, state.Voter{ID: genesisPrefix + inner, Inner: inner})
 		if inner == b.self.Inner {
-			r.ID = genesisMark + inner
+			r.ID = genesisPrefix + inner
 		}
 	}
 	if len(voters) > 0 {
@@ -74,11 +74,11 @@
 	}
 }
 
-// put has the record written down as it is now; the mutex is held.
-func (b *Replica) put() uint64 { return b.store.Put(b.contents) }
+// persist has the record written down as it is now; the mutex is held.
+func (b *Replica) persist() uint64 { return b.store.Put(b.contents) }
 
-// decided is the newest decided state that this replica knows.
-func (b *Replica) decided() state.State {
+// decidedState is the newest decided state that this replica knows.
+func (b *Replica) decidedState() state.State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.contents.Record.Decided
@@ -90,8 +90,8 @@
 	return is
 }
 
-// answer answers another replica's question.
-func (b *Replica) answer(ctx context.Context, l *link, a *peerlink.Ask) {
+// answerQuestion answers another replica's question.
+func (b *Replica) answerQuestion(ctx context.Context, l *link, a *peerlink.Ask) {
 	reply := &peerlink.Reply{ID: a.ID}
 	switch {
 	case a.Report:
@@ -100,13 +100,13 @@
 		b.mu.Unlock()
 		reply.Report = &m
 	case a.Piece != nil:
-		reply.Piece = b.cut(*a.Piece)
+		reply.Piece = b.cutPiece(*a.Piece)
 	case a.Prepare != nil || a.Accept != nil || a.Command != nil:
 		b.jobs.Go(func() {
-			ctx, cancel := b.within(ctx, callWithin)
+			ctx, cancel := b.withTimeout(ctx, callTimeout)
 			defer cancel()
 			if reply := reply; a.Command != nil {
-				reply.Outcome = b.carryOut(ctx, a.Command)
+				reply.Outcome = b.executeForwarded(ctx, a.Command)
 			} else {
 				*reply = *b.vote(ctx, a)
 			}
@@ -140,7 +140,7 @@
 		return reply
 	}
 	b.promisedAt = b.now()
-	number := b.put()
+	number := b.persist()
 	b.mu.Unlock()
 	if err := b.store.Wait(ctx, number); err != nil {
 		return &peerlink.Reply{Err: err.Error()}
@@ -148,14 +148,14 @@
 	return reply
 }
 
-var errNoConfig = errors.New("the configuration of the value is not here")
+var errConfigurationMissing = errors.New("the configuration of the value is not here")
 
 // acceptValue takes a proposer's value with its configuration; the mutex is held.
 func (b *Replica) acceptValue(a *peerlink.Ask) (quorum.Acceptance, error) {
 	id := a.Accept.Value.Config
 	if id.Gen > 0 && b.contents.Configs[id.Digest] == nil {
-		if a.Config == nil || !isConfig(a.Config, id) {
-			return quorum.Acceptance{}, errNoConfig
+		if a.Config == nil || !isIntactConfiguration(a.Config, id) {
+			return quorum.Acceptance{}, errConfigurationMissing
 		}
 		b.contents.Configs[id.Digest] = a.Config.Pack()
 	}
@@ -164,8 +164,8 @@
 	return m, nil
 }
 
-// isConfig tells whether p is the configuration that id names, unspoilt.
-func isConfig(p *peerlink.Configuration, id state.ConfigID) bool {
+// isIntactConfiguration tells whether p is the configuration that id names, unspoilt.
+func isIntactConfiguration(p *peerlink.Configuration, id state.ConfigID) bool {
 	return p.Gen == id.Gen && p.Digest == id.Digest && sha256.Sum256(p.Body) == p.Digest
 }
 
@@ -176,57 +176,57 @@
 		return
 	}
 	b.contents.DropUnreferenced()
-	b.put()
+	b.persist()
 	for _, v := range s.Voters {
-		b.keep(v.Inner)
+		b.keepConnected(v.Inner)
 	}
 	if config != nil {
-		b.confirmConfiguration(config)
+		b.applyConfiguration(config)
 	}
-	for subject, held := range b.zones {
+	for subject, held := range b.ordersInForce {
 		if s.Order(subject).Count == 0 { // pruned
-			delete(b.zones, subject)
+			delete(b.ordersInForce, subject)
 			b.log.V(1).Info("order dropped", "about", subject, "count", held.Count)
 		}
 	}
 	for _, o := range s.Orders {
-		b.confirmZone(o)
+		b.applyOrder(o)
 	}
 	b.noteLock(s.Lock)
 	select {
-	case b.advanced <- struct{}{}:
+	case b.versionLearned <- struct{}{}:
 	default:
 	}
 	b.spurred()
 }
 
-// tellDecided tells another replica what is decided; the mutex is held.
-func (b *Replica) tellDecided(l *link) {
+// sendDecided tells another replica what is decided; the mutex is held.
+func (b *Replica) sendDecided(l *link) {
 	if s := b.contents.Record.Decided; s.Version > 0 {
 		_ = l.conn.Send(&peerlink.Frame{Decided: &s})
 	}
 }
 
-// hearDecided takes in a decided state that another replica tells, at once or after
+// receiveDecided takes in a decided state that another replica tells, at once or after
 // its configuration has been fetched from there; the mutex is held.
-func (b *Replica) hearDecided(l *link, s *state.State) {
+func (b *Replica) receiveDecided(l *link, s *state.State) {
 	if s.Version <= b.contents.Record.Decided.Version {
 		return
 	}
 	if s.Config.Gen == 0 || b.contents.Configs[s.Config.Digest] != nil {
 		b.learn(*s)
-		b.rouse()
+		b.requestRound()
 		return
 	}
-	if b.catching {
+	if b.fetchInProgress {
 		return // the next round tells it again
 	}
-	b.catching = true
-	b.background(func(ctx context.Context) {
-		config, err := b.fetch(ctx, l, s.Config)
+	b.fetchInProgress = true
+	b.runInBackground(func(ctx context.Context) {
+		config, err := b.fetchConfiguration(ctx, l, s.Config)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.catching = false
+		b.fetchInProgress = false
 		if err != nil {
 			b.log.Info("not caught up", "version", s.Version, "why", err.Error())
 			return
@@ -234,18 +234,18 @@
 		b.contents.Configs[s.Config.Digest] = config
 		b.learn(*s)
 		b.contents.DropUnreferenced()
-		b.rouse()
+		b.requestRound()
 	})
 }
 
-// fetchWithin bounds the wait for one piece.
-const fetchWithin = time.Second
+// fetchTimeout bounds the wait for one piece.
+const fetchTimeout = time.Second
 
-// fetch gets a configuration from another replica in pieces.
-func (b *Replica) fetch(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
+// fetchConfiguration gets a configuration from another replica in pieces.
+func (b *Replica) fetchConfiguration(ctx context.Context, l *link, id state.ConfigID) (*peerlink.Configuration, error) {
 	t := replicate.NewTransfer(id)
 	for {
-		piece, err := b.piece(ctx, l, t.NextRequest())
+		piece, err := b.fetchPiece(ctx, l, t.NextRequest())
 		if err != nil {
 			return nil, err
 		}
@@ -259,16 +259,16 @@
 	}
 }
 
-func (b *Replica) piece(ctx context.Context, l *link, r replicate.Request) (*replicate.Piece, error) {
-	ctx, cancel := b.within(ctx, fetchWithin)
+func (b *Replica) fetchPiece(ctx context.Context, l *link, r replicate.Request) (*replicate.Piece, error) {
+	ctx, cancel := b.withTimeout(ctx, fetchTimeout)
 	defer cancel()
 	p := b.newPoll()
-	defer p.end()
+	defer p.cancel()
 	b.mu.Lock()
 	asked := p.ask(l, peerlink.Ask{Piece: &r})
 	b.mu.Unlock()
 	if !asked {
-		return nil, ErrUnsettled
+		return nil, ErrNoMajority
 	}
 	select {
 	case a := <-p.answers:
@@ -277,12 +277,12 @@
 		}
 		return a.reply.Piece, nil
 	case <-ctx.Done():
-		return nil, ErrUnsettled
+		return nil, ErrNoMajority
 	}
 }
 
-// cut answers a request for a piece; nil: that configuration is not here any more.
-func (b *Replica) cut(r replicate.Request) *replicate.Piece {
+// cutPiece answers a request for a piece; nil: that configuration is not here any more.
+func (b *Replica) cutPiece(r replicate.Request) *replicate.Piece {
 	b.mu.Lock()
 	config := b.contents.Configs[r.Digest]
 	b.mu.Unlock()
--- a/internal/control/rest.go
+++ b/internal/control/rest.go
@@ -25,7 +25,7 @@
 // other sees it.
 func (b *Replica) Rest(ctx context.Context, name string, least Floor) error {
 	if !nodeName.MatchString(name) {
-		return Invalid{errors.Errorf("%q is no name of a proxy", name)}
+		return InvalidError{errors.Errorf("%q is no name of a proxy", name)}
 	}
 	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name), Drain: true}, Floor: &least})
 	return err
@@ -44,12 +44,12 @@
 	old, known := held.Order(c.Order.Zone), b.proxies.proxies[name] != nil
 	if c.Floor == nil {
 		if !known && old.Count == 0 {
-			return errors.WithMessage(ErrNode, name)
+			return errors.WithMessage(ErrUnknownProxy, name)
 		}
 		return nil
 	}
 	if !known && !c.Floor.Force {
-		return errors.WithMessage(ErrNode, name)
+		return errors.WithMessage(ErrUnknownProxy, name)
 	}
 	if old.Drain || c.Floor.Force {
 		return nil
@@ -58,21 +58,21 @@
 }
 
 // rest notes that a proxy is to rest, or is not.
-func (r *register) rest(name string, rests bool) {
-	if delete(r.rests, name); rests {
-		r.rests[name] = true
+func (r *proxyRegistry) rest(name string, rests bool) {
+	if delete(r.resting, name); rests {
+		r.resting[name] = true
 	}
 }
 
 // room tells why a proxy must not rest under the orders held: too few would stay awake.
-func (r *register) room(now time.Duration, name string, held state.State, least Floor) error {
+func (r *proxyRegistry) room(now time.Duration, name string, held state.State, least Floor) error {
 	awake := func(zone string) (is, all int) {
 		for _, n := range r.names() {
 			g, rests := r.proxies[n], held.Order(state.NodeSubject(n)).Drain
-			if zone != "" && g.hello.Zone != zone || !rests && !g.counts(now) {
+			if zone != "" && g.hello.Zone != zone || !rests && !g.isCounted(now) {
 				continue // one that has gone in order is missed only while it rests
 			}
-			if all++; !rests && n != name && g.ready && g.left == 0 && g.alive(now) {
+			if all++; !rests && n != name && g.ready && g.leftAt == 0 && g.isAlive(now) {
 				is++
 			}
 		}
--- a/internal/control/rest_test.go
+++ b/internal/control/rest_test.go
@@ -17,15 +17,15 @@
 var half = Floor{Zone: 0.5, All: 0.5}
 
 // proxies are agents of four proxies in one zone, each connected to all replicas.
-func (f *farm) proxies() (stop func()) {
+func (f *clusterFixture) proxies() (stop func()) {
 	var all []*farmhand
 	for _, n := range []string{"1", "2", "3", "4"} {
-		for i := range f.runs {
+		for i := range f.replicas {
 			all = append(all, f.agent(n, i))
 		}
 	}
-	f.until(5*time.Second, "proxies", func() bool {
-		s := f.runs[len(f.runs)-1].Status(context.Background())
+	f.waitFor(5*time.Second, "proxies", func() bool {
+		s := f.replicas[len(f.replicas)-1].Status(context.Background())
 		return len(s.Proxies) == 4 && !slices.ContainsFunc(s.Proxies, func(g api.ProxyView) bool { return !g.Ready })
 	})
 	return func() {
@@ -36,8 +36,8 @@
 	}
 }
 
-func (f *farm) resting(i int) (n int) {
-	for _, o := range f.runs[i].Status(context.Background()).Nodes {
+func (f *clusterFixture) resting(i int) (n int) {
+	for _, o := range f.replicas[i].Status(context.Background()).Nodes {
 		if o.Rests {
 			n++
 		}
@@ -47,31 +47,31 @@
 
 // An order to rest that leaves too few awake is refused, by itself and where two cross at two replicas.
 func TestTooFewAwake(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(1, "a"))
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
 		defer f.proxies()()
 		ctx := context.Background()
 		var tight Tight
-		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-1", half))
-		assert.NilError(t, f.runs[1].Rest(ctx, "proxy-1", half)) // it rests already
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", half))
+		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", half)) // it rests already
 		ends := make(chan error, 2)
 		for i, n := range []string{"proxy-2", "proxy-3"} {
-			go func() { ends <- f.runs[i].Rest(ctx, n, half) }()
+			go func() { ends <- f.replicas[i].Rest(ctx, n, half) }()
 		}
 		a, b := <-ends, <-ends
 		assert.Assert(t, errors.As(a, &tight) || errors.As(b, &tight), "%v, %v", a, b)
 		assert.Assert(t, f.resting(2) <= 2)
 		if f.resting(2) < 2 {
-			assert.NilError(t, f.runs[0].Rest(ctx, "proxy-2", half))
+			assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-2", half))
 		}
-		err := f.runs[0].Rest(ctx, "proxy-4", half)
+		err := f.replicas[0].Rest(ctx, "proxy-4", half)
 		assert.Assert(t, errors.As(err, &tight), "%v", err)
 		assert.Error(t, err, "1 of 4 proxies of all would stay awake, and 0.5 of them have to")
-		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-4", Floor{Force: true}))
-		assert.Assert(t, errors.Is(f.runs[0].Rest(ctx, "proxy-9", half), ErrNode))
-		assert.Assert(t, errors.Is(f.runs[0].Wake(ctx, "proxy-9"), ErrNode))
-		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-9", Floor{Force: true})) // it is yet to come
-		assert.NilError(t, f.runs[1].Wake(ctx, "proxy-9"))
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-4", Floor{Force: true}))
+		assert.Assert(t, errors.Is(f.replicas[0].Rest(ctx, "proxy-9", half), ErrUnknownProxy))
+		assert.Assert(t, errors.Is(f.replicas[0].Wake(ctx, "proxy-9"), ErrUnknownProxy))
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", Floor{Force: true})) // it is yet to come
+		assert.NilError(t, f.replicas[1].Wake(ctx, "proxy-9"))
 		url := "http://" + ip(0) + ":8200" + api.NodeRest
 		for path, want := range map[string]int{"proxy-1?zone=2": 400, "a%20b": 400, "proxy-8": 404, "proxy-1": 200, "proxy-1?lock=x": 423} {
 			status, text := f.call("POST", url+path, nil)
@@ -82,21 +82,21 @@
 
 // Both sides of a core that is cut in half are ordered; neither acknowledges, and what holds later is one word.
 func TestRestInHalves(t *testing.T) {
-	play(t, 4, func(f *farm) {
-		f.acknowledged(0, body(1, "a"))
+	runCluster(t, 4, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
 		defer f.proxies()()
 		ctx := context.Background()
-		assert.NilError(t, f.runs[0].Rest(ctx, "proxy-1", half))
-		f.cut(ips(0, 1), ips(2, 3), sim.Silent)
-		assert.Assert(t, f.runs[0].Rest(ctx, "proxy-2", half) != nil)
-		assert.Assert(t, f.runs[3].Wake(ctx, "proxy-1") != nil)
-		assert.Assert(t, f.runs[0].LockFor(ctx, state.Lock{Token: "a", Who: "ana", For: time.Second}) != nil)
-		assert.Assert(t, f.runs[3].LockFor(ctx, state.Lock{Token: "b", Who: "ben", For: time.Second}) != nil)
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", half))
+		f.partition(ips(0, 1), ips(2, 3), sim.Silent)
+		assert.Assert(t, f.replicas[0].Rest(ctx, "proxy-2", half) != nil)
+		assert.Assert(t, f.replicas[3].Wake(ctx, "proxy-1") != nil)
+		assert.Assert(t, f.replicas[0].AcquireLock(ctx, state.Lock{Token: "a", Who: "ana", For: time.Second}) != nil)
+		assert.Assert(t, f.replicas[3].AcquireLock(ctx, state.Lock{Token: "b", Who: "ben", For: time.Second}) != nil)
 		time.Sleep(2 * time.Second)
-		f.cut(ips(0, 1), ips(2, 3), sim.Open)
+		f.partition(ips(0, 1), ips(2, 3), sim.Open)
 		same := func() bool {
-			want := f.runs[0].Status(ctx).Nodes
-			for _, r := range f.runs {
+			want := f.replicas[0].Status(ctx).Nodes
+			for _, r := range f.replicas {
 				for i, o := range r.Status(ctx).Nodes {
 					if len(want) <= i || o != want[i] || !o.Confirmed {
 						return false
@@ -105,28 +105,28 @@
 			}
 			return len(want) > 0
 		}
-		f.until(5*time.Second, "agree", same)
-		f.until(5*time.Second, "are one core again", func() bool { return f.runs[2].Wake(ctx, "proxy-1") == nil })
-		assert.NilError(t, f.runs[2].Wake(ctx, "proxy-2"))
-		f.until(2*time.Second, "agree", same)
+		f.waitFor(5*time.Second, "agree", same)
+		f.waitFor(5*time.Second, "are one core again", func() bool { return f.replicas[2].Wake(ctx, "proxy-1") == nil })
+		assert.NilError(t, f.replicas[2].Wake(ctx, "proxy-2"))
+		f.waitFor(2*time.Second, "agree", same)
 		assert.Equal(t, f.resting(1), 0)
 	})
 }
 
 // An order to rest outlives the power of all replicas.
 func TestRestOutlivesReplicas(t *testing.T) {
-	play(t, 3, func(f *farm) {
-		f.acknowledged(0, body(1, "a"))
+	runCluster(t, 3, func(f *clusterFixture) {
+		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
 		defer f.proxies()()
-		assert.NilError(t, f.runs[0].Rest(context.Background(), "proxy-2", half))
-		f.endAll(true)
+		assert.NilError(t, f.replicas[0].Rest(context.Background(), "proxy-2", half))
+		f.killAll(true)
 		time.Sleep(time.Second)
 		f.startAll()
-		f.until(5*time.Second, "know", func() bool {
-			s := f.runs[2].Status(context.Background())
+		f.waitFor(5*time.Second, "know", func() bool {
+			s := f.replicas[2].Status(context.Background())
 			return len(s.Proxies) == 4 && s.Proxies[1].ToRest && !slices.ContainsFunc(s.Proxies, func(g api.ProxyView) bool { return !g.Ready })
 		})
-		assert.Assert(t, f.runs[0].proxies.rests["proxy-2"])
+		assert.Assert(t, f.replicas[0].proxies.resting["proxy-2"])
 		_, text := f.call("GET", "http://"+ip(2)+":8209"+api.DirLookup, nil)
 		assert.Equal(t, text, "{\"addr_list\":[\"10.1.0.1:80\",\"10.1.0.3:80\",\"10.1.0.4:80\"],\"ttl_s\":1}\n")
 	})
@@ -134,15 +134,15 @@
 
 // The lock is one token's at a time, is forgotten by itself, and not by a replica that starts anew.
 func TestLock(t *testing.T) {
-	play(t, 3, func(f *farm) {
+	runCluster(t, 3, func(f *clusterFixture) {
 		ctx := context.Background()
 		lock := func(i int, token string, d time.Duration) error {
 			if d == 0 {
-				return f.runs[i].Unlock(ctx, token)
+				return f.replicas[i].ReleaseLock(ctx, token)
 			}
-			return f.runs[i].LockFor(ctx, state.Lock{Token: token, Who: token, Since: time.Now().UnixNano(), For: d})
+			return f.replicas[i].AcquireLock(ctx, state.Lock{Token: token, Who: token, Since: time.Now().UnixNano(), For: d})
 		}
-		var taken Taken
+		var taken LockTakenError
 		assert.NilError(t, lock(0, "ana", 15*time.Second))
 		err := lock(2, "ben", 15*time.Second)
 		assert.Assert(t, errors.As(err, &taken) && taken.Who == "ana" && taken.Token == "", "%v", err)
@@ -153,11 +153,11 @@
 		assert.Equal(t, status, 200)
 		time.Sleep(10 * time.Second)
 		assert.NilError(t, lock(1, "ana", 15*time.Second)) // through another replica
-		f.endAll(true)
+		f.killAll(true)
 		f.startAll()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, lock(0, "ben", 15*time.Second) != nil) // nobody knows whether ana still holds it
-		f.until(20*time.Second, "grant", func() bool { return lock(0, "ben", 15*time.Second) == nil })
+		f.waitFor(20*time.Second, "grant", func() bool { return lock(0, "ben", 15*time.Second) == nil })
 		assert.NilError(t, lock(0, "ben", 0))
 		assert.NilError(t, lock(1, "ana", time.Second))
 		time.Sleep(1100 * time.Millisecond)
--- a/internal/control/rig_test.go
+++ b/internal/control/rig_test.go
@@ -19,94 +19,94 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// farm is some replicas in one process, on a network and disks in memory.
-type farm struct {
-	t     *testing.T
-	net   *sim.Net
-	disks []*sim.Disk
-	mu    sync.Mutex
-	runs  []*running // nil: it is down
-	first bool       // the settings say bootstrap
-	seeds []int      // places of the replicas that the settings name
-	cloud string
-	jump  map[int]*jumping // clocks, by replica
-	gone  map[int]bool     // machines that never come back
-	drain time.Duration    // that the settings name; 0: none
-	rate  float64          // of calls to the platform that the settings name
+// clusterFixture is some replicas in one process, on a network and disks in memory.
+type clusterFixture struct {
+	t            *testing.T
+	net          *sim.Net
+	disks        []*sim.Disk
+	mu           sync.Mutex
+	replicas     []*runningReplica // nil: it is down
+	bootstrap    bool              // the settings say bootstrap
+	seeds        []int             // places of the replicas that the settings name
+	cloudAddress string
+	clocks       map[int]*skewedHost // clocks, by replica
+	removed      map[int]bool        // machines that never come back
+	drainTime    time.Duration       // that the settings name; 0: none
+	cloudRate    float64             // of calls to the platform that the settings name
 }
 
-// jumping is a host whose process stands still while its clock runs on: no timer of its runs out for that.
-type jumping struct {
+// skewedHost is a host whose process stands still while its clock runs on: no timer of its runs out for that.
+type skewedHost struct {
 	*sim.Host
-	by atomic.Int64
+	offset atomic.Int64
 }
 
-func (j *jumping) Now() time.Time { return j.Host.Now().Add(time.Duration(j.by.Load())) }
+func (j *skewedHost) Now() time.Time { return j.Host.Now().Add(time.Duration(j.offset.Load())) }
 
-type running struct {
+type runningReplica struct {
 	*Replica
 	host *sim.Host
 	stop context.CancelFunc
 	done chan error
 }
 
-// play runs a story with n replicas that have started for the first time and settled.
-func play(t *testing.T, n int, story func(f *farm)) {
+// runCluster runs a story with n replicas that have started for the first time and settled.
+func runCluster(t *testing.T, n int, story func(f *clusterFixture)) {
 	t.Helper()
-	platformed(t, n, nil, story)
+	runClusterWithPlatform(t, n, nil, story)
 }
 
-// platformed does so beside a platform.
-func platformed(t *testing.T, n int, platform http.Handler, story func(f *farm)) {
+// runClusterWithPlatform does so beside a platform.
+func runClusterWithPlatform(t *testing.T, n int, platform http.Handler, story func(f *clusterFixture)) {
 	t.Helper()
-	play := &farm{t: t, rate: 44}
+	play := &clusterFixture{t: t, cloudRate: 44}
 	play.run(n, platform, story)
 }
 
 // run plays a story under the settings that the farm names.
-func (set *farm) run(n int, platform http.Handler, story func(f *farm)) {
+func (set *clusterFixture) run(n int, platform http.Handler, story func(f *clusterFixture)) {
 	set.t.Helper()
 	synctest.Test(set.t, func(t *testing.T) {
-		f := &farm{t: t, net: sim.New(uint64(n)), first: true, jump: map[int]*jumping{}, gone: map[int]bool{}, drain: set.drain, rate: set.rate}
+		f := &clusterFixture{t: t, net: sim.New(uint64(n)), bootstrap: true, clocks: map[int]*skewedHost{}, removed: map[int]bool{}, drainTime: set.drainTime, cloudRate: set.cloudRate}
 		f.net.Set(sim.Faults{Least: time.Millisecond, Most: 20 * time.Millisecond})
 		for i := range n {
-			f.place()
+			f.addMachine()
 			if i < 3 {
 				f.seeds = append(f.seeds, i)
 			}
 		}
 		defer time.Sleep(2 * time.Second) // whoever still waits ends
 		if platform != nil {
-			f.cloud = "10.8.0.1:80"
-			ln, err := f.net.Host("10.8.0.1").Listen(context.Background(), "tcp", f.cloud)
+			f.cloudAddress = "10.8.0.1:80"
+			ln, err := f.net.Host("10.8.0.1").Listen(context.Background(), "tcp", f.cloudAddress)
 			assert.NilError(t, err)
 			s := &http.Server{Handler: platform}
 			defer s.Close()
 			go func() { _ = s.Serve(ln) }()
 		}
-		defer f.endAll(false)
+		defer f.killAll(false)
 		f.startAll()
-		f.first = false
+		f.bootstrap = false
 		voters := min(n, membership.MaxVoters)
-		f.until(max(5*time.Second, time.Duration(n)*time.Second), "settle", func() bool { return f.voting() == voters && f.fresh() == n })
+		f.waitFor(max(5*time.Second, time.Duration(n)*time.Second), "settle", func() bool { return f.countVoting() == voters && f.countConfirmed() == n })
 		story(f)
 	})
 }
 
-// place makes room for a machine with an empty disk, and returns where.
-func (f *farm) place() int {
+// addMachine makes room for a machine with an empty disk, and returns where.
+func (f *clusterFixture) addMachine() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.disks = append(f.disks, sim.NewDisk(uint64(len(f.disks))))
-	f.runs = append(f.runs, nil)
-	return len(f.runs) - 1
+	f.replicas = append(f.replicas, nil)
+	return len(f.replicas) - 1
 }
 
-// successor starts an empty machine at another address, which is told those that run.
-func (f *farm) successor() int {
-	i := f.place()
+// startReplacement starts an empty machine at another address, which is told those that run.
+func (f *clusterFixture) startReplacement() int {
+	i := f.addMachine()
 	f.seeds = nil
-	for j, r := range f.runs {
+	for j, r := range f.replicas {
 		if r != nil && len(f.seeds) < 3 {
 			f.seeds = append(f.seeds, j)
 		}
@@ -115,8 +115,8 @@
 	return i
 }
 
-// leave ends a process in order, as SIGTERM does.
-func (f *farm) leave(i int) {
+// shutDown ends a process in order, as SIGTERM does.
+func (f *clusterFixture) shutDown(i int) {
 	r := f.at(i)
 	r.stop()
 	assert.NilError(f.t, <-r.done)
@@ -124,7 +124,7 @@
 	f.disks[i].Kill()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs[i] = nil
+	f.replicas[i] = nil
 }
 
 func ip(i int) string { return fmt.Sprintf("10.0.%d.1", i) }
@@ -136,56 +136,56 @@
 	return all
 }
 
-// cut cuts replicas off from others, or joins them again.
-func (f *farm) cut(a, b []string, how sim.Barrier) {
+// partition cuts replicas off from others, or joins them again.
+func (f *clusterFixture) partition(a, b []string, how sim.Barrier) {
 	f.net.Bar(a, b, how)
 	f.net.Bar(b, a, how)
 }
 
-func (f *farm) settings(i int) *settings.Settings {
+func (f *clusterFixture) settings(i int) *settings.Settings {
 	s := &settings.Settings{}
-	s.Self = settings.Self{Name: fmt.Sprintf("replica-%d", i), IP: ip(i), Zone: "z" + fmt.Sprint(i%2), Region: "r", Voter: true, Bootstrap: f.first, DataDir: "/data"}
+	s.Self = settings.Self{Name: fmt.Sprintf("replica-%d", i), IP: ip(i), Zone: "z" + fmt.Sprint(i%2), Region: "r", Voter: true, Bootstrap: f.bootstrap, DataDir: "/data"}
 	s.Network.PortRange = [2]int{7600, 7615}
 	s.Network.Listen = settings.Listen{Ctl: ip(i) + ":8200", Dir: ip(i) + ":8209"}
 	for _, j := range f.seeds {
 		s.Network.Seeds = append(s.Network.Seeds, ip(j)+":8200")
 	}
 	s.Network.Zones = map[string]string{"z0": "r", "z1": "r"}
-	s.Provider.Cloud = settings.Cloud{Address: f.cloud, RatePerS: f.rate}
-	s.Terms.Bounds.Drain = f.drain
+	s.Provider.Cloud = settings.Cloud{Address: f.cloudAddress, RatePerS: f.cloudRate}
+	s.Terms.Bounds.Drain = f.drainTime
 	s.Terms.Bounds.TTLMax = 5 * time.Second
 	return s
 }
 
-func (f *farm) start(i int) {
+func (f *clusterFixture) start(i int) {
 	host := f.net.Host(ip(i))
 	ctx, stop := context.WithCancel(context.Background())
-	f.jump[i] = &jumping{Host: host}
-	r := &running{Replica: New(f.settings(i), f.jump[i], f.disks[i].Mount(), logr.Discard()), host: host, stop: stop, done: make(chan error, 1)}
+	f.clocks[i] = &skewedHost{Host: host}
+	r := &runningReplica{Replica: New(f.settings(i), f.clocks[i], f.disks[i].Mount(), logr.Discard()), host: host, stop: stop, done: make(chan error, 1)}
 	go func() { r.done <- r.Run(ctx) }()
 	f.mu.Lock()
-	f.runs[i] = r
+	f.replicas[i] = r
 	f.mu.Unlock()
 	time.Sleep(time.Millisecond) // it listens
 }
 
-func (f *farm) startAll() {
-	for i := range f.runs {
-		if !f.gone[i] {
+func (f *clusterFixture) startAll() {
+	for i := range f.replicas {
+		if !f.removed[i] {
 			f.start(i)
 		}
 	}
 }
 
 // at is the replica that runs in a place; nil if none does.
-func (f *farm) at(i int) *running {
+func (f *clusterFixture) at(i int) *runningReplica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.runs[i]
+	return f.replicas[i]
 }
 
-// end ends a replica's process at once, or with its power.
-func (f *farm) end(i int, power bool) {
+// kill ends a replica's process at once, or with its power.
+func (f *clusterFixture) kill(i int, power bool) {
 	r := f.at(i)
 	if r == nil {
 		return
@@ -199,39 +199,39 @@
 	assert.NilError(f.t, <-r.done)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs[i] = nil
+	f.replicas[i] = nil
 }
 
-func (f *farm) endAll(power bool) {
-	for i := range f.runs {
-		f.end(i, power)
+func (f *clusterFixture) killAll(power bool) {
+	for i := range f.replicas {
+		f.kill(i, power)
 	}
 }
 
-// votes tells whether a replica's disk counts, as far as it knows.
-func (r *running) votes() bool {
+// isVoting tells whether a replica's disk counts, as far as it knows.
+func (r *runningReplica) isVoting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isVoter()
 }
 
-// configured is the configuration in force at a replica; nil: none is.
-func (r *running) configured() *peerlink.Configuration {
+// configurationInForce is the configuration in force at a replica; nil: none is.
+func (r *runningReplica) configurationInForce() *peerlink.Configuration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.configuration
 }
 
-// zone is the order about a zone in force at a replica.
-func (r *running) zone(name string) peerlink.Zone {
+// orderInForce is the order about a zone in force at a replica.
+func (r *runningReplica) orderInForce(name string) peerlink.Zone {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.zones[name]
+	return r.ordersInForce[name]
 }
 
-// fresh is how many have heard a majority confirm what they know.
-func (f *farm) fresh() (n int) {
-	for _, r := range f.runs {
+// countConfirmed is how many have heard a majority confirm what they know.
+func (f *clusterFixture) countConfirmed() (n int) {
+	for _, r := range f.replicas {
 		if r != nil {
 			if _, _, age := r.confirmed(); age < time.Second {
 				n++
@@ -241,45 +241,45 @@
 	return n
 }
 
-func (f *farm) voting() (n int) {
-	for _, r := range f.runs {
-		if r != nil && r.votes() {
+func (f *clusterFixture) countVoting() (n int) {
+	for _, r := range f.replicas {
+		if r != nil && r.isVoting() {
 			n++
 		}
 	}
 	return n
 }
 
-// until lets time pass until something holds.
-func (f *farm) until(d time.Duration, what string, holds func() bool) {
+// waitFor lets time pass until something holds.
+func (f *clusterFixture) waitFor(d time.Duration, what string, holds func() bool) {
 	f.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
 		assert.Assert(f.t, time.Since(began) < d, "%s: not within %v", what, d)
 	}
 }
 
-func body(gen int, note string) []byte {
+func configurationBody(gen int, note string) []byte {
 	return fmt.Appendf(nil, `{"gen":"r%d","routes":[{"name":"a","host":"h","prefix":"/%s/","kind":"mutating","timeout_ms":10,"backend":"s"}],"backends":[{"name":"s"}]}`, gen, note)
 }
 
-func (f *farm) replace(i int, body []byte) error {
+func (f *clusterFixture) replace(i int, body []byte) error {
 	_, err := f.at(i).Replace(context.Background(), body)
 	return err
 }
 
-// acknowledged sends a configuration until it is taken.
-func (f *farm) acknowledged(i int, body []byte) {
+// replaceUntilAcknowledged sends a configuration until it is taken.
+func (f *clusterFixture) replaceUntilAcknowledged(i int, body []byte) {
 	f.t.Helper()
-	f.until(6*time.Second, "acknowledge", func() bool { return f.replace(i, body) == nil })
+	f.waitFor(6*time.Second, "acknowledge", func() bool { return f.replace(i, body) == nil })
 }
 
-// shows tells that a replica shows this configuration within some seconds.
-func (f *farm) shows(i int, want []byte) {
+// assertShows tells that a replica shows this configuration within some seconds.
+func (f *clusterFixture) assertShows(i int, want []byte) {
 	f.t.Helper()
 	var p *peerlink.Configuration
-	f.until(6*time.Second, "show", func() (ok bool) {
+	f.waitFor(6*time.Second, "show", func() (ok bool) {
 		var err error
-		p, err = f.runs[i].Show(context.Background())
+		p, err = f.replicas[i].CurrentConfiguration(context.Background())
 		return err == nil
 	})
 	assert.Equal(f.t, string(p.Body), string(want))
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -11,21 +11,21 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// forwardWithin is how long a replica waits for the one that proposed last before it proposes a command by itself.
-const forwardWithin = 450 * time.Millisecond
+// forwardTimeout is how long a replica waits for the one that proposed last before it proposes a command by itself.
+const forwardTimeout = 450 * time.Millisecond
 
 // submit has a command carried out: by the replica that proposed last, which needs one phase only and has no other
 // proposer against it, or else by this one. A command that both carry out has the same effect twice, within the time
 // of its caller's wait.
 func (b *Replica) submit(ctx context.Context, c peerlink.Command) (held state.ConfigID, err error) {
-	ctx, cancel := b.within(ctx, callWithin)
+	ctx, cancel := b.withTimeout(ctx, callTimeout)
 	defer cancel()
 	c.Token, _ = ctx.Value(tokenKey{}).(string)
-	c.Within = callWithin
+	c.Within = callTimeout
 	for ctx.Err() == nil {
-		c.Since = max(c.Since, b.decided().Version)
+		c.Since = max(c.Since, b.decidedState().Version)
 		var o *peerlink.Outcome
-		if l := b.lastProposer(); l != nil {
+		if l := b.linkToLastProposer(); l != nil {
 			o = b.forward(ctx, l, c)
 		}
 		switch {
@@ -35,20 +35,20 @@
 		case o != nil && (o.Decided || o.Refusal != peerlink.NotRefused):
 			return o.Held, errorOf(o)
 		}
-		held, err = b.perform(ctx, &c)
-		if !errors.Is(err, errOutrun) {
+		held, err = b.execute(ctx, &c)
+		if !errors.Is(err, errConcurrentDecision) {
 			return held, err
 		}
 	}
-	return held, ErrUnsettled
+	return held, ErrNoMajority
 }
 
-// lastProposer is the connection to the replica that proposed what is decided; nil: it is this one, or out of reach.
-func (b *Replica) lastProposer() *link {
+// linkToLastProposer is the connection to the replica that proposed what is decided; nil: it is this one, or out of reach.
+func (b *Replica) linkToLastProposer() *link {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	id, _, _ := strings.Cut(b.contents.Record.Decided.Proposer, proposerMark)
-	if id == b.self.ID || !b.reaches(id) {
+	id, _, _ := strings.Cut(b.contents.Record.Decided.Proposer, proposerSeparator)
+	if id == b.self.ID || !b.isReachable(id) {
 		return nil
 	}
 	l := b.linkTo(id)
@@ -60,10 +60,10 @@
 
 // forward has another replica carry a command out; nil: it has not answered.
 func (b *Replica) forward(ctx context.Context, l *link, c peerlink.Command) *peerlink.Outcome {
-	ctx, cancel := b.within(ctx, forwardWithin)
+	ctx, cancel := b.withTimeout(ctx, forwardTimeout)
 	defer cancel()
 	p := b.newPoll()
-	defer p.end()
+	defer p.cancel()
 	b.mu.Lock()
 	asked := p.ask(l, peerlink.Ask{Command: &c})
 	b.mu.Unlock()
@@ -81,39 +81,39 @@
 	}
 }
 
-// carryOut answers a command that another replica has forwarded.
-func (b *Replica) carryOut(ctx context.Context, c *peerlink.Command) *peerlink.Outcome {
-	ctx, cancel := b.within(withToken(ctx, c.Token), min(c.Within, callWithin))
+// executeForwarded answers a command that another replica has forwarded.
+func (b *Replica) executeForwarded(ctx context.Context, c *peerlink.Command) *peerlink.Outcome {
+	ctx, cancel := b.withTimeout(withLockToken(ctx, c.Token), min(c.Within, callTimeout))
 	defer cancel()
 	if c.Config != nil {
-		if !isConfig(c.Config, idOf(c.Config)) {
+		if !isIntactConfiguration(c.Config, idOf(c.Config)) {
 			return nil
 		}
 		c.Config.Pack()
 	}
-	held, err := b.perform(ctx, c)
+	held, err := b.execute(ctx, c)
 	o := outcomeOf(held, err)
-	o.Version = b.decided().Version
+	o.Version = b.decidedState().Version
 	return o
 }
 
-// perform carries a command out here.
-func (b *Replica) perform(ctx context.Context, c *peerlink.Command) (held state.ConfigID, err error) {
+// execute carries a command out here.
+func (b *Replica) execute(ctx context.Context, c *peerlink.Command) (held state.ConfigID, err error) {
 	switch {
 	case c.Config != nil:
-		return b.replace(ctx, c.Config)
+		return b.executeReplace(ctx, c.Config)
 	case c.Order != nil:
-		return held, b.order(ctx, c)
+		return held, b.executeOrder(ctx, c)
 	case c.Lock != nil && c.Lock.For > 0:
-		return held, b.takeLock(ctx, c)
+		return held, b.executeAcquireLock(ctx, c)
 	case c.Lock != nil:
-		return held, b.dropLock(ctx, c.Lock.Token)
+		return held, b.executeReleaseLock(ctx, c.Lock.Token)
 	}
-	return held, ErrUnsettled
+	return held, ErrNoMajority
 }
 
-// refusals are the errors that say for sure that a command was not carried out and need no more than their text.
-var refusals = map[peerlink.Refusal]error{peerlink.RefusedZone: ErrZone, peerlink.RefusedNode: ErrNode, peerlink.RefusedServer: ErrServer}
+// refusalErrors are the errors that say for sure that a command was not carried out and need no more than their text.
+var refusalErrors = map[peerlink.Refusal]error{peerlink.RefusedZone: ErrUnknownZone, peerlink.RefusedNode: ErrUnknownProxy, peerlink.RefusedServer: ErrUnknownServer}
 
 func outcomeOf(held state.ConfigID, err error) *peerlink.Outcome {
 	o := &peerlink.Outcome{Decided: err == nil, Held: held}
@@ -121,8 +121,8 @@
 		return o
 	}
 	o.Text = err.Error()
-	var conflict Conflict
-	var taken Taken
+	var conflict ConflictError
+	var taken LockTakenError
 	var tight Tight
 	switch {
 	case errors.As(err, &conflict):
@@ -131,10 +131,10 @@
 		o.Refusal, o.Lock = peerlink.RefusedLocked, taken.Lock
 	case errors.As(err, &tight):
 		o.Refusal = peerlink.RefusedTight
-	case errors.Is(err, errOutrun):
+	case errors.Is(err, errConcurrentDecision):
 		o.Refusal = peerlink.RefusedOutrun
 	}
-	for refusal, is := range refusals {
+	for refusal, is := range refusalErrors {
 		if errors.Is(err, is) {
 			o.Refusal = refusal
 		}
@@ -148,20 +148,20 @@
 	case peerlink.NotRefused:
 		return nil
 	case peerlink.RefusedConflict:
-		return Conflict{o.Held}
+		return ConflictError{o.Held}
 	case peerlink.RefusedLocked:
-		return Taken{o.Lock}
+		return LockTakenError{o.Lock}
 	case peerlink.RefusedTight:
 		return Tight{errors.New(o.Text)}
 	}
-	return refusedError{refusals[o.Refusal], o.Text}
+	return remoteRefusal{refusalErrors[o.Refusal], o.Text}
 }
 
-// refusedError is an error of another replica, with its own text.
-type refusedError struct {
-	is   error
-	text string
+// remoteRefusal is an error of another replica, with its own text.
+type remoteRefusal struct {
+	cause error
+	text  string
 }
 
-func (e refusedError) Error() string { return e.text }
-func (e refusedError) Unwrap() error { return e.is }
+func (e remoteRefusal) Error() string { return e.text }
+func (e remoteRefusal) Unwrap() error { return e.cause }
--- a/internal/control/tell.go
+++ b/internal/control/tell.go
@@ -28,22 +28,22 @@
 		return
 	}
 	b.recount()
-	h.list, h.census, h.verdicts = b.held(), b.census, b.fit.joined
+	h.list, h.census, h.verdicts = b.held(), b.census, b.healthJudge.joined
 	h.change(&peerlink.Change{Servers: h.list, Census: h.census, Verdicts: h.verdicts})
 }
 
 // held is the list as of the newest reading, which may have told nothing new;
 // the mutex is held.
 func (b *Replica) held() *peerlink.Servers {
-	if b.list != nil && b.stamp > b.list.Stamp {
-		b.list = (&peerlink.Servers{Stamp: b.stamp, By: b.list.By, Part: true}).Onto(b.list)
+	if b.serverList != nil && b.listStamp > b.serverList.Stamp {
+		b.serverList = (&peerlink.Servers{Stamp: b.listStamp, By: b.serverList.By, Part: true}).Onto(b.serverList)
 	}
-	return b.list
+	return b.serverList
 }
 
 // aged is the list as another replica is told it, with its age; the mutex is held.
 func (b *Replica) aged(list *peerlink.Servers) *peerlink.Servers {
-	reading := b.read.tell(b.now())
+	reading := b.newestReading.tell(b.now())
 	if list == nil || reading == nil {
 		return list
 	}
@@ -63,7 +63,7 @@
 		}
 		s, ok := steps[h.list]
 		if !ok {
-			if s.part = b.list.Since(h.list); s.part != nil {
+			if s.part = b.serverList.Since(h.list); s.part != nil {
 				s.whole = shared(&wholes, s.part.Onto(h.list))
 			}
 			steps[h.list] = s
@@ -103,12 +103,12 @@
 			h.change(&peerlink.Change{Census: p})
 		}
 	}
-	b.told, b.toldAt = b.census, b.now()
+	b.sentCensus, b.censusSentAt = b.census, b.now()
 }
 
 // recount takes the census anew and tells whether it has changed; the mutex is held.
 func (b *Replica) recount() bool {
-	replicas := byName(b.replicas)
+	replicas := sortedByName(b.replicas)
 	proxies, shares, same := b.proxies.members(b.now())
 	if c := b.census; c != nil && same && shares == c.Shares && slices.Equal(replicas, c.Replicas) {
 		return false
@@ -121,11 +121,11 @@
 func (b *Replica) owed() time.Duration {
 	every := stirEvery
 	if len(b.census.Proxies) > manyProxies {
-		if every = manyEvery; dies(b.told, b.census) {
+		if every = manyEvery; dies(b.sentCensus, b.census) {
 			every = diesEvery
 		}
 	}
-	return max(0, b.toldAt+every-b.now())
+	return max(0, b.censusSentAt+every-b.now())
 }
 
 // dies tells whether a proxy was told to be alive, or ready, and is not.
--- a/internal/control/tell_test.go
+++ b/internal/control/tell_test.go
@@ -16,12 +16,12 @@
 
 // crowd is replicas and agents.
 type crowd struct {
-	*farm
+	*clusterFixture
 	helping sync.Mutex // all helpers
 }
 
 func playAgents(t *testing.T, n int, story func(f *crowd)) {
-	play(t, n, func(f *farm) { story(&crowd{farm: f}) })
+	runCluster(t, n, func(f *clusterFixture) { story(&crowd{clusterFixture: f}) })
 }
 
 // helper is an agent that folds what it is told and pings as it is set to.
@@ -96,9 +96,9 @@
 
 // reads lets a replica have read a list.
 func (f *crowd) reads(i int, list ...peerlink.Server) {
-	b := f.runs[i].Replica
+	b := f.replicas[i].Replica
 	b.mu.Lock()
-	b.listed(&peerlink.Servers{Stamp: b.w.Now().UnixNano(), By: b.self.Name, List: list})
+	b.listed(&peerlink.Servers{Stamp: b.world.Now().UnixNano(), By: b.self.Name, List: list})
 	b.mu.Unlock()
 }
 
@@ -175,8 +175,8 @@
 		f.pass(time.Second, h)
 		assert.Assert(t, h.servers.List[0].Draining && h.servers.List[1].WarmLeft == 0)
 		var all *peerlink.Servers
-		for i := range f.runs {
-			r := f.runs[i].Replica
+		for i := range f.replicas {
+			r := f.replicas[i].Replica
 			r.mu.Lock()
 			assert.Assert(t, all == nil || r.held().Since(all) == nil)
 			all = r.held()
