--- a/internal/control/census.go
+++ b/internal/control/census.go
@@ -11,30 +11,30 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of the census.
+// Time limits of the census of proxies.
 const (
-	maxProxySilence  = 60 * time.Second       // a silent proxy may be passing requests behind a cut
-	maxHostCountsAge = 15 * time.Second       // what a proxy told of its requests counts
-	leaveMargin      = 500 * time.Millisecond // beyond the grace: one that said that it leaves has ended, or was ended
+	maxProxySilence  = 60 * time.Second       // a silent proxy may be cut off and still serve requests
+	maxHostCountsAge = 15 * time.Second       // older counts of requests by host are ignored
+	leaveMargin      = 500 * time.Millisecond // after the grace period, a leaving proxy has ended or was killed
 )
 
-// proxy is a proxy ever seen, as its agent tells of it.
+// proxy is the state of a proxy as its agent reports it.
 type proxy struct {
 	hello        peerlink.Hello
 	ready        bool
-	connected    bool          // its agent's connection is
-	lastHeard    time.Duration // last
-	pingInterval time.Duration // between two of its agent's words; 0: as is usual
-	leftAt       time.Duration // when it said that it leaves; 0: it did not
-	grace        time.Duration // it has ended so long after that
-
-	joinedAt         time.Duration // when it began to count; 0: it did from the start
-	firstReadyAt     time.Duration // when it was first ready after that; 0: it was not yet
-	quotaReleased    bool          // it has given its parts up
-	joinAcknowledged bool          // all others have said that they go by as many parts as there are with it
-	quotaParts       int           // by which it divides quotas, as it said last; 0: it never did
-
-	readyButResting bool // it would be ready, but for the order to rest
+	connected    bool // its agent is connected
+	lastHeard    time.Duration
+	pingInterval time.Duration // between two pings of its agent; 0: the default
+	leftAt       time.Duration // when it announced that it leaves; 0: it did not
+	grace        time.Duration // after leftAt; then it has ended
+
+	joinedAt         time.Duration // when it began to be counted; 0: before this replica started
+	firstReadyAt     time.Duration // when it was first ready after joinedAt; 0: not yet
+	quotaReleased    bool          // it has given up its share of the quotas
+	joinAcknowledged bool          // all others have reported that they divide quotas by a number that includes it
+	quotaParts       int           // the number by which it divides quotas, as last reported; 0: never reported
+
+	readyButResting bool // it would be ready without the order to rest
 	figures         *peerlink.Figures
 	figuresAt       time.Duration
 	requestCounts   *peerlink.Asked
@@ -44,10 +44,12 @@
 	hostCountsAt time.Duration
 }
 
+// isAlive reports whether the proxy's agent is connected and has sent something recently.
 func (g *proxy) isAlive(now time.Duration) bool {
 	return g.connected && now-g.lastHeard < peerlink.Patience(g.pingInterval)
 }
 
+// isCounted reports whether the proxy may be serving requests and so has a share of the quotas.
 func (g *proxy) isCounted(now time.Duration) bool {
 	if g.quotaReleased || g.leftAt > 0 && now-g.leftAt >= g.grace+leaveMargin {
 		return false
@@ -55,25 +57,26 @@
 	return now-g.lastHeard < maxProxySilence
 }
 
-// proxyRegistry is all proxies ever seen. Names are kept over restarts: all count as
-// present then until they have been silent for long.
+// proxyRegistry holds all proxies ever seen. Their names are stored on disk: after a restart all of them count as
+// present until they have been silent for maxProxySilence.
 type proxyRegistry struct {
 	proxies      map[string]*proxy
-	resting      map[string]bool   // names of those that are to rest
-	sortedNames  []string          // names; nil: not in order yet
-	lastMembers  []peerlink.Member // as counted last; not written to again
-	spareMembers []peerlink.Member // to count in
+	resting      map[string]bool   // names of proxies that are ordered to rest
+	sortedNames  []string          // all names in order; nil: to be sorted again
+	lastMembers  []peerlink.Member // the result of the last count, which is shared and never modified
+	spareMembers []peerlink.Member // buffer for the next count
 }
 
+// newProxyRegistry returns a registry of the proxies with these names, all last heard now.
 func newProxyRegistry(names []string, now time.Duration) *proxyRegistry {
 	r := &proxyRegistry{proxies: map[string]*proxy{}, resting: map[string]bool{}}
-	for _, n := range names {
-		r.proxies[n] = &proxy{hello: peerlink.Hello{Name: n}, lastHeard: now}
+	for _, name := range names {
+		r.proxies[name] = &proxy{hello: peerlink.Hello{Name: name}, lastHeard: now}
 	}
 	return r
 }
 
-// noteConnected notes that a proxy's agent has come, and tells whether its name is new.
+// noteConnected records that a proxy's agent has connected, and reports whether its name is new.
 func (r *proxyRegistry) noteConnected(h peerlink.Hello, now time.Duration) (g *proxy, isNew bool) {
 	g = r.proxies[h.Name]
 	if isNew = g == nil; isNew {
@@ -87,7 +90,7 @@
 	return g, isNew
 }
 
-// addKnown notes names that others know.
+// addKnown adds a proxy that another replica knows, and reports whether its name is new.
 func (r *proxyRegistry) addKnown(m peerlink.Member, now time.Duration) (isNew bool) {
 	if r.proxies[m.Hello.Name] != nil {
 		return false
@@ -96,7 +99,7 @@
 	return true
 }
 
-// names are all names in order; they are not to be written to.
+// names returns all names in order; callers must not modify the slice.
 func (r *proxyRegistry) names() []string {
 	if r.sortedNames == nil {
 		r.sortedNames = slices.Sorted(maps.Keys(r.proxies))
@@ -104,9 +107,9 @@
 	return r.sortedNames
 }
 
-// members tells who is there, and whether that is as it was counted last. A
-// proxy's slot is its name's place among all names: the same at every replica that
-// knows the same names.
+// members returns the counted proxies, the number by which they divide quotas, and whether the proxies are the same as
+// in the last count. A proxy's slot is its name's place among all names: the same at every replica that knows the same
+// names.
 func (r *proxyRegistry) members(now time.Duration) (all []peerlink.Member, shares int, same bool) {
 	all = r.spareMembers[:0]
 	for _, g := range r.proxies {
@@ -120,7 +123,7 @@
 			continue
 		}
 		if g.hello.Front == "" && g.hello.Peer == "" {
-			continue // known by its name only
+			continue // only its name is known
 		}
 		alive := g.isAlive(now)
 		all = append(all, peerlink.Member{Hello: memberHello(g.hello), Ready: alive && g.ready && g.leftAt == 0, Alive: alive, Slot: slot,
@@ -134,8 +137,9 @@
 	return all, shares, false
 }
 
-// countUnaware is how many others count here that were there before a proxy joined, and may not have heard of it: whose proxies
-// have not said that they divide by as many parts as there are. So it does not matter which replica told them, or when.
+// countUnaware returns how many counted proxies joined before g and may not know of it yet, because they have not
+// reported that they divide quotas by at least shares. Going by their reports, it doesn't matter which replica told
+// them, or when.
 func (r *proxyRegistry) countUnaware(g *proxy, shares int, now time.Duration) (n int) {
 	if g.joinAcknowledged || g.joinedAt == 0 || now-g.joinedAt >= maxProxySilence {
 		return 0
@@ -149,8 +153,8 @@
 	return n
 }
 
-// isAwareOf tells whether a proxy goes by a join. One that tells no parts, as earlier versions do, is taken to do so
-// where its agent was heard a while after the join.
+// isAwareOf reports whether a proxy divides quotas by a number that includes g. Earlier versions don't report that
+// number: they are taken to be aware once their agent has sent something handover.HeardBy after the join.
 func (o *proxy) isAwareOf(g *proxy, shares int) bool {
 	if o.quotaParts == 0 {
 		return o.lastHeard >= g.joinedAt+handover.HeardBy
@@ -158,29 +162,29 @@
 	return o.quotaParts >= shares
 }
 
-// memberHello is what others need of a proxy's Hello.
+// memberHello returns the part of a proxy's Hello that others need.
 func memberHello(h peerlink.Hello) peerlink.Hello {
 	return peerlink.Hello{Role: peerlink.Proxy, Name: h.Name, Life: h.Life, IP: h.IP, Zone: h.Zone, Region: h.Region, Front: h.Front, Peer: h.Peer}
 }
 
-// frontAddresses are the addresses in some regions, or all where these have no proxy
-// that is ready. One that has just joined is in a rising part of places' answers. Where no proxy at all is ready, those
-// that leave are better than none for as long as their doors are open.
+// frontAddresses returns the client-facing addresses of the ready proxies in some regions, or of all ready proxies if
+// those regions have none. A proxy that has just joined is in the answers to a growing share of places. If no proxy at
+// all is ready, the answer holds leaving proxies for as long as they accept connections.
 func (r *proxyRegistry) frontAddresses(regions []string, place string, now time.Duration) []string {
-	var all, last []*proxy
+	var all, leaving []*proxy
 	for _, n := range r.names() {
 		switch g := r.proxies[n]; {
 		case g.hello.Front == "" || !g.isAlive(now):
 		case g.leftAt > 0:
 			if !g.quotaReleased && handover.Open(g.grace, now-g.leftAt) {
-				last = append(last, g)
+				leaving = append(leaving, g)
 			}
 		case g.ready && !r.resting[n]:
 			all = append(all, g)
 		}
 	}
 	if len(all) == 0 {
-		all = last
+		all = leaving
 	}
 	if near := slices.DeleteFunc(slices.Clone(all), func(g *proxy) bool { return !slices.Contains(regions, g.hello.Region) }); len(near) > 0 {
 		all = near
@@ -201,17 +205,18 @@
 	return fronts
 }
 
-// isNewlyReady tells whether a proxy has joined and been ready for a short time only. One that comes back after a kill has
-// counted all the while, and is not.
+// isNewlyReady reports whether a proxy joined and became ready less than handover.RiseFor ago. One that returns shortly
+// after a kill was counted all the time, so it has not joined again.
 func (g *proxy) isNewlyReady(now time.Duration) bool {
 	return g.joinedAt > 0 && now-g.firstReadyAt < handover.RiseFor
 }
 
+// sortedByName returns the Hellos of a map in the order of their names.
 func sortedByName(m map[string]peerlink.Hello) []peerlink.Hello {
 	return slices.SortedFunc(maps.Values(m), func(a, b peerlink.Hello) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// sumHostCounts are the requests of a host as the proxies told last.
+// sumHostCounts sums the proxies' latest counts of the requests for a host.
 func (r *proxyRegistry) sumHostCounts(host uint32, now time.Duration) (sum homing.Heads) {
 	for _, g := range r.proxies {
 		if now-g.hostCountsAt >= maxHostCountsAge {
--- a/internal/control/rig_test.go
+++ b/internal/control/cluster_test.go
@@ -19,23 +19,23 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// clusterFixture is some replicas in one process, on a network and disks in memory.
+// clusterFixture runs several replicas in one process, on a simulated network and simulated disks.
 type clusterFixture struct {
 	t            *testing.T
 	net          *sim.Net
 	disks        []*sim.Disk
 	mu           sync.Mutex
-	replicas     []*runningReplica // nil: it is down
-	bootstrap    bool              // the settings say bootstrap
-	seeds        []int             // places of the replicas that the settings name
-	cloudAddress string
-	clocks       map[int]*skewedHost // clocks, by replica
+	replicas     []*runningReplica   // by machine; nil: its replica is down
+	bootstrap    bool                // Bootstrap in the settings
+	seeds        []int               // machines that the settings name as seeds
+	cloudAddress string              // address of the platform; "": none
+	clocks       map[int]*skewedHost // by machine
 	removed      map[int]bool        // machines that never come back
-	drainTime    time.Duration       // that the settings name; 0: none
-	cloudRate    float64             // of calls to the platform that the settings name
+	drainTime    time.Duration       // Drain in the settings; 0: none
+	cloudRate    float64             // platform calls per second in the settings
 }
 
-// skewedHost is a host whose process stands still while its clock runs on: no timer of its runs out for that.
+// skewedHost is a host whose clock can be moved ahead without its timers firing, as if its process had been suspended.
 type skewedHost struct {
 	*sim.Host
 	offset atomic.Int64
@@ -43,6 +43,7 @@
 
 func (j *skewedHost) Now() time.Time { return j.Host.Now().Add(time.Duration(j.offset.Load())) }
 
+// runningReplica is a replica and what the fixture needs to end it.
 type runningReplica struct {
 	*Replica
 	host *sim.Host
@@ -50,24 +51,24 @@
 	done chan error
 }
 
-// runCluster runs a story with n replicas that have started for the first time and settled.
-func runCluster(t *testing.T, n int, story func(f *clusterFixture)) {
+// runCluster runs a scenario with n replicas that have started for the first time and become voters.
+func runCluster(t *testing.T, n int, scenario func(f *clusterFixture)) {
 	t.Helper()
-	runClusterWithPlatform(t, n, nil, story)
+	runClusterWithPlatform(t, n, nil, scenario)
 }
 
-// runClusterWithPlatform does so beside a platform.
-func runClusterWithPlatform(t *testing.T, n int, platform http.Handler, story func(f *clusterFixture)) {
+// runClusterWithPlatform does the same with a platform that serves the server list.
+func runClusterWithPlatform(t *testing.T, n int, platform http.Handler, scenario func(f *clusterFixture)) {
 	t.Helper()
-	play := &clusterFixture{t: t, cloudRate: 44}
-	play.run(n, platform, story)
+	options := &clusterFixture{t: t, cloudRate: 44}
+	options.run(n, platform, scenario)
 }
 
-// run plays a story under the settings that the farm names.
-func (set *clusterFixture) run(n int, platform http.Handler, story func(f *clusterFixture)) {
-	set.t.Helper()
-	synctest.Test(set.t, func(t *testing.T) {
-		f := &clusterFixture{t: t, net: sim.New(uint64(n)), bootstrap: true, clocks: map[int]*skewedHost{}, removed: map[int]bool{}, drainTime: set.drainTime, cloudRate: set.cloudRate}
+// run runs a scenario with the drain time and the rate of the options.
+func (options *clusterFixture) run(n int, platform http.Handler, scenario func(f *clusterFixture)) {
+	options.t.Helper()
+	synctest.Test(options.t, func(t *testing.T) {
+		f := &clusterFixture{t: t, net: sim.New(uint64(n)), bootstrap: true, clocks: map[int]*skewedHost{}, removed: map[int]bool{}, drainTime: options.drainTime, cloudRate: options.cloudRate}
 		f.net.Set(sim.Faults{Least: time.Millisecond, Most: 20 * time.Millisecond})
 		for i := range n {
 			f.addMachine()
@@ -75,7 +76,7 @@
 				f.seeds = append(f.seeds, i)
 			}
 		}
-		defer time.Sleep(2 * time.Second) // whoever still waits ends
+		defer time.Sleep(2 * time.Second) // goroutines that still wait time out
 		if platform != nil {
 			f.cloudAddress = "10.8.0.1:80"
 			ln, err := f.net.Host("10.8.0.1").Listen(context.Background(), "tcp", f.cloudAddress)
@@ -88,12 +89,12 @@
 		f.startAll()
 		f.bootstrap = false
 		voters := min(n, membership.MaxVoters)
-		f.waitFor(max(5*time.Second, time.Duration(n)*time.Second), "settle", func() bool { return f.countVoting() == voters && f.countConfirmed() == n })
-		story(f)
+		f.waitFor(max(5*time.Second, time.Duration(n)*time.Second), "all replicas vote and are confirmed", func() bool { return f.countVoting() == voters && f.countConfirmed() == n })
+		scenario(f)
 	})
 }
 
-// addMachine makes room for a machine with an empty disk, and returns where.
+// addMachine adds a machine with an empty disk, on which nothing runs yet, and returns its index.
 func (f *clusterFixture) addMachine() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +103,7 @@
 	return len(f.replicas) - 1
 }
 
-// startReplacement starts an empty machine at another address, which is told those that run.
+// startReplacement starts a replica on a new machine with another address; its seeds are up to three running replicas.
 func (f *clusterFixture) startReplacement() int {
 	i := f.addMachine()
 	f.seeds = nil
@@ -115,7 +116,7 @@
 	return i
 }
 
-// shutDown ends a process in order, as SIGTERM does.
+// shutDown ends a process gracefully, as SIGTERM does.
 func (f *clusterFixture) shutDown(i int) {
 	r := f.at(i)
 	r.stop()
@@ -136,7 +137,7 @@
 	return all
 }
 
-// partition cuts replicas off from others, or joins them again.
+// partition sets the barrier between two groups of hosts, in both directions; sim.Open removes it.
 func (f *clusterFixture) partition(a, b []string, how sim.Barrier) {
 	f.net.Bar(a, b, how)
 	f.net.Bar(b, a, how)
@@ -166,7 +167,7 @@
 	f.mu.Lock()
 	f.replicas[i] = r
 	f.mu.Unlock()
-	time.Sleep(time.Millisecond) // it listens
+	time.Sleep(time.Millisecond) // until it listens
 }
 
 func (f *clusterFixture) startAll() {
@@ -177,14 +178,14 @@
 	}
 }
 
-// at is the replica that runs in a place; nil if none does.
+// at returns the replica that runs on a machine; nil if none does.
 func (f *clusterFixture) at(i int) *runningReplica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.replicas[i]
 }
 
-// kill ends a replica's process at once, or with its power.
+// kill kills a replica's process; with power, its machine loses power too.
 func (f *clusterFixture) kill(i int, power bool) {
 	r := f.at(i)
 	if r == nil {
@@ -208,28 +209,28 @@
 	}
 }
 
-// isVoting tells whether a replica's disk counts, as far as it knows.
+// isVoting reports whether a replica is a voter as far as it knows.
 func (r *runningReplica) isVoting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isVoter()
 }
 
-// configurationInForce is the configuration in force at a replica; nil: none is.
+// configurationInForce returns the configuration in force at a replica; nil if there is none.
 func (r *runningReplica) configurationInForce() *peerlink.Configuration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.configuration
 }
 
-// orderInForce is the order about a zone in force at a replica.
+// orderInForce returns the order about a zone in force at a replica.
 func (r *runningReplica) orderInForce(name string) peerlink.Zone {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ordersInForce[name]
 }
 
-// countConfirmed is how many have heard a majority confirm what they know.
+// countConfirmed returns how many replicas have heard a majority confirm their state within the last second.
 func (f *clusterFixture) countConfirmed() (n int) {
 	for _, r := range f.replicas {
 		if r != nil {
@@ -241,6 +242,7 @@
 	return n
 }
 
+// countVoting returns how many replicas are voters as far as they know.
 func (f *clusterFixture) countVoting() (n int) {
 	for _, r := range f.replicas {
 		if r != nil && r.isVoting() {
@@ -250,7 +252,7 @@
 	return n
 }
 
-// waitFor lets time pass until something holds.
+// waitFor waits until a condition holds, and fails the test after d.
 func (f *clusterFixture) waitFor(d time.Duration, what string, holds func() bool) {
 	f.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
@@ -258,6 +260,7 @@
 	}
 }
 
+// configurationBody returns a route configuration with a generation number and a note in its one prefix.
 func configurationBody(gen int, note string) []byte {
 	return fmt.Appendf(nil, `{"gen":"r%d","routes":[{"name":"a","host":"h","prefix":"/%s/","kind":"mutating","timeout_ms":10,"backend":"s"}],"backends":[{"name":"s"}]}`, gen, note)
 }
@@ -267,17 +270,17 @@
 	return err
 }
 
-// replaceUntilAcknowledged sends a configuration until it is taken.
+// replaceUntilAcknowledged sends a configuration again and again until a replica acknowledges it.
 func (f *clusterFixture) replaceUntilAcknowledged(i int, body []byte) {
 	f.t.Helper()
-	f.waitFor(6*time.Second, "acknowledge", func() bool { return f.replace(i, body) == nil })
+	f.waitFor(6*time.Second, "the configuration is acknowledged", func() bool { return f.replace(i, body) == nil })
 }
 
-// assertShows tells that a replica shows this configuration within some seconds.
+// assertShows asserts that a replica confirms a configuration within 6 s, and that it is this one.
 func (f *clusterFixture) assertShows(i int, want []byte) {
 	f.t.Helper()
 	var p *peerlink.Configuration
-	f.waitFor(6*time.Second, "show", func() (ok bool) {
+	f.waitFor(6*time.Second, "a configuration is shown", func() (ok bool) {
 		var err error
 		p, err = f.replicas[i].CurrentConfiguration(context.Background())
 		return err == nil
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -11,29 +11,29 @@
 // minCapacityShare returns the share of its capacity that a server has at least: 1 when it is warm.
 func (g *Gateway) coldness(s *server) float64 {
 	if g.now < s.ColdUntil {
-		return g.set.Field.ColdPart
+		return g.cfg.MultiService.ColdShare
 	}
-	if !s.HasStart || g.set.WarmWithin <= 0 || g.set.ColdShare <= 0 {
+	if !s.HasStartTime || g.cfg.WarmupTime <= 0 || g.cfg.MinColdShare <= 0 {
 		return 1
 	}
-	age := float64(g.now-s.Start) / float64(g.set.WarmWithin)
-	return min(1, g.set.ColdShare+(1-g.set.ColdShare)*max(age, 0))
+	age := float64(g.now-s.StartTime) / float64(g.cfg.WarmupTime)
+	return min(1, g.cfg.MinColdShare+(1-g.cfg.MinColdShare)*max(age, 0))
 }
 
 // inFlightAt returns the attempts in flight at a server: this gateway's and, as last reported, the others'.
 func (g *Gateway) load(s *server) float64 {
-	return float64(s.out) + max(s.heard, g.otherLoad(s))
+	return float64(s.inFlight) + max(s.peerInFlight, g.otherLoad(s))
 }
 
 // predictLatency returns the latency, in seconds, expected of a server for a class.
 func (g *Gateway) predict(s *server, cl *class) float64 {
-	return cl.mean * s.slow * g.stretch(s, g.load(s)) / g.coldness(s)
+	return cl.mean * s.slowdown * g.stretch(s, g.load(s)) / g.coldness(s)
 }
 
 // loadFactor returns the factor by which a number of attempts in flight raises a server's latency.
 func (g *Gateway) stretch(s *server, load float64) float64 {
 	if s.Slots == 0 {
-		return 1 + queueWeight*load/g.sizeOf(s)
+		return 1 + queueWeight*load/g.relativeSize(s)
 	}
 	slots := float64(s.Slots)
 	return 1 + crowded*min(1, load/slots) + max(0, load+1-slots)/slots
@@ -42,8 +42,8 @@
 // queueTooLong reports whether the predicted wait at a server exceeds a share of the shortest latency target. Beyond
 // that, requests are held at the gateway, where they can still be sent to another server or be refused.
 func (g *Gateway) full(s *server) bool {
-	load := g.load(s) / g.sizeOf(s)
-	return load >= leastOut && g.mean*s.slow/g.coldness(s)*queueWeight*load > waitAim*g.minAim
+	load := g.load(s) / g.relativeSize(s)
+	return load >= leastOut && g.meanLatency*s.slowdown/g.coldness(s)*queueWeight*load > waitAim*g.minTarget
 }
 
 // slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
@@ -58,14 +58,15 @@
 
 // canServe reports whether a server belongs to the request's service and is in one of its allowed regions.
 func (s *server) serves(r *request) bool {
-	return s.Service == r.service && (len(r.homes) == 0 || slices.Contains(r.homes, s.Region))
+	return s.Service == r.service && (len(r.regions) == 0 || slices.Contains(r.regions, s.Region))
 }
 
 // usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
 // budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || !s.serves(r) || !g.bears(s) || g.now < max(s.fullTill, s.fullAt[r.c.plan]) ||
-		r.ran && r.effect == Keyed && (g.now-r.ranAt >= r.cl.Window || !r.sameGroup(s)) {
+	if s.State != Running || !s.serves(r) || !g.bears(s) ||
+		g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
+		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
 	if cold := g.coldness(s); cold < 1 && g.set.Field == nil {
@@ -83,7 +84,7 @@
 // coldSendBudget returns how many sends a second this gateway may make to a cold server. Only a few gateways may send
 // to it, so that each has whole sends; the sum stays below the server's limit even if no message arrives.
 func (g *Gateway) coldSends(m Server) int {
-	if m.ColdSends <= 0 {
+	if m.ColdSendRate <= 0 {
 		return 0
 	}
 	budget := m.ColdSends * coldKeep
@@ -96,7 +97,7 @@
 			rank++
 		}
 	}
-	if rank >= owners || g.barren {
+	if rank >= owners || g.noColdSends {
 		return 0
 	}
 	return int(budget) / owners
@@ -107,8 +108,9 @@
 	if g.now >= s.ColdUntil {
 		return true
 	}
-	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.set.Field.ColdSpan })
-	return len(s.sends) < s.colds
+	s.sends = slices.DeleteFunc(s.sends,
+		func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
+	return len(s.sends) < s.coldSendQuota
 }
 
 // pickServer chooses a server, or nil when none has room. Servers ejected for the class are skipped unless too many
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -16,14 +16,14 @@
 
 // multiServiceSettings returns the initial settings of a gateway that serves many services.
 func fieldSet() Settings {
-	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanTell: true, MailPerSecond: 40,
-		LargestUnits: 1, MaxRetryAfter: time.Second,
-		Field: &Field{RetryEarn: 0.14, RetryCap: func(string) float64 { return 3 }, ColdPart: 0.5, ColdSpan: 1150 * ms, Report: 250 * ms}}
+	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanMessagePeers: true, MessagesPerSecond: 40,
+		MaxRequestUnits: 1, MaxRetryAfter: time.Second,
+		MultiService: &MultiService{RetryBudgetPerAttempt: 0.14, MaxRetryBudget: func(string) float64 { return 3 }, ColdShare: 0.5, ColdWindow: 1150 * ms, ReportInterval: 250 * ms}}
 }
 
-func fieldTerms(plans ...Plan) Terms {
-	return Terms{Plans: plans, Classes: []Class{{Name: "safe", Aim: 500 * ms, Deadline: 2 * time.Second},
-		{Name: "once", Aim: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
+func fieldTerms(plans ...Plan) ConfigUpdate {
+	return ConfigUpdate{Plans: plans, Classes: []Class{{Name: "safe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second},
+		{Name: "once", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
 }
 
 func fieldServers(n int, service string) (l []Server) {
@@ -73,7 +73,7 @@
 			case 3:
 				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
 				for i := range m.gs[:len(m.gs)-1] {
-					m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, 0)
+					m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, 0)
 				}
 				m.start(len(m.gs)-1, 0)
 			}
@@ -177,11 +177,11 @@
 			servers, byID[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
-		m.code = func(Send) Code { return Code(m.rnd.IntN(int(Moot))) }
+		m.code = func(Send) Code { return Code(m.rnd.IntN(int(NoRetry))) }
 		asked := map[RequestID]Request{}
 		m.pass(4*time.Second, func() {
 			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rnd.IntN(2)], Service: []string{"s", "t"}[m.rnd.IntN(2)],
-				Homes: [][]string{nil, {"r"}, {"r", "q"}}[m.rnd.IntN(3)], Tries: 1 + m.rnd.IntN(3)}
+				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rnd.IntN(3)], MaxAttempts: 1 + m.rnd.IntN(3)}
 			asked[m.ids+1] = r
 			m.ask(m.rnd.IntN(2), r)
 		})
@@ -252,7 +252,7 @@
 	}
 	ask := func(service string, n int) {
 		for range n {
-			m.ask(0, Request{Customer: "t", Class: "safe", Service: service, Tries: 2})
+			m.ask(0, Request{Customer: "t", Class: "safe", Service: service, MaxAttempts: 2})
 			m.pass(20*ms, nil)
 		}
 	}
@@ -283,7 +283,7 @@
 		}
 		return OK
 	}
-	m.pass(10*time.Second, func() { m.ask(0, Request{Customer: "t", Class: "late11", Service: "s", Tries: 1}) })
+	m.pass(10*time.Second, func() { m.ask(0, Request{Customer: "t", Class: "late11", Service: "s", MaxAttempts: 1}) })
 	hits := 0
 	for _, s := range m.sends[len(m.sends)/2:] {
 		if s.Server == 100 {
@@ -308,7 +308,7 @@
 		return OK
 	}
 	m.pass(10*time.Second, func() {
-		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", Tries: 2})
+		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", MaxAttempts: 2})
 	})
 	assert.Assert(t, len(lost) >= 8, "%d lost", len(lost))
 	cancelled := map[string]int{}
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -10,42 +10,42 @@
 )
 
 func (g *Gateway) onOutcome(ev Outcome) {
-	r := g.reqs[ev.ID]
-	if r == nil || r.srv == nil || ev.Attempt != r.attempts-1 {
+	r := g.requests[ev.ID]
+	if r == nil || r.server == nil || ev.Attempt != r.attempts-1 {
 		return
 	}
-	s, c := r.srv, r.c
+	s, c := r.server, r.customer
 	g.advance(c)
-	c.fresh = repeatTicks
-	g.ended(r, ev.Code)
+	c.reportsLeft = repeatTicks
+	g.endAttempt(r, ev.Code)
 	g.judge(s, r, ev)
-	if ev.Code == OK && ev.Actual > 0 && ev.Actual != r.units {
-		c.settle(ev.Actual - r.units)
+	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
+		c.adjustUnits(ev.ActualUnits - r.units)
 	}
 	switch {
-	case r.over || ev.Over || ev.Code == OK:
-		g.close(r)
-	case ev.Code == Moot || g.now >= r.deadline || !g.again(r, ev.Code):
+	case r.done || ev.Final || ev.Code == OK:
+		g.finish(r)
+	case ev.Code == NoRetry || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
 		g.refuse(r)
-	case !g.room(c, false) || !g.try(r):
+	case !g.underCap(c, false) || !g.trySend(r):
 		g.hold(r)
 	}
-	g.release(c)
+	g.releaseHeld(c)
 }
 
 // learnFromOutcome updates latency estimates, error averages and load figures from an outcome.
 func (g *Gateway) judge(s *server, r *request, ev Outcome) {
 	g.hears(s, ev.Load)
-	if ev.Code != Moot && ev.Code != Cancelled {
-		g.sight(s, r.cl, ev.Code, ev.Latency)
+	if ev.Code != NoRetry && ev.Code != Cancelled {
+		g.sight(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.strain += strainOwn * (min(1, ev.Latency.Seconds()/r.cl.Aim.Seconds()) - g.strain)
+		g.lateness += strainOwn * (min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.lateness)
 	}
 	switch ev.Code {
 	case OK:
-		if v := g.record(s, r.cl); v != nil {
-			v.okAt = g.now
+		if v := g.healthOf(s, r.class); v != nil {
+			v.lastOK = g.now
 		}
 		loadEffect := g.stretch(s, r.load) / g.coldness(s)
 		latency := ev.Latency.Seconds() / loadEffect
@@ -58,7 +58,7 @@
 		if s.fullAt[r.c.plan] = g.now + fullFor; g.set.Field != nil {
 			s.fullAt[r.c.plan], s.fullTill = 0, g.now+fullBrief // its queue is full for every plan
 		}
-		g.strain += strainOwn * (1 - g.strain)
+		g.lateness += strainOwn * (1 - g.lateness)
 	}
 }
 
@@ -68,15 +68,15 @@
 		return // not a configured class
 	}
 	for i, w := range s.watchers {
-		if i > 0 && (code != ConnectFailed || !g.tree) {
+		if i > 0 && (code != ConnectFailed || !g.usesRoots) {
 			break
 		}
-		if w == g.set.Me {
-			g.gather(s, cl.no, code, latency)
+		if w == g.cfg.Me {
+			g.gather(s, cl.index, code, latency)
 			continue
 		}
 		ms := uint16(min(max(0, latency.Milliseconds()), math.MaxUint16))
-		g.do(Tell{To: w, Data: encode(sight{uint32(s.ID), byte(cl.no), byte(code), ms})})
+		g.emit(SendPeer{To: w, Data: encode(outcomeReport{uint32(s.ID), byte(cl.index), byte(code), ms})})
 	}
 }
 
@@ -95,7 +95,7 @@
 	case Full:
 		observed = mostPace
 	case ConnectFailed:
-		s.fail(2 * sightWeight)
+		s.recordFailure(2 * sightWeight)
 	default:
 		s.fail(sightWeight / 2) // other classes may fail too
 		health.errs += sightWeight / 2 * (1 - health.errs)
@@ -149,16 +149,16 @@
 		if age < overdue || r.over || r.quit || r.stream || waitLonger && health != nil && health.okAt > r.sentAt {
 			continue
 		}
-		r.quit = true
-		g.sight(s, r.cl, TimedOut, g.now-r.sentAt)
-		if g.set.CanCancel && r.effect == Safe && g.budgets[r.service] >= 1 &&
-			(r.tries == 0 || r.attempts < r.tries) {
-			g.do(Cancel{ID: r.id, Attempt: r.attempts - 1})
+		r.cancelled = true
+		g.sight(s, r.class, TimedOut, g.now-r.sentAt)
+		if g.cfg.CanCancel && r.effect == Safe && g.retryBudgets[r.service] >= 1 &&
+			(r.maxAttempts == 0 || r.attempts < r.maxAttempts) {
+			g.emit(Cancel{ID: r.id, Attempt: r.attempts - 1})
 		}
 	}
 }
 
 // mayRunTrial reports whether a request may be sent to an ejected server to test whether it has recovered.
 func (g *Gateway) mayTry(r *request) bool {
-	return r.attempts == 0 && (r.effect != Unsafe || g.set.Field != nil)
+	return r.attempts == 0 && (r.effect != Unsafe || g.cfg.MultiService != nil)
 }
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -18,7 +18,7 @@
 		{"far above", 2, 1 << 30, 85}, {"far above, mail lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newManyGateways(t, 300, fleet(40))
+			w := newManyGateways(t, 300, testServers(40))
 			n := 0
 			w.lose = func(int, int) bool { n++; return n%c.lost == 0 }
 			asked := 0
@@ -45,7 +45,7 @@
 // A root that does not answer must not block its customers: the deputy counts
 // their requests instead.
 func TestDeputyStepsIn(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(20))
+	w := newManyGateways(t, 100, testServers(20))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	w.lose = func(from, to int) bool { return to == roots[0] || from == roots[0] }
@@ -64,12 +64,12 @@
 // If each of hundreds of gateways could send a cold server at least one request,
 // together they would overload it.
 func TestColdShareIsBoundedOverTheFleet(t *testing.T) {
-	servers := fleet(20)
-	servers[0].HasStart, servers[0].Start = true, 10*time.Second
+	servers := testServers(20)
+	servers[0].HasStartTime, servers[0].StartTime = true, 10*time.Second
 	w := newManyGateways(t, 300, servers)
 	for _, g := range w.gs { // the warm ones are all slow
-		for _, s := range g.fleet[1:] {
-			s.slow = mostPace
+		for _, s := range g.serverList[1:] {
+			s.slowdown = mostPace
 		}
 	}
 	id := 0
@@ -95,9 +95,9 @@
 // When most servers are replaced at once, the cold ones get what their minimum capacity
 // allows: otherwise the few warm ones would be overloaded.
 func TestColdServersCarryTheirPart(t *testing.T) {
-	servers := fleet(60)
+	servers := testServers(60)
 	for i := range 36 {
-		servers[i].HasStart, servers[i].Start = true, 10*time.Second
+		servers[i].HasStartTime, servers[i].StartTime = true, 10*time.Second
 	}
 	w := newManyGateways(t, 100, servers)
 	for id := range 1000 {
@@ -168,7 +168,7 @@
 // Servers of the loan service accept few connections. A refused connection has run nothing,
 // so the request is retried on another server; hardly any request fails.
 func TestRefusedConnectionsFailNothing(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(60))
+	w := newManyGateways(t, 100, testServers(60))
 	w.code = func(i int) Code {
 		if i%10 == 0 {
 			return ConnectFailed
@@ -197,7 +197,7 @@
 // together they use all servers evenly, and when a gateway's preferred servers are removed
 // it uses the others.
 func TestGatewaysGoToFewServersEach(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(60))
+	w := newManyGateways(t, 100, testServers(60))
 	id := 0
 	ask := func(rounds int) {
 		for range rounds {
@@ -242,7 +242,7 @@
 // When outcomes show that one class fails on a server, its watcher ejects the server
 // for this class at all gateways; other classes are still sent there.
 func TestWatcherTellsOfOneClass(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	s := w.gs[0].servers[3]
 	id := 0
 	for range 6 {
@@ -251,9 +251,9 @@
 			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{shortVersion}}) // incomplete: ignored
 			g := w.gs[from]
 			w.do(s.watchers[0], PeerMessage{From: from,
-				Data: encode(sight{uint32(s.ID), byte(g.classes["safe"].no), byte(Error), 5})})
+				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
 			w.do(s.watchers[0], PeerMessage{From: from,
-				Data: encode(sight{uint32(s.ID), byte(g.classes["once"].no), byte(OK), 80})})
+				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["once"].index), byte(OK), 80})})
 		}
 	}
 	w.pass(100*ms, nil)
@@ -282,15 +282,15 @@
 // The watcher may become unreachable together with the server: connection failures are
 // also reported to a second watcher.
 func TestSecondWatcherTellsOfUnreachable(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(10))
+	w := newManyGateways(t, 100, testServers(10))
 	s := w.gs[0].servers[3]
 	w.lose = func(from, to int) bool { return from == s.watchers[0] || to == s.watchers[0] }
 	cl := w.gs[70].classes["safe"]
 	for range 6 {
-		w.gs[70].now, w.gs[70].acts = w.now, nil
+		w.gs[70].now, w.gs[70].actions = w.now, nil
 		w.gs[70].sight(w.gs[70].servers[3], cl, ConnectFailed, 250*ms)
-		acts := w.gs[70].acts
-		for _, a := range of[Tell](acts) {
+		acts := w.gs[70].actions
+		for _, a := range actionsOf[SendPeer](acts) {
 			if a.To == s.watchers[1] {
 				w.do(a.To, PeerMessage{From: 70, Data: a.Data})
 			}
@@ -342,7 +342,7 @@
 // allows through a hundred gateways, stays within the limit and uses most of it. Two roots that
 // exchange reports twice a second could not enforce a limit of five between them.
 func TestCapWithARateIsHeldByOneRoot(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(40))
+	w := newManyGateways(t, 100, testServers(40))
 	w.takes = 300 * ms
 	asked, beyond := 0, 0
 	w.pass(20*time.Second, func(at time.Duration) {
--- a/policy/line.go
+++ b/policy/line.go
@@ -10,7 +10,7 @@
 
 // willMissTarget reports whether an idle server of average speed would answer a request after its latency target.
 func (g *Gateway) late(r *request) bool {
-	return (g.now-r.arrived+r.spent).Seconds()+r.cl.mean > r.cl.Aim.Seconds()
+	return (g.now-r.arrivedAt+r.waitedBefore).Seconds()+r.class.mean > r.class.LatencyTarget.Seconds()
 }
 
 // compareWaiting orders requests that wait for the same servers: first those that can still meet their
@@ -22,14 +22,14 @@
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(a.prio, b.prio), cmp.Compare(a.arrived, b.arrived))
+	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.arrivedAt, b.arrivedAt))
 }
 
 // mayBypassQueue reports whether a new request may be sent ahead of all waiting ones: no request of its customer
 // waits for units, and no request that precedes it waits for the same servers.
 func (g *Gateway) first(r *request) bool {
-	if g.set.Field == nil {
-		return len(r.c.held) == 0
+	if g.cfg.MultiService == nil {
+		return len(r.customer.held) == 0
 	}
 	for _, c := range g.waiting {
 		for _, other := range c.held {
@@ -64,7 +64,7 @@
 		} else if !g.room(r.c, false) || !g.try(r) {
 			fullServers[serverKey] = r.attempts == 0
 		} else {
-			g.unhold(r.c, slices.Index(r.c.held, r))
+			g.dequeue(r.customer, slices.Index(r.customer.held, r))
 		}
 	}
 }
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -4,17 +4,17 @@
 
 // sumPeerLoads sums the peers' attempts in flight at each server, without those of silent peers.
 func (g *Gateway) sumLoads() {
-	if g.set.Field != nil {
+	if g.cfg.MultiService != nil {
 		g.usualLoads()
 	}
 	if g.tree || g.wide {
 		return // reports contain no servers
 	}
-	for _, s := range g.fleet {
-		s.heard = 0
+	for _, s := range g.serverList {
+		s.peerInFlight = 0
 		for _, p := range g.peers {
 			if p != nil && !g.silent(p) {
-				s.heard += p.outs[s.hash]
+				s.peerInFlight += p.inFlight[s.hash]
 			}
 		}
 	}
@@ -22,8 +22,8 @@
 
 // noteServerLoad records the load that a server reports with an answer.
 func (g *Gateway) hears(s *server, load []float64) {
-	if len(load) == 3 && g.set.Field != nil {
-		s.others, s.othersAt, s.told = max(0, load[0]+load[1]-float64(s.out)), g.now, true
+	if len(load) == 3 && g.cfg.MultiService != nil {
+		s.otherInFlight, s.otherInFlightAt, s.hasLoadReport = max(0, load[0]+load[1]-float64(s.inFlight)), g.now, true
 	}
 }
 
@@ -32,10 +32,10 @@
 // gateways would crowd onto the same ones by turns. This way, a gateway prefers servers that had room when they last
 // answered it, which few other gateways know.
 func (g *Gateway) otherLoad(s *server) float64 {
-	if !s.told {
-		return s.usual
+	if !s.hasLoadReport {
+		return s.typicalInFlight
 	}
-	return s.usual + (s.others-s.usual)*math.Exp(-(g.now-s.othersAt).Seconds()/toldSpan.Seconds())
+	return s.typicalInFlight + (s.otherInFlight-s.typicalInFlight)*math.Exp(-(g.now-s.otherInFlightAt).Seconds()/toldSpan.Seconds())
 }
 
 // updateUsualLoads computes the average load at the servers of a service in a region: the mean of their last reports,
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -14,8 +14,8 @@
 // reportUrgency orders the customers in a report: by held requests and by unreported
 // units relative to the bucket size, then by the time since they were last reported.
 func (g *Gateway) urgent(c *customer) float64 {
-	units := float64(c.passed-c.toldUnits) / (c.plan.Burst + 1)
-	return float64(len(c.held)) + units + untold*float64(g.ticks-c.told)
+	units := float64(c.passedUnits-c.reportedUnits) / (c.plan.Burst + 1)
+	return float64(len(c.held)) + units + untold*float64(g.tickCount-c.reportedTick)
 }
 
 // askRoot asks the customer's root to admit a request, again if the message or its reply is lost, and then the
@@ -29,21 +29,21 @@
 		}
 		return
 	}
-	to := c.ask[0]
-	if p := g.peer(to); r.asked >= rootAsks || p.missed >= rootAsks && g.now-p.missedAt < rootRest {
-		to = c.ask[1]
+	to := c.askRoots[0]
+	if p := g.peerAt(to); r.askCount >= rootAsks || p.missed >= rootAsks && g.now-p.missedAt < rootRest {
+		to = c.askRoots[1]
 	}
-	if to == g.set.Me {
+	if to == g.cfg.Me {
 		g.admit(r)
 		return
 	}
-	if r.asked > 0 {
-		p := g.peer(r.root)
-		p.missed, p.missedAt, g.deaf = p.missed+1, g.now, g.deaf+1
-		g.heard -= learn * g.heard
+	if r.askCount > 0 {
+		p := g.peerAt(r.root)
+		p.missed, p.missedAt, g.unansweredAsks = p.missed+1, g.now, g.unansweredAsks+1
+		g.answeredShare -= learn * g.answeredShare
 	}
-	if r.asked == 0 {
-		r.own = c.ceiling >= r.units
+	if r.askCount == 0 {
+		r.ownCeiling = c.ceiling >= r.units
 	}
 	if r.asked == 0 || r.root != to { // the tag stays when the same root is asked again
 		if r.asked > 0 {
@@ -53,13 +53,13 @@
 		r.tag = g.nextTag
 	}
 	r.root, r.askedAt = to, g.now
-	r.asked++
-	wait := max(leastReply, time.Duration(replySpread*float64(g.reply)))
-	r.until = min(g.now+wait, r.deadline-2*g.set.Resolution)
-	g.asks[r.tag] = r
-	g.asking = append(g.asking, r)
-	g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
-	g.do(SetTimer{Token: "ask", After: r.until - g.now})
+	r.askCount++
+	wait := max(leastReply, time.Duration(replySpread*float64(g.meanReplyTime)))
+	r.askUntil = min(g.now+wait, r.deadline-2*g.cfg.Resolution)
+	g.pendingAsks[r.tag] = r
+	g.askTimeouts = append(g.askTimeouts, r)
+	g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
+	g.emit(SetTimer{Token: "ask", After: r.askUntil - g.now})
 }
 
 // mayAdmitWithoutRoot reports whether a request may pass though no root answers. If no peer answers, this gateway
--- a/policy/report.go
+++ b/policy/report.go
@@ -148,7 +148,7 @@
 	if outdated {
 		passed = max(0, passed)
 	} else {
-		lent = float64(e.given-v.got) / lendScale
+		lent = float64(e.given-v.borrowedTotal) / lendScale
 	}
 	v.heard, v.inc, v.passed, v.got = true, inc, e.passed, e.given
 	v.at, v.rate = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -26,14 +26,14 @@
 		}
 		g.advance(c)
 		e := entry{hash: c.hash, held: byte(min(len(c.held), maxHeld)),
-			out:    byte(min(math.Round(outScale*math.Sqrt(c.mean)), 15)),
-			passed: byte(c.passed), given: v.gave, store: unknownStore, anew: g.now-c.born < anewFor,
-			rate: min(maxRate, small(rateScale*math.Log2(1+c.rate/demandSpan.Seconds())))}
-		if c.known && c.plan.Burst > 0 {
-			e.store = small(250 * max(c.store, 0) / c.plan.Burst)
+			out:    byte(min(math.Round(outScale*math.Sqrt(c.meanInFlight)), 15)),
+			passed: byte(c.passedUnits), given: v.lentTotal, store: unknownStore, anew: g.now-c.createdAt < anewFor,
+			rate: min(maxRate, toByte(rateScale*math.Log2(1+c.demand/demandSpan.Seconds())))}
+		if c.bucketKnown && c.plan.Burst > 0 {
+			e.store = toByte(250 * max(c.bucket, 0) / c.plan.Burst)
 		}
 		m.customers = append(m.customers, e)
-		c.told = g.ticks
+		c.reportedTick = g.tickCount
 	}
 	return m
 }
@@ -43,19 +43,19 @@
 	if p.heard && p.inc == m.inc && int32(m.seq-p.seq) <= 0 {
 		return // outdated or duplicate: a later report contains all of its figures
 	}
-	if m.complete || p.inc != m.inc {
+	if m.complete || p.incarnation != m.inc {
 		for _, v := range p.views {
-			v.out, v.held = 0, 0
+			v.inFlight, v.held = 0, 0
 		}
 	}
-	p.heard, p.inc, p.seq, p.at, p.complete = true, m.inc, m.seq, g.now, m.complete
-	p.outs = map[uint16]float64{}
+	p.reported, p.incarnation, p.reportSeq, p.reportedAt, p.complete = true, m.inc, m.seq, g.now, m.complete
+	p.inFlight = map[uint16]float64{}
 	for _, o := range m.servers {
-		p.outs[o.hash] = float64(o.out)
+		p.inFlight[o.hash] = float64(o.out)
 	}
 	g.sumLoads()
 	for _, e := range m.customers {
-		if c := g.byHash[e.hash]; c != nil {
+		if c := g.customersByHash[e.hash]; c != nil {
 			g.hear(c, p, e)
 		}
 	}
@@ -73,7 +73,7 @@
 	}
 	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.urgency, a.urgency) })
 	for _, p := range g.peers {
-		if p == nil || p.num == g.set.Me || g.tree && len(p.views) == 0 {
+		if p == nil || p.index == g.cfg.Me || g.usesRoots && len(p.views) == 0 {
 			continue
 		}
 		if m := g.message(p, changed); !g.tree || len(m.customers) > 0 {
@@ -90,7 +90,7 @@
 // applyReportEntry takes over a peer's figures of a customer. Running totals make up for
 // lost reports; when the peer has restarted, its total is a new base.
 func (g *Gateway) hear(c *customer, p *peer, e entry) {
-	v := c.view(p)
+	v := c.viewOf(p)
 	if v == nil {
 		return
 	}
@@ -108,5 +108,5 @@
 
 // hasNews reports whether reports must include a customer.
 func (c *customer) news() bool {
-	return len(c.set) > 0 && (c.out > 0 || c.mean > 0 || len(c.held) > 0 || c.fresh > 0)
+	return len(c.views) > 0 && (c.inFlight > 0 || c.meanInFlight > 0 || len(c.held) > 0 || c.reportsLeft > 0)
 }
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -8,13 +8,13 @@
 func TestNothingNewToDrainingOrGone(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ev   Members
+		ev   ServerList
 	}{
-		{"draining", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Draining}}}},
-		{"removed", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Removed}}}},
-		{"not in the whole list", Members{Kind: Whole, Servers: fleet(4)[1:]}},
+		{"draining", ServerList{Kind: ChangedServers, Servers: []Server{{ID: 1, State: Draining}}}},
+		{"removed", ServerList{Kind: ChangedServers, Servers: []Server{{ID: 1, State: Removed}}}},
+		{"not in the whole list", ServerList{Kind: CompleteList, Servers: testServers(4)[1:]}},
 	} {
-		w := newWorld(t, base(), fleet(4))
+		w := newTestGateway(t, testSettings(), testServers(4))
 		w.do(c.ev)
 		for range 100 {
 			s := w.send("safe", "free")
@@ -22,15 +22,15 @@
 				t.Fatalf("%s: sent", c.name)
 			}
 			w.now += 30 * ms
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
 	}
 }
 
 func TestColdServerBudget(t *testing.T) {
-	servers := fleet(4)
-	servers[0].HasStart, servers[0].Start = true, time.Second
-	w := newWorld(t, base(), servers)
+	servers := testServers(4)
+	servers[0].HasStartTime, servers[0].StartTime = true, time.Second
+	w := newTestGateway(t, testSettings(), servers)
 	cold, warm := 0, 0
 	for range 100 {
 		w.now += 10 * ms
@@ -38,7 +38,7 @@
 			cold++
 		} else {
 			warm++
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		}
 	}
 	if each := float64(warm) / 3; float64(cold) > 0.2*2*each {
@@ -51,7 +51,7 @@
 		w := newWorld(t, base(), fleet(6))
 		sendsTo := func(failing bool, n int) (hits int) {
 			for range n {
-				w.pass(25 * ms)
+				w.advance(25 * ms)
 				s := w.send("safe", "free")
 				for k := 0; ; k++ {
 					hit := s.Server == 1
@@ -89,7 +89,7 @@
 	for i := range 300 {
 		w.now += 25 * ms
 		s := w.send("once", "free") // fails the test when there is none
-		w.end(s, 0, Error)
+		w.finish(s, 0, Error)
 		if i >= 200 {
 			used[s.Server]++
 		}
@@ -105,11 +105,11 @@
 	for i := range 300 {
 		s := w.send("safe", "free")
 		if s.Server != 1 {
-			w.end(s, 0, OK)
+			w.finish(s, 0, OK)
 		} else if i > 150 {
 			lateSends++
 		}
-		for _, a := range w.pass(25 * ms) {
+		for _, a := range w.advance(25 * ms) {
 			if c, ok := a.(Cancel); ok {
 				cancelled++
 				for _, s := range of[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
@@ -124,8 +124,8 @@
 }
 
 func TestAsksForTheListWhereItMust(t *testing.T) {
-	s := base()
-	s.MustAsk = true
+	s := testSettings()
+	s.MustWatch = true
 	g, _ := New(s, 1)
 	w := &world{t: t, g: g, now: time.Second}
 	if n := len(of[Watch](w.do(Members{Kind: Remembered}))); n != 1 {
@@ -140,32 +140,32 @@
 // Removed servers are dropped from all tables, and do not count in the number of
 // running servers.
 func TestGoneServersAreForgotten(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 200 {
 		w.now += 20 * ms
-		w.do(Members{Kind: Changes, Servers: []Server{
+		w.do(ServerList{Kind: ChangedServers, Servers: []Server{
 			{ID: ServerID(i + 3), Zone: "a", Weight: 1}, {ID: ServerID(i + 2), State: Removed}}})
 	}
-	w.pass(forgetAfter + 2*time.Second)
-	if len(w.g.fleet) != 2 || len(w.g.servers) != 2 || w.g.live != 2 || w.g.size != 1 {
-		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.fleet), len(w.g.servers), w.g.live, w.g.size)
+	w.advance(forgetAfter + 2*time.Second)
+	if len(w.g.serverList) != 2 || len(w.g.servers) != 2 || w.g.runningServers != 2 || w.g.meanWeight != 1 {
+		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.serverList), len(w.g.servers), w.g.runningServers, w.g.meanWeight)
 	}
 }
 
 // When the warm servers are full, the cold one still gets no more than its budget.
 func TestColdBudgetHoldsUnderLoad(t *testing.T) {
-	servers := fleet(4)
-	servers[0].HasStart, servers[0].Start = true, time.Second
-	w := newWorld(t, base(), servers)
+	servers := testServers(4)
+	servers[0].HasStartTime, servers[0].StartTime = true, time.Second
+	w := newTestGateway(t, testSettings(), servers)
 	cold := 0
 	for range 60 {
 		w.now += 10 * ms
-		_, acts := w.ask("once", "free", "c", 1)
+		_, acts := w.request("once", "free", "c", 1)
 		for len(acts) > 0 {
 			s, more := acts[0], []Action(nil)
 			if s, ok := s.(Send); ok && s.Server == 1 {
 				cold++
-				more = w.end(s, 0, OK)
+				more = w.finish(s, 0, OK)
 			}
 			acts = append(acts[1:], more...)
 		}
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -62,7 +62,7 @@
 		panic(err)
 	}
 	m.gs[i], m.told[i] = g, 0
-	m.do(i, Members{Kind: Whole, Servers: m.servers})
+	m.do(i, ServerList{Kind: CompleteList, Servers: m.servers})
 	m.do(i, fieldTerms(m.plans...))
 	m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, maxDelay)
 }
@@ -73,12 +73,12 @@
 }
 
 func (m *serviceGateways) do(i int, ev Event) {
-	if p, ok := ev.(Peers); ok {
+	if p, ok := ev.(GatewaySet); ok {
 		m.told[i] = p.Gateways
 	}
 	for _, a := range m.gs[i].Handle(m.now, ev, nil) {
 		switch a := a.(type) {
-		case Tell:
+		case SendPeer:
 			if m.gs[a.To] != nil && m.rnd.Float64() >= m.lost {
 				m.way = append(m.way, arrival{m.upTo(40 * ms), m.gs[a.To], PeerMessage{From: i, Data: a.Data}})
 			}
@@ -103,7 +103,7 @@
 		return
 	}
 	m.ids++
-	r.ID, r.Units, r.Remaining, r.Spread = m.ids, 1, 2*time.Second, m.told[i]
+	r.ID, r.Units, r.Remaining, r.GatewayCount = m.ids, 1, 2*time.Second, m.told[i]
 	m.do(i, r)
 }
 
--- a/policy/store.go
+++ b/policy/store.go
@@ -21,12 +21,12 @@
 		c.n = g.ownOf(float64(g.parts))
 	}
 	roots, deputy := g.roots(c)
-	if g.wide {
+	if g.borrows {
 		g.deal(c)
-	} else if slices.Contains(roots, g.set.Me) || !g.tree {
-		g.views(c, roots)
-	} else if plan.Rate > 0 || plan.Open > 0 {
-		c.ask = []int{roots[g.set.Me%len(roots)], deputy}
+	} else if slices.Contains(roots, g.cfg.Me) || !g.usesRoots {
+		g.addViews(c, roots)
+	} else if plan.Rate > 0 || plan.MaxInFlight > 0 {
+		c.askRoots = []int{roots[g.cfg.Me%len(roots)], deputy}
 	}
 	if g.tree { // each gateway has a part of the ceiling, roots and deputy a larger one: the parts add up to it
 		ownShare := memberPart / float64(gatewayCount)
@@ -50,7 +50,7 @@
 // advance refills a customer's buckets up to now. A silent peer is assumed to use
 // its share of the rate by demand: it may merely be partitioned from this gateway.
 func (g *Gateway) advance(c *customer) {
-	dt := (g.now - c.at).Seconds()
+	dt := (g.now - c.refilledAt).Seconds()
 	if dt <= 0 {
 		return
 	}
@@ -72,8 +72,8 @@
 	for _, view := range c.set {
 		view.rate *= decay
 	}
-	if !c.known && c.plan.Rate > 0 && (g.now-g.start).Seconds() > c.plan.Burst/c.plan.Rate {
-		c.known = true
+	if !c.bucketKnown && c.plan.Rate > 0 && (g.now-g.startedAt).Seconds() > c.plan.Burst/c.plan.Rate {
+		c.bucketKnown = true
 	}
 }
 
@@ -105,7 +105,7 @@
 
 // demandShare returns this gateway's share of the total demand.
 func (g *Gateway) share(c *customer) float64 {
-	return (c.rate/demandSpan.Seconds() + g.even(c)) / g.demand(c)
+	return (c.demand/demandSpan.Seconds() + g.even(c)) / g.demand(c)
 }
 
 // allowance returns how many units of the customer's bucket this gateway may pass now: its share by demand, or
@@ -127,12 +127,12 @@
 // Loans are deducted here before the peer adds them, a part never exceeds its even share, and units lost
 // in transit are not restored: all parts together stay below the ceiling.
 func (g *Gateway) lend(c *customer, dt time.Duration) {
-	if c.plan.HardRate == 0 || len(c.set) == 0 || g.tree || g.less >= 1 {
+	if c.plan.HardRate == 0 || len(c.views) == 0 || g.usesRoots || g.unusedShare >= 1 {
 		return
 	}
 	g.advance(c)
-	if c.lent *= math.Exp(-dt.Seconds() / lendSpan.Seconds()); c.lent < 1/lendScale/16 {
-		c.lent = 0
+	if c.onLoan *= math.Exp(-dt.Seconds() / lendSpan.Seconds()); c.onLoan < 1/lendScale/16 {
+		c.onLoan = 0
 	}
 	fairRate, wanted := c.plan.HardRate/c.n, 0.0
 	if g.set.Field != nil {
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -17,23 +17,23 @@
 func TestHeardUnitsAreTakenOff(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		tell func(w *world)
+		tell func(w *testGateway)
 		most int
 	}{
-		{"told", func(w *world) {
-			w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+		{"told", func(w *testGateway) {
+			w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
 		}, 2},
-		{"repeated", func(w *world) {
+		{"repeated", func(w *testGateway) {
 			for range 3 {
-				w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+				w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
 			}
 		}, 6},
-		{"lost, then told", func(w *world) {
-			w.hear(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
-			w.hear(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+		{"lost, then told", func(w *testGateway) {
+			w.report(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+			w.report(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
 		}, 2},
-		{"restarted", func(w *world) {
-			w.hear(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+		{"restarted", func(w *testGateway) {
+			w.report(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
 		}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -59,11 +59,11 @@
 }
 
 func TestSilentPeerNeitherFreesNorBlocks(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "open")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
-	w.pass(3 * time.Second)
-	if n := w.spend(1, "open"); n != 1 {
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.requestMany(1, "open")
+	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
+	w.advance(3 * time.Second)
+	if n := w.requestMany(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
 	}
 	_, first := w.ask("safe", "open", "c", 1)
@@ -77,7 +77,7 @@
 // A client refused for its quota is advised to retry when the bucket will hold the units it
 // needs; after a longer wait it would return too late to be served.
 func TestAdviceFollowsTheStore(t *testing.T) {
-	set := base()
+	set := testSettings()
 	set.MaxRetryAfter = 5 * time.Second
 	w := newWorld(t, set, fleet(3))
 	w.spend(40, "rate")
@@ -91,25 +91,25 @@
 }
 
 func TestSettledUnitsComeOff(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.hear(1, 1, 1, true)
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.report(1, 1, 1, true)
 	s := w.send("safe", "rate")
-	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Actual: 9})
-	if n := w.spend(5, "rate"); n > 1 {
+	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Final: true, ActualUnits: 9})
+	if n := w.requestMany(5, "rate"); n > 1 {
 		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
 	}
 }
 
 // While a peer is never heard from, this gateway gets its own share of the quota, not all of it.
 func TestUnheardPeerKeepsItsPart(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "rate")
-	w.pass(60 * time.Second)
-	w.spend(10, "rate")
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.requestMany(1, "rate")
+	w.advance(60 * time.Second)
+	w.requestMany(10, "rate")
 	n := 0
 	for range 100 {
-		w.pass(100 * ms)
-		n += w.spend(3, "rate")
+		w.advance(100 * ms)
+		n += w.requestMany(3, "rate")
 	}
 	if n < 50 || n > 85 {
 		t.Fatalf("%d of 100 units passed beside a peer never heard from", n)
@@ -119,10 +119,10 @@
 // A customer is dropped once its state equals that of a new one: its bucket must be full
 // again, and the peers' use of it must have ended.
 func TestIdleCustomersAreForgotten(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 50 {
-		_, acts := w.ask("safe", "rate", fmt.Sprint(i), 1)
-		w.end(of[Send](acts)[0], 0, OK)
+		_, acts := w.request("safe", "rate", fmt.Sprint(i), 1)
+		w.finish(actionsOf[Send](acts)[0], 0, OK)
 		w.now += 20 * ms
 	}
 	c := w.g.customers[keyOf("7")]
@@ -140,17 +140,17 @@
 // A gateway that dropped a customer restarts its running total from 0: peers must deduct the
 // new units, and must not return old ones to the bucket.
 func TestTotalThatBeginsAnewGrantsNothing(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
-	w.spend(1, "rate")
+	w := newTestGateway(t, testSettings(), testServers(2))
+	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	seq := uint32(0)
 	receive := func(passed byte, newTotal bool) float64 {
 		seq++
 		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: newTotal, store: unknownStore}}}
 		w.g.advance(c)
-		before := c.store
+		before := c.bucket
 		w.do(PeerMessage{From: 1, Data: m.encode()})
-		return before - c.store
+		return before - c.bucket
 	}
 	if deducted := receive(3, true); deducted != 3 {
 		t.Errorf("%v units deducted at the first report of a new total of 3", deducted)
@@ -166,9 +166,9 @@
 
 // A new peer's fill of the bucket is taken over: the bucket may be full at this gateway only.
 func TestPeerJustMetTellsOfItsStore(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
-	w.pass(5 * time.Second)
-	w.spend(1, "rate")
+	w := newTestGateway(t, testSettings(), testServers(2))
+	w.advance(5 * time.Second)
+	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, store: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -15,8 +15,8 @@
 		if state := g.plans[p.Name]; state != nil {
 			state.Plan = p
 		} else {
-			g.plans[p.Name] = &quota{Plan: p, no: byte(len(g.set.Plans))}
-			g.set.Plans = append(g.set.Plans, p)
+			g.plans[p.Name] = &planState{Plan: p, index: byte(len(g.cfg.Plans))}
+			g.cfg.Plans = append(g.cfg.Plans, p)
 		}
 	}
 	for _, cl := range ev.Classes {
@@ -24,12 +24,12 @@
 			c.Class = cl
 			continue
 		}
-		g.classes[cl.Name] = &class{Class: cl, no: len(g.set.Classes), mean: cl.Aim.Seconds() / firstGuess}
-		g.set.Classes = append(g.set.Classes, cl)
-		g.minAim = min(g.minAim, cl.Aim.Seconds())
+		g.classes[cl.Name] = &class{Class: cl, index: len(g.cfg.Classes), mean: cl.LatencyTarget.Seconds() / firstGuess}
+		g.cfg.Classes = append(g.cfg.Classes, cl)
+		g.minTarget = min(g.minTarget, cl.LatencyTarget.Seconds())
 	}
-	for _, c := range g.ring {
-		g.cap(c, c.plan.HardBurst/c.n)
+	for _, c := range g.customerList {
+		g.cap(c, c.plan.HardBurst/c.parts)
 	}
 }
 
@@ -48,8 +48,8 @@
 	g.parts, g.less, g.barren = ev.Shares, ev.Less, ev.Barren || ev.Less > 0
 	g.regions = slices.Compact(slices.Sorted(slices.Values(ev.Regions)))
 	g.regions = slices.DeleteFunc(g.regions, func(r string) bool { return r == "" })
-	g.wide = g.set.Field != nil && max(g.set.Gateways, g.parts) > wideBeyond && len(g.regions) > 0
-	for len(g.peers) < g.set.Gateways {
+	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > wideBeyond && len(g.regions) > 0
+	for len(g.peers) < g.cfg.Gateways {
 		g.peers = append(g.peers, nil)
 	}
 	g.allPeers()
@@ -58,11 +58,11 @@
 			p.views = nil
 		}
 	}
-	for _, c := range g.ring {
+	for _, c := range g.customerList {
 		g.remake(c)
 	}
-	for _, s := range g.fleet {
-		s.watchers, s.colds = [2]int{ev.Me, ev.Me}, g.coldSends(s.Server)
+	for _, s := range g.serverList {
+		s.watchers, s.coldSendQuota = [2]int{ev.Me, ev.Me}, g.coldSends(s.Server)
 	}
 }
 
@@ -78,22 +78,22 @@
 
 // updateGatewayCount adjusts a customer's ceiling and peers to a changed number of gateways.
 func (g *Gateway) remake(c *customer) {
-	c.spread, c.n = g.set.Gateways, g.ownOf(float64(g.shares()))
-	if g.wide {
+	c.gatewayCount, c.parts = g.cfg.Gateways, g.ownOf(float64(g.shares()))
+	if g.borrows {
 		g.deal(c)
-		c.set = nil
-		g.cap(c, max(1, c.plan.HardBurst/c.n))
+		c.views = nil
+		g.cap(c, max(1, c.plan.HardBurst/c.parts))
 		return
 	}
-	g.cap(c, c.plan.HardBurst/c.n)
-	c.set = slices.DeleteFunc(c.set, func(v *peerView) bool { return g.gone(v.p) })
+	g.cap(c, c.plan.HardBurst/c.parts)
+	c.views = slices.DeleteFunc(c.views, func(v *peerView) bool { return g.gone(v.peer) })
 	var missing []int
-	for i := range g.set.Gateways {
-		if p := g.peer(i); !g.gone(p) && c.view(p) == nil {
+	for i := range g.cfg.Gateways {
+		if p := g.peerAt(i); !g.gone(p) && c.viewOf(p) == nil {
 			missing = append(missing, i)
 		}
 	}
-	g.views(c, missing)
+	g.addViews(c, missing)
 }
 
 // ceilingDivisor returns the number by which ceilings are divided for this gateway's part: n, or more if this gateway
@@ -102,9 +102,9 @@
 
 // onRelinquish offers other gateways the ceiling units held here, but for those that held requests need.
 func (g *Gateway) onYield() {
-	g.less, g.barren = 1, true
-	clear(g.budgets)
-	for _, c := range g.ring {
+	g.unusedShare, g.noColdSends = 1, true
+	clear(g.retryBudgets)
+	for _, c := range g.customerList {
 		if g.advance(c); c.plan.HardRate > 0 {
 			units := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.set.LargestUnits))
 			c.ceiling -= units
@@ -112,18 +112,18 @@
 				g.do(Give{Customer: c.key, Units: uint16(min(units, math.MaxUint16)), To: recipients})
 			}
 		}
-		c.n = g.ownOf(float64(g.shares()))
+		c.parts = g.ownOf(float64(g.shares()))
 	}
-	for _, s := range g.fleet {
-		s.colds = 0
+	for _, s := range g.serverList {
+		s.coldSendQuota = 0
 	}
 }
 
 // unitRecipients returns the gateways that may take over a customer's units: in this region, by rendezvous hashing as
 // for owners.
 func (g *Gateway) heirs(c *customer) (list []int) {
-	for i, r := range g.regionOf {
-		if i != g.set.Me && g.set.Me < len(g.regionOf) && r == g.regionOf[g.set.Me] {
+	for i, r := range g.gatewayRegions {
+		if i != g.cfg.Me && g.cfg.Me < len(g.gatewayRegions) && r == g.gatewayRegions[g.cfg.Me] {
 			list = append(list, i)
 		}
 	}
@@ -170,37 +170,37 @@
 		if plan == nil {
 			return
 		}
-		c = g.account(ev.Customer, plan, 0, g.set.Gateways)
+		c = g.account(ev.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
-	c.seen = g.now
-	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n-c.lent, c.ceiling+float64(ev.Units)))
+	c.lastRequestAt = g.now
+	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+float64(ev.Units)))
 }
 
 // isNotPeer reports whether a number no longer belongs to a peer: it is this gateway's, or unused.
 func (g *Gateway) gone(p *peer) bool {
-	return p.num == g.set.Me || p.num >= g.set.Gateways || len(g.regionOf) > p.num && g.regionOf[p.num] == ""
+	return p.index == g.cfg.Me || p.index >= g.cfg.Gateways || len(g.gatewayRegions) > p.index && g.gatewayRegions[p.index] == ""
 }
 
 // ceilingPartCount returns the number of parts into which ceilings are divided.
 func (g *Gateway) shares() int {
-	if g.parts > 0 {
-		return g.parts
+	if g.ceilingParts > 0 {
+		return g.ceilingParts
 	}
-	return g.set.Gateways
+	return g.cfg.Gateways
 }
 
 // New returns a gateway without any state, or an error if the settings are invalid. The seed
 // determines its random choices: equal settings, seeds and events give equal actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	g := newGateway(s, seed)
-	g.minAim = math.Inf(1)
+	g.minTarget = math.Inf(1)
 	for _, c := range g.classes {
-		c.mean = c.Aim.Seconds() / firstGuess
-		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.Aim.Seconds())
+		c.mean = c.LatencyTarget.Seconds() / firstGuess
+		g.meanLatency, g.minTarget = max(g.meanLatency, c.mean), min(g.minTarget, c.LatencyTarget.Seconds())
 	}
 	messageRate := max(s.MailPerSecond*mailShare, 1)
 	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / messageRate * float64(time.Second))
@@ -211,14 +211,14 @@
 	} else {
 		g.allPeers()
 	}
-	g.tick = max(min(max(g.tick, minTick), maxTick), s.Resolution)
+	g.tickInterval = max(min(max(g.tickInterval, minTick), maxTick), s.Resolution)
 	g.setField()
 	return g, nil
 }
 
 // applyMultiService shortens the tick for gateways that serve many services; not every tick sends reports.
 func (g *Gateway) setField() {
-	if f := g.set.Field; f != nil {
-		g.every, g.tick = uint32(max(1, f.Report/fieldTick)), fieldTick
+	if f := g.cfg.MultiService; f != nil {
+		g.reportTicks, g.tickInterval = uint32(max(1, f.ReportInterval/fieldTick)), fieldTick
 	}
 }
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -11,5 +11,5 @@
 // mayTakeTrial reports whether a request may be sent to a server as a trial, as its first attempt. A server that gets
 // trials only is tested with requests that may run again; one for safe requests only, with those that must not.
 func (s *server) tries(r *request) bool {
-	return s.trust.Try && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == NoTrust)
+	return s.trust.Trial && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == TrialsOnly)
 }
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -44,32 +44,32 @@
 
 // mayBorrow reports whether there is a gateway to borrow from for a request whose customer lacks units here.
 func (g *Gateway) mayBorrow(r *request) bool {
-	if !g.wide {
-		r.c.near = g.lenders(r)
+	if !g.borrows {
+		r.customer.owners = g.lenders(r)
 	}
-	return len(r.c.near) > 0
+	return len(r.customer.owners) > 0
 }
 
 // borrow asks the possible lenders for a request's units, one after the other.
 func (g *Gateway) borrow(r *request) {
-	for delete(g.asks, r.tag); r.asked < len(r.c.near); {
-		to := r.c.near[r.asked]
-		r.asked++
-		p := g.peer(to)
-		if to == g.set.Me || p.missed >= rootAsks && g.now-p.missedAt < rootRest || !g.wide && g.tired(r) {
+	for delete(g.pendingAsks, r.tag); r.askCount < len(r.customer.owners); {
+		to := r.customer.owners[r.askCount]
+		r.askCount++
+		p := g.peerAt(to)
+		if to == g.cfg.Me || p.missed >= rootAsks && g.now-p.missedAt < rootRest || !g.borrows && g.tired(r) {
 			continue
 		}
 		g.nextTag++
-		r.tag, r.root, r.askedAt, r.until = g.nextTag, to, g.now, g.now+borrowWait
-		g.asks[r.tag], g.asking = r, append(g.asking, r)
-		g.do(Tell{To: to, Data: encode(want{r.c.key, r.tag, uint16(math.Ceil(r.units))})})
-		g.do(SetTimer{Token: "ask", After: borrowWait})
+		r.tag, r.root, r.askedAt, r.askUntil = g.nextTag, to, g.now, g.now+borrowWait
+		g.pendingAsks[r.tag], g.askTimeouts = r, append(g.askTimeouts, r)
+		g.emit(SendPeer{To: to, Data: encode(loanRequest{r.customer.key, r.tag, uint16(math.Ceil(r.units))})})
+		g.emit(SetTimer{Token: "ask", After: borrowWait})
 		return
 	}
-	if r.beyond = g.wide; r.beyond {
+	if r.overQuota = g.borrows; r.overQuota {
 		g.refuse(r)
 	} else {
-		r.c.dryAt = g.now
+		r.customer.noLenderAt = g.now
 		g.admit(r)
 	}
 }
@@ -82,7 +82,7 @@
 		if plan == nil {
 			return // its configuration has not arrived yet; the peer asks another gateway after a timeout
 		}
-		c = g.account(m.Customer, plan, 0, g.set.Gateways)
+		c = g.account(m.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
 	c.seen = g.now
@@ -99,7 +99,7 @@
 
 // onLoanTimeout records that a lender did not answer, and asks the next.
 func (g *Gateway) unanswered(r *request) {
-	p := g.peer(r.root)
+	p := g.peerAt(r.root)
 	p.missed, p.missedAt = p.missed+1, g.now
 	g.borrow(r)
 }
--- a/policy/wide_test.go
+++ b/policy/wide_test.go
@@ -66,7 +66,7 @@
 		passed := m.demand(25, 10*time.Second)
 		assert.Assert(t, passed > 0.97, "seed %d: %.3f passed", seed, passed)
 
-		owner := m.gs[0].customers[keyOf("t")].near[0]
+		owner := m.gs[0].customers[keyOf("t")].owners[0]
 		m.gs[owner] = nil
 		m.demand(25, time.Second)
 		passed = m.demand(25, 10*time.Second)
@@ -118,19 +118,19 @@
 		m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 	}
 	for i := range m.gs {
-		m.do(i, Peers{Me: i, Gateways: i + 1, Shares: 2, Regions: twoRegions(i + 1)})
+		m.do(i, GatewaySet{Me: i, Gateways: i + 1, CeilingParts: 2, Regions: twoRegions(i + 1)})
 	}
 	passed := m.demand(4, 2*time.Second)
 	assert.Assert(t, passed > 0, "nothing passes")
 	for i, g := range m.gs {
-		assert.Equal(t, len(g.asks), 0, "gateway %d", i)
+		assert.Equal(t, len(g.pendingAsks), 0, "gateway %d", i)
 	}
 }
 
 // heldRequests returns how many requests wait at all gateways.
 func (m *serviceGateways) heldNow() (n int) {
 	for _, g := range m.gs {
-		for _, c := range g.ring {
+		for _, c := range g.customerList {
 			n += len(c.held)
 		}
 	}
@@ -149,7 +149,7 @@
 
 	m = newServiceGateways(1, 1, fieldServers(3, "a"), limited(40, 40)) // there is no gateway to borrow from
 	m.demand(20, 4*time.Second)
-	for _, c := range m.gs[0].ring {
+	for _, c := range m.gs[0].customerList {
 		c.ceiling = 0
 	}
 	sentBefore := len(m.sends)
@@ -168,7 +168,7 @@
 		m.demand(3, 30*time.Second) // refills all parts
 		m.sends = nil
 		for range 10 {
-			m.gs[0].ring[0].ceiling = 0
+			m.gs[0].customerList[0].ceiling = 0
 			m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 			m.pass(300*ms, nil)
 		}
@@ -182,7 +182,7 @@
 // Restarted gateways have some ceiling units at once (HardStart), for requests that piled up during the restart.
 func TestStartHasRoom(t *testing.T) {
 	plan := limited(100, 100)
-	plan.HardStart = 40
+	plan.HardInitial = 40
 	m := newServiceGateways(4, 1, fieldServers(3, "a"), plan)
 	m.demand(60, 4*time.Second)
 	for i := range m.gs {
