--- a/policy/choose.go
+++ b/policy/choose.go
@@ -48,9 +48,9 @@
 
 // slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
 func (g *Gateway) packed(s *server, r *request) bool {
-	serviceTime, target := r.cl.mean*s.slow, r.cl.Aim.Seconds()
+	serviceTime, target := r.class.mean*s.slowdown, r.class.LatencyTarget.Seconds()
 	wait := max(0, g.load(s)+1-float64(s.Slots)) / float64(s.Slots) * serviceTime
-	if wait+serviceTime > target-(g.now-r.arrived+r.spent).Seconds() {
+	if wait+serviceTime > target-(g.now-r.arrivedAt+r.waitedBefore).Seconds() {
 		return wait > lateAim*target // this request misses its target anyway; a long queue would delay others too
 	}
 	return wait > queueAim*target
@@ -64,17 +64,16 @@
 // usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
 // budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || !s.serves(r) || !g.bears(s) ||
-		g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
+	if s.State != Running || !s.serves(r) || !g.bears(s) || g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
 		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
-	if cold := g.coldness(s); cold < 1 && g.set.Field == nil {
+	if cold := g.coldness(s); cold < 1 && g.cfg.MultiService == nil {
 		// The budget of each window, divided among all gateways: what a warm server
 		// receives, times the share of capacity that the cold server has at least.
-		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.set.FallTime })
-		warmRate := g.sendRate / max(1, float64(g.live))
-		if float64(len(s.sends)) >= max(1, warmRate*cold*g.set.FallMultiple*coldSafety) {
+		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.FailTime })
+		warmRate := g.recentSends / max(1, float64(g.runningServers))
+		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldSafety) {
 			return false
 		}
 	}
@@ -87,13 +86,13 @@
 	if m.ColdSendRate <= 0 {
 		return 0
 	}
-	budget := m.ColdSends * coldKeep
+	budget := m.ColdSendRate * coldKeep
 	owners := max(1, min(g.shares(), int(budget/coldLeast)))
-	rank, ownHash := 0, mixed(uint32(m.ID), uint32(g.set.Me))
-	for i := range g.set.Gateways {
-		if g.gone(g.peer(i)) {
+	rank, ownHash := 0, mixed(uint32(m.ID), uint32(g.cfg.Me))
+	for i := range g.cfg.Gateways {
+		if g.gone(g.peerAt(i)) {
 			continue // this gateway itself, or an unused number
-		} else if hash := mixed(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.set.Me {
+		} else if hash := mixed(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.cfg.Me {
 			rank++
 		}
 	}
@@ -108,8 +107,7 @@
 	if g.now >= s.ColdUntil {
 		return true
 	}
-	s.sends = slices.DeleteFunc(s.sends,
-		func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
+	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
 	return len(s.sends) < s.coldSendQuota
 }
 
@@ -118,19 +116,19 @@
 // few random servers by predicted latency and cost of crossing zones.
 func (g *Gateway) pick(r *request) *server {
 	var candidates, ejected []*server
-	for _, s := range g.fleet {
-		if s == r.last || !g.usable(s, r) || !s.trusted(r) {
+	for _, s := range g.serverList {
+		if s == r.lastServer || !g.usable(s, r) || !s.trusted(r) {
 			continue
 		}
-		if s.trust.Try && s.tries(r) {
-			s.trust.Try = false // a single trial, even if other servers have room
+		if s.trust.Trial && s.tries(r) {
+			s.trust.Trial = false // a single trial, even if other servers have room
 			return s
 		}
-		if health := g.record(s, r.cl); health != nil && health.bad && g.now < health.until {
+		if health := g.healthOf(s, r.class); health != nil && health.ejected && g.now < health.ejectedUntil {
 			// Only the watcher of an ejected server sends it trial requests.
-			if s.watchers[0] == g.set.Me && g.now >= health.trial && g.mayTry(r) {
-				health.wait = min(2*health.wait+trialEvery, trialMost)
-				health.trial = g.now + health.wait
+			if s.watchers[0] == g.cfg.Me && g.now >= health.nextTrial && g.mayTry(r) {
+				health.trialBackoff = min(2*health.trialBackoff+trialEvery, trialMost)
+				health.nextTrial = g.now + health.trialBackoff
 				return s
 			}
 			ejected = append(ejected, s)
@@ -141,9 +139,9 @@
 	if float64(len(ejected)) > mostOut*float64(len(candidates)+len(ejected)) {
 		candidates = append(candidates, ejected...)
 	}
-	if g.tree {
+	if g.usesRoots {
 		return g.draw(candidates)
-	} else if g.set.Field != nil {
+	} else if g.cfg.MultiService != nil {
 		return g.choose(candidates, r)
 	}
 	var best *server
@@ -155,10 +153,10 @@
 		if g.full(s) {
 			continue
 		}
-		predicted := g.predict(s, r.cl) * (1 - jitter/2 + jitter*g.rng.Float64())
+		predicted := g.predict(s, r.class) * (1 - jitter/2 + jitter*g.rng.Float64())
 		compared++
-		if s.Zone != g.set.Zone {
-			predicted += r.cl.mean * g.set.CrossZoneCost * zonePrice
+		if s.Zone != g.cfg.Zone {
+			predicted += r.class.mean * g.cfg.CrossZoneCost * zonePrice
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
@@ -175,20 +173,20 @@
 		if g.packed(s, r) {
 			continue
 		}
-		predicted := (g.predict(s, r.cl) + s.Far.Seconds()) * (1 - jitter/2 + jitter*g.rng.Float64())
-		if s.trust.Level == Doubted && r.effect != Safe {
+		predicted := (g.predict(s, r.class) + s.ExtraLatency.Seconds()) * (1 - jitter/2 + jitter*g.rng.Float64())
+		if s.trust.Level == Suspect && r.effect != Safe {
 			predicted += doubtedCost
 		}
-		if len(r.homes) == 0 && g.now < s.lackedTill {
-			predicted += lackedAim * r.cl.Aim.Seconds() // requests bound to this region have no other choice
+		if len(r.regions) == 0 && g.now < s.scarceUntil {
+			predicted += lackedAim * r.class.LatencyTarget.Seconds() // requests bound to this region have no other choice
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
 		}
 	}
 	for _, s := range candidates {
-		if best == nil && len(r.homes) > 0 {
-			s.lackedTill = g.now + toldSpan
+		if best == nil && len(r.regions) > 0 {
+			s.scarceUntil = g.now + toldSpan
 		}
 	}
 	return best
@@ -200,36 +198,36 @@
 func (g *Gateway) draw(candidates []*server) *server {
 	totalWeight, totalPart, minTotal := 0.0, 0.0, 0.0
 	for _, s := range candidates {
-		s.weight = s.part * g.sizeOf(s) / max(s.slow, 1) / float64(1+s.out) * g.coldness(s)
-		if s.Zone != g.set.Zone {
+		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.coldness(s)
+		if s.Zone != g.cfg.Zone {
 			s.weight *= otherZone
 		}
-		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.part
+		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
 	for _, s := range candidates {
 		if capacity := g.coldness(s); capacity < 1 {
-			s.weight = min(s.weight, capacity*s.part*totalWeight/totalPart)
-			minTotal = max(minTotal, s.weight*totalPart/(s.part*capacity*coldSafety*max(1, g.set.FallMultiple)))
+			s.weight = min(s.weight, capacity*s.share*totalWeight/totalPart)
+			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldSafety*max(1, g.cfg.FailFactor)))
 		}
 	}
-	return g.byWeight(candidates, minTotal)
+	return g.drawByWeight(candidates, minTotal)
 }
 
 // setAffinity sets a server's weight in this gateway's draws. Where there are many gateways, each prefers a few
 // servers, so that connections are reused; over all gateways, each server is drawn equally often.
 func (g *Gateway) prefer(s *server) {
-	gateways, preferring, preferredHere := float64(g.set.Gateways), 0.0, false
-	for i := range g.set.Gateways {
-		if g.tree && mixed(uint32(s.ID), uint32(i))*float64(g.live) < familiar {
-			preferring, preferredHere = preferring+1, preferredHere || i == g.set.Me
+	gateways, preferring, preferredHere := float64(g.cfg.Gateways), 0.0, false
+	for i := range g.cfg.Gateways {
+		if g.usesRoots && mixed(uint32(s.ID), uint32(i))*float64(g.runningServers) < familiar {
+			preferring, preferredHere = preferring+1, preferredHere || i == g.cfg.Me
 		}
 	}
 	switch {
 	case preferring == 0 || preferring == gateways:
-		s.part = 1
+		s.share = 1
 	case preferredHere:
-		s.part = (1 - strange) * gateways / preferring
+		s.share = (1 - strange) * gateways / preferring
 	default:
-		s.part = strange * gateways / (gateways - preferring)
+		s.share = strange * gateways / (gateways - preferring)
 	}
 }
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -187,8 +187,8 @@
 		})
 		for _, s := range m.sends {
 			r, at := asked[s.ID], byID[s.Server]
-			if at.Service != r.Service || len(r.Homes) > 0 && !slices.Contains(r.Homes, at.Region) || at.State != Running ||
-				m.tries[s.ID] > r.Tries {
+			if at.Service != r.Service || len(r.Regions) > 0 && !slices.Contains(r.Regions, at.Region) || at.State != Running ||
+				m.tries[s.ID] > r.MaxAttempts {
 				t.Fatalf("%+v was sent %d times, to %+v", r, m.tries[s.ID], at)
 			}
 		}
@@ -204,16 +204,16 @@
 		m := newServiceGateways(gatewayCount, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
 		for round := range 3 {
-			cold[0].ColdSends = rapid.Float64Range(0, 60).Draw(t, "bears")
+			cold[0].ColdSendRate = rapid.Float64Range(0, 60).Draw(t, "bears")
 			if round == 2 {
 				gatewayCount++
 				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
 				m.start(gatewayCount-1, 0)
 			}
 			for i := range m.gs {
-				m.do(i, Members{Kind: Whole, Servers: cold})
+				m.do(i, ServerList{Kind: CompleteList, Servers: cold})
 				if round == 2 {
-					m.do(i, Peers{Me: i, Gateways: gatewayCount})
+					m.do(i, GatewaySet{Me: i, Gateways: gatewayCount})
 				}
 			}
 			m.pass(1200*ms, nil) // earlier sends count for this long
@@ -224,8 +224,8 @@
 				}
 			})
 			most := m.most(time.Second, func(sending) bool { return true })
-			if float64(most) > cold[0].ColdSends || most == 0 && cold[0].ColdSends >= 2 {
-				t.Fatalf("%d sent in a second by %d gateways to a server with a limit of %.1f", most, gatewayCount, cold[0].ColdSends)
+			if float64(most) > cold[0].ColdSendRate || most == 0 && cold[0].ColdSendRate >= 2 {
+				t.Fatalf("%d sent in a second by %d gateways to a server with a limit of %.1f", most, gatewayCount, cold[0].ColdSendRate)
 			}
 		}
 	})
@@ -272,9 +272,9 @@
 // A failing server is avoided for classes added later too, whatever their number.
 func TestLateClassesAreJudged(t *testing.T) {
 	m := newServiceGateways(1, 1, fieldServers(4, "s"))
-	var added Terms
+	var added ConfigUpdate
 	for i := range 12 {
-		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), Aim: 500 * ms, Deadline: 2 * time.Second})
+		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
 	}
 	m.do(0, added)
 	m.code = func(s Send) Code {
@@ -329,18 +329,18 @@
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 	g := m.gs[0]
 	c := g.customers[keyOf("t")]
-	assert.Equal(t, c.n, 3.0)
+	assert.Equal(t, c.parts, 3.0)
 	for _, change := range []struct {
-		Peers
+		GatewaySet
 		others []int
-	}{{Peers{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {Peers{Me: 1, Gateways: 3}, []int{0, 2}}, {Peers{Me: 0, Gateways: 2}, []int{1}}} {
-		g.Handle(m.now, change.Peers, nil)
+	}{{GatewaySet{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {GatewaySet{Me: 1, Gateways: 3}, []int{0, 2}}, {GatewaySet{Me: 0, Gateways: 2}, []int{1}}} {
+		g.Handle(m.now, change.GatewaySet, nil)
 		var peers []int
-		for _, v := range c.set {
-			peers = append(peers, v.p.num)
+		for _, v := range c.views {
+			peers = append(peers, v.peer.index)
 		}
 		slices.Sort(peers)
 		assert.DeepEqual(t, peers, change.others)
-		assert.Equal(t, c.n, float64(change.Gateways))
+		assert.Equal(t, c.parts, float64(change.Gateways))
 	}
 }
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -47,16 +47,16 @@
 		if v := g.healthOf(s, r.class); v != nil {
 			v.lastOK = g.now
 		}
-		loadEffect := g.stretch(s, r.load) / g.coldness(s)
+		loadEffect := g.stretch(s, r.loadAtSend) / g.coldness(s)
 		latency := ev.Latency.Seconds() / loadEffect
-		s.slow += g.own * (min(latency/r.cl.mean, mostPace) - s.slow)
-		g.mean += learnMean * (r.cl.mean - g.mean)
-		r.cl.seen++ // the first outcomes weigh more
-		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(latency, mostLatency*r.cl.mean) - r.cl.mean)
+		s.slowdown += g.ownOutcomeWeight * (min(latency/r.class.mean, mostPace) - s.slowdown)
+		g.meanLatency += learnMean * (r.class.mean - g.meanLatency)
+		r.class.outcomes++ // the first outcomes weigh more
+		r.class.mean += max(learnMean, 1/(r.class.outcomes+1)) * (min(latency, mostLatency*r.class.mean) - r.class.mean)
 	case Full:
 		// The server may reject this plan only: requests of this plan avoid it for a while.
-		if s.fullAt[r.c.plan] = g.now + fullFor; g.set.Field != nil {
-			s.fullAt[r.c.plan], s.fullTill = 0, g.now+fullBrief // its queue is full for every plan
+		if s.planFull[r.customer.plan] = g.now + fullFor; g.cfg.MultiService != nil {
+			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+fullBrief // its queue is full for every plan
 		}
 		g.lateness += strainOwn * (1 - g.lateness)
 	}
@@ -83,70 +83,70 @@
 // recordOutcome adds an outcome to the shared health of a watched server. A server that
 // rejects requests counts as very slow: it gets few until it answers again.
 func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
-	cl := g.classes[g.set.Classes[class].Name]
-	health, mean := g.record(s, cl), cl.mean
+	cl := g.classes[g.cfg.Classes[class].Name]
+	health, mean := g.healthOf(s, cl), cl.mean
 	observed := min(latency.Seconds()/mean/g.coldness(s), mostPace)
 	switch code {
 	case OK:
-		health.errs *= 1 - sightWeight
-		if health.bad {
-			health.errs, health.wait = health.errs*trialWorth, 0
+		health.errorRate *= 1 - sightWeight
+		if health.ejected {
+			health.errorRate, health.trialBackoff = health.errorRate*trialWorth, 0
 		}
 	case Full:
 		observed = mostPace
 	case ConnectFailed:
 		s.recordFailure(2 * sightWeight)
 	default:
-		s.fail(sightWeight / 2) // other classes may fail too
-		health.errs += sightWeight / 2 * (1 - health.errs)
-		observed = max(observed, s.pace)
+		s.recordFailure(sightWeight / 2) // other classes may fail too
+		health.errorRate += sightWeight / 2 * (1 - health.errorRate)
+		observed = max(observed, s.sharedSlowdown)
 	}
-	s.pace += paceLearn * (observed - s.pace)
+	s.sharedSlowdown += paceLearn * (observed - s.sharedSlowdown)
 	g.tell(s)
 }
 
 // publishVerdict sends all gateways what changed for a server watched here, and repeats an ejection before it expires.
 // A verdict goes to every gateway, so all watchers together use a limited share of the message rate.
 func (g *Gateway) tell(s *server) {
-	perSecond := g.set.MailPerSecond * verdictMail / float64(max(1, len(g.fleet)))
-	s.verdicts = min(verdictKeep, s.verdicts+perSecond*(g.now-s.verdictAt).Seconds())
-	s.verdictAt = g.now
-	if g.set.Field != nil {
-		s.verdicts = verdictKeep // verdicts stay local
+	perSecond := g.cfg.MessagesPerSecond * verdictMail / float64(max(1, len(g.serverList)))
+	s.verdictTokens = min(verdictKeep, s.verdictTokens+perSecond*(g.now-s.verdictTokensAt).Seconds())
+	s.verdictTokensAt = g.now
+	if g.cfg.MultiService != nil {
+		s.verdictTokens = verdictKeep // verdicts stay local
 	}
-	isFirst := s.watchers[0] == g.set.Me
-	if !isFirst || !g.tree {
-		s.pace = s.slow // the second watcher knows only about connection failures
+	isFirst := s.watchers[0] == g.cfg.Me
+	if !isFirst || !g.usesRoots {
+		s.sharedSlowdown = s.slowdown // the second watcher knows only about connection failures
 	}
-	isBad := func(_ int, v *record) bool {
-		return v.errs > sightLimit || v.bad && (!isFirst || v.errs > sightLimit/2)
+	isBad := func(_ int, v *classHealth) bool {
+		return v.errorRate > sightLimit || v.ejected && (!isFirst || v.errorRate > sightLimit/2)
 	}
-	ejectedBits, classChanged, anyEjected, until := s.masks(isBad)
-	slowdownChanged := g.tree && max(s.pace/s.slow, s.slow/s.pace) > paceStep
+	ejectedBits, classChanged, anyEjected, until := s.ejectionBits(isBad)
+	slowdownChanged := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > paceStep
 	repeatDue := isFirst && anyEjected && until-g.now < verdictLife/4
-	if s.verdicts < 1 || !classChanged && !slowdownChanged && !repeatDue {
+	if s.verdictTokens < 1 || !classChanged && !slowdownChanged && !repeatDue {
 		return
 	}
-	m := verdict{Server: uint32(s.ID), Bad: ejectedBits, Pace: small(16 * (4 + math.Log2(max(s.pace, leastPace))))}
-	g.rule(s, m.Pace, isBad)
-	if g.tree {
-		s.verdicts--
-		g.do(Tell{To: -1, Data: encode(m)})
+	m := serverVerdict{Server: uint32(s.ID), EjectedBits: ejectedBits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, leastPace))))}
+	g.applyVerdict(s, m.Slowdown, isBad)
+	if g.usesRoots {
+		s.verdictTokens--
+		g.emit(SendPeer{To: -1, Data: encode(m)})
 	}
 }
 
 // checkOverdue counts attempts far older than predicted as failed and, within the retry budget, cancels those that may
 // run elsewhere. It guards against servers that never answer; if all servers slow down at once, it adds load.
 func (g *Gateway) silence(s *server) {
-	for _, r := range slices.Clone(s.oldest) {
-		if r.granted && r.c.plan.Open > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.cl.mean {
+	for _, r := range slices.Clone(s.attempts) {
+		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.class.mean {
 			r.askedAt = g.now // renews the root's lease: the attempt is still in flight
-			g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
+			g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.cl), leastLate*r.cl.Aim.Seconds())
-		health := g.record(s, r.cl)
-		waitLonger := g.set.Field == nil || r.effect != Safe || age < lostAnswer // if the server has answered others since
-		if age < overdue || r.over || r.quit || r.stream || waitLonger && health != nil && health.okAt > r.sentAt {
+		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.class), leastLate*r.class.LatencyTarget.Seconds())
+		health := g.healthOf(s, r.class)
+		waitLonger := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswer // if the server has answered others since
+		if age < overdue || r.done || r.cancelled || r.streams || waitLonger && health != nil && health.lastOK > r.sentAt {
 			continue
 		}
 		r.cancelled = true
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -122,10 +122,10 @@
 
 // fleetWithReplacements returns 60 servers, of which 36 have just been replaced by cold ones.
 func replaced() []Server {
-	servers := fleet(60)
+	servers := testServers(60)
 	for i := range 36 {
 		servers[i].ID += 1000
-		servers[i].HasStart, servers[i].Start = true, 10*time.Second
+		servers[i].HasStartTime, servers[i].StartTime = true, 10*time.Second
 	}
 	return servers
 }
@@ -224,14 +224,14 @@
 		}
 	}
 	var removed []Server
-	for _, s := range w.gs[0].fleet {
-		if s.part > 1 {
+	for _, s := range w.gs[0].serverList {
+		if s.share > 1 {
 			l := s.Server
 			l.State = Removed
 			removed = append(removed, l)
 		}
 	}
-	w.do(0, Members{Kind: Changes, Servers: removed})
+	w.do(0, ServerList{Kind: ChangedServers, Servers: removed})
 	before := len(w.sends)
 	w.request(0, 1<<40, "k", "free", "safe", 100)
 	if len(removed) < 8 || len(w.sends) != before+1 {
@@ -248,7 +248,7 @@
 	for range 6 {
 		for i := range 12 {
 			from := (s.watchers[0] + 1 + i) % 100
-			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{shortVersion}}) // incomplete: ignored
+			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{messageVersion}}) // incomplete: ignored
 			g := w.gs[from]
 			w.do(s.watchers[0], PeerMessage{From: from,
 				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
@@ -297,7 +297,7 @@
 		}
 	}
 	w.pass(100*ms, nil)
-	if v := w.gs[20].record(w.gs[20].servers[3], cl); !v.bad {
+	if v := w.gs[20].healthOf(w.gs[20].servers[3], cl); !v.ejected {
 		t.Error("the verdict did not reach another gateway")
 	}
 }
@@ -305,7 +305,7 @@
 // A customer with a limit on requests in flight but no rate, which sends far more than fits, must
 // not overload its root: no gateway exceeds its message rate by much, and most of the limit is used.
 func TestCapAloneDoesNotDrownItsRoot(t *testing.T) {
-	w := newManyGateways(t, 100, fleet(40))
+	w := newManyGateways(t, 100, testServers(40))
 	second, received := time.Duration(0), map[int]int{}
 	lost := 0
 	w.lose = func(_, to int) bool {
@@ -313,7 +313,7 @@
 			second = w.now / time.Second
 			clear(received)
 		}
-		if received[to]++; received[to] > int(base().MailPerSecond) {
+		if received[to]++; received[to] > int(testSettings().MessagesPerSecond) {
 			if w.now > 13*time.Second {
 				lost++ // earlier, no gateway has received the share to ask for
 			}
--- a/policy/line.go
+++ b/policy/line.go
@@ -33,8 +33,8 @@
 	}
 	for _, c := range g.waiting {
 		for _, other := range c.held {
-			sameServers := other.needs == r.needs && other.attempts == 0 && !other.beyond
-			if other.beyond && c == r.c || sameServers && g.rank(other, r) <= 0 {
+			sameServers := other.serverGroup == r.serverGroup && other.attempts == 0 && !other.overQuota
+			if other.overQuota && c == r.customer || sameServers && g.rank(other, r) <= 0 {
 				return false
 			}
 		}
@@ -52,16 +52,16 @@
 	slices.SortStableFunc(waiting, g.rank)
 	fullServers, outOfUnits := map[string]bool{}, map[*customer]bool{}
 	for _, r := range waiting {
-		serverKey := r.needs
+		serverKey := r.serverGroup
 		if g.late(r) {
 			serverKey += "|late"
 		}
-		if fullServers[serverKey] || fullServers[r.needs] || outOfUnits[r.c] && !r.counted {
+		if fullServers[serverKey] || fullServers[r.serverGroup] || outOfUnits[r.customer] && !r.unitsTaken {
 			continue
 		}
-		if r.beyond = !g.within(r); r.beyond {
-			outOfUnits[r.c] = true // a customer's requests get units in arrival order
-		} else if !g.room(r.c, false) || !g.try(r) {
+		if r.overQuota = !g.hasUnits(r); r.overQuota {
+			outOfUnits[r.customer] = true // a customer's requests get units in arrival order
+		} else if !g.underCap(r.customer, false) || !g.trySend(r) {
 			fullServers[serverKey] = r.attempts == 0
 		} else {
 			g.dequeue(r.customer, slices.Index(r.customer.held, r))
--- a/policy/line_test.go
+++ b/policy/line_test.go
@@ -27,7 +27,7 @@
 	b := &booth{t: t, g: g, now: time.Second, refused: map[RequestID]time.Duration{}, tries: map[RequestID]int{}}
 	b.do(ServerList{Kind: CompleteList, Servers: servers})
 	b.do(fieldTerms(Plan{Name: "t"}, Plan{Name: "u"}))
-	b.do(Peers{Gateways: 1})
+	b.do(GatewaySet{Gateways: 1})
 	for range 40 { // the gateway learns a mean latency of 100 ms
 		id := b.ask(Request{Service: servers[0].Service})
 		b.pass(100 * ms)
@@ -96,7 +96,7 @@
 		n := len(b.sent)
 		id := b.ask(Request{Customer: "u", Service: service, Regions: homes})
 		if len(b.sent) == n {
-			b.do(Gone{ID: id})
+			b.do(ClientGone{ID: id})
 			return inFlight
 		}
 		inFlight = append(inFlight, id)
@@ -139,10 +139,10 @@
 func TestWhoWaitsGoesByAimRankAndArrival(t *testing.T) {
 	b := newBooth(t, oneSlot(1, "s", "r"))
 	inFlight := b.fill("s")
-	late := b.ask(Request{Service: "s", Spent: 480 * ms})
-	third := b.ask(Request{Service: "s", Prio: 2})
-	first := b.ask(Request{Service: "s", Prio: 0, Customer: "u"})
-	second := b.ask(Request{Service: "s", Prio: 1})
+	late := b.ask(Request{Service: "s", WaitedBefore: 480 * ms})
+	third := b.ask(Request{Service: "s", Priority: 2})
+	first := b.ask(Request{Service: "s", Priority: 0, Customer: "u"})
+	second := b.ask(Request{Service: "s", Priority: 1})
 	n := len(b.sent)
 	for _, id := range inFlight {
 		b.end(id)
@@ -187,7 +187,7 @@
 // If requests bound to a region find no room, requests that may go to any region are sent to the others.
 func TestWhoHasAChoiceLeavesRoomToWhoHasNone(t *testing.T) {
 	distant := oneSlot(2, "s", "q")
-	distant.Far = 250 * ms
+	distant.ExtraLatency = 250 * ms
 	b := newBooth(t, oneSlot(1, "s", "r"), distant)
 	sentNear := func() (n int) {
 		for _, s := range b.sent {
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -7,7 +7,7 @@
 	if g.cfg.MultiService != nil {
 		g.usualLoads()
 	}
-	if g.tree || g.wide {
+	if g.usesRoots || g.borrows {
 		return // reports contain no servers
 	}
 	for _, s := range g.serverList {
@@ -46,17 +46,17 @@
 	type group struct{ service, region string }
 	type mean struct{ sum, weight, latest float64 }
 	means := map[group]mean{}
-	for _, s := range g.fleet {
-		if s.told && s.State == Running {
+	for _, s := range g.serverList {
+		if s.hasLoadReport && s.State == Running {
 			key := group{s.Service, s.Region}
-			weight, previous := math.Exp(-(g.now-s.othersAt).Seconds()/usualSpan.Seconds()), means[key]
-			means[key] = mean{previous.sum + weight*s.others, previous.weight + weight, max(previous.latest, weight)}
+			weight, previous := math.Exp(-(g.now-s.otherInFlightAt).Seconds()/usualSpan.Seconds()), means[key]
+			means[key] = mean{previous.sum + weight*s.otherInFlight, previous.weight + weight, max(previous.latest, weight)}
 		}
 	}
-	for _, s := range g.fleet {
-		s.usual = 0
+	for _, s := range g.serverList {
+		s.typicalInFlight = 0
 		if previous := means[group{s.Service, s.Region}]; previous.weight > 0 {
-			s.usual = previous.sum / previous.weight * previous.latest
+			s.typicalInFlight = previous.sum / previous.weight * previous.latest
 		}
 	}
 }
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -9,7 +9,7 @@
 )
 
 // reportInterval returns the time between two reports to a peer.
-func (g *Gateway) span() time.Duration { return g.tick * time.Duration(g.every) }
+func (g *Gateway) span() time.Duration { return g.tickInterval * time.Duration(g.reportTicks) }
 
 // reportUrgency orders the customers in a report: by held requests and by unreported
 // units relative to the bucket size, then by the time since they were last reported.
@@ -21,10 +21,10 @@
 // askRoot asks the customer's root to admit a request, again if the message or its reply is lost, and then the
 // deputy. If neither answers, or no peer has been heard from for long, this gateway decides without them.
 func (g *Gateway) ask(r *request) {
-	c := r.c
-	isolated := g.deaf >= deafAsks && r.asked > 0
-	if delete(g.asks, r.tag); isolated || r.asked > rootAsks || g.now+2*g.set.Resolution >= r.deadline {
-		if r.waits || g.now >= r.deadline || !g.within(r) || !g.alone(r) || !g.try(r) {
+	c := r.customer
+	isolated := g.unansweredAsks >= deafAsks && r.askCount > 0
+	if delete(g.pendingAsks, r.tag); isolated || r.askCount > rootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
+		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.alone(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
 		return
@@ -45,9 +45,9 @@
 	if r.askCount == 0 {
 		r.ownCeiling = c.ceiling >= r.units
 	}
-	if r.asked == 0 || r.root != to { // the tag stays when the same root is asked again
-		if r.asked > 0 {
-			g.tellEnd(r) // the former root may have granted it
+	if r.askCount == 0 || r.root != to { // the tag stays when the same root is asked again
+		if r.askCount > 0 {
+			g.sendAskEnded(r) // the former root may have granted it
 		}
 		g.nextTag++
 		r.tag = g.nextTag
@@ -65,29 +65,29 @@
 // mayAdmitWithoutRoot reports whether a request may pass though no root answers. If no peer answers, this gateway
 // passes no more of each plan than the roots allowed before, which keeps the load and, at the same demand, the quotas.
 func (g *Gateway) alone(r *request) bool {
-	if g.deaf < deafAsks { // other peers answer: the roots are overloaded
-		return g.rng.Float64() < math.Pow(g.heard, unheardPower)
+	if g.unansweredAsks < deafAsks { // other peers answer: the roots are overloaded
+		return g.rng.Float64() < math.Pow(g.answeredShare, unheardPower)
 	}
-	plan := r.c.plan
-	observedShare := 1 - math.Exp(-(g.now-g.start).Seconds()/thinSpan.Seconds())
-	maxUnits := plan.agreed.sum(g.now, thinSpan, 0) / observedShare * demandSpan.Seconds() / thinSpan.Seconds()
-	if r.repeat || plan.Open > 0 {
+	plan := r.customer.plan
+	observedShare := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/thinSpan.Seconds())
+	maxUnits := plan.passedGranted.add(g.now, thinSpan, 0) / observedShare * demandSpan.Seconds() / thinSpan.Seconds()
+	if r.isRetry || plan.MaxInFlight > 0 {
 		maxUnits *= aloneCareful
 	}
-	return plan.alone.sum(g.now, demandSpan, 0)+r.units/2 <= maxUnits
+	return plan.passedAlone.add(g.now, demandSpan, 0)+r.units/2 <= maxUnits
 }
 
 // replyToAsk sends a root's decision to the asking gateway, and the share of such requests it should ask for. Under a
 // limit on requests in flight, the share depends on the demand for them and on the root's remaining message rate.
 func (g *Gateway) answer(r *request, decision byte) {
-	fill := small(250 * max(0, r.c.store) / max(1, r.c.plan.Burst))
+	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
 	askShare := 1.0
-	if r.c.plan.Open > 0 {
-		intakeLeft := max(askedLeast, 1-g.intake/demandSpan.Seconds()/max(1, g.set.MailPerSecond))
-		askShare = min(1, intakeLeft*float64(r.c.plan.Open)*demandSpan.Seconds()/r.c.places)
+	if r.customer.plan.MaxInFlight > 0 {
+		intakeLeft := max(askedLeast, 1-g.recentMessages/demandSpan.Seconds()/max(1, g.cfg.MessagesPerSecond))
+		askShare = min(1, intakeLeft*float64(r.customer.plan.MaxInFlight)*demandSpan.Seconds()/r.customer.slotDemand)
 	}
-	if r.c.plan.Rate > 0 && r.c.store < retryReserve*r.c.plan.Burst {
-		askShare = min(askShare, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
+	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
+		askShare = min(askShare, r.customer.plan.Rate*demandSpan.Seconds()/max(r.customer.demand, 1))
 	}
-	g.do(Tell{To: r.root, Data: encode(answer{r.tag, decision, fill, small(100 * g.strain), small(250 * askShare)})})
+	g.emit(SendPeer{To: r.root, Data: encode(askReply{r.tag, decision, fill, toByte(100 * g.lateness), toByte(250 * askShare)})})
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -137,21 +137,21 @@
 // applyEntry stores an entry's figures and returns the units passed and lent since the last one. isNew reports
 // whether the sender's totals were unknown or have restarted from 0; the units passed then count from there.
 func (v *peerView) read(e entry, inc uint32, now time.Duration) (passed, lent float64, isNew bool) {
-	outdated := now-v.at > anewFor
-	if isNew = !v.heard || v.inc != inc || e.anew && outdated; isNew {
-		v.passed, v.got = 0, e.given
-		if !v.heard && !e.anew {
-			v.passed = e.passed
+	outdated := now-v.reportedAt > anewFor
+	if isNew = !v.reported || v.incarnation != inc || e.anew && outdated; isNew {
+		v.passedUnits, v.borrowedTotal = 0, e.given
+		if !v.reported && !e.anew {
+			v.passedUnits = e.passed
 		}
 	}
-	passed = float64(int8(e.passed - v.passed)) // negative when settled units were given back
+	passed = float64(int8(e.passed - v.passedUnits)) // negative when settled units were given back
 	if outdated {
 		passed = max(0, passed)
 	} else {
 		lent = float64(e.given-v.borrowedTotal) / lendScale
 	}
-	v.heard, v.inc, v.passed, v.got = true, inc, e.passed, e.given
-	v.at, v.rate = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
-	v.out, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
+	v.reported, v.incarnation, v.passedUnits, v.borrowedTotal = true, inc, e.passed, e.given
+	v.reportedAt, v.demand = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
+	v.inFlight, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
 	return passed, lent, isNew
 }
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -9,14 +9,14 @@
 // buildReport builds the report for one peer: the servers at which this gateway has attempts
 // in flight, then the customers that both gateways serve, most urgent first.
 func (g *Gateway) message(p *peer, customers []*customer) *report {
-	m := &report{inc: g.inc, seq: g.seq, complete: true}
-	for _, s := range g.fleet {
-		if s.out > 0 && len(m.servers) < maxServers && !g.tree {
-			m.servers = append(m.servers, serverOut{s.hash, byte(min(s.out, maxOut))})
+	m := &report{inc: g.incarnation, seq: g.reportSeq, complete: true}
+	for _, s := range g.serverList {
+		if s.inFlight > 0 && len(m.servers) < maxServers && !g.usesRoots {
+			m.servers = append(m.servers, serverOut{s.hash, byte(min(s.inFlight, maxOut))})
 		}
 	}
 	for _, c := range customers {
-		v := c.view(p)
+		v := c.viewOf(p)
 		if v == nil {
 			continue
 		}
@@ -40,7 +40,7 @@
 
 // onReport applies a peer's report.
 func (g *Gateway) onReport(p *peer, m report) {
-	if p.heard && p.inc == m.inc && int32(m.seq-p.seq) <= 0 {
+	if p.reported && p.incarnation == m.inc && int32(m.seq-p.reportSeq) <= 0 {
 		return // outdated or duplicate: a later report contains all of its figures
 	}
 	if m.complete || p.incarnation != m.inc {
@@ -63,26 +63,26 @@
 
 // sendReports sends each peer the figures that have changed.
 func (g *Gateway) report() {
-	g.seq++
+	g.reportSeq++
 	var changed []*customer
-	for _, c := range g.ring {
+	for _, c := range g.customerList {
 		if c.news() {
-			c.urgency = g.urgent(c)
+			c.reportPriority = g.urgent(c)
 			changed = append(changed, c)
 		}
 	}
-	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.urgency, a.urgency) })
+	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.reportPriority, a.reportPriority) })
 	for _, p := range g.peers {
 		if p == nil || p.index == g.cfg.Me || g.usesRoots && len(p.views) == 0 {
 			continue
 		}
-		if m := g.message(p, changed); !g.tree || len(m.customers) > 0 {
-			g.do(Tell{To: p.num, Data: m.encode()})
+		if m := g.message(p, changed); !g.usesRoots || len(m.customers) > 0 {
+			g.emit(SendPeer{To: p.index, Data: m.encode()})
 		}
 	}
 	for _, c := range changed {
-		if c.told == g.ticks {
-			c.fresh, c.toldUnits = max(0, c.fresh-1), c.passed
+		if c.reportedTick == g.tickCount {
+			c.reportsLeft, c.reportedUnits = max(0, c.reportsLeft-1), c.passedUnits
 		}
 	}
 }
@@ -95,14 +95,14 @@
 		return
 	}
 	g.advance(c)
-	passed, lent, isNew := v.read(e, p.inc, g.now)
-	c.store = min(c.plan.Burst, max(0, c.store-passed))
-	c.ceiling = min(c.plan.HardBurst/c.n, c.ceiling+lent)
+	passed, lent, isNew := v.read(e, p.incarnation, g.now)
+	c.bucket = min(c.plan.Burst, max(0, c.bucket-passed))
+	c.ceiling = min(c.plan.HardBurst/c.parts, c.ceiling+lent)
 	// A new peer may know of units used that this gateway has not counted: take the lower fill, and report
 	// the result once. This guards against a bucket that is full at one gateway only.
-	if (isNew || !c.known) && e.store != unknownStore {
-		c.known, c.fresh = true, max(c.fresh, 1)
-		c.store = min(c.store, float64(e.store)/250*c.plan.Burst)
+	if (isNew || !c.bucketKnown) && e.store != unknownStore {
+		c.bucketKnown, c.reportsLeft = true, max(c.reportsLeft, 1)
+		c.bucket = min(c.bucket, float64(e.store)/250*c.plan.Burst)
 	}
 }
 
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -48,7 +48,7 @@
 
 func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
 	for _, code := range []Code{Error, ConnectFailed, Reset} {
-		w := newWorld(t, base(), fleet(6))
+		w := newTestGateway(t, testSettings(), testServers(6))
 		sendsTo := func(failing bool, n int) (hits int) {
 			for range n {
 				w.advance(25 * ms)
@@ -59,10 +59,10 @@
 						hits++
 					}
 					if !hit || !failing {
-						w.end(s, k, OK)
+						w.finish(s, k, OK)
 						break
 					}
-					retries := of[Send](w.end(s, k, code))
+					retries := actionsOf[Send](w.finish(s, k, code))
 					if len(retries) == 0 {
 						break
 					}
@@ -84,7 +84,7 @@
 
 // When all servers fail alike, ejections are ignored.
 func TestSharedFailureDoesNotEmptyTheFleet(t *testing.T) {
-	w := newWorld(t, base(), fleet(9))
+	w := newTestGateway(t, testSettings(), testServers(9))
 	used := map[ServerID]int{}
 	for i := range 300 {
 		w.now += 25 * ms
@@ -100,7 +100,7 @@
 }
 
 func TestHungServerIsLeft(t *testing.T) {
-	w := newWorld(t, base(), fleet(6))
+	w := newTestGateway(t, testSettings(), testServers(6))
 	cancelled, lateSends := 0, 0
 	for i := range 300 {
 		s := w.send("safe", "free")
@@ -112,8 +112,8 @@
 		for _, a := range w.advance(25 * ms) {
 			if c, ok := a.(Cancel); ok {
 				cancelled++
-				for _, s := range of[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
-					w.end(s, c.Attempt+1, OK)
+				for _, s := range actionsOf[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
+					w.finish(s, c.Attempt+1, OK)
 				}
 			}
 		}
@@ -127,12 +127,12 @@
 	s := testSettings()
 	s.MustWatch = true
 	g, _ := New(s, 1)
-	w := &world{t: t, g: g, now: time.Second}
-	if n := len(of[Watch](w.do(Members{Kind: Remembered}))); n != 1 {
+	w := &testGateway{t: t, g: g, now: time.Second}
+	if n := len(actionsOf[Watch](w.do(ServerList{Kind: CachedList}))); n != 1 {
 		t.Fatalf("%d requests for the server list at the start", n)
 	}
-	w.do(Members{Kind: AskFailed})
-	if n := len(of[Watch](w.pass(3 * time.Second))); n != 1 {
+	w.do(ServerList{Kind: WatchFailed})
+	if n := len(actionsOf[Watch](w.advance(3 * time.Second))); n != 1 {
 		t.Fatalf("%d requests for the server list after a failed one", n)
 	}
 }
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -64,7 +64,7 @@
 	m.gs[i], m.told[i] = g, 0
 	m.do(i, ServerList{Kind: CompleteList, Servers: m.servers})
 	m.do(i, fieldTerms(m.plans...))
-	m.tell(i, Peers{Me: i, Gateways: len(m.gs)}, maxDelay)
+	m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, maxDelay)
 }
 
 // deliverLater delivers an event to gateway i after up to maxDelay.
@@ -91,7 +91,7 @@
 				continue
 			}
 			m.way = append(m.way, arrival{m.now + m.takes, m.gs[i], Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
-				Code: code, Latency: m.takes, Over: code == OK}})
+				Code: code, Latency: m.takes, Final: code == OK}})
 		case Cancel:
 			m.recalls[a.ID] = m.now
 		}
--- a/policy/store.go
+++ b/policy/store.go
@@ -10,15 +10,15 @@
 
 // addCustomer creates a customer. Its counts are summed by all its gateways or, where
 // there are many gateways, by its roots, which the other gateways ask.
-func (g *Gateway) account(key uint64, plan *quota, firstGateway, gatewayCount int) *customer {
-	if gatewayCount = max(1, min(gatewayCount, g.set.Gateways)); g.set.Field != nil {
-		gatewayCount = g.set.Gateways // gateways may have been added since the request was read
+func (g *Gateway) account(key uint64, plan *planState, firstGateway, gatewayCount int) *customer {
+	if gatewayCount = max(1, min(gatewayCount, g.cfg.Gateways)); g.cfg.MultiService != nil {
+		gatewayCount = g.cfg.Gateways // gateways may have been added since the request was read
 	}
-	c := &customer{key: key, hash: shortOf(key), plan: plan, n: float64(gatewayCount), store: plan.Burst,
-		part: 1, leases: map[lease]leased{}, first: firstGateway, spread: gatewayCount, at: g.now, areaAt: g.now,
-		born: g.now}
-	if g.parts > 0 {
-		c.n = g.ownOf(float64(g.parts))
+	c := &customer{key: key, hash: shortOf(key), plan: plan, parts: float64(gatewayCount), bucket: plan.Burst,
+		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: firstGateway, gatewayCount: gatewayCount, refilledAt: g.now, inFlightAt: g.now,
+		createdAt: g.now}
+	if g.ceilingParts > 0 {
+		c.parts = g.ownOf(float64(g.ceilingParts))
 	}
 	roots, deputy := g.roots(c)
 	if g.borrows {
@@ -28,22 +28,22 @@
 	} else if plan.Rate > 0 || plan.MaxInFlight > 0 {
 		c.askRoots = []int{roots[g.cfg.Me%len(roots)], deputy}
 	}
-	if g.tree { // each gateway has a part of the ceiling, roots and deputy a larger one: the parts add up to it
+	if g.usesRoots { // each gateway has a part of the ceiling, roots and deputy a larger one: the parts add up to it
 		ownShare := memberPart / float64(gatewayCount)
-		if slices.Contains(roots, g.set.Me) {
+		if slices.Contains(roots, g.cfg.Me) {
 			ownShare += (1 - memberPart - deputyPart) / float64(len(roots))
-		} else if deputy == g.set.Me {
+		} else if deputy == g.cfg.Me {
 			ownShare += deputyPart
 		}
-		c.n = 1 / ownShare
+		c.parts = 1 / ownShare
 	}
 	// A restarted root has lost its counts: it must not grant a full bucket again.
-	if g.tree && plan.Rate > 0 && (g.now-g.start).Seconds() < plan.Burst/plan.Rate {
-		c.store *= freshFill
+	if g.usesRoots && plan.Rate > 0 && (g.now-g.startedAt).Seconds() < plan.Burst/plan.Rate {
+		c.bucket *= freshFill
 	}
-	// This part of the ceiling starts empty, but for HardStart: after a restart it must not be granted again.
-	c.ceiling = min(plan.HardBurst, plan.HardStart+plan.HardRate*(g.now-g.start).Seconds()) / c.n
-	g.enter(c)
+	// This part of the ceiling starts empty, but for HardInitial: after a restart it must not be granted again.
+	c.ceiling = min(plan.HardBurst, plan.HardInitial+plan.HardRate*(g.now-g.startedAt).Seconds()) / c.parts
+	g.addCustomer(c)
 	return c
 }
 
@@ -54,23 +54,23 @@
 	if dt <= 0 {
 		return
 	}
-	c.at = g.now
+	c.refilledAt = g.now
 	silentDemand := 0.0
-	for _, view := range c.set {
-		if g.silent(view.p) {
+	for _, view := range c.views {
+		if g.silent(view.peer) {
 			silentDemand += g.weight(c, view)
 		}
 	}
 	share := 1 - silentDemand/g.demand(c)
-	if len(c.ask) > 0 && !c.sums {
-		share = 1 / float64(c.spread) // only the root knows what the other gateways pass
+	if len(c.askRoots) > 0 && !c.countsForOthers {
+		share = 1 / float64(c.gatewayCount) // only the root knows what the other gateways pass
 	}
-	c.store = min(c.plan.Burst, c.store+c.plan.Rate*dt*share)
-	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n-c.lent, c.ceiling+c.plan.HardRate/c.n*dt))
+	c.bucket = min(c.plan.Burst, c.bucket+c.plan.Rate*dt*share)
+	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+c.plan.HardRate/c.parts*dt))
 	decay := math.Exp(-dt / demandSpan.Seconds())
-	c.rate, c.places = c.rate*decay, c.places*decay
-	for _, view := range c.set {
-		view.rate *= decay
+	c.demand, c.slotDemand = c.demand*decay, c.slotDemand*decay
+	for _, view := range c.views {
+		view.demand *= decay
 	}
 	if !c.bucketKnown && c.plan.Rate > 0 && (g.now-g.startedAt).Seconds() > c.plan.Burst/c.plan.Rate {
 		c.bucketKnown = true
@@ -78,7 +78,9 @@
 }
 
 // isSilent reports whether a peer's counts are too old to be used.
-func (g *Gateway) silent(p *peer) bool { return !p.heard || g.now-p.at > staleTicks*g.span() }
+func (g *Gateway) silent(p *peer) bool {
+	return !p.reported || g.now-p.reportedAt > staleTicks*g.span()
+}
 
 // assumedDemand is added to each gateway's demand, in units a second: a new customer's quota is split evenly.
 func (g *Gateway) even(c *customer) float64 { return evenRate*c.plan.Rate + evenLeast }
@@ -86,18 +88,18 @@
 // peerDemand returns a peer's demand, in units a second, for dividing the quota. A silent peer counts as much as this
 // gateway, then less, but never zero: it may be partitioned and still pass requests, or be gone.
 func (g *Gateway) weight(c *customer, view *peerView) float64 {
-	rate := view.rate
-	if g.silent(view.p) {
-		fade := math.Exp(-(g.now - max(view.p.at, g.start)).Seconds() / forgetAfter.Seconds())
-		rate = max(rate, c.rate) * (leastWeight + (1-leastWeight)*fade)
+	rate := view.demand
+	if g.silent(view.peer) {
+		fade := math.Exp(-(g.now - max(view.peer.reportedAt, g.startedAt)).Seconds() / forgetAfter.Seconds())
+		rate = max(rate, c.demand) * (leastWeight + (1-leastWeight)*fade)
 	}
 	return rate/demandSpan.Seconds() + g.even(c)
 }
 
 // totalDemand returns all gateways' demand, in units a second, including this gateway's.
 func (g *Gateway) demand(c *customer) float64 {
-	sum := c.rate/demandSpan.Seconds() + g.even(c)
-	for _, view := range c.set {
+	sum := c.demand/demandSpan.Seconds() + g.even(c)
+	for _, view := range c.views {
 		sum += g.weight(c, view)
 	}
 	return sum
@@ -113,14 +115,14 @@
 func (g *Gateway) allowance(c *customer) float64 {
 	reportDelay := (g.span() + blindExtra).Seconds()
 	unreported := 0.0
-	for _, view := range c.set {
+	for _, view := range c.views {
 		gap := reportDelay
-		if !view.p.complete {
-			gap += min(g.now-view.at, staleTicks*g.span()).Seconds()
+		if !view.peer.complete {
+			gap += min(g.now-view.reportedAt, staleTicks*g.span()).Seconds()
 		}
 		unreported += g.weight(c, view) * gap
 	}
-	return max(c.store*g.share(c), c.store-unreported)
+	return max(c.bucket*g.share(c), c.bucket-unreported)
 }
 
 // lend gives peers what this gateway does not need of its part of the ceiling and they need beyond theirs.
@@ -134,24 +136,24 @@
 	if c.onLoan *= math.Exp(-dt.Seconds() / lendSpan.Seconds()); c.onLoan < 1/lendScale/16 {
 		c.onLoan = 0
 	}
-	fairRate, wanted := c.plan.HardRate/c.n, 0.0
-	if g.set.Field != nil {
+	fairRate, wanted := c.plan.HardRate/c.parts, 0.0
+	if g.cfg.MultiService != nil {
 		fairRate *= lendFrom
 	}
-	for _, view := range c.set {
-		view.want = 0
-		if !g.silent(view.p) {
-			view.want = max(0, view.rate/demandSpan.Seconds()-fairRate) * dt.Seconds() * lendMost
+	for _, view := range c.views {
+		view.wantedUnits = 0
+		if !g.silent(view.peer) {
+			view.wantedUnits = max(0, view.demand/demandSpan.Seconds()-fairRate) * dt.Seconds() * lendMost
 		}
-		wanted += view.want
+		wanted += view.wantedUnits
 	}
-	spare := c.ceiling - g.set.LargestUnits - c.rate/demandSpan.Seconds()*lendAhead.Seconds()
-	for _, view := range c.set {
-		loan := min(lendScale*30, math.Floor(lendScale*view.want*min(1, max(0, spare)/max(wanted, 1e-9))))
-		view.gave += byte(loan)
-		c.ceiling, c.lent = c.ceiling-loan/lendScale, c.lent+loan/lendScale
+	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandSpan.Seconds()*lendAhead.Seconds()
+	for _, view := range c.views {
+		loan := min(lendScale*30, math.Floor(lendScale*view.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
+		view.lentTotal += byte(loan)
+		c.ceiling, c.onLoan = c.ceiling-loan/lendScale, c.onLoan+loan/lendScale
 		if loan > 0 {
-			c.fresh = max(c.fresh, 1)
+			c.reportsLeft = max(c.reportsLeft, 1)
 		}
 	}
 }
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestQuotaBoundsWhatPasses(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.hear(1, 1, 1, true)
-	if n := w.spend(40, "rate"); n < 5 || n > 10 {
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.report(1, 1, 1, true)
+	if n := w.requestMany(40, "rate"); n < 5 || n > 10 {
 		t.Fatalf("%d units passed of a bucket of 10", n)
 	}
 }
@@ -37,12 +37,12 @@
 		}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t, base(), fleet(8))
-			w.spend(1, "rate")
-			w.pass(600 * ms)
-			w.hear(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
+			w := newTestGateway(t, testSettings(), testServers(8))
+			w.requestMany(1, "rate")
+			w.advance(600 * ms)
+			w.report(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
 			test.tell(w)
-			if n := w.spend(30, "rate"); n > test.most || n == 0 && test.most > 3 {
+			if n := w.requestMany(30, "rate"); n > test.most || n == 0 && test.most > 3 {
 				t.Fatalf("%d units passed, at most %d are left", n, test.most)
 			}
 		})
@@ -50,10 +50,10 @@
 }
 
 func TestRestartAdoptsPeersStore(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "rate")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
-	if n := w.spend(20, "rate"); n > 1 {
+	w := newTestGateway(t, testSettings(), testServers(8))
+	w.requestMany(1, "rate")
+	w.report(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
+	if n := w.requestMany(20, "rate"); n > 1 {
 		t.Fatalf("%d units passed though a peer reports that one is left", n)
 	}
 }
@@ -66,10 +66,10 @@
 	if n := w.requestMany(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
 	}
-	_, first := w.ask("safe", "open", "c", 1)
-	_, second := w.ask("safe", "open", "c", 1)
-	acts := append(append(first, second...), w.pass(100*ms)...)
-	if n := len(of[Send](acts)); n > 1 {
+	_, first := w.request("safe", "open", "c", 1)
+	_, second := w.request("safe", "open", "c", 1)
+	acts := append(append(first, second...), w.advance(100*ms)...)
+	if n := len(actionsOf[Send](acts)); n > 1 {
 		t.Fatalf("a silent peer's share of the limit was used: %d in flight", n)
 	}
 }
@@ -79,11 +79,11 @@
 func TestAdviceFollowsTheStore(t *testing.T) {
 	set := testSettings()
 	set.MaxRetryAfter = 5 * time.Second
-	w := newWorld(t, set, fleet(3))
-	w.spend(40, "rate")
+	w := newTestGateway(t, set, testServers(3))
+	w.requestMany(40, "rate")
 	for units, want := range map[float64]time.Duration{1: 400 * ms, 4: 700 * ms} { // of 10 a second, 3 reserved
-		_, acts := w.ask("safe", "rate", "c", units)
-		r := of[Refuse](acts)
+		_, acts := w.request("safe", "rate", "c", units)
+		r := actionsOf[Refuse](acts)
 		if len(r) != 1 || r[0].RetryAfter < want-100*ms || r[0].RetryAfter > want+200*ms {
 			t.Errorf("%v units: %v, want about %v", units, acts, want)
 		}
@@ -126,13 +126,13 @@
 		w.now += 20 * ms
 	}
 	c := w.g.customers[keyOf("7")]
-	c.store = -500 // after settlement: takes long to refill
-	w.pass(forgetAfter + 3*time.Second)
-	w.spend(1, "rate")
+	c.bucket = -500 // after settlement: takes long to refill
+	w.advance(forgetAfter + 3*time.Second)
+	w.requestMany(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
 		t.Fatalf("%d customers known, want 2", n)
 	}
-	if n := len(w.g.customers) + len(w.g.ring) + len(w.g.byHash) + len(w.g.peers[1].views); n != 8 {
+	if n := len(w.g.customers) + len(w.g.customerList) + len(w.g.customersByHash) + len(w.g.peers[1].views); n != 8 {
 		t.Fatalf("%d table entries for customers, want 8", n)
 	}
 }
@@ -158,7 +158,7 @@
 	if deducted := receive(5, true); deducted != 2 {
 		t.Errorf("%v units deducted when the total goes from 3 to 5", deducted)
 	}
-	w.pass(anewFor + time.Second)
+	w.advance(anewFor + time.Second)
 	if deducted := receive(1, true); deducted != 1 {
 		t.Errorf("%v units deducted when a total restarts with 1", deducted)
 	}
@@ -172,7 +172,7 @@
 	c := w.g.customers[keyOf("c")]
 	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, store: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
-	if c.store > 2 {
-		t.Errorf("%v units in a bucket that has 2 according to a peer", c.store)
+	if c.bucket > 2 {
+		t.Errorf("%v units in a bucket that has 2 according to a peer", c.bucket)
 	}
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -63,9 +63,9 @@
 	}
 	switch {
 	case count == 1:
-		g.byHash[c.hash] = other
+		g.customersByHash[c.hash] = other
 	case count > 1:
-		g.byHash[c.hash] = nil
+		g.customersByHash[c.hash] = nil
 	}
 }
 
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -10,7 +10,7 @@
 )
 
 // onConfigUpdate applies changed classes and plans. Learned figures of existing ones are kept.
-func (g *Gateway) onTerms(ev Terms) {
+func (g *Gateway) onTerms(ev ConfigUpdate) {
 	for _, p := range ev.Plans {
 		if state := g.plans[p.Name]; state != nil {
 			state.Plan = p
@@ -36,16 +36,16 @@
 // capCeiling limits a customer's ceiling here to maxUnits, unless this gateway has given up its part: the units left
 // then belong to held requests.
 func (g *Gateway) cap(c *customer, maxUnits float64) {
-	if g.less < 1 {
+	if g.unusedShare < 1 {
 		c.ceiling = min(c.ceiling, maxUnits)
 	}
 }
 
 // onGatewaySet applies a change of the set of gateways.
-func (g *Gateway) onPeers(ev Peers) {
-	g.set.Me, g.set.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
-	g.regionOf = ev.Regions
-	g.parts, g.less, g.barren = ev.Shares, ev.Less, ev.Barren || ev.Less > 0
+func (g *Gateway) onPeers(ev GatewaySet) {
+	g.cfg.Me, g.cfg.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
+	g.gatewayRegions = ev.Regions
+	g.ceilingParts, g.unusedShare, g.noColdSends = ev.CeilingParts, ev.UnusedShare, ev.NoColdSends || ev.UnusedShare > 0
 	g.regions = slices.Compact(slices.Sorted(slices.Values(ev.Regions)))
 	g.regions = slices.DeleteFunc(g.regions, func(r string) bool { return r == "" })
 	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > wideBeyond && len(g.regions) > 0
@@ -67,7 +67,7 @@
 }
 
 // planForKey finds a customer's plan by the customer's key, where each customer has its own plan.
-func (g *Gateway) planOf(key uint64) *quota {
+func (g *Gateway) planOf(key uint64) *planState {
 	for name, plan := range g.plans {
 		if keyOf(name) == key {
 			return plan
@@ -98,7 +98,7 @@
 
 // ceilingDivisor returns the number by which ceilings are divided for this gateway's part: n, or more if this gateway
 // leaves a share of its part unused.
-func (g *Gateway) ownOf(n float64) float64 { return n / max(leastPart, 1-g.less) }
+func (g *Gateway) ownOf(n float64) float64 { return n / max(leastPart, 1-g.unusedShare) }
 
 // onRelinquish offers other gateways the ceiling units held here, but for those that held requests need.
 func (g *Gateway) onYield() {
@@ -106,10 +106,10 @@
 	clear(g.retryBudgets)
 	for _, c := range g.customerList {
 		if g.advance(c); c.plan.HardRate > 0 {
-			units := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.set.LargestUnits))
+			units := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.cfg.MaxRequestUnits))
 			c.ceiling -= units
 			if recipients := g.heirs(c); units > 0 && len(recipients) > 0 {
-				g.do(Give{Customer: c.key, Units: uint16(min(units, math.MaxUint16)), To: recipients})
+				g.emit(OfferUnits{Customer: c.key, Units: uint16(min(units, math.MaxUint16)), Candidates: recipients})
 			}
 		}
 		c.parts = g.ownOf(float64(g.shares()))
@@ -134,27 +134,27 @@
 // lenders returns the gateways to borrow from when a request lacks units here though its customer as a whole has some,
 // where reports go from all to all: this region's gateways first, then those with the least demand.
 func (g *Gateway) lenders(r *request) (list []int) {
-	refusedRecently := r.c.dryAt > 0 && g.now-r.c.dryAt < dryFor
-	if g.set.Field == nil || g.less >= 1 || refusedRecently || g.allowance(r.c) < r.units {
+	refusedRecently := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < dryFor
+	if g.cfg.MultiService == nil || g.unusedShare >= 1 || refusedRecently || g.allowance(r.customer) < r.units {
 		return nil
 	}
 	distance := func(v *peerView) int {
-		if v.p.num < len(g.regionOf) && g.regionOf[v.p.num] == g.regionOf[g.set.Me] {
+		if v.peer.index < len(g.gatewayRegions) && g.gatewayRegions[v.peer.index] == g.gatewayRegions[g.cfg.Me] {
 			return 0
 		}
 		return 1
 	}
-	slices.SortFunc(r.c.set, func(a, b *peerView) int { return cmp.Or(distance(a)-distance(b), cmp.Compare(a.rate, b.rate)) })
-	for _, v := range r.c.set {
-		if !g.silent(v.p) && len(list) < lendersMost {
-			list = append(list, v.p.num)
+	slices.SortFunc(r.customer.views, func(a, b *peerView) int { return cmp.Or(distance(a)-distance(b), cmp.Compare(a.demand, b.demand)) })
+	for _, v := range r.customer.views {
+		if !g.silent(v.peer) && len(list) < lendersMost {
+			list = append(list, v.peer.index)
 		}
 	}
 	return list
 }
 
 // pastLoanDeadline reports whether a request has waited too long to ask another lender.
-func (g *Gateway) tired(r *request) bool { return g.now-r.arrived > g.patience(r)/2 }
+func (g *Gateway) tired(r *request) bool { return g.now-r.arrivedAt > g.maxHold(r)/2 }
 
 const (
 	heirsMost   = 3 // gateways offered relinquished units
@@ -163,7 +163,7 @@
 
 // onUnitsReceived adds relinquished units to this gateway's part, as far as there is room: all parts together stay
 // within the ceiling.
-func (g *Gateway) onGiven(ev Given) {
+func (g *Gateway) onGiven(ev UnitsReceived) {
 	c := g.customers[ev.Customer]
 	if c == nil {
 		plan := g.planOf(ev.Customer)
@@ -202,12 +202,12 @@
 		c.mean = c.LatencyTarget.Seconds() / firstGuess
 		g.meanLatency, g.minTarget = max(g.meanLatency, c.mean), min(g.minTarget, c.LatencyTarget.Seconds())
 	}
-	messageRate := max(s.MailPerSecond*mailShare, 1)
-	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / messageRate * float64(time.Second))
-	g.own, g.gate, g.heard = learn, 1, 1
-	g.nextTag, g.reply = g.rng.Uint32(), leastReply
-	if g.tree = g.tick > treeBeyond*maxTick && s.CanTell && s.Field == nil; g.tree {
-		g.own = 0 // the watchers' verdicts rest on more outcomes than this gateway sees
+	messageRate := max(s.MessagesPerSecond*mailShare, 1)
+	g.tickInterval = time.Duration(float64(max(s.Gateways-1, 1)) / messageRate * float64(time.Second))
+	g.ownOutcomeWeight, g.admitShare, g.answeredShare = learn, 1, 1
+	g.nextTag, g.meanReplyTime = g.rng.Uint32(), leastReply
+	if g.usesRoots = g.tickInterval > treeBeyond*maxTick && s.CanMessagePeers && s.MultiService == nil; g.usesRoots {
+		g.ownOutcomeWeight = 0 // the watchers' verdicts rest on more outcomes than this gateway sees
 	} else {
 		g.allPeers()
 	}
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -5,7 +5,7 @@
 // allowedByTrust reports whether a server's trust level allows a request, at least as a trial.
 func (s *server) trusted(r *request) bool {
 	level := s.trust.Level
-	return level <= Doubted || level == NoRecord && r.effect == Safe || s.tries(r)
+	return level <= Suspect || level == SafeOnly && r.effect == Safe || s.tries(r)
 }
 
 // mayTakeTrial reports whether a request may be sent to a server as a trial, as its first attempt. A server that gets
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -29,9 +29,9 @@
 			servers[i].Slots = 2
 		}
 		handle(fieldTerms(Plan{Name: "p"}))
-		handle(Peers{Gateways: 1})
-		handle(Members{Kind: Whole, Servers: servers})
-		trust := Trusts{Servers: map[ServerID]Trust{servers[0].ID: {Level: Level(rapid.IntRange(0, 3).Draw(t, "level")), Try: rapid.Bool().Draw(t, "try")}, servers[1].ID: {Level: Doubted}}}
+		handle(GatewaySet{Gateways: 1})
+		handle(ServerList{Kind: CompleteList, Servers: servers})
+		trust := TrustUpdate{Servers: map[ServerID]Trust{servers[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, servers[1].ID: {Level: Suspect}}}
 		handle(trust)
 		tested := trust.Servers[servers[0].ID]
 		trials := 0
@@ -41,13 +41,13 @@
 			for _, s := range handle(Request{ID: id, Customer: "c", Plan: "p", Class: class, Units: 1, Remaining: 2 * time.Second, Service: "desk"}) {
 				mustNotRepeat := class == "once"
 				switch {
-				case s.Server == servers[0].ID && (tested.Level == NoTrust || tested.Level == NoRecord && mustNotRepeat):
+				case s.Server == servers[0].ID && (tested.Level == TrialsOnly || tested.Level == SafeOnly && mustNotRepeat):
 					trials++
-					assert.Assert(t, tested.Try && mustNotRepeat == (tested.Level == NoRecord))
+					assert.Assert(t, tested.Trial && mustNotRepeat == (tested.Level == SafeOnly))
 				case s.Server == servers[1].ID && mustNotRepeat:
 					t.Fatal("sent to a suspect server though others have room")
 				}
-				handle(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Over: true})
+				handle(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Final: true})
 			}
 		}
 		assert.Assert(t, trials <= 1, "%d trials", trials)
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -13,10 +13,10 @@
 // ceiling even if messages are lost: an owner deducts what it lends before the borrower receives it.
 func (g *Gateway) deal(c *customer) {
 	owners, isOwner := 0, false
-	c.near = nil // owners of this gateway's region come first
+	c.owners = nil // owners of this gateway's region come first
 	for _, region := range g.regions {
 		var regionOwners []int
-		for i, r := range g.regionOf {
+		for i, r := range g.gatewayRegions {
 			if r == region {
 				regionOwners = append(regionOwners, i)
 			}
@@ -25,11 +25,11 @@
 			return cmp.Compare(mixed(c.hash, uint32(b)), mixed(c.hash, uint32(a)))
 		})
 		regionOwners = regionOwners[:min(len(regionOwners), ownersEach)]
-		owners, isOwner = owners+len(regionOwners), isOwner || slices.Contains(regionOwners, g.set.Me)
-		if g.set.Me < len(g.regionOf) && region == g.regionOf[g.set.Me] {
-			regionOwners, c.near = append(regionOwners, c.near...), nil
+		owners, isOwner = owners+len(regionOwners), isOwner || slices.Contains(regionOwners, g.cfg.Me)
+		if g.cfg.Me < len(g.gatewayRegions) && region == g.gatewayRegions[g.cfg.Me] {
+			regionOwners, c.owners = append(regionOwners, c.owners...), nil
 		}
-		c.near = append(c.near, regionOwners...)
+		c.owners = append(c.owners, regionOwners...)
 	}
 	dealtShare := memberPart
 	if c.plan.HardBurst*dealtShare/float64(g.shares()) < leastDealt {
@@ -39,7 +39,7 @@
 	if isOwner {
 		ownShare += (1 - dealtShare) / float64(owners)
 	}
-	c.n = g.ownOf(1 / max(ownShare, leastPart))
+	c.parts = g.ownOf(1 / max(ownShare, leastPart))
 }
 
 // mayBorrow reports whether there is a gateway to borrow from for a request whose customer lacks units here.
@@ -75,7 +75,7 @@
 }
 
 // onLoanRequest lends a peer the units it asks for, if this gateway has them.
-func (g *Gateway) onWant(from int, m want) {
+func (g *Gateway) onWant(from int, m loanRequest) {
 	c := g.customers[m.Customer]
 	if c == nil {
 		plan := g.planOf(m.Customer)
@@ -85,16 +85,16 @@
 		c = g.account(m.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
-	c.seen = g.now
-	reply := lent{m.Customer, m.Tag, 0}
-	if units := float64(m.Units); c.ceiling >= units && g.less < 1 {
+	c.lastRequestAt = g.now
+	reply := loanReply{m.Customer, m.Tag, 0}
+	if units := float64(m.Units); c.ceiling >= units && g.unusedShare < 1 {
 		c.ceiling -= units
-		if !g.wide {
-			c.lent += units // not refilled before the loan arrives
+		if !g.borrows {
+			c.onLoan += units // not refilled before the loan arrives
 		}
 		reply.Units = m.Units
 	}
-	g.do(Tell{To: from, Data: encode(reply)})
+	g.emit(SendPeer{To: from, Data: encode(reply)})
 }
 
 // onLoanTimeout records that a lender did not answer, and asks the next.
--- a/policy/wide_test.go
+++ b/policy/wide_test.go
@@ -17,7 +17,7 @@
 	}
 	for i, g := range m.gs {
 		if g != nil {
-			m.do(i, Peers{Me: i, Gateways: len(regions), Shares: usedNumbers, Regions: regions})
+			m.do(i, GatewaySet{Me: i, Gateways: len(regions), CeilingParts: usedNumbers, Regions: regions})
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	}
 }
 
-// Restarted gateways have some ceiling units at once (HardStart), for requests that piled up during the restart.
+// Restarted gateways have some ceiling units at once (HardInitial), for requests that piled up during the restart.
 func TestStartHasRoom(t *testing.T) {
 	plan := limited(100, 100)
 	plan.HardInitial = 40
