--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -84,11 +84,11 @@
 		disk = world.RealDisk{}
 	}
 	b := control.New(set, w, disk, log)
-	b.ShowLog(logs)
+	b.SetLogRing(logs)
 	if disk != nil {
-		t := orderlog.Open(vfs.Default, filepath.Join(set.Self.DataDir, "tally"), tallyAfter, api.MostOrders, log, b.Recall)
+		t := orderlog.Open(vfs.Default, filepath.Join(set.Self.DataDir, "tally"), tallyAfter, api.MostOrders, log, b.RestoreOrders)
 		defer t.Close(tallyWithin)
-		b.Notes(t.Append)
+		b.SetOrderPersister(t.Append)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/control/acceptor.go
+++ b/internal/control/acceptor.go
@@ -198,7 +198,7 @@
 	case b.versionLearned <- struct{}{}:
 	default:
 	}
-	b.spurred()
+	b.signalLeaseChange()
 }
 
 // sendDecided sends the decided state to another replica. The caller holds the mutex.
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -18,24 +18,24 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// farmhand is an agent on a machine of its own, connected to one replica.
-type farmhand struct {
-	f    *clusterFixture
-	mu   sync.Mutex
-	gen  uint64 // of the newest configuration told
-	sum  uint32
-	list *peerlink.Servers
-	who  *peerlink.Census
-	age  time.Duration // of the last answer, from when it was asked for
-	ever bool
-	stop context.CancelFunc
-	conn *peerlink.Conn
+// simAgent is an agent on a machine of its own, connected to one replica.
+type simAgent struct {
+	f            *clusterFixture
+	mu           sync.Mutex
+	held         uint64 // of the newest configuration told
+	sum          uint32
+	list         *peerlink.Servers
+	census       *peerlink.Census
+	confirmedAge time.Duration // of the last answer, from when it was asked for
+	confirmed    bool
+	stop         context.CancelFunc
+	conn         *peerlink.Conn
 }
 
-func (f *clusterFixture) agent(name string, at int) *farmhand {
+func (f *clusterFixture) startAgent(name string, at int) *simAgent {
 	p := f.net.Host("10.1.0." + name)
 	ctx, stop := context.WithCancel(context.Background())
-	h := &farmhand{f: f, stop: stop}
+	h := &simAgent{f: f, stop: stop}
 	d := &peerlink.Dialer{Net: p, Log: logr.Discard(), Hello: peerlink.Hello{Role: peerlink.Agent, Name: "proxy-" + name, Life: time.Now().UnixNano(), Region: "r", Front: "10.1.0." + name + ":80"}}
 	began := time.Now()
 	go d.Keep(ctx, f.settings(at).Inner(ip(at)), func(_ context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
@@ -45,7 +45,7 @@
 		go func() {
 			for {
 				h.mu.Lock()
-				p := &peerlink.Ping{Sent: time.Since(began), Ready: true, Upstream: true, Gen: h.gen, Held: h.gen, Sum: h.sum}
+				p := &peerlink.Ping{Sent: time.Since(began), Ready: true, Upstream: true, Gen: h.held, Held: h.held, Sum: h.sum}
 				h.mu.Unlock()
 				if c.Send(&peerlink.Frame{Ping: p}) != nil {
 					return
@@ -61,18 +61,18 @@
 			h.mu.Lock()
 			if ch := fr.Change; ch != nil {
 				if ch.Configuration != nil {
-					h.gen, h.sum = ch.Configuration.Gen, ch.Configuration.Sum()
+					h.held, h.sum = ch.Configuration.Gen, ch.Configuration.Sum()
 				}
 				if ch.Servers != nil {
 					h.list = ch.Servers.Onto(h.list)
 				}
 				if ch.Census != nil {
-					h.who = ch.Census.Onto(h.who)
+					h.census = ch.Census.Onto(h.census)
 				}
-				_ = c.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: ch.No, Gen: h.gen}})
+				_ = c.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: ch.No, Gen: h.held}})
 			}
 			if po := fr.Pong; po != nil {
-				h.ever, h.age = po.Fresh, time.Since(began)-po.Sent+po.Age
+				h.confirmed, h.confirmedAge = po.Fresh, time.Since(began)-po.Sent+po.Age
 			}
 			h.mu.Unlock()
 		}
@@ -80,8 +80,8 @@
 	return h
 }
 
-// sees tells whether something holds of what the agent was told.
-func (h *farmhand) sees(what func(h *farmhand) bool) func() bool {
+// holds tells whether something holds of what the agent was told.
+func (h *simAgent) holds(what func(h *simAgent) bool) func() bool {
 	return func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -108,48 +108,48 @@
 }
 
 // An agent hears of what a majority holds and of nothing else, and how fresh that is.
-func TestAgentsHearOfWhatIsHeldByMost(t *testing.T) {
+func TestAgentsGetOnlyDecidedConfigurations(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
-		a, b := f.agent("1", 0), f.agent("2", 2)
+		a, b := f.startAgent("1", 0), f.startAgent("2", 2)
 		defer a.stop()
 		defer b.stop()
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		f.waitFor(100*time.Millisecond, "told by who took it", a.sees(func(h *farmhand) bool { return h.gen == 2 }))
-		f.waitFor(500*time.Millisecond, "told by another", b.sees(func(h *farmhand) bool { return h.gen == 2 }))
-		f.waitFor(time.Second, "fresh", a.sees(func(h *farmhand) bool { return h.ever && h.age < 800*time.Millisecond }))
+		f.waitFor(100*time.Millisecond, "told by who took it", a.holds(func(h *simAgent) bool { return h.held == 2 }))
+		f.waitFor(500*time.Millisecond, "told by another", b.holds(func(h *simAgent) bool { return h.held == 2 }))
+		f.waitFor(time.Second, "fresh", a.holds(func(h *simAgent) bool { return h.confirmed && h.confirmedAge < 800*time.Millisecond }))
 		f.acceptOnOneDisk(0, configurationBody(3, "a"))
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, a.sees(func(h *farmhand) bool { return h.gen == 2 })())
+		assert.Assert(t, a.holds(func(h *simAgent) bool { return h.held == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.waitFor(3*time.Second, "mended", b.sees(func(h *farmhand) bool { return h.gen == 3 }))
-		f.waitFor(time.Second, "mended", a.sees(func(h *farmhand) bool { return h.gen == 3 }))
+		f.waitFor(3*time.Second, "mended", b.holds(func(h *simAgent) bool { return h.held == 3 }))
+		f.waitFor(time.Second, "mended", a.holds(func(h *simAgent) bool { return h.held == 3 }))
 		// Cut off, a replica's word ages; what it does not know may be in force.
 		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
 		f.replaceUntilAcknowledged(1, configurationBody(4, "a"))
-		assert.Assert(t, a.sees(func(h *farmhand) bool { return h.gen == 3 && h.age > 4*time.Second })())
+		assert.Assert(t, a.holds(func(h *simAgent) bool { return h.held == 3 && h.confirmedAge > 4*time.Second })())
 		f.partition(ips(0), ips(1, 2), sim.Open)
-		f.waitFor(3*time.Second, "told after the cut", a.sees(func(h *farmhand) bool { return h.gen == 4 && h.age < time.Second }))
+		f.waitFor(3*time.Second, "told after the cut", a.holds(func(h *simAgent) bool { return h.held == 4 && h.confirmedAge < time.Second }))
 	})
 }
 
 func TestCensus(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
-		a, b := f.agent("1", 0), f.agent("2", 0)
+		a, b := f.startAgent("1", 0), f.startAgent("2", 0)
 		defer a.stop()
 		is := func(ready, shares int) func() bool {
-			return a.sees(func(h *farmhand) bool {
+			return a.holds(func(h *simAgent) bool {
 				n := 0
-				for _, g := range h.who.Proxies {
+				for _, g := range h.census.Proxies {
 					if g.Ready {
 						n++
 					}
 				}
-				return n == ready && h.who.Shares == shares
+				return n == ready && h.census.Shares == shares
 			})
 		}
-		f.waitFor(2*time.Second, "both ready", func() bool { return a.sees(func(h *farmhand) bool { return h.who != nil })() && is(2, 2)() })
+		f.waitFor(2*time.Second, "both ready", func() bool { return a.holds(func(h *simAgent) bool { return h.census != nil })() && is(2, 2)() })
 		status, text := f.call("GET", "http://"+ip(0)+":8209/-/lookup?name=x&region=r&zone=z0", nil)
 		assert.Equal(t, status, 200)
 		assert.Equal(t, text, `{"addr_list":["10.1.0.1:80","10.1.0.2:80"],"ttl_s":1}`+"\n")
@@ -176,7 +176,7 @@
 			{"POST", "Config.Replace", `{"gen":"r1"`, 400},
 			{"POST", "Config.Replace", string(configurationBody(2, "a")), 200},
 			{"POST", "Config.Replace", string(configurationBody(1, "a")), 200},
-			{"POST", "Config.Replace", "x" + string(make([]byte, mostBody)), 413},
+			{"POST", "Config.Replace", "x" + string(make([]byte, maxBodyBytes)), 413},
 			{"GET", "Config.Show", "", 200},
 			{"POST", "Drain.Begin/z1", "", 200},
 			{"POST", "Drain.Begin/z1", "", 200},
@@ -198,15 +198,15 @@
 	})
 }
 
-// platform is the platform's list, of one page for each server.
-type platform struct {
+// fakePlatform is the platform's list, of one page for each server.
+type fakePlatform struct {
 	mu      sync.Mutex
 	servers []string // rows
 	calls   int
 	down    bool
 }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
@@ -222,17 +222,17 @@
 	fmt.Fprintf(w, `{"servers":{"cols":["id","backend","address","zone","state"],"rows":[%s]},"next_token":%s}`, p.servers[i], next)
 }
 
-func row(id, state string) string {
+func serverRow(id, state string) string {
 	return fmt.Sprintf(`["%s","s","10.5.0.1:80","z0","%s"]`, id, state)
 }
 
-func TestListsDutyIsTakenOver(t *testing.T) {
-	p := &platform{servers: []string{row("a", "ready"), row("b", "ready")}}
+func TestListLeaseIsTakenOver(t *testing.T) {
+	p := &fakePlatform{servers: []string{serverRow("a", "ready"), serverRow("b", "ready")}}
 	runClusterWithPlatform(t, 4, p, func(f *clusterFixture) {
-		h := f.agent("1", 0)
+		h := f.startAgent("1", 0)
 		defer h.stop()
 		states := func(want string) func() bool {
-			return h.sees(func(h *farmhand) bool {
+			return h.holds(func(h *simAgent) bool {
 				got := ""
 				for _, s := range h.list.List {
 					got += fmt.Sprint(s.ID, " ", s.Draining, ";")
@@ -245,7 +245,7 @@
 			defer p.mu.Unlock()
 			p.servers = rows
 		}
-		f.waitFor(2*time.Second, "a list", h.sees(func(h *farmhand) bool { return h.list != nil }))
+		f.waitFor(2*time.Second, "a list", h.holds(func(h *simAgent) bool { return h.list != nil }))
 		assert.Assert(t, states("a false;b false;")())
 		p.mu.Lock()
 		before := p.calls
@@ -254,11 +254,11 @@
 		p.mu.Lock()
 		assert.Assert(t, p.calls-before <= 2*21, "%d calls", p.calls-before) // one replica asks
 		p.mu.Unlock()
-		set(row("a", "draining"), row("b", "ready"))
+		set(serverRow("a", "draining"), serverRow("b", "ready"))
 		f.waitFor(time.Second, "drains", states("a true;b false;"))
 		holder := 0
 		for i := 1; i < 4; i++ {
-			if f.replicas[i].holdsNow() {
+			if f.replicas[i].holdsListLease() {
 				holder = i
 			}
 		}
@@ -267,26 +267,26 @@
 		} else {
 			f.kill(holder, true)
 		}
-		set(row("a", "ready"), row("b", "draining"), row("c", "ready"))
+		set(serverRow("a", "ready"), serverRow("b", "draining"), serverRow("c", "ready"))
 		f.waitFor(3*time.Second, "taken over", states("a true;b true;c false;")) // no life comes back from draining
 	})
 }
 
-func (r *runningReplica) holdsNow() bool {
+func (r *runningReplica) holdsListLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duty.Holds()
 }
 
 // An agent that was told another text of the same number is told the one that holds.
-func TestTwinTextIsTold(t *testing.T) {
-	playAgents(t, 3, func(f *crowd) {
+func TestOtherTextOfTheSameNumberIsReplaced(t *testing.T) {
+	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
 		held := f.replicas[0].configurationInForce()
-		h, stop := f.helper(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
+		h, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
 		defer stop()
-		f.pass(2*time.Second, h)
-		assert.Equal(t, string(h.news().Configuration.Body), string(held.Body))
+		f.pingFor(2*time.Second, h)
+		assert.Equal(t, string(h.lastNonCensusChange().Configuration.Body), string(held.Body))
 		assert.Assert(t, !h.pong.Fresh, "%+v", h.pong)
 	})
 }
@@ -295,22 +295,22 @@
 // more. While that is on its way, in force of another text, or held by the agent alone, the proxy goes on with keys that
 // may have been taken away.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
-	playAgents(t, 3, func(f *crowd) {
+	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		in := func(gen uint64) peerlink.Ping {
 			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
 		}
-		proxy, stop := f.helper(0, "1", in(2))
+		proxy, stop := f.startAgentWithPing(0, "1", in(2))
 		defer stop()
 		newest := func(what string) {
-			f.pass(time.Second, proxy)
+			f.pingFor(time.Second, proxy)
 			assert.Assert(t, proxy.pong.Fresh && proxy.pong.Age < time.Second && proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
 		newest("the newest in force")
 		f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
 		decided := time.Now()
 		outdated := func(what string) {
-			f.pass(time.Second, proxy)
+			f.pingFor(time.Second, proxy)
 			assert.Assert(t, !proxy.pong.Fresh || proxy.pong.Age >= time.Since(decided)-250*time.Millisecond, "%s: %+v, decided %v ago", what, proxy.pong, time.Since(decided))
 			assert.Assert(t, proxy.pong.InTouch && proxy.pong.TouchAge < time.Second, "%s: %+v", what, proxy.pong)
 		}
@@ -333,7 +333,7 @@
 
 // The platform's address, the zones and the rate change in service.
 func TestSettingsChange(t *testing.T) {
-	one, two := &platform{servers: []string{row("a", "ready")}}, &platform{servers: []string{row("b", "ready")}}
+	one, two := &fakePlatform{servers: []string{serverRow("a", "ready")}}, &fakePlatform{servers: []string{serverRow("b", "ready")}}
 	runClusterWithPlatform(t, 3, one, func(f *clusterFixture) {
 		ln, err := f.net.Host("10.8.0.2").Listen(context.Background(), "tcp", "10.8.0.2:80")
 		assert.NilError(t, err)
--- a/internal/control/alarms.go
+++ b/internal/control/alarms.go
@@ -26,15 +26,15 @@
 }
 
 // logAgentLag logs if an agent has lacked the decided configuration for too long. The caller holds the mutex.
-func (b *Replica) logAgentLag(follower *agent) {
+func (b *Replica) logAgentLag(follower *agentConn) {
 	now := b.now()
-	since, behind := b.configurationHistory.BehindSinceConnected(&follower.agent)
-	if !behind || !isAlarmDue(since, follower.reported, agentLagThreshold, now) {
+	since, behind := b.configurationHistory.BehindSinceConnected(&follower.delivery)
+	if !behind || !isAlarmDue(since, follower.lagLoggedAt, agentLagThreshold, now) {
 		return
 	}
-	follower.reported = now
-	b.log.Error(errAgentBehind, "agent behind", "agent", follower.name, "for", now-since, "held", follower.agent.Held.Gen, "decided", b.configuration.Gen,
-		"follows_this_replica", follower.agent.IsUpstream, "sent", follower.agent.Sent.Gen)
+	follower.lagLoggedAt = now
+	b.log.Error(errAgentBehind, "agent behind", "agent", follower.name, "for", now-since, "held", follower.delivery.Held.Gen, "decided", b.configuration.Gen,
+		"follows_this_replica", follower.delivery.IsUpstream, "sent", follower.delivery.Sent.Gen)
 }
 
 // logContactLoss logs if this replica has had no contact with a majority for too long. The caller holds the mutex.
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -28,7 +28,7 @@
 	})
 	b.log.Info("configuration in force", "gen", config.Gen)
 	for agent := range b.agents {
-		b.deliver(agent)
+		b.deliverConfiguration(agent)
 	}
 }
 
@@ -51,11 +51,11 @@
 	}
 	node, isNode := order.Node()
 	if isNode {
-		b.proxies.rest(node, order.Drain)
+		b.proxies.setResting(node, order.Drain)
 	}
 	for agent := range b.agents {
 		if !isNode || agent.name == node {
-			agent.change(&peerlink.Change{Zones: b.ordersFor(agent.name)})
+			agent.sendChange(&peerlink.Change{Zones: b.ordersFor(agent.name)})
 		}
 	}
 }
--- a/internal/control/compare.go
+++ b/internal/control/compare.go
@@ -12,35 +12,35 @@
 
 // Times of rounds.
 const (
-	roundEvery  = 400 * time.Millisecond
-	roundWithin = 300 * time.Millisecond
-	soon        = 20 * time.Millisecond // between a wish for a round and the round
+	reportRoundInterval = 400 * time.Millisecond
+	reportRoundTimeout  = 300 * time.Millisecond
+	minWakeDelay        = 20 * time.Millisecond // between a wish for a round and the round
 )
 
 // lastReport is another replica's last report.
 type lastReport struct {
-	report quorum.Report
-	at     time.Duration
-	left   bool // it said that it ends, and has not come back since
+	report     quorum.Report
+	receivedAt time.Duration
+	hasLeft    bool // it said that it ends, and has not come back since
 }
 
-// undecided is what a replica had accepted above the version that it knew.
-type undecided struct {
+// acceptedProposal is what a replica had accepted above the version that it knew.
+type acceptedProposal struct {
 	version uint64
 	ballot  quorum.Ballot
 }
 
-// compare asks the others how far they are, ever again.
-func (b *Replica) compare(ctx context.Context) {
+// runReportRounds asks the others how far they are, ever again.
+func (b *Replica) runReportRounds(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := b.now()
-		b.round(ctx)
-		t := b.world.NewTimer(max(soon, roundEvery-(b.now()-began)))
+		b.runReportRound(ctx)
+		t := b.world.NewTimer(max(minWakeDelay, reportRoundInterval-(b.now()-began)))
 		select {
 		case <-t.C():
 		case <-b.roundWanted:
 			t.Stop()
-			if !b.sleep(ctx, soon) {
+			if !b.sleep(ctx, minWakeDelay) {
 				return
 			}
 		case <-ctx.Done():
@@ -49,33 +49,33 @@
 	}
 }
 
-// round compares how far all are: it confirms what is decided, helps those that
+// runReportRound compares how far all are: it confirms what is decided, helps those that
 // are behind, finishes what a proposer has left behind, and sees to the voters.
-func (b *Replica) round(ctx context.Context) {
+func (b *Replica) runReportRound(ctx context.Context) {
 	began, known := b.now(), b.decidedState().Version
-	rctx, cancel := b.withTimeout(ctx, roundWithin)
-	reports := b.reports(rctx, func() bool { return false })
+	rctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	reports := b.requestReports(rctx, func() bool { return false })
 	cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	base := b.contents.Record.Decided
-	b.noteContact(base, reports, began)
+	b.updateContact(base, reports, began)
 	for id, m := range reports {
 		if l := b.linkTo(id); l != nil && m.Version < base.Version {
 			b.sendDecided(l)
 		}
 	}
 	b.store.RetryPending()
-	b.finish(base, reports)
+	b.resolveUndecided(base, reports)
 	b.maintainVoters(known)
 	b.forgetSilentReplicas()
 }
 
-// noteContact takes in what a round that began at a moment says of this replica's
+// updateContact takes in what a round that began at a moment says of this replica's
 // own standing; the mutex is held. One that a majority answers is in touch unless it
 // lacks what somebody knew in the round before. That nothing newer is decided can't
 // be told while the next version is being accepted.
-func (b *Replica) noteContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
+func (b *Replica) updateContact(base state.State, reports map[string]quorum.Report, began time.Duration) {
 	if quorum.IsLatest(base, reports) {
 		b.decidedConfirmed = delivery.Confirmation{IsKnown: true, At: max(b.decidedConfirmed.At, began)}
 	}
@@ -89,15 +89,15 @@
 	}
 }
 
-// finish has a value decided, or found not to be, that somebody accepted and that
+// resolveUndecided has a value decided, or found not to be, that somebody accepted and that
 // nobody has seen to for a whole round; the mutex is held.
-func (b *Replica) finish(base state.State, reports map[string]quorum.Report) {
+func (b *Replica) resolveUndecided(base state.State, reports map[string]quorum.Report) {
 	before := b.acceptedUndecided
-	b.acceptedUndecided = map[string]undecided{}
+	b.acceptedUndecided = map[string]acceptedProposal{}
 	left := false
 	for id, m := range reports {
 		if m.Version == base.Version && m.Accepted != (quorum.Ballot{}) {
-			b.acceptedUndecided[id] = undecided{m.Version, m.Accepted}
+			b.acceptedUndecided[id] = acceptedProposal{m.Version, m.Accepted}
 			left = left || before[id] == b.acceptedUndecided[id]
 		}
 	}
@@ -113,15 +113,15 @@
 	})
 }
 
-// reports asks all replicas that are connected how far they are, until enough is
+// requestReports asks all replicas that are connected how far they are, until enough is
 // true, all have answered, or ctx ends. They go by ID, this one's among them.
-func (b *Replica) reports(ctx context.Context, enough func() bool) map[string]quorum.Report {
+func (b *Replica) requestReports(ctx context.Context, enough func() bool) map[string]quorum.Report {
 	all := map[string]quorum.Report{}
-	b.collect(ctx, all, enough)
+	b.collectReports(ctx, all, enough)
 	return all
 }
 
-func (b *Replica) collect(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
+func (b *Replica) collectReports(ctx context.Context, all map[string]quorum.Report, enough func() bool) {
 	p := b.newPoll()
 	defer p.cancel()
 	b.mu.Lock()
@@ -139,7 +139,7 @@
 			m := *a.reply.Report
 			all[m.ID] = m
 			b.mu.Lock()
-			b.lastReports[m.ID] = lastReport{report: m, at: b.now()}
+			b.lastReports[m.ID] = lastReport{report: m, receivedAt: b.now()}
 			b.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -147,19 +147,19 @@
 	}
 }
 
-// stillLatest tells whether a majority says that nothing but other voters is decided above base.
-func (b *Replica) stillLatest(ctx context.Context, base state.State) bool {
-	ctx, cancel := b.withTimeout(ctx, roundWithin)
+// isStillLatest tells whether a majority says that nothing but other voters is decided above base.
+func (b *Replica) isStillLatest(ctx context.Context, base state.State) bool {
+	ctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
 	defer cancel()
 	reports := map[string]quorum.Report{}
 	latest := func() bool { return quorum.IsLatest(base, reports) }
-	b.collect(ctx, reports, latest)
+	b.collectReports(ctx, reports, latest)
 	return latest()
 }
 
-// confirm returns what is decided once a majority of its voters has said that
+// confirmedState returns what is decided once a majority of its voters has said that
 // nothing was decided above it when confirm was called; else ErrNoMajority.
-func (b *Replica) confirm(ctx context.Context) (state.State, error) {
+func (b *Replica) confirmedState(ctx context.Context) (state.State, error) {
 	b.mu.Lock()
 	reached := b.isMajorityReachable()
 	b.mu.Unlock()
@@ -172,8 +172,8 @@
 		base = b.decidedState()
 		return quorum.IsLatest(base, reports)
 	}
-	rctx, cancel := b.withTimeout(ctx, roundWithin)
-	b.collect(rctx, reports, latest)
+	rctx, cancel := b.withTimeout(ctx, reportRoundTimeout)
+	b.collectReports(rctx, reports, latest)
 	cancel()
 	if latest() {
 		return base, nil
--- a/internal/control/compare_test.go
+++ b/internal/control/compare_test.go
@@ -22,7 +22,7 @@
 		for _, id := range heard {
 			reports[id] = quorum.Report{Version: version}
 		}
-		b.noteContact(base, reports, at)
+		b.updateContact(base, reports, at)
 		return b.majorityContact.IsKnown && b.majorityContact.At == at
 	}
 	assert.Assert(t, !round(4), "nobody has answered")
--- a/internal/control/consistency_test.go
+++ b/internal/control/consistency_test.go
@@ -64,8 +64,8 @@
 	runCluster(t, 3, func(f *clusterFixture) {
 		ctx := context.Background()
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		h := f.agent("1", 1)
-		f.waitFor(3*time.Second, "the agent is confirmed", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second }))
+		h := f.startAgent("1", 1)
+		f.waitFor(3*time.Second, "the agent is confirmed", h.holds(func(h *simAgent) bool { return h.confirmed && h.confirmedAge < time.Second }))
 		f.replaceUntilAcknowledged(2, configurationBody(3, "a")) // on the disks of any two
 		assert.NilError(t, f.replicas[2].Drain(ctx, "z1", true))
 		f.kill(0, true)
@@ -79,7 +79,7 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		age := time.Since(dark)
-		assert.Assert(t, h.sees(func(h *farmhand) bool { return h.age > age-2*time.Second && h.gen <= 3 })(), "%v of %v", h.age, age)
+		assert.Assert(t, h.holds(func(h *simAgent) bool { return h.confirmedAge > age-2*time.Second && h.held <= 3 })(), "%v of %v", h.confirmedAge, age)
 		f.start(0)
 		f.start(2)
 		f.waitFor(4*time.Second, "a configuration is shown", func() bool { p, err := f.replicas[1].CurrentConfiguration(ctx); return err == nil && p.Gen >= 3 })
@@ -143,7 +143,7 @@
 		assert.ErrorIs(t, f.replace(0, configurationBody(2, "a")), ErrNoMajority) // no majority confirms that it is still the newest
 		f.partition(ips(0), ips(1, 2), sim.Open)
 		f.disks[1].Release()
-		f.waitFor(5*time.Second, "the newer configuration is in force", func() bool { return idOf(f.replicas[1].configurationInForce()).Gen == 3 })
+		f.waitFor(5*time.Second, "the newer configuration is in force", func() bool { return configIDOf(f.replicas[1].configurationInForce()).Gen == 3 })
 		assert.NilError(t, f.replace(1, configurationBody(2, "a")))
 		f.kill(0, true)
 		f.disks[2].Release()
@@ -162,7 +162,7 @@
 	for late := 50 * time.Millisecond; late < 600*time.Millisecond; late += 50 * time.Millisecond {
 		runCluster(t, 3, func(f *clusterFixture) {
 			f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-			f.waitFor(time.Second, "all replicas have the configuration", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == 2 })
+			f.waitFor(time.Second, "all replicas have the configuration", func() bool { return configIDOf(f.replicas[2].configurationInForce()).Gen == 2 })
 			f.disks[0].Hang()
 			f.disks[2].SetLatency(150 * time.Millisecond)
 			done := make(chan error, 1)
--- a/internal/control/dissemination_test.go
+++ b/internal/control/dissemination_test.go
@@ -43,7 +43,7 @@
 				got, drained, _ := f.replicas[i].confirmed()
 				assert.Assert(t, int(got) == gen && drained == (gen%2 == 0), "replica-%d: r%d, drained %v", i, got, drained)
 			}
-			assert.Assert(t, took < roundEvery, "%v", took)
+			assert.Assert(t, took < reportRoundInterval, "%v", took)
 			time.Sleep(time.Duration(gen) * 37 * time.Millisecond)
 		}
 	})
@@ -80,7 +80,7 @@
 	defer r.mu.Unlock()
 	for _, sum := range r.contents.Configs {
 		if sum.Gen == gen {
-			return r.configurationHistory.Confirmed(inForce(&peerlink.Ping{Gen: gen, Held: gen, Sum: sum.Sum()}), r.decidedConfirmed).At
+			return r.configurationHistory.Confirmed(versionInForceOf(&peerlink.Ping{Gen: gen, Held: gen, Sum: sum.Sum()}), r.decidedConfirmed).At
 		}
 	}
 	return -1
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -19,42 +19,42 @@
 )
 
 const (
-	drainWithin  = 5 * time.Second         // drain_ms of the large deployments
-	upstreamLost = 1500 * time.Millisecond // of it, for an agent whose upstream replica is lost at the same time
-	longReplicas = 24
-	someReplicas = 10               // more than vote
-	settleFor    = 10 * time.Second // one reader is left by then
-	longServers  = 719
-	longPage     = 50
+	drainTime        = 5 * time.Second         // drain_ms of the large deployments
+	upstreamLossTime = 1500 * time.Millisecond // of it, for an agent whose upstream replica is lost at the same time
+	manyReplicas     = 24
+	tenReplicas      = 10               // more than vote
+	settleTime       = 10 * time.Second // one reader is left by then
+	longListServers  = 719
+	longListPageRows = 50
 )
 
-// longList is a platform's list of many pages, in two zones.
-type longList struct {
+// longListPlatform is a platform's list of many pages, in two zones.
+type longListPlatform struct {
 	mu      sync.Mutex
 	leaving map[string]bool
 	onPage  func(zone string, first int, caller string) // before a page is answered; the mutex is held
 }
 
-func longID(i int) string { return fmt.Sprintf("i-%03d", i) }
+func serverID(i int) string { return fmt.Sprintf("i-%03d", i) }
 
-func (p *longList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *longListPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	zone := r.URL.Query().Get(api.ServersZone)
 	from, _ := strconv.Atoi(r.URL.Query().Get(api.ServersToken))
 	rows, last := [][]any{}, from
-	for i := from; i < longServers && len(rows) < longPage; i++ {
+	for i := from; i < longListServers && len(rows) < longListPageRows; i++ {
 		last = i + 1
 		if in := "z" + strconv.Itoa(i%2); zone == "" || zone == in {
 			state := "ready"
-			if p.leaving[longID(i)] {
+			if p.leaving[serverID(i)] {
 				state = "draining"
 			}
-			rows = append(rows, []any{longID(i), "s", "10.5.0.1:80", in, state})
+			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", in, state})
 		}
 	}
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
-	if last < longServers {
+	if last < longListServers {
 		token := strconv.Itoa(last)
 		page.NextToken = &token
 	}
@@ -65,16 +65,16 @@
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// leavesUnseen has the first server leave once it has been read again, and tells when.
-func (p *longList) leavesUnseen(f *clusterFixture) (left time.Time) {
+// drainAfterNextRead has the first server leave once it has been read again, and tells when.
+func (p *longListPlatform) drainAfterNextRead(f *clusterFixture) (left time.Time) {
 	p.mu.Lock()
 	p.onPage = func(_ string, first int, _ string) {
 		if first == 0 {
-			p.leaving, p.onPage, left = map[string]bool{longID(0): true}, nil, time.Now()
+			p.leaving, p.onPage, left = map[string]bool{serverID(0): true}, nil, time.Now()
 		}
 	}
 	p.mu.Unlock()
-	f.waitFor(drainWithin, "read again", func() bool {
+	f.waitFor(drainTime, "read again", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.onPage == nil
@@ -82,24 +82,24 @@
 	return left
 }
 
-func (r *runningReplica) knowsLeaving() bool {
+func (r *runningReplica) knowsDraining() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.serverList != nil && len(r.serverList.List) == longServers && r.serverList.List[0].Draining
+	return r.serverList != nil && len(r.serverList.List) == longListServers && r.serverList.List[0].Draining
 }
 
-// holder is who reads the list; -1: nobody.
-func (f *clusterFixture) holder() int {
+// leaseHolder is who reads the list; -1: nobody.
+func (f *clusterFixture) leaseHolder() int {
 	for i, r := range f.replicas {
-		if r != nil && r.holdsNow() {
+		if r != nil && r.holdsListLease() {
 			return i
 		}
 	}
 	return -1
 }
 
-// named is the replica that may follow the holder without a vote.
-func (f *clusterFixture) named(holder int) int {
+// leaseSuccessor is the replica that may follow the holder without a vote.
+func (f *clusterFixture) leaseSuccessor(holder int) int {
 	r := f.at(holder)
 	r.mu.Lock()
 	next := r.duty.Known().Next.Name
@@ -112,61 +112,61 @@
 	return -1
 }
 
-// nextReadingDue lets time pass until the next reading is about to begin.
-func (f *clusterFixture) nextReadingDue(holder int) {
-	f.waitFor(drainWithin, "next reading", func() bool {
+// waitForNextRead lets time pass until the next reading is about to begin.
+func (f *clusterFixture) waitForNextRead(holder int) {
+	f.waitFor(drainTime, "next reading", func() bool {
 		r := f.at(holder)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return !r.ownReading.busy && r.now() >= r.ownReading.work.LastOwn+r.ownReading.work.Period-20*time.Millisecond
+		return !r.ownReading.inProgress && r.now() >= r.ownReading.work.LastOwn+r.ownReading.work.Period-20*time.Millisecond
 	})
 }
 
-func TestLeavingServerIsKnownInTimeAtManyReplicasOfALongList(t *testing.T) {
-	for name, trouble := range map[string]func(f *clusterFixture, p *longList, left time.Time){
-		"calm": func(*clusterFixture, *longList, time.Time) {},
-		"reader loses power before its next reading": func(f *clusterFixture, _ *longList, _ time.Time) {
-			reader := f.holder()
-			f.nextReadingDue(reader)
+func TestDrainingServerIsKnownInTimeWithALongList(t *testing.T) {
+	for name, trouble := range map[string]func(f *clusterFixture, p *longListPlatform, left time.Time){
+		"calm": func(*clusterFixture, *longListPlatform, time.Time) {},
+		"reader loses power before its next reading": func(f *clusterFixture, _ *longListPlatform, _ time.Time) {
+			reader := f.leaseHolder()
+			f.waitForNextRead(reader)
 			f.kill(reader, true)
 		},
-		"reader and its successor lose power before the next reading": func(f *clusterFixture, _ *longList, _ time.Time) {
-			reader := f.holder()
-			next := f.named(reader)
-			f.nextReadingDue(reader)
+		"reader and its successor lose power before the next reading": func(f *clusterFixture, _ *longListPlatform, _ time.Time) {
+			reader := f.leaseHolder()
+			next := f.leaseSuccessor(reader)
+			f.waitForNextRead(reader)
 			f.kill(reader, true)
 			f.kill(next, true)
 		},
-		"reader cut off from one replica that ranks last": func(f *clusterFixture, _ *longList, _ time.Time) {
-			reader, last, rank := f.holder(), -1, -1
+		"reader cut off from one replica that ranks last": func(f *clusterFixture, _ *longListPlatform, _ time.Time) {
+			reader, last, rank := f.leaseHolder(), -1, -1
 			for i, r := range f.replicas {
 				r.mu.Lock()
-				if n := r.duty.Rank(r.view()); i != reader && n > rank {
+				if n := r.duty.Rank(r.leaseView()); i != reader && n > rank {
 					last, rank = i, n
 				}
 				r.mu.Unlock()
 			}
 			f.partition(ips(reader), ips(last), sim.Silent)
 		},
-		"reader loses its way to the platform": func(f *clusterFixture, _ *longList, _ time.Time) {
-			reader := f.holder()
-			f.nextReadingDue(reader)
+		"reader loses its way to the platform": func(f *clusterFixture, _ *longListPlatform, _ time.Time) {
+			reader := f.leaseHolder()
+			f.waitForNextRead(reader)
 			f.partition(ips(reader), []string{"10.8.0.1"}, sim.Silent)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, replicas := &longList{}, someReplicas
+			p, replicas := &longListPlatform{}, tenReplicas
 			if strings.Contains(name, "rank") {
-				replicas = longReplicas
+				replicas = manyReplicas
 			}
-			set := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: 2100}
+			set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
 			set.run(replicas, http.Handler(p), func(f *clusterFixture) {
-				time.Sleep(settleFor)
-				left := p.leavesUnseen(f)
+				time.Sleep(settleTime)
+				left := p.drainAfterNextRead(f)
 				trouble(f, p, left)
 				known := func() bool {
 					for _, r := range f.replicas {
-						if r != nil && !r.knowsLeaving() {
+						if r != nil && !r.knowsDraining() {
 							return false
 						}
 					}
@@ -174,7 +174,7 @@
 				}
 				f.waitFor(time.Minute, "known", known)
 				took := time.Since(left)
-				assert.Assert(f.t, took <= drainWithin-upstreamLost, "known everywhere after %v", took)
+				assert.Assert(f.t, took <= drainTime-upstreamLossTime, "known everywhere after %v", took)
 			})
 		})
 	}
@@ -182,10 +182,10 @@
 
 // With a long period those who didn't know it would read in between.
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
-	const drain = 4 * drainWithin
-	p := &longList{}
+	const drain = 4 * drainTime
+	p := &longListPlatform{}
 	set := &clusterFixture{t: t, drainTime: drain, cloudRate: 2100}
-	set.run(longReplicas, http.Handler(p), func(f *clusterFixture) {
+	set.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(5 * time.Second)
 		callers := map[string]bool{}
@@ -206,13 +206,13 @@
 	})
 }
 
-func TestReadingCountsFromItsBeginning(t *testing.T) {
+func TestListReadAgeCountsFromItsStart(t *testing.T) {
 	const ms = time.Millisecond
-	r := &lastReading{}
-	assert.Assert(t, r.tell(0) == nil)
-	r.take(peerlink.Reading{Age: 800 * ms, Period: 1250 * ms, Pages: 16}, 5000*ms)
-	assert.Equal(t, r.began, 4200*ms)
-	assert.Equal(t, *r.tell(6000 * ms), peerlink.Reading{Age: 1800 * ms, Period: 1250 * ms, Pages: 16})
-	r.take(peerlink.Reading{Age: -time.Hour}, 7000*ms) // none began later than it was heard of
-	assert.Equal(t, *r.tell(7000 * ms), peerlink.Reading{Period: 1250 * ms, Pages: 16})
+	r := &latestListRead{}
+	assert.Assert(t, r.message(0) == nil)
+	r.update(peerlink.Reading{Age: 800 * ms, Period: 1250 * ms, Pages: 16}, 5000*ms)
+	assert.Equal(t, r.startedAt, 4200*ms)
+	assert.Equal(t, *r.message(6000 * ms), peerlink.Reading{Age: 1800 * ms, Period: 1250 * ms, Pages: 16})
+	r.update(peerlink.Reading{Age: -time.Hour}, 7000*ms) // none began later than it was heard of
+	assert.Equal(t, *r.message(7000 * ms), peerlink.Reading{Period: 1250 * ms, Pages: 16})
 }
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -11,25 +11,25 @@
 
 // Times of the list's duty.
 const (
-	listDuty   = "servers"
-	listAfter  = 300 * time.Millisecond // from the start: others may have the duty
-	listWithin = time.Second            // of one call
-	listAgain  = 200 * time.Millisecond
+	listLeaseName       = "servers"
+	listLeaseStartDelay = 300 * time.Millisecond // from the start: others may have the duty
+	listCallTimeout     = time.Second            // of one call
+	listRetryDelay      = 200 * time.Millisecond
 )
 
-// reading is this replica's part in the reading of the list.
-type reading struct {
-	work  lease.TaskTimes
-	again time.Duration // when one that failed may be repeated
-	took  time.Duration // by the last one that did not fail
+// ownListReads is this replica's part in the reading of the list.
+type ownListReads struct {
+	work         lease.TaskTimes
+	retryAt      time.Duration // when one that failed may be repeated
+	lastReadTook time.Duration // by the last one that did not fail
 
-	failures uint64 // in all
-	busy     bool   // one is under way
+	failureCount uint64 // in all
+	inProgress   bool   // one is under way
 }
 
-// duties does this replica's part in what one replica does for all.
-func (b *Replica) duties(ctx context.Context) {
-	if !b.sleep(ctx, listAfter) {
+// runListLease does this replica's part in what one replica does for all.
+func (b *Replica) runListLease(ctx context.Context) {
+	if !b.sleep(ctx, listLeaseStartDelay) {
 		return
 	}
 	b.mu.Lock()
@@ -37,18 +37,18 @@
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		now, v := b.now(), b.view()
-		b.tellDuty(b.duty.Step(v))
+		now, v := b.now(), b.leaseView()
+		b.sendLeaseMessages(b.duty.Step(v))
 		next := min(b.duty.NextStep(v), now+time.Second)
-		if due := b.due(v); due > now {
+		if due := b.nextListReadAt(v); due > now {
 			next = min(next, due)
-		} else if r := &b.ownReading; !r.busy {
-			r.busy, r.work.LastOwn = true, now
+		} else if r := &b.ownReading; !r.inProgress {
+			r.inProgress, r.work.LastOwn = true, now
 			stamp := max(b.world.Now().UnixNano(), b.listStamp+1)
-			b.jobs.Go(func() { b.readOnce(ctx, stamp) })
+			b.jobs.Go(func() { b.readListOnce(ctx, stamp) })
 		}
 		b.mu.Unlock()
-		t := b.world.NewTimer(max(soon, next-now))
+		t := b.world.NewTimer(max(minWakeDelay, next-now))
 		select {
 		case <-t.C():
 		case <-b.dutyWakeup:
@@ -58,49 +58,49 @@
 	}
 }
 
-// due is when this replica reads the list; the mutex is held.
-func (b *Replica) due(v lease.View) time.Duration {
+// nextListReadAt is when this replica reads the list; the mutex is held.
+func (b *Replica) nextListReadAt(v lease.View) time.Duration {
 	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return v.Now + time.Second
 	}
 	w := &b.ownReading.work
-	w.Period, w.LastKnown, w.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.heard, b.othersReadingAt
-	return max(b.ownReading.again, b.duty.NextRun(v, b.ownReading.work))
+	w.Period, w.LastKnown, w.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.learnedAt, b.othersReadingAt
+	return max(b.ownReading.retryAt, b.duty.NextRun(v, b.ownReading.work))
 }
 
-// readOnce reads the list and takes it over.
-func (b *Replica) readOnce(ctx context.Context, stamp int64) {
+// readListOnce reads the list and takes it over.
+func (b *Replica) readListOnce(ctx context.Context, stamp int64) {
 	set := b.liveSettings.Load()
 	began := b.now()
 	terms := listing.Terms{RatePerS: set.Provider.Cloud.RatePerS, Drain: set.Terms.Bounds.Drain}
 	list, pages, err := b.readList(ctx, set.Provider.Cloud.Address, terms)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	defer b.spurred()
+	defer b.signalLeaseChange()
 	r := &b.ownReading
-	if r.busy = false; err != nil {
+	if r.inProgress = false; err != nil {
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
-		r.failures++
-		r.again = b.now() + listAgain
+		r.failureCount++
+		r.retryAt = b.now() + listRetryDelay
 		if b.othersReadingAt > r.work.LastOwn-r.work.Period {
-			b.tellDuty(b.duty.Yield()) // another can
+			b.sendLeaseMessages(b.duty.Yield()) // another can
 		}
 		return
 	}
-	r.again = 0
-	r.took = b.now() - began
-	b.log.V(1).Info("list read", "pages", pages, "took", r.took)
+	r.retryAt = 0
+	r.lastReadTook = b.now() - began
+	b.log.V(1).Info("list read", "pages", pages, "took", r.lastReadTook)
 	s := &peerlink.Servers{Stamp: stamp, By: b.self.Name, List: list,
-		Reading: peerlink.Reading{Age: r.took, Period: terms.Period(pages), Pages: pages}}
+		Reading: peerlink.Reading{Age: r.lastReadTook, Period: terms.Period(pages), Pages: pages}}
 	if b.duty.Holds() {
 		s.Term = b.duty.Known().Term
 		b.duty.NoteAnnounced(b.now())
 	}
-	b.listed(s)
+	b.applyList(s)
 }
 
-// view is what this replica knows of the others; the mutex is held.
-func (b *Replica) view() lease.View {
+// leaseView is what this replica knows of the others; the mutex is held.
+func (b *Replica) leaseView() lease.View {
 	voters := b.contents.Record.Decided.Voters
 	v := lease.View{Now: b.now(), UnixMS: uint64(max(0, b.world.Now().UnixMilli())), CanVote: b.isVoter(), VoterCount: len(voters)}
 	none := len(voters) == 0 // then all count
@@ -110,26 +110,26 @@
 	for _, all := range b.links {
 		if l := all[len(all)-1]; !l.leaving {
 			_, is := b.contents.Record.Decided.Voter(l.peer.ID)
-			v.Peers = append(v.Peers, lease.Peer{Seat: l.seat(), Zone: l.peer.Zone, CanVote: none || is})
+			v.Peers = append(v.Peers, lease.Peer{Seat: l.processID(), Zone: l.peer.Zone, CanVote: none || is})
 		}
 	}
 	return v
 }
 
-func (l *link) seat() peerlink.Seat { return peerlink.Seat{Name: l.peer.Name, Life: l.peer.Life} }
+func (l *link) processID() peerlink.Seat { return peerlink.Seat{Name: l.peer.Name, Life: l.peer.Life} }
 
-// hearDuty takes in another replica's word on the duty; the mutex is held.
-func (b *Replica) hearDuty(l *link, d *peerlink.Duty) {
+// handleLeaseMessage takes in another replica's word on the duty; the mutex is held.
+func (b *Replica) handleLeaseMessage(l *link, d *peerlink.Duty) {
 	was := b.duty.Known()
-	b.tellDuty(b.duty.Receive(b.view(), l.seat(), *d))
+	b.sendLeaseMessages(b.duty.Receive(b.leaseView(), l.processID(), *d))
 	if is := b.duty.Known(); is.Term != was.Term {
 		b.log.Info("the list's duty", "holder", is.Holder.Name, "next", is.Next.Name, "epoch", is.Term.Epoch, "step", is.Term.Step)
 	}
-	b.spurred()
+	b.signalLeaseChange()
 }
 
-// tellDuty tells the others what is to be told; the mutex is held.
-func (b *Replica) tellDuty(out []lease.Message) {
+// sendLeaseMessages tells the others what is to be told; the mutex is held.
+func (b *Replica) sendLeaseMessages(out []lease.Message) {
 	for _, t := range out {
 		for name, all := range b.links {
 			if t.To == "" || t.To == name {
@@ -139,8 +139,8 @@
 	}
 }
 
-// spurred has the duty looked at now; the mutex may be held.
-func (b *Replica) spurred() {
+// signalLeaseChange has the duty looked at now; the mutex may be held.
+func (b *Replica) signalLeaseChange() {
 	select {
 	case b.dutyWakeup <- struct{}{}:
 	default:
--- a/internal/control/duty_test.go
+++ b/internal/control/duty_test.go
@@ -20,7 +20,7 @@
 	long := terms.Period(6)
 	assert.Equal(t, long, 1200*ms)
 	self := peerlink.Seat{Name: "a", Life: 1}
-	s := lease.New(listDuty, self, "z")
+	s := lease.New(listLeaseName, self, "z")
 	v := lease.View{Now: 20 * time.Second, Peers: []lease.Peer{{Seat: peerlink.Seat{Name: "b", Life: 1}}}, VoterCount: 2}
 	at := s.NextRun(v, lease.TaskTimes{Period: long, LastKnown: 10 * time.Second})
 	assert.Assert(t, at > 11200*ms && at <= 12500*ms, "%s", at)
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -182,9 +182,9 @@
 		ctx := context.Background()
 		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
 		assert.NilError(t, f.replicas[0].AcquireLock(ctx, state.Lock{Token: "t", Who: "ana", For: 15 * time.Second}))
-		h := f.agent("1", 0)
+		h := f.startAgent("1", 0)
 		defer h.stop()
-		f.waitFor(2*time.Second, "the agent is confirmed", h.sees(func(h *farmhand) bool { return h.ever && h.age < time.Second && h.gen == 5 }))
+		f.waitFor(2*time.Second, "the agent is confirmed", h.holds(func(h *simAgent) bool { return h.confirmed && h.confirmedAge < time.Second && h.held == 5 }))
 		f.partition(ips(0), ips(1, 2, 3), sim.Silent)
 		time.Sleep(1500 * time.Millisecond)
 		f.replaceUntilAcknowledged(2, configurationBody(7, "b"))
@@ -202,7 +202,7 @@
 				"a token":           f.replicas[0].Drain(withLockToken(ctx, "u"), "z0", true),
 				"what is in force":  func() error { _, err := f.replicas[0].CurrentConfiguration(ctx); return err }(),
 				"letting go of it":  f.replicas[0].ReleaseLock(ctx, "t"),
-				"a rest of a known": f.replicas[0].Rest(ctx, "proxy-1", half),
+				"a rest of a known": f.replicas[0].Rest(ctx, "proxy-1", halfAwake),
 			} {
 				assert.Assert(t, errors.Is(err, ErrNoMajority), "%s: %v", what, err)
 			}
@@ -211,10 +211,10 @@
 			assert.Assert(t, errors.As(f.replace(0, []byte("{")), &invalid))
 			time.Sleep(300 * time.Millisecond)
 		}
-		assert.Assert(t, h.sees(func(h *farmhand) bool { return h.age > 3*time.Second && h.gen == 5 })())
+		assert.Assert(t, h.holds(func(h *simAgent) bool { return h.confirmedAge > 3*time.Second && h.held == 5 })())
 		f.partition(ips(0), ips(1, 2, 3), sim.Open)
 		f.assertShows(0, configurationBody(7, "b"))
-		f.waitFor(2*time.Second, "the agent has the newer configuration", h.sees(func(h *farmhand) bool { return h.gen == 7 }))
+		f.waitFor(2*time.Second, "the agent has the newer configuration", h.holds(func(h *simAgent) bool { return h.held == 7 }))
 	})
 }
 
@@ -244,10 +244,10 @@
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		f.replaceMachine(2, false)
 		f.waitForVoters(3)
-		h := f.agent("1", 0)
+		h := f.startAgent("1", 0)
 		defer h.stop()
-		f.waitFor(2*time.Second, "the agent has the census", h.sees(func(h *farmhand) bool { return h.who != nil && len(h.who.Replicas) >= 3 }))
-		f.waitFor(2*forgetAfter, "the replaced replica is forgotten", h.sees(func(h *farmhand) bool { return len(h.who.Replicas) == 3 }))
+		f.waitFor(2*time.Second, "the agent has the census", h.holds(func(h *simAgent) bool { return h.census != nil && len(h.census.Replicas) >= 3 }))
+		f.waitFor(2*forgetAfter, "the replaced replica is forgotten", h.holds(func(h *simAgent) bool { return len(h.census.Replicas) == 3 }))
 		r := f.replicas[0]
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -279,7 +279,7 @@
 				}
 			}
 			if gen == 790 {
-				f.waitFor(200*time.Millisecond, "the replica has caught up", func() bool { return int(idOf(f.replicas[2].configurationInForce()).Gen) == gen })
+				f.waitFor(200*time.Millisecond, "the replica has caught up", func() bool { return int(configIDOf(f.replicas[2].configurationInForce()).Gen) == gen })
 			}
 		}
 		assert.Assert(t, worst < time.Second, "%v", worst)
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -6,8 +6,8 @@
 	"pepperfall.example/pepperfall/internal/platform/metrics"
 )
 
-// figures are what this replica tells of itself to whoever watches it.
-func (b *Replica) figures() []metrics.Figure {
+// collectMetrics are what this replica tells of itself to whoever watches it.
+func (b *Replica) collectMetrics() []metrics.Figure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -19,11 +19,11 @@
 	}
 	behind, follow, longest := 0, 0, time.Duration(0)
 	for h := range b.agents {
-		if at, is := b.configurationHistory.BehindSinceConnected(&h.agent); is {
+		if at, is := b.configurationHistory.BehindSinceConnected(&h.delivery); is {
 			behind++
 			longest = max(longest, now-at)
 		}
-		if h.agent.IsUpstream {
+		if h.delivery.IsUpstream {
 			follow++
 		}
 	}
@@ -38,9 +38,9 @@
 		metrics.Count("control_configuration", "Number of the configuration in force.", int(b.configurationHistory.Current().Gen)),
 		metrics.Seconds("control_touch_age_seconds", "Since a majority last answered this replica, which lacked nothing.", since(b.majorityContact.IsKnown, b.majorityContact.At)),
 		metrics.Seconds("control_confirmed_age_seconds", "Since a majority last confirmed that nothing newer was decided.", since(b.decidedConfirmed.IsKnown, b.decidedConfirmed.At)),
-		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.newestReading.known, b.newestReading.began)),
-		metrics.Seconds("control_list_reading_seconds", "For how long this replica's last reading of the list took.", b.ownReading.took),
-		{Name: "control_list_readings_failed_total", Help: "Readings of the list by this replica that failed.", Kind: metrics.Counter, Value: float64(b.ownReading.failures)},
+		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.newestReading.known, b.newestReading.startedAt)),
+		metrics.Seconds("control_list_reading_seconds", "For how long this replica's last reading of the list took.", b.ownReading.lastReadTook),
+		{Name: "control_list_readings_failed_total", Help: "Readings of the list by this replica that failed.", Kind: metrics.Counter, Value: float64(b.ownReading.failureCount)},
 		metrics.Count("control_voters", "Replicas that vote.", len(b.contents.Record.Decided.Voters)),
 		metrics.Count("control_voters_reached", "Those of them that this one has heard lately, itself included.", reached),
 		metrics.Count("control_agents", "Agents that are connected.", len(b.agents)),
--- a/internal/control/figures_test.go
+++ b/internal/control/figures_test.go
@@ -10,9 +10,9 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// figure is one of a replica's figures.
-func (r *runningReplica) figure(name string) float64 {
-	for _, f := range r.figures() {
+// metricValue is one of a replica's figures.
+func (r *runningReplica) metricValue(name string) float64 {
+	for _, f := range r.collectMetrics() {
 		if f.Name == name {
 			return f.Value
 		}
@@ -21,25 +21,25 @@
 }
 
 // The figures tell a replica that is cut off from one that is not, and an agent that lacks a change.
-func TestFiguresTellWhoIsBehind(t *testing.T) {
-	playAgents(t, 3, func(f *crowd) {
+func TestMetricsShowWhoIsBehind(t *testing.T) {
+	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		held := f.replicas[0].configurationInForce().Sum()
-		agent, stop := f.helper(0, "1", peerlink.Ping{Gen: 2, Held: 2, Sum: held, Upstream: true})
+		agent, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 2, Held: 2, Sum: held, Upstream: true})
 		defer stop()
-		f.pass(2*time.Second, agent)
+		f.pingFor(2*time.Second, agent)
 		cut := f.replicas[0]
-		assert.Assert(t, cut.figure("control_touch_age_seconds") < 1 && cut.figure("control_voters_reached") == 3 && cut.figure("control_agents_following") == 1 &&
-			cut.figure("control_agents_behind") == 0 && cut.figure("control_configuration") == 2)
+		assert.Assert(t, cut.metricValue("control_touch_age_seconds") < 1 && cut.metricValue("control_voters_reached") == 3 && cut.metricValue("control_agents_following") == 1 &&
+			cut.metricValue("control_agents_behind") == 0 && cut.metricValue("control_configuration") == 2)
 		f.replaceUntilAcknowledged(1, configurationBody(3, "a"))
-		f.pass(2*time.Second, agent) // it is told, and goes on to say that it holds what it held
-		assert.Assert(t, cut.figure("control_agents_behind") == 1 && cut.figure("control_agents_behind_longest_seconds") >= 2, "%v", cut.figures())
+		f.pingFor(2*time.Second, agent) // it is told, and goes on to say that it holds what it held
+		assert.Assert(t, cut.metricValue("control_agents_behind") == 1 && cut.metricValue("control_agents_behind_longest_seconds") >= 2, "%v", cut.collectMetrics())
 		f.partition(ips(0), ips(1, 2), sim.Silent)
-		f.pass(3*time.Second, agent)
-		assert.Assert(t, cut.figure("control_touch_age_seconds") > 2 && cut.figure("control_voters_reached") == 1, "%v", cut.figures())
+		f.pingFor(3*time.Second, agent)
+		assert.Assert(t, cut.metricValue("control_touch_age_seconds") > 2 && cut.metricValue("control_voters_reached") == 1, "%v", cut.collectMetrics())
 		assert.Assert(t, agent.pong.InTouch && agent.pong.TouchAge > 2*time.Second, "%+v", agent.pong)
 		f.partition(ips(0), ips(1, 2), sim.Open)
-		f.pass(3*time.Second, agent)
-		assert.Assert(t, cut.figure("control_touch_age_seconds") < 1 && cut.figure("control_voters_reached") == 3)
+		f.pingFor(3*time.Second, agent)
+		assert.Assert(t, cut.metricValue("control_touch_age_seconds") < 1 && cut.metricValue("control_voters_reached") == 3)
 	})
 }
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -22,29 +22,29 @@
 
 // Bounds of calls.
 const (
-	mostBody    = 7 << 20 // a frame has to hold it
-	mostLockAsk = 4 << 10
-	headWithin  = 3 * time.Second
-	callRead    = 10 * time.Second
-	idleWithin  = 30 * time.Second
-	answersFor  = time.Second // a client may use an answer of dir
-	retryAfter  = "0.2"
-	jsonType    = "application/json"
-	closeWithin = 1500 * time.Millisecond // for calls in flight at the end
+	maxBodyBytes        = 7 << 20 // a frame has to hold it
+	maxLockRequestBytes = 4 << 10
+	httpHeaderTimeout   = 3 * time.Second
+	httpCallTimeout     = 10 * time.Second
+	httpIdleTimeout     = 30 * time.Second
+	maxLookupTTL        = time.Second // a client may use an answer of dir
+	retryAfterSeconds   = "0.2"
+	jsonContentType     = "application/json"
+	httpShutdownTimeout = 1500 * time.Millisecond // for calls in flight at the end
 )
 
 // serveHTTP serves ctl and dir; what it returns ends that in order.
 func (b *Replica) serveHTTP(ctx context.Context) (func(), error) {
 	var all []*http.Server
 	stop := func() {
-		ctx, cancel := b.withTimeout(context.Background(), closeWithin)
+		ctx, cancel := b.withTimeout(context.Background(), httpShutdownTimeout)
 		defer cancel()
 		for _, s := range all {
 			_ = s.Shutdown(ctx)
 			_ = s.Close()
 		}
 	}
-	for addr, h := range map[string]http.Handler{b.self.Ctl: b.ctl(), b.self.Dir: b.dir()} {
+	for addr, h := range map[string]http.Handler{b.self.Ctl: b.operatorHandler(), b.self.Dir: b.directoryHandler()} {
 		if addr == "" {
 			continue
 		}
@@ -53,60 +53,60 @@
 			stop()
 			return nil, errors.Wrap(err, "replica")
 		}
-		s := &http.Server{Handler: h, ReadHeaderTimeout: headWithin, ReadTimeout: callRead, WriteTimeout: callRead, IdleTimeout: idleWithin}
+		s := &http.Server{Handler: h, ReadHeaderTimeout: httpHeaderTimeout, ReadTimeout: httpCallTimeout, WriteTimeout: httpCallTimeout, IdleTimeout: httpIdleTimeout}
 		all = append(all, s)
 		b.jobs.Go(func() { _ = s.Serve(ln) })
 	}
 	return stop, nil
 }
 
-// ctl is what the operator calls.
-func (b *Replica) ctl() http.Handler {
+// operatorHandler is what the operator calls.
+func (b *Replica) operatorHandler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("POST "+api.ConfigReplace, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		var large *http.MaxBytesError
 		switch {
 		case errors.As(err, &large):
-			refuse(w, http.StatusRequestEntityTooLarge, err)
+			writeError(w, http.StatusRequestEntityTooLarge, err)
 		case err != nil:
-			refuse(w, http.StatusServiceUnavailable, err)
+			writeError(w, http.StatusServiceUnavailable, err)
 		default:
 			var done ReplaceResult
-			err := b.noted(r, api.OrderConfig, genOf(body), func(ctx context.Context) (err error) {
+			err := b.runOrder(r, api.OrderConfig, configurationGen(body), func(ctx context.Context) (err error) {
 				done, err = b.Replace(ctx, body)
 				return err
 			})
-			answerReplace(w, done, err)
+			writeReplaceResult(w, done, err)
 		}
 	})
 	m.HandleFunc("GET "+api.ConfigShow, func(w http.ResponseWriter, r *http.Request) {
 		p, err := b.CurrentConfiguration(r.Context())
 		if err != nil {
-			finish(w, err)
+			writeOrderResult(w, err)
 			return
 		}
-		w.Header().Set("Content-Type", jsonType)
+		w.Header().Set("Content-Type", jsonContentType)
 		_, _ = w.Write(p.Body)
 	})
 	for path, drain := range map[string]bool{api.DrainBegin: true, api.DrainFinish: false} {
 		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			zone := strings.TrimPrefix(r.URL.Path, path)
-			finish(w, b.noted(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
+			writeOrderResult(w, b.runOrder(r, path[3:len(path)-1], zone, func(ctx context.Context) error { return b.Drain(ctx, zone, drain) }))
 		})
 	}
-	b.nodes(m)
-	b.servers(m)
-	b.operators(m)
+	b.addProxyRoutes(m)
+	b.addServerRoutes(m)
+	b.addOperatorRoutes(m)
 	return m
 }
 
-// nodes adds the orders about proxies, and the lock of those who give many.
-func (b *Replica) nodes(m *http.ServeMux) {
+// addProxyRoutes adds the orders about proxies, and the lock of those who give many.
+func (b *Replica) addProxyRoutes(m *http.ServeMux) {
 	m.HandleFunc("POST "+api.NodeRest, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeRest)
-		finish(w, b.noted(r, api.OrderRest, name, func(ctx context.Context) error {
-			least, err := floorOf(r.URL.Query())
+		writeOrderResult(w, b.runOrder(r, api.OrderRest, name, func(ctx context.Context) error {
+			least, err := parseMinAwake(r.URL.Query())
 			if err != nil {
 				return InvalidError{err}
 			}
@@ -115,31 +115,31 @@
 	})
 	m.HandleFunc("POST "+api.NodeWake, func(w http.ResponseWriter, r *http.Request) {
 		name := strings.TrimPrefix(r.URL.Path, api.NodeWake)
-		finish(w, b.noted(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
+		writeOrderResult(w, b.runOrder(r, api.OrderWake, name, func(ctx context.Context) error { return b.Wake(ctx, name) }))
 	})
 	for path, take := range map[string]bool{api.LockTake: true, api.LockDrop: false} {
 		m.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			var ask api.LockAsk
-			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostLockAsk)).Decode(&ask)
+			err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxLockRequestBytes)).Decode(&ask)
 			if err != nil || ask.Token == "" || take && (ask.Who == "" || ask.ForMS <= 0) {
-				refuse(w, http.StatusBadRequest, errors.New("not the form of a lock"))
+				writeError(w, http.StatusBadRequest, errors.New("not the form of a lock"))
 				return
 			}
 			if take {
 				want := state.Lock{Token: ask.Token, Who: ask.Who, Since: ask.Since.UnixNano(), For: time.Duration(ask.ForMS) * time.Millisecond}
-				finish(w, b.AcquireLock(r.Context(), want))
+				writeOrderResult(w, b.AcquireLock(r.Context(), want))
 				return
 			}
-			finish(w, b.ReleaseLock(r.Context(), ask.Token))
+			writeOrderResult(w, b.ReleaseLock(r.Context(), ask.Token))
 		})
 	}
 }
 
-// servers adds the order about servers.
-func (b *Replica) servers(m *http.ServeMux) {
+// addServerRoutes adds the order about servers.
+func (b *Replica) addServerRoutes(m *http.ServeMux) {
 	m.HandleFunc("POST "+api.ServerJudge, func(w http.ResponseWriter, r *http.Request) {
 		id, q := strings.TrimPrefix(r.URL.Path, api.ServerJudge), r.URL.Query()
-		finish(w, b.noted(r, api.OrderJudge, id, func(ctx context.Context) error {
+		writeOrderResult(w, b.runOrder(r, api.OrderJudge, id, func(ctx context.Context) error {
 			holds := api.JudgeUsual
 			if text := q.Get(api.JudgeFor); text != "" {
 				s, err := strconv.ParseFloat(text, 64)
@@ -153,9 +153,9 @@
 	})
 }
 
-// floorOf reads what has to stay awake.
-func floorOf(q url.Values) (Floor, error) {
-	least := Floor{Zone: api.LeastAwake, All: api.LeastAwake, Force: q.Get(api.RestForce) == "true"}
+// parseMinAwake reads what has to stay awake.
+func parseMinAwake(q url.Values) (MinAwake, error) {
+	least := MinAwake{Zone: api.LeastAwake, All: api.LeastAwake, Force: q.Get(api.RestForce) == "true"}
 	for name, to := range map[string]*float64{api.RestZone: &least.Zone, api.RestAll: &least.All} {
 		text := q.Get(name)
 		if text == "" {
@@ -170,30 +170,30 @@
 	return least, nil
 }
 
-// finish answers an order.
-func finish(w http.ResponseWriter, err error) {
+// writeOrderResult answers an order.
+func writeOrderResult(w http.ResponseWriter, err error) {
 	if err != nil {
-		refuse(w, statusOf(err), err)
+		writeError(w, httpStatus(err), err)
 		return
 	}
-	w.Header().Set("Content-Type", jsonType)
+	w.Header().Set("Content-Type", jsonContentType)
 	_, _ = io.WriteString(w, "{}\n")
 }
 
-// answerReplace answers a configuration: where one above it is in force, that is said.
-func answerReplace(w http.ResponseWriter, done ReplaceResult, err error) {
+// writeReplaceResult answers a configuration: where one above it is in force, that is said.
+func writeReplaceResult(w http.ResponseWriter, done ReplaceResult, err error) {
 	if err != nil {
-		finish(w, err)
+		writeOrderResult(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", jsonType)
-	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: version(done.Held)})
+	w.Header().Set("Content-Type", jsonContentType)
+	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: apiVersion(done.Held)})
 }
 
-// statusOf is the answer to an order that did not go through; 503: it may be in force or may not.
-func statusOf(err error) int {
+// httpStatus is the answer to an order that did not go through; 503: it may be in force or may not.
+func httpStatus(err error) int {
 	var invalid InvalidError
-	var tight Tight
+	var tight TooFewAwakeError
 	var taken LockTakenError
 	var conflict ConflictError
 	switch {
@@ -209,40 +209,40 @@
 	return http.StatusServiceUnavailable
 }
 
-func refuse(w http.ResponseWriter, status int, err error) {
-	w.Header().Set("Content-Type", jsonType)
+func writeError(w http.ResponseWriter, status int, err error) {
+	w.Header().Set("Content-Type", jsonContentType)
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
 }
 
-// dir is what clients ask.
-func (b *Replica) dir() http.Handler {
+// directoryHandler is what clients ask.
+func (b *Replica) directoryHandler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+api.DirLookup, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		b.mu.Lock()
-		regions := b.regionsFor(q.Get(api.LookupName), q.Get(api.LookupRegion))
+		regions := b.lookupRegions(q.Get(api.LookupName), q.Get(api.LookupRegion))
 		fronts := b.proxies.frontAddresses(regions, q.Get(api.LookupName)+" "+q.Get(api.LookupZone), b.now())
 		b.mu.Unlock()
 		if len(fronts) == 0 {
-			refuse(w, http.StatusServiceUnavailable, errors.New("no node is ready"))
+			writeError(w, http.StatusServiceUnavailable, errors.New("no node is ready"))
 			return
 		}
 		if len(fronts) > api.MostAddresses {
 			rand.Shuffle(len(fronts), func(i, j int) { fronts[i], fronts[j] = fronts[j], fronts[i] })
 			fronts = fronts[:api.MostAddresses]
 		}
-		w.Header().Set("Content-Type", jsonType)
-		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(answersFor, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
+		w.Header().Set("Content-Type", jsonContentType)
+		_ = json.NewEncoder(w).Encode(api.Lookup{AddrList: fronts, TTLS: min(maxLookupTTL, b.liveSettings.Load().Terms.Bounds.TTLMax).Seconds()})
 	})
 	return m
 }
 
-// regionsFor are those in which clients of a host and a region are told proxies; the mutex is held.
-func (b *Replica) regionsFor(name, region string) []string {
+// lookupRegions are those in which clients of a host and a region are told proxies; the mutex is held.
+func (b *Replica) lookupRegions(name, region string) []string {
 	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -11,8 +11,8 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// join brings a proxy in that is ready at once.
-func join(r *proxyRegistry, name string, now time.Duration) *proxy {
+// joinProxy brings a proxy in that is ready at once.
+func joinProxy(r *proxyRegistry, name string, now time.Duration) *proxy {
 	g, _ := r.noteConnected(peerlink.Hello{Name: name, Life: int64(now), Front: name, Region: "r"}, now)
 	g.ready = true
 	if g.firstReadyAt == 0 {
@@ -21,7 +21,7 @@
 	return g
 }
 
-func hearAll(r *proxyRegistry, now time.Duration, but ...string) {
+func heartbeatAll(r *proxyRegistry, now time.Duration, but ...string) {
 	for _, n := range r.names() {
 		if len(but) == 0 || n != but[0] {
 			r.proxies[n].lastHeard = now
@@ -31,29 +31,29 @@
 
 // One that has given its parts up counts no more from then on, whatever it says later; its next life joins anew, and
 // leaves unused what one behind a cut still holds.
-func TestGivenPartsAreOthersAtOnce(t *testing.T) {
+func TestReleasedQuotaSharesAreFreeAtOnce(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b", "c"} {
-		join(r, n, at)
+		joinProxy(r, n, at)
 	}
 	at += 5 * time.Second
-	hearAll(r, at)
+	heartbeatAll(r, at)
 	g := r.proxies["a"]
 	g.leftAt, g.grace, g.quotaReleased = at, 6*time.Second, true
 	_, shares, _ := r.members(at)
 	assert.Equal(t, shares, 2)
 
 	at += time.Second
-	hearAll(r, at)
-	join(r, "a", at)
+	heartbeatAll(r, at)
+	joinProxy(r, "a", at)
 	for _, step := range []struct {
 		d      time.Duration
 		but    string
 		silent int
 	}{{0, "", 2}, {handover.HeardBy, "c", 1}, {10 * time.Second, "c", 1}, {11 * time.Second, "", 0}} {
 		if step.d > 0 {
-			hearAll(r, at+step.d, step.but)
+			heartbeatAll(r, at+step.d, step.but)
 		}
 		all, shares, _ := r.members(at + step.d)
 		assert.Equal(t, shares, 3)
@@ -63,11 +63,11 @@
 
 // A proxy that joins others is told of to a rising part of places; those that all began at once, and one that was
 // killed and comes back, to all at once.
-func TestJoinersRise(t *testing.T) {
+func TestJoiningProxiesAreListedGradually(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b", "c", "d"} {
-		join(r, n, at)
+		joinProxy(r, n, at)
 	}
 	told := func(name string, now time.Duration) (n int) {
 		for i := range 100 {
@@ -81,33 +81,33 @@
 	}
 	assert.Equal(t, told("b", at), 100) // a first start
 	at += 10 * time.Second
-	hearAll(r, at)
+	heartbeatAll(r, at)
 	r.proxies["b"].connected = false
-	join(r, "b", at) // it was killed
+	joinProxy(r, "b", at) // it was killed
 	assert.Equal(t, told("b", at), 100)
-	join(r, "e", at)
+	joinProxy(r, "e", at)
 	const mid = (handover.RiseAt + handover.RiseFor) / 2
 	assert.Equal(t, told("e", at), 0)
-	hearAll(r, at+mid)
+	heartbeatAll(r, at+mid)
 	half := told("e", at+mid)
 	assert.Assert(t, half > 25 && half < 75, "%d", half)
-	hearAll(r, at+handover.RiseFor)
+	heartbeatAll(r, at+handover.RiseFor)
 	assert.Equal(t, told("e", at+handover.RiseFor), 100)
 	assert.Equal(t, told("a", at+handover.RiseFor), 100)
 }
 
 // A joiner takes from the others only once their proxies have said that they go by as many parts as there are with it,
 // however long their agents were heard by then; a later join makes it no stranger again.
-func TestJoinersWaitForTheOthersWord(t *testing.T) {
+func TestJoiningProxiesWaitForTheOthersShares(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b"} {
-		join(r, n, at).quotaParts = 2
+		joinProxy(r, n, at).quotaParts = 2
 	}
 	at += time.Second
-	join(r, "c", at)
+	joinProxy(r, "c", at)
 	silent := func(name string, after time.Duration) int {
-		hearAll(r, at+after)
+		heartbeatAll(r, at+after)
 		all, _, _ := r.members(at + after)
 		i := slices.IndexFunc(all, func(m peerlink.Member) bool { return m.Hello.Name == name })
 		return all[i].Silent
@@ -120,20 +120,20 @@
 	assert.Equal(t, silent("c", 20*time.Second), 0)
 	at += 21 * time.Second
 	r.proxies["c"].quotaParts = 3
-	join(r, "d", at)
+	joinProxy(r, "d", at)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
 }
 
 // Where every proxy leaves at once, clients are sent to those whose doors are still open, and to nobody behind a shut one.
-func TestLeaversAreBetterThanNone(t *testing.T) {
+func TestLeavingProxiesAreListedIfNoOtherIsReady(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	at := time.Second
 	for _, n := range []string{"a", "b"} {
-		join(r, n, at)
+		joinProxy(r, n, at)
 	}
 	at += 10 * time.Second
-	hearAll(r, at)
+	heartbeatAll(r, at)
 	leave := func(n string) {
 		r.proxies[n].leftAt, r.proxies[n].grace, r.proxies[n].ready = at, 6*time.Second, false
 	}
@@ -142,10 +142,10 @@
 	leave("b")
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"a", "b"})
 	at += 2 * time.Second
-	hearAll(r, at)
+	heartbeatAll(r, at)
 	r.proxies["a"].quotaReleased = true
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", at), []string{"b"})
 	at += time.Second
-	hearAll(r, at)
+	heartbeatAll(r, at)
 	assert.Equal(t, len(r.frontAddresses([]string{"r"}, "p", at)), 0)
 }
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -6,23 +6,23 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// listed takes over a list that this replica has read or another has told. One
+// applyList takes over a list that this replica has read or another has told. One
 // without servers says that the last one still holds. The mutex is held.
-func (b *Replica) listed(s *peerlink.Servers) {
+func (b *Replica) applyList(s *peerlink.Servers) {
 	if s.Stamp <= b.listStamp {
 		return
 	}
 	b.listStamp = s.Stamp
-	if b.newestReading.take(s.Reading, b.now()); s.By != b.self.Name {
-		b.othersReadingAt = b.newestReading.began
+	if b.newestReading.update(s.Reading, b.now()); s.By != b.self.Name {
+		b.othersReadingAt = b.newestReading.startedAt
 	}
 	if len(s.List) > 0 {
-		s = b.sober(s)
+		s = b.withKnownDraining(s)
 		if b.serverList == nil || s.Since(b.serverList) != nil {
 			held := *s
 			held.Term, held.Reading = peerlink.Term{}, peerlink.Reading{} // whoever is told it later knows newer ones
 			b.serverList = &held
-			b.tellList()
+			b.sendListToFollowers()
 		}
 	}
 	if s.By != b.self.Name {
@@ -34,12 +34,12 @@
 		duty = &d
 	}
 	for _, all := range b.links {
-		all[len(all)-1].list(s, duty)
+		all[len(all)-1].sendList(s, duty)
 	}
 }
 
-// list tells another replica a reading, of which it may know the most.
-func (l *link) list(s *peerlink.Servers, d *peerlink.Duty) {
+// sendList tells another replica a reading, of which it may know the most.
+func (l *link) sendList(s *peerlink.Servers, d *peerlink.Duty) {
 	p := &peerlink.Servers{Stamp: s.Stamp, By: s.By, Part: true}
 	reading := s.Reading
 	if len(s.List) > 0 {
@@ -55,8 +55,8 @@
 	l.sendChange(&peerlink.Change{Servers: p}, d)
 }
 
-// listTold takes over what another replica tells of the list, but for one whose duty another has by now; the mutex is held.
-func (b *Replica) listTold(l *link, s *peerlink.Servers) {
+// handlePeerList takes over what another replica tells of the list, but for one whose duty another has by now; the mutex is held.
+func (b *Replica) handlePeerList(l *link, s *peerlink.Servers) {
 	term, reading := s.Term, s.Reading
 	if whole := s.Onto(l.receivedList); whole != nil {
 		l.receivedList, s = whole, whole
@@ -65,12 +65,12 @@
 	}
 	s.Reading = reading
 	if b.duty.AcceptsTerm(term) {
-		b.listed(s)
+		b.applyList(s)
 	}
 }
 
-// sober keeps servers that were seen draining as such: no life comes back from it.
-func (b *Replica) sober(s *peerlink.Servers) *peerlink.Servers {
+// withKnownDraining keeps servers that were seen draining as such: no life comes back from it.
+func (b *Replica) withKnownDraining(s *peerlink.Servers) *peerlink.Servers {
 	x := *s
 	x.List = slices.Clone(s.List)
 	now := make(map[string]bool, len(b.drainedServers))
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -15,8 +15,8 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// growing is a platform's list to which servers are added; it notes when each whole reading began and ended.
-type growing struct {
+// growingPlatform is a platform's list to which servers are added; it notes when each whole reading began and ended.
+type growingPlatform struct {
 	mu      sync.Mutex
 	servers int
 	begun   map[string]time.Time // by caller
@@ -25,16 +25,16 @@
 	longest time.Duration        // from before to the end of the newest
 }
 
-func (p *growing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *growingPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	zone := r.URL.Query().Get(api.ServersZone)
 	from, _ := strconv.Atoi(r.URL.Query().Get(api.ServersToken))
 	rows, next := [][]any{}, from
-	for i := from; i < p.servers && len(rows) < longPage; i++ {
+	for i := from; i < p.servers && len(rows) < longListPageRows; i++ {
 		next = i + 1
 		if in := "z" + strconv.Itoa(i%2); zone == "" || zone == in {
-			rows = append(rows, []any{longID(i), "s", "10.5.0.1:80", in, "ready"})
+			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", in, "ready"})
 		}
 	}
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
@@ -58,9 +58,9 @@
 
 // Whoever read the list before it grew, or never did, doesn't keep the holder of the duty from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
-	p := &growing{servers: 700, begun: map[string]time.Time{}}
-	set := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: 2100}
-	set.run(longReplicas, http.Handler(p), func(f *clusterFixture) {
+	p := &growingPlatform{servers: 700, begun: map[string]time.Time{}}
+	set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
+	set.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
@@ -76,6 +76,6 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		f.t.Logf("%v from the beginning of a reading to the end of the next", p.longest)
-		assert.Assert(f.t, p.longest <= drainWithin-upstreamLost, "%v from the beginning of a reading to the end of the next", p.longest)
+		assert.Assert(f.t, p.longest <= drainTime-upstreamLossTime, "%v from the beginning of a reading to the end of the next", p.longest)
 	})
 }
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	platformRate = 44               // calls a second that the platform answers
-	pagesOfList  = 60               // 3,000 servers at 50 a page
-	recoverIn    = 15 * time.Second // recover_s
+	platformCallsPerSecond = 44               // calls a second that the platform answers
+	listPages              = 60               // 3,000 servers at 50 a page
+	recoveryTime           = 15 * time.Second // recover_s
 )
 
-// sparing refuses what comes over the platform's rate.
-type sparing struct {
-	platform
+// rateLimitedPlatform refuses what comes over the platform's rate.
+type rateLimitedPlatform struct {
+	fakePlatform
 	calls   []time.Time
 	refused int
 	down    bool
 }
 
-func (s *sparing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *rateLimitedPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	if s.down {
 		s.mu.Unlock()
@@ -33,7 +33,7 @@
 		s.calls = s.calls[1:]
 	}
 	s.calls = append(s.calls, time.Now())
-	over := len(s.calls) > platformRate
+	over := len(s.calls) > platformCallsPerSecond
 	if over {
 		s.refused++
 	}
@@ -42,35 +42,35 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	s.platform.ServeHTTP(w, r)
+	s.fakePlatform.ServeHTTP(w, r)
 }
 
 // A list of more pages than the platform answers in a second was never read: each refusal began it anew.
 func TestListOfMorePagesThanTheRateIsRead(t *testing.T) {
-	p := &sparing{}
-	for i := range pagesOfList {
-		p.servers = append(p.servers, row(longID(i), "ready"))
+	p := &rateLimitedPlatform{}
+	for i := range listPages {
+		p.servers = append(p.servers, serverRow(serverID(i), "ready"))
 	}
 	runClusterWithPlatform(t, 3, p, func(f *clusterFixture) {
-		h := f.agent("1", 0)
+		h := f.startAgent("1", 0)
 		defer h.stop()
-		known := h.sees(func(h *farmhand) bool { return h.list != nil && len(h.list.List) == pagesOfList })
-		for began := time.Now(); !known() && time.Since(began) < recoverIn; {
+		known := h.holds(func(h *simAgent) bool { return h.list != nil && len(h.list.List) == listPages })
+		for began := time.Now(); !known() && time.Since(began) < recoveryTime; {
 			time.Sleep(100 * time.Millisecond)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(t, known(), "not known after %v, %d calls refused", recoverIn, p.refused)
+		assert.Assert(t, known(), "not known after %v, %d calls refused", recoveryTime, p.refused)
 	})
 }
 
 func TestManyReplicasDoNotKeepEachOtherFromTheListAfterAnOutage(t *testing.T) {
-	p := &sparing{}
+	p := &rateLimitedPlatform{}
 	for i := range 10 {
-		p.servers = append(p.servers, row(longID(i), "ready"))
+		p.servers = append(p.servers, serverRow(serverID(i), "ready"))
 	}
-	set := &clusterFixture{t: t, drainTime: drainWithin, cloudRate: platformRate}
-	set.run(longReplicas, p, func(f *clusterFixture) {
+	set := &clusterFixture{t: t, drainTime: drainTime, cloudRate: platformCallsPerSecond}
+	set.run(manyReplicas, p, func(f *clusterFixture) {
 		goes := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 		f.waitFor(time.Minute, "read by all again", func() bool {
 			for _, r := range f.replicas {
 				r.mu.Lock()
-				age := r.now() - r.newestReading.began
+				age := r.now() - r.newestReading.startedAt
 				r.mu.Unlock()
 				if age > time.Since(back) {
 					return false
@@ -94,6 +94,6 @@
 		})
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		assert.Assert(f.t, time.Since(back) <= drainWithin, "%v, %d calls refused", time.Since(back), p.refused)
+		assert.Assert(f.t, time.Since(back) <= drainTime, "%v, %d calls refused", time.Since(back), p.refused)
 	})
 }
--- a/internal/control/measure_test.go
+++ b/internal/control/measure_test.go
@@ -14,10 +14,10 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-var measured = flag.Bool("control.measure", false, "print the figures of docs/measurements/control.md")
+var measuring = flag.Bool("control.measure", false, "print the figures of docs/measurements/control.md")
 
-// spread tells the median, the 99th of 100 and the worst of some times.
-func spread(all []time.Duration) string {
+// summarize tells the median, the 99th of 100 and the worst of some times.
+func summarize(all []time.Duration) string {
 	slices.Sort(all)
 	at := func(q float64) time.Duration {
 		return all[min(len(all)-1, int(q*float64(len(all))))].Round(100 * time.Microsecond)
@@ -44,8 +44,8 @@
 	return rest
 }
 
-// acks sends configurations one after the other, to replicas by chance, and returns how long each took until it was taken.
-func (f *clusterFixture) acks(rnd *rand.Rand, gen *int, n int, at ...int) (all []time.Duration) {
+// timeReplacements sends configurations one after the other, to replicas by chance, and returns how long each took until it was taken.
+func (f *clusterFixture) timeReplacements(rnd *rand.Rand, gen *int, n int, at ...int) (all []time.Duration) {
 	for range n {
 		*gen++
 		text := configurationBody(*gen, "m")
@@ -62,7 +62,7 @@
 // TestMeasure prints how long orders take, calm and in trouble; it runs with -control.measure.
 func TestMeasure(t *testing.T) {
 	seeds := 1
-	if *measured {
+	if *measuring {
 		seeds = 12
 	}
 	for _, x := range []struct {
@@ -83,28 +83,28 @@
 					all[i] = i
 				}
 				gen := 1
-				f.acks(rnd, &gen, 1, 0) // the first replica proposed last
-				calm = append(calm, f.acks(rnd, &gen, 20, all...)...)
-				f.acks(rnd, &gen, 1, 0)
+				f.timeReplacements(rnd, &gen, 1, 0) // the first replica proposed last
+				calm = append(calm, f.timeReplacements(rnd, &gen, 20, all...)...)
+				f.timeReplacements(rnd, &gen, 1, 0)
 				f.kill(x.n-1, true)
-				lost = append(lost, f.acks(rnd, &gen, 10, all[:x.n-1]...)...)
+				lost = append(lost, f.timeReplacements(rnd, &gen, 10, all[:x.n-1]...)...)
 				f.start(x.n - 1)
 				time.Sleep(rejoinTimeout)
 				last := f.lastProposer()
 				f.kill(last, true)
-				killed = append(killed, f.acks(rnd, &gen, 1, without(all, last)...)...)
+				killed = append(killed, f.timeReplacements(rnd, &gen, 1, without(all, last)...)...)
 				f.start(last)
 				time.Sleep(rejoinTimeout)
 				last = f.lastProposer()
 				f.partition(ips(last), ips(without(all, last)...), sim.Silent)
-				cut = append(cut, f.acks(rnd, &gen, 1, without(all, last)...)...)
+				cut = append(cut, f.timeReplacements(rnd, &gen, 1, without(all, last)...)...)
 				f.partition(ips(last), ips(without(all, last)...), sim.Open)
 				time.Sleep(rejoinTimeout)
 				last = f.lastProposer()
 				f.disks[last].SetLatency(30 * time.Millisecond)
-				slow = append(slow, f.acks(rnd, &gen, 3, all...)...)
+				slow = append(slow, f.timeReplacements(rnd, &gen, 3, all...)...)
 				f.disks[last].SetLatency(time.Millisecond)
-				if !*measured {
+				if !*measuring {
 					return
 				}
 				f.removed[0] = true
@@ -122,15 +122,15 @@
 				joined = append(joined, time.Since(began))
 			})
 		}
-		if !*measured {
+		if !*measuring {
 			continue
 		}
 		for what, all := range map[string][]time.Duration{"calm": calm, "one lost": lost, "the last proposer loses power": killed,
 			"the last proposer is cut off": cut, "its disk takes 30 ms an operation": slow, "whole after a replacement": whole, "whole after a lost disk": joined} {
-			t.Logf("%s: %s: %s", x.name, what, spread(all))
+			t.Logf("%s: %s: %s", x.name, what, summarize(all))
 		}
 	}
-	if *measured {
+	if *measuring {
 		measureCatchUp(t)
 	}
 }
@@ -146,7 +146,7 @@
 			}
 			began := time.Now()
 			f.start(2)
-			f.waitFor(5*time.Second, "caught up", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == uint64(missed+1) })
+			f.waitFor(5*time.Second, "caught up", func() bool { return configIDOf(f.replicas[2].configurationInForce()).Gen == uint64(missed+1) })
 			took := time.Since(began)
 			size := 0
 			names, err := f.disks[0].Mount().List("/data")
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,7 +18,7 @@
 const (
 	turnInterval  = 800 * time.Millisecond  // between the replicas' turns to propose a change of the voters
 	resignTimeout = 1500 * time.Millisecond // for a replica that shuts down
-	maxRoundGap   = 4 * roundEvery          // a process without a round for so long may have missed reports meanwhile
+	maxRoundGap   = 4 * reportRoundInterval // a process without a round for so long may have missed reports meanwhile
 )
 
 // voterChangeState is the wanted change of the voters and what decides when it is proposed.
@@ -52,7 +52,7 @@
 	for _, v := range b.contents.Record.Decided.Voters {
 		if v.ID != b.self.ID && b.linkTo(v.ID) == nil {
 			last := b.lastReports[v.ID]
-			all = append(all, membership.Member{Voter: v, Leaving: last.left, SilentFor: b.silentFor(last, now)})
+			all = append(all, membership.Member{Voter: v, Leaving: last.hasLeft, SilentFor: b.silentFor(last, now)})
 		}
 	}
 	return all
@@ -61,7 +61,7 @@
 // silentFor returns for how long a replica has not reported while a majority did. Time in which this replica was itself
 // cut off or suspended does not count, since it can't judge others then.
 func (b *Replica) silentFor(last lastReport, now time.Duration) time.Duration {
-	return now - max(last.at, b.voterChange.contactSince)
+	return now - max(last.receivedAt, b.voterChange.contactSince)
 }
 
 // maintainVoters proposes a change of the voters where one is due. It is called after each round. The caller holds the
@@ -69,7 +69,7 @@
 func (b *Replica) maintainVoters(known uint64) {
 	now, wanted := b.now(), &b.voterChange
 	voters := b.contents.Record.Decided.Voters
-	inContact := quorum.IsMajority(voters, func(id string) bool { return id == b.self.ID || now-b.lastReports[id].at < roundEvery })
+	inContact := quorum.IsMajority(voters, func(id string) bool { return id == b.self.ID || now-b.lastReports[id].receivedAt < reportRoundInterval })
 	if !inContact || now-wanted.lastRoundAt > maxRoundGap {
 		wanted.contactSince = now
 	}
--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -41,7 +41,7 @@
 func (b *Replica) SetSettings(s *settings.Settings) {
 	b.liveSettings.Store(s)
 	b.SetSeeds(s.Network.Seeds)
-	b.spurred()
+	b.signalLeaseChange()
 }
 
 // SetSeeds replaces the addresses that are dialled first, and dials new ones. It skips addresses that can't be parsed.
@@ -112,7 +112,7 @@
 	now := b.now()
 	for name, h := range b.replicas {
 		_, isVoter := b.contents.Record.Decided.Voter(h.ID)
-		lastHeard := max(b.lastReports[h.ID].at, b.firstSeen[name])
+		lastHeard := max(b.lastReports[h.ID].receivedAt, b.firstSeen[name])
 		if name == b.self.Name || isVoter || len(b.links[name]) > 0 || now-lastHeard < forgetAfter {
 			continue
 		}
@@ -127,7 +127,7 @@
 			}
 			delete(b.dialTargets, h.Inner)
 		}
-		b.stirred()
+		b.signalCensusChange()
 	}
 }
 
@@ -150,7 +150,7 @@
 	case peerlink.Replica:
 		return b.runReplicaSession(ctx, conn, hello, false)
 	case peerlink.Agent:
-		return b.attend(ctx, conn, hello)
+		return b.serveAgent(ctx, conn, hello)
 	}
 	return errors.Errorf("replica: unexpected peer role %q", hello.Role)
 }
@@ -165,16 +165,16 @@
 	l := &link{conn: c, peer: *h, dialled: dialled, connectedAt: b.now(), openPolls: map[uint64]*poll{}}
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
-	l.sentList = b.held()
+	l.sentList = b.currentList()
 	duty := b.duty.Greeting()
-	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.aged(l.sentList), Lately: b.healthJudge.inForce()}, &duty)
+	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.listWithAge(l.sentList), Lately: b.healthJudge.verdictsInForce()}, &duty)
 	b.sendDecided(l)
 	if target := b.dialTargets[h.Inner]; target != nil && target.stopDialling != nil && b.isDialledBy(h.Inner) {
 		target.stopDialling()
 	}
 	b.mu.Unlock()
 	b.requestRound()
-	b.spurred()
+	b.signalLeaseChange()
 	b.log.Info("replica connected", "name", h.Name, "dialled", dialled)
 	defer func() {
 		b.mu.Lock()
@@ -192,8 +192,8 @@
 			default:
 			}
 		}
-		b.stirred()
-		b.spurred()
+		b.signalCensusChange()
+		b.signalLeaseChange()
 	}()
 	for {
 		f, err := c.Receive()
@@ -221,29 +221,29 @@
 	if frame.Leaving != nil {
 		l.leaving = true
 		last := b.lastReports[l.peer.ID]
-		last.left = true
+		last.hasLeft = true
 		b.lastReports[l.peer.ID] = last
-		b.stirred()
+		b.signalCensusChange()
 	}
 	if frame.Duty != nil {
-		b.hearDuty(l, frame.Duty)
+		b.handleLeaseMessage(l, frame.Duty)
 	}
 	if frame.Decided != nil {
 		b.receiveDecided(l, frame.Decided)
 	}
 	if frame.Report != nil {
-		b.reaped(frame.Report)
+		b.handleForwardedReport(frame.Report)
 	}
 	if change := frame.Change; change != nil {
-		b.verdictsTold(l, change)
+		b.handlePeerVerdicts(l, change)
 		if change.Census != nil {
 			for _, hello := range change.Census.Replicas {
 				b.noteReplica(hello)
 			}
-			b.meet(change.Census.Proxies)
+			b.mergeProxies(change.Census.Proxies)
 		}
 		if change.Servers != nil {
-			b.listTold(l, change.Servers)
+			b.handlePeerList(l, change.Servers)
 		}
 	}
 	if reply := frame.Reply; reply != nil {
@@ -267,7 +267,7 @@
 		b.log.Info("new replica", "name", hello.Name, "voter", hello.Voter)
 	}
 	b.keepConnected(hello.Inner)
-	b.stirred()
+	b.signalCensusChange()
 }
 
 // runInBackground runs a job in a goroutine with a timeout of callTimeout. The caller may hold the mutex.
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -28,14 +28,14 @@
 	return res.StatusCode
 }
 
-func TestWhatOperatorsAreTold(t *testing.T) {
+func TestOperatorEndpoints(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 		f.waitFor(time.Second, "hold", func() bool {
 			return f.replicas[2].configurationInForce() != nil && f.replicas[2].Status(context.Background()).Confirmed.Gen == "r3"
 		})
 		ring := logring.New(f.net, 4, io.Discard)
-		f.replicas[1].ShowLog(ring)
+		f.replicas[1].SetLogRing(ring)
 		ring.Logger().Info("one", "n", 1)
 		ring.Dump("two")
 		f.disks[2].SetFull(true)
@@ -70,13 +70,13 @@
 
 // Each replica tells who has the list's duty, who is next and in which term, also after the holder has gone; and which
 // version is in force at which proxies, by name where one may serve something old.
-func TestDutyAndVersionsAreTold(t *testing.T) {
+func TestStatusShowsLeaseAndVersions(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
-		defer f.agent("1", 1).stop()
-		behind := f.agent("2", 1)
+		defer f.startAgent("1", 1).stop()
+		behind := f.startAgent("2", 1)
 		defer behind.stop()
-		f.waitFor(3*time.Second, "in force", behind.sees(func(h *farmhand) bool { return h.gen == 3 }))
+		f.waitFor(3*time.Second, "in force", behind.holds(func(h *simAgent) bool { return h.held == 3 }))
 		told := func(of ...int) (s api.Status) {
 			for _, i := range of {
 				was := s
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -49,12 +49,12 @@
 	}
 	config := (&peerlink.Configuration{Gen: parsed.Gen, Digest: sha256.Sum256(body), Body: body}).Pack()
 	held, err := b.submit(ctx, peerlink.Command{Config: config})
-	return ReplaceResult{InForce: held == idOf(config), Held: held}, err
+	return ReplaceResult{InForce: held == configIDOf(config), Held: held}, err
 }
 
 // executeReplace executes the command to put a configuration in force, and returns the ID of the one in force then.
 func (b *Replica) executeReplace(ctx context.Context, config *peerlink.Configuration) (state.ConfigID, error) {
-	id := idOf(config)
+	id := configIDOf(config)
 	var held state.ConfigID
 	err := b.changeState(ctx, config, func(next *state.State) error {
 		switch {
@@ -90,7 +90,7 @@
 	if wouldChange(b.decidedState(), withFencing(ctx, apply)) {
 		return b.decideCommand(ctx, config, apply)
 	}
-	base, err := b.confirm(ctx)
+	base, err := b.confirmedState(ctx)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 func (b *Replica) CurrentConfiguration(ctx context.Context) (*peerlink.Configuration, error) {
 	ctx, cancel := b.withTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := b.confirm(ctx); err != nil {
+	if _, err := b.confirmedState(ctx); err != nil {
 		return nil, err
 	}
 	b.mu.Lock()
@@ -154,7 +154,7 @@
 // checkOrder returns why an order is refused under the decided state; nil if it is allowed.
 func (b *Replica) checkOrder(command *peerlink.Command, held state.State) error {
 	if name, isNode := command.Order.Node(); isNode {
-		return b.allowsRest(name, command, held)
+		return b.checkRestOrder(name, command, held)
 	}
 	if id, isServer := command.Order.Server(); isServer {
 		return b.checkServerOrder(id, held)
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -22,24 +22,24 @@
 
 // Bounds of a reading.
 const (
-	mostPage    = 8 << 20 // bytes
-	mostChains  = 16      // calls at once
-	cloudIdle   = 5 * time.Second
-	pageRetries = 1  // of a page that failed
-	rateRetries = 20 // and of one that the platform refused for its rate
+	maxPageBytes        = 8 << 20 // bytes
+	maxParallelCalls    = 16      // calls at once
+	cloudIdleTimeout    = 5 * time.Second
+	maxPageRetries      = 1  // of a page that failed
+	maxRateLimitRetries = 20 // and of one that the platform refused for its rate
 
 	// A reading may be so far ahead of its pace, all who read together: short lists are read at once.
-	aheadOfPace = 500 * time.Millisecond
+	paceAllowance = 500 * time.Millisecond
 )
 
 var (
-	errEndless = errors.New("a list without an end")
-	errRate    = errors.New("over the platform's rate")
+	errTooManyPages = errors.New("a list without an end")
+	errRateLimited  = errors.New("over the platform's rate")
 )
 
-func newCloud(w world.World) *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: world.DialWithin(w, listWithin), DisableCompression: true,
-		MaxIdleConns: mostChains, MaxIdleConnsPerHost: mostChains, IdleConnTimeout: cloudIdle}}
+func newCloudClient(w world.World) *http.Client {
+	return &http.Client{Transport: &http.Transport{DialContext: world.DialWithin(w, listCallTimeout), DisableCompression: true,
+		MaxIdleConns: maxParallelCalls, MaxIdleConnsPerHost: maxParallelCalls, IdleConnTimeout: cloudIdleTimeout}}
 }
 
 // readList reads all pages; half a list is none. A list of more pages than there are zones
@@ -48,32 +48,32 @@
 	b.mu.Lock()
 	zones, known := b.listZones(), b.newestReading.pages
 	b.mu.Unlock()
-	r := &listReader{b: b, address: address, terms: terms}
+	r := &listReader{replica: b, address: address, terms: terms}
 	zoned := zones
 	if !listing.SideBySide(known, len(zones)) {
-		list, pages, whole, err := r.pages(ctx, "", listing.MostInTurn(len(zones)))
+		list, pages, whole, err := r.readPages(ctx, "", listing.MostInTurn(len(zones)))
 		switch {
 		case err != nil || whole:
-			return byID(list), pages, err
+			return sortedByID(list), pages, err
 		case len(zones) <= 1:
-			return nil, 0, errEndless
+			return nil, 0, errTooManyPages
 		}
-		zoned = withZonesOf(zones, list)
+		zoned = mergeServerZones(zones, list)
 	}
-	return r.zones(ctx, zoned)
+	return r.readZones(ctx, zoned)
 }
 
 // listZones are the zones that the settings name or in which servers were listed; the mutex is held.
 func (b *Replica) listZones() []string {
 	zones := slices.Sorted(maps.Keys(b.liveSettings.Load().Network.Zones))
 	if b.serverList != nil {
-		zones = withZonesOf(zones, b.serverList.List)
+		zones = mergeServerZones(zones, b.serverList.List)
 	}
 	return zones
 }
 
-// withZonesOf adds the zones of servers to others.
-func withZonesOf(zones []string, servers []peerlink.Server) []string {
+// mergeServerZones adds the zones of servers to others.
+func mergeServerZones(zones []string, servers []peerlink.Server) []string {
 	all := map[string]bool{}
 	for _, zone := range zones {
 		all[zone] = true
@@ -86,27 +86,27 @@
 
 // listReader is one reading of the list. Its calls are spread over time.
 type listReader struct {
-	b       *Replica
+	replica *Replica
 	address string
 	terms   listing.Terms
 
-	mu   sync.Mutex
-	next time.Duration // when the calls so far would have ended at the pace, by the replica's steady clock
+	mu         sync.Mutex
+	pacedUntil time.Duration // when the calls so far would have ended at the pace, by the replica's steady clock
 }
 
-// turn waits until the next call may begin; it returns false when ctx has ended.
-func (r *listReader) turn(ctx context.Context) bool {
-	readers := r.b.readers()
+// waitTurn waits until the next call may begin; it returns false when ctx has ended.
+func (r *listReader) waitTurn(ctx context.Context) bool {
+	readers := r.replica.listReaderCount()
 	r.mu.Lock()
-	now := r.b.now()
-	r.next = max(r.next, now) + r.terms.Gap(readers)
-	wait := r.next - now - aheadOfPace/time.Duration(readers)
+	now := r.replica.now()
+	r.pacedUntil = max(r.pacedUntil, now) + r.terms.Gap(readers)
+	wait := r.pacedUntil - now - paceAllowance/time.Duration(readers)
 	r.mu.Unlock()
-	return wait <= 0 || r.b.sleep(ctx, wait)
+	return wait <= 0 || r.replica.sleep(ctx, wait)
 }
 
-// readers is how many replicas may read the list now: the holder of the duty alone, or all.
-func (b *Replica) readers() int {
+// listReaderCount is how many replicas may read the list now: the holder of the duty alone, or all.
+func (b *Replica) listReaderCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.duty.Holds() {
@@ -115,22 +115,22 @@
 	return len(b.links) + 1
 }
 
-// zones reads the pages of each zone, the zones side by side.
-func (r *listReader) zones(ctx context.Context, zones []string) (list []peerlink.Server, pages int, err error) {
+// readZones reads the pages of each zone, the zones side by side.
+func (r *listReader) readZones(ctx context.Context, zones []string) (list []peerlink.Server, pages int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
 		mu    sync.Mutex
 		all   sync.WaitGroup
-		slots = make(chan struct{}, mostChains)
+		slots = make(chan struct{}, maxParallelCalls)
 	)
 	for _, zone := range zones {
 		all.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			part, n, whole, failed := r.pages(ctx, zone, listing.MostPages)
+			part, n, whole, failed := r.readPages(ctx, zone, listing.MostPages)
 			if failed == nil && !whole {
-				failed = errEndless
+				failed = errTooManyPages
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -145,23 +145,23 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	return byID(list), pages, nil
+	return sortedByID(list), pages, nil
 }
 
-// pages reads pages of a zone, or of all where it is empty, one after the other; it is
+// readPages reads pages of a zone, or of all where it is empty, one after the other; it is
 // not whole where there are more than so many.
-func (r *listReader) pages(ctx context.Context, zone string, most int) (list []peerlink.Server, pages int, whole bool, err error) {
+func (r *listReader) readPages(ctx context.Context, zone string, most int) (list []peerlink.Server, pages int, whole bool, err error) {
 	for token := ""; pages < most; {
-		page, err := r.page(ctx, zone, token)
-		for tries := 0; err != nil && tries < retries(err) && r.b.sleep(ctx, listAgain); tries++ {
-			page, err = r.page(ctx, zone, token)
+		page, err := r.fetchPage(ctx, zone, token)
+		for tries := 0; err != nil && tries < maxRetries(err) && r.replica.sleep(ctx, listRetryDelay); tries++ {
+			page, err = r.fetchPage(ctx, zone, token)
 		}
 		if err != nil {
 			return nil, 0, false, err
 		}
 		rows, err := page.Servers()
 		if err != nil {
-			r.b.log.Error(err, "rows of the list passed over")
+			r.replica.log.Error(err, "rows of the list passed over")
 		}
 		for _, s := range rows {
 			list = append(list, peerlink.Server{ID: s.ID, Backend: s.Backend, Address: s.Address, Zone: s.Zone, Gen: s.Gen, Capacity: s.Capacity, Draining: s.Draining, WarmLeft: s.WarmLeft})
@@ -174,19 +174,19 @@
 	return list, pages, false, nil
 }
 
-// retries is how often a page that ended so is asked for again.
-func retries(err error) int {
-	if errors.Is(err, errRate) {
-		return rateRetries
+// maxRetries is how often a page that ended so is asked for again.
+func maxRetries(err error) int {
+	if errors.Is(err, errRateLimited) {
+		return maxRateLimitRetries
 	}
-	return pageRetries
+	return maxPageRetries
 }
 
-func (r *listReader) page(ctx context.Context, zone, token string) (*api.Page, error) {
-	if !r.turn(ctx) {
+func (r *listReader) fetchPage(ctx context.Context, zone, token string) (*api.Page, error) {
+	if !r.waitTurn(ctx) {
 		return nil, ctx.Err()
 	}
-	ctx, cancel := r.b.withTimeout(ctx, listWithin)
+	ctx, cancel := r.replica.withTimeout(ctx, listCallTimeout)
 	defer cancel()
 	query := url.Values{}
 	if zone != "" {
@@ -200,18 +200,18 @@
 	if err != nil {
 		return nil, err
 	}
-	res, err := r.b.cloudClient.Do(req)
+	res, err := r.replica.cloudClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusTooManyRequests {
-		return nil, errRate
+		return nil, errRateLimited
 	}
 	if res.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("status %d", res.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, mostPage))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -219,8 +219,8 @@
 	return page, json.Unmarshal(body, page)
 }
 
-// byID puts a list in the order of its ids, of equal ones the last.
-func byID(list []peerlink.Server) []peerlink.Server {
+// sortedByID puts a list in the order of its ids, of equal ones the last.
+func sortedByID(list []peerlink.Server) []peerlink.Server {
 	slices.Reverse(list)
 	slices.SortStableFunc(list, func(x, y peerlink.Server) int { return cmp.Compare(x.ID, y.ID) })
 	return slices.CompactFunc(list, func(x, y peerlink.Server) bool { return x.ID == y.ID })
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -156,7 +156,7 @@
 		return true
 	}
 	l := b.linkTo(id)
-	return l != nil && b.now()-max(l.connectedAt, b.lastReports[id].at) < reachabilityWindow
+	return l != nil && b.now()-max(l.connectedAt, b.lastReports[id].receivedAt) < reachabilityWindow
 }
 
 // attempt tries once to decide the next version. If done is true, all changes of the batch are answered; retryNow
@@ -174,7 +174,7 @@
 	onePhase := base.Proposer == b.proposerID() && b.lastOnePhaseVersion <= base.Version && b.contents.Record.Promised.Round <= quorum.FirstRound
 	b.mu.Unlock()
 	next, refused := b.combine(base, batch)
-	if next.SameContent(base) && b.stillLatest(ctx, base) {
+	if next.SameContent(base) && b.isStillLatest(ctx, base) {
 		answerAll(batch, refused)
 		return true, true
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -45,26 +45,26 @@
 	dialTargets    map[string]*dialTarget    // by inner address: the replicas to stay connected to
 	links          map[string][]*link        // open connections to other replicas, by name
 	lastQuestionID uint64                    // ID of the last question sent to another replica
-	agents         map[*agent]bool
+	agents         map[*agentConn]bool
 	proxies        *proxyRegistry
 	hostRoutes     homing.Roads     // per host, whether clients are sent to its home region
 	census         *peerlink.Census // the latest count
 	sentCensus     *peerlink.Census // the census last sent to the agents that use this replica as upstream
 	censusSentAt   time.Duration
 
-	contents            statestore.Contents      // this replica's record and the configurations that it refers to, as they are written to disk
-	highestRound        uint64                   // round of the highest ballot that was used or seen
-	lastOnePhaseVersion uint64                   // the newest version that this process proposed in one phase, without promises
-	pendingChanges      []*stateChange           // changes that no proposal contains yet
-	versionLearned      chan struct{}            // signals that a newer decided version was learned
-	promisedAt          time.Duration            // when this replica last granted a promise or an acceptance
-	proposerWakeup      chan struct{}            // signals that pendingChanges is not empty
-	lastReports         map[string]lastReport    // by the ID of the replica's disk
-	firstSeen           map[string]time.Duration // by name: when the current incarnation of a replica was first seen
-	acceptedUndecided   map[string]undecided     // by disk ID: values that were accepted and not decided in the last round
-	finishInProgress    bool                     // a proposal that decides such a value is running
-	fetchInProgress     bool                     // a configuration is being fetched from another replica
-	voterChange         voterChangeState         // the wanted change of the voters
+	contents            statestore.Contents         // this replica's record and the configurations that it refers to, as they are written to disk
+	highestRound        uint64                      // round of the highest ballot that was used or seen
+	lastOnePhaseVersion uint64                      // the newest version that this process proposed in one phase, without promises
+	pendingChanges      []*stateChange              // changes that no proposal contains yet
+	versionLearned      chan struct{}               // signals that a newer decided version was learned
+	promisedAt          time.Duration               // when this replica last granted a promise or an acceptance
+	proposerWakeup      chan struct{}               // signals that pendingChanges is not empty
+	lastReports         map[string]lastReport       // by the ID of the replica's disk
+	firstSeen           map[string]time.Duration    // by name: when the current incarnation of a replica was first seen
+	acceptedUndecided   map[string]acceptedProposal // by disk ID: values that were accepted and not decided in the last round
+	finishInProgress    bool                        // a proposal that decides such a value is running
+	fetchInProgress     bool                        // a configuration is being fetched from another replica
+	voterChange         voterChangeState            // the wanted change of the voters
 
 	configuration        *peerlink.Configuration    // the decided one
 	parsedConfiguration  *routeconfig.Configuration // configuration, parsed; nil until parsing ends
@@ -78,22 +78,22 @@
 
 	serverList      *peerlink.Servers // the newest known list
 	listStamp       int64             // stamp of the newest reading, which may have found the list unchanged
-	newestReading   lastReading       // age and period of the newest reading
+	newestReading   latestListRead    // age and period of the newest reading
 	othersReadingAt time.Duration     // when the newest reading by another replica began
 	drainedServers  map[string]bool   // by ID: server instances that were seen draining
 
 	duty       *lease.Lease // the lease on the duty to read the server list
-	ownReading reading
+	ownReading ownListReads
 
-	healthJudge *fit // health verdicts on servers, from the evidence of all proxies
+	healthJudge *serverJudge // health verdicts on servers, from the evidence of all proxies
 
-	ops ops // state of the operators' read-only calls
+	ops operatorState // state of the operators' read-only calls
 }
 
 // New returns a replica with the state that it finds on disk; disk is nil for a replica without one.
 func New(initial *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
 	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), dutyWakeup: make(chan struct{}, 1),
-		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1), lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{}, dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agent]bool{},
+		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1), lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{}, dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
 		ordersInForce: map[string]peerlink.Zone{}, drainedServers: map[string]bool{}}
 	b.liveSettings.Store(initial)
 	s := initial.Self
@@ -103,9 +103,9 @@
 	b.replicas[s.Name] = b.self
 	b.proxies = newProxyRegistry(b.store.Census(), 0)
 	b.applyRestoredState()
-	b.cloudClient = newCloud(w)
-	b.healthJudge = newFit()
-	b.duty = lease.New(listDuty, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
+	b.cloudClient = newCloudClient(w)
+	b.healthJudge = newServerJudge()
+	b.duty = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
 	return b
 }
 
@@ -128,12 +128,12 @@
 	b.jobs.Go(func() { b.store.Run(inner) })
 	b.jobs.Go(func() { _ = peerlink.Serve(inner, b.world, ln, b.hello, b.log, b.acceptSession) })
 	b.jobs.Go(func() { b.runProposer(inner) })
-	b.jobs.Go(func() { b.compare(inner) })
-	b.jobs.Go(func() { b.watch(inner) })
-	b.jobs.Go(func() { b.duties(inner) })
-	b.jobs.Go(func() { metrics.Serve(inner, b.world, b.self.IP, metrics.PortControl, b.log, b.figures) })
+	b.jobs.Go(func() { b.runReportRounds(inner) })
+	b.jobs.Go(func() { b.runAgentUpdates(inner) })
+	b.jobs.Go(func() { b.runListLease(inner) })
+	b.jobs.Go(func() { metrics.Serve(inner, b.world, b.self.IP, metrics.PortControl, b.log, b.collectMetrics) })
 	if b.self.Judges {
-		b.jobs.Go(func() { b.judges(inner) })
+		b.jobs.Go(func() { b.runServerJudge(inner) })
 	}
 	b.SetSeeds(b.settings.Network.Seeds)
 	b.mu.Lock()
--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -55,7 +55,7 @@
 func TestVotesOnlyWhenCaughtUp(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		f.waitFor(time.Second, "the replica has caught up", func() bool { return idOf(f.replicas[2].configurationInForce()).Gen == 2 })
+		f.waitFor(time.Second, "the replica has caught up", func() bool { return configIDOf(f.replicas[2].configurationInForce()).Gen == 2 })
 		f.disks[2].Hang()
 		f.replaceUntilAcknowledged(0, configurationBody(3, "a"))
 		f.killAll(true)
@@ -88,7 +88,7 @@
 			assert.NilError(t, f.replicas[learner].Drain(context.Background(), "z0", gen%2 == 0))
 			time.Sleep(100 * time.Millisecond)
 			for _, i := range f.runningIndexes() {
-				assert.Assert(t, idOf(f.replicas[i].configurationInForce()).Gen == uint64(gen) && f.replicas[i].orderInForce("z0").Drain == (gen%2 == 0), "replica-%d after r%d", i, gen)
+				assert.Assert(t, configIDOf(f.replicas[i].configurationInForce()).Gen == uint64(gen) && f.replicas[i].orderInForce("z0").Drain == (gen%2 == 0), "replica-%d after r%d", i, gen)
 			}
 		}
 	})
@@ -144,7 +144,7 @@
 		runCluster(t, 3, func(f *clusterFixture) {
 			f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 			f.waitFor(time.Second, "all replicas have the configuration", func() bool {
-				return idOf(f.replicas[1].configurationInForce()).Gen == 2 && idOf(f.replicas[2].configurationInForce()).Gen == 2
+				return configIDOf(f.replicas[1].configurationInForce()).Gen == 2 && configIDOf(f.replicas[2].configurationInForce()).Gen == 2
 			})
 			done := make(chan error, 1)
 			go func() { done <- f.replace(0, configurationBody(3, "a")) }()
@@ -182,7 +182,7 @@
 			f.disks[0].SetFull(false)
 			f.disks[0].SetLatency(0)
 		}
-		f.waitFor(3*time.Second, "the replica has caught up", func() bool { return idOf(f.replicas[0].configurationInForce()).Gen == 23 })
+		f.waitFor(3*time.Second, "the replica has caught up", func() bool { return configIDOf(f.replicas[0].configurationInForce()).Gen == 23 })
 	})
 }
 
--- a/internal/control/request_counts.go
+++ b/internal/control/request_counts.go
@@ -12,16 +12,16 @@
 const maxRequestCountsAge = 15 * time.Second
 
 // RequestCounts sums the proxies' requests of the last minute by route. Proxies report them only while operators ask
-// for them: each call requests the reports for wantsFor more.
+// for them: each call requests the reports for figuresWantedFor more.
 func (b *Replica) RequestCounts() *api.Asked {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	if now >= b.ops.asks {
-		b.ops.since = now
+	if now >= b.ops.routeCountsWantedUntil {
+		b.ops.routeCountsWantedSince = now
 	}
-	b.ops.asks = now + wantsFor
-	a := &api.Asked{Replica: b.self.Name, Gen: version(idOf(b.configuration)).Gen, Routes: []api.RouteAsked{}}
+	b.ops.routeCountsWantedUntil = now + figuresWantedFor
+	a := &api.Asked{Replica: b.self.Name, Gen: apiVersion(configIDOf(b.configuration)).Gen, Routes: []api.RouteAsked{}}
 	sums := map[int]uint64{}
 	for _, n := range b.proxies.names() {
 		g := b.proxies.proxies[n]
@@ -30,7 +30,7 @@
 		}
 		a.Ready++
 		counts := g.requestCounts
-		if counts == nil || counts.Span <= 0 || g.requestCountsAt < b.ops.since || now-g.requestCountsAt > maxRequestCountsAge || b.configuration == nil || counts.Gen != b.configuration.Gen {
+		if counts == nil || counts.Span <= 0 || g.requestCountsAt < b.ops.routeCountsWantedSince || now-g.requestCountsAt > maxRequestCountsAge || b.configuration == nil || counts.Gen != b.configuration.Gen {
 			continue
 		}
 		if ms := counts.Span.Milliseconds(); a.Proxies == 0 || ms < a.SpanMS {
--- a/internal/control/rest.go
+++ b/internal/control/rest.go
@@ -13,18 +13,18 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Tight is the error of an order that would leave too few proxies awake.
-type Tight struct{ error }
+// TooFewAwakeError is the error of an order that would leave too few proxies awake.
+type TooFewAwakeError struct{ error }
 
-// Floor is what has to stay awake.
-type Floor = peerlink.Floor
+// MinAwake is what has to stay awake.
+type MinAwake = peerlink.Floor
 
-var nodeName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+var nodeNamePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 // Rest takes an order that a proxy is to rest. Of two of them that cross at two replicas one is decided first, and the
 // other sees it.
-func (b *Replica) Rest(ctx context.Context, name string, least Floor) error {
-	if !nodeName.MatchString(name) {
+func (b *Replica) Rest(ctx context.Context, name string, least MinAwake) error {
+	if !nodeNamePattern.MatchString(name) {
 		return InvalidError{errors.Errorf("%q is no name of a proxy", name)}
 	}
 	_, err := b.submit(ctx, peerlink.Command{Order: &peerlink.Zone{Zone: state.NodeSubject(name), Drain: true}, Floor: &least})
@@ -37,8 +37,8 @@
 	return err
 }
 
-// allowsRest tells why a proxy must not rest, or wake, by what is decided.
-func (b *Replica) allowsRest(name string, c *peerlink.Command, held state.State) error {
+// checkRestOrder tells why a proxy must not rest, or wake, by what is decided.
+func (b *Replica) checkRestOrder(name string, c *peerlink.Command, held state.State) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, known := held.Order(c.Order.Zone), b.proxies.proxies[name] != nil
@@ -54,18 +54,18 @@
 	if old.Drain || c.Floor.Force {
 		return nil
 	}
-	return b.proxies.room(b.now(), name, held, *c.Floor)
+	return b.proxies.checkMinAwake(b.now(), name, held, *c.Floor)
 }
 
-// rest notes that a proxy is to rest, or is not.
-func (r *proxyRegistry) rest(name string, rests bool) {
+// setResting notes that a proxy is to rest, or is not.
+func (r *proxyRegistry) setResting(name string, rests bool) {
 	if delete(r.resting, name); rests {
 		r.resting[name] = true
 	}
 }
 
-// room tells why a proxy must not rest under the orders held: too few would stay awake.
-func (r *proxyRegistry) room(now time.Duration, name string, held state.State, least Floor) error {
+// checkMinAwake tells why a proxy must not rest under the orders held: too few would stay awake.
+func (r *proxyRegistry) checkMinAwake(now time.Duration, name string, held state.State, least MinAwake) error {
 	awake := func(zone string) (is, all int) {
 		for _, n := range r.names() {
 			g, rests := r.proxies[n], held.Order(state.NodeSubject(n)).Drain
@@ -82,7 +82,7 @@
 		if is >= int(math.Ceil(part*float64(all)-1e-9)) {
 			return nil
 		}
-		return Tight{errors.New(fmt.Sprintf("%d of %d proxies %s would stay awake, and %g of them have to", is, all, where, part))}
+		return TooFewAwakeError{errors.New(fmt.Sprintf("%d of %d proxies %s would stay awake, and %g of them have to", is, all, where, part))}
 	}
 	is, all := awake("")
 	if err := tight("of all", least.All, is, all); err != nil {
--- a/internal/control/rest_test.go
+++ b/internal/control/rest_test.go
@@ -14,14 +14,14 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-var half = Floor{Zone: 0.5, All: 0.5}
+var halfAwake = MinAwake{Zone: 0.5, All: 0.5}
 
-// proxies are agents of four proxies in one zone, each connected to all replicas.
-func (f *clusterFixture) proxies() (stop func()) {
-	var all []*farmhand
+// startProxies are agents of four proxies in one zone, each connected to all replicas.
+func (f *clusterFixture) startProxies() (stop func()) {
+	var all []*simAgent
 	for _, n := range []string{"1", "2", "3", "4"} {
 		for i := range f.replicas {
-			all = append(all, f.agent(n, i))
+			all = append(all, f.startAgent(n, i))
 		}
 	}
 	f.waitFor(5*time.Second, "proxies", func() bool {
@@ -36,7 +36,7 @@
 	}
 }
 
-func (f *clusterFixture) resting(i int) (n int) {
+func (f *clusterFixture) restingCount(i int) (n int) {
 	for _, o := range f.replicas[i].Status(context.Background()).Nodes {
 		if o.Rests {
 			n++
@@ -49,28 +49,28 @@
 func TestTooFewAwake(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
-		defer f.proxies()()
+		defer f.startProxies()()
 		ctx := context.Background()
-		var tight Tight
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", half))
-		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", half)) // it rests already
+		var tight TooFewAwakeError
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", halfAwake))
+		assert.NilError(t, f.replicas[1].Rest(ctx, "proxy-1", halfAwake)) // it rests already
 		ends := make(chan error, 2)
 		for i, n := range []string{"proxy-2", "proxy-3"} {
-			go func() { ends <- f.replicas[i].Rest(ctx, n, half) }()
+			go func() { ends <- f.replicas[i].Rest(ctx, n, halfAwake) }()
 		}
 		a, b := <-ends, <-ends
 		assert.Assert(t, errors.As(a, &tight) || errors.As(b, &tight), "%v, %v", a, b)
-		assert.Assert(t, f.resting(2) <= 2)
-		if f.resting(2) < 2 {
-			assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-2", half))
+		assert.Assert(t, f.restingCount(2) <= 2)
+		if f.restingCount(2) < 2 {
+			assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-2", halfAwake))
 		}
-		err := f.replicas[0].Rest(ctx, "proxy-4", half)
+		err := f.replicas[0].Rest(ctx, "proxy-4", halfAwake)
 		assert.Assert(t, errors.As(err, &tight), "%v", err)
 		assert.Error(t, err, "1 of 4 proxies of all would stay awake, and 0.5 of them have to")
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-4", Floor{Force: true}))
-		assert.Assert(t, errors.Is(f.replicas[0].Rest(ctx, "proxy-9", half), ErrUnknownProxy))
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-4", MinAwake{Force: true}))
+		assert.Assert(t, errors.Is(f.replicas[0].Rest(ctx, "proxy-9", halfAwake), ErrUnknownProxy))
 		assert.Assert(t, errors.Is(f.replicas[0].Wake(ctx, "proxy-9"), ErrUnknownProxy))
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", Floor{Force: true})) // it is yet to come
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-9", MinAwake{Force: true})) // it is yet to come
 		assert.NilError(t, f.replicas[1].Wake(ctx, "proxy-9"))
 		url := "http://" + ip(0) + ":8200" + api.NodeRest
 		for path, want := range map[string]int{"proxy-1?zone=2": 400, "a%20b": 400, "proxy-8": 404, "proxy-1": 200, "proxy-1?lock=x": 423} {
@@ -81,14 +81,14 @@
 }
 
 // Both sides of a core that is cut in half are ordered; neither acknowledges, and what holds later is one word.
-func TestRestInHalves(t *testing.T) {
+func TestRestOrdersInASplitCore(t *testing.T) {
 	runCluster(t, 4, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
-		defer f.proxies()()
+		defer f.startProxies()()
 		ctx := context.Background()
-		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", half))
+		assert.NilError(t, f.replicas[0].Rest(ctx, "proxy-1", halfAwake))
 		f.partition(ips(0, 1), ips(2, 3), sim.Silent)
-		assert.Assert(t, f.replicas[0].Rest(ctx, "proxy-2", half) != nil)
+		assert.Assert(t, f.replicas[0].Rest(ctx, "proxy-2", halfAwake) != nil)
 		assert.Assert(t, f.replicas[3].Wake(ctx, "proxy-1") != nil)
 		assert.Assert(t, f.replicas[0].AcquireLock(ctx, state.Lock{Token: "a", Who: "ana", For: time.Second}) != nil)
 		assert.Assert(t, f.replicas[3].AcquireLock(ctx, state.Lock{Token: "b", Who: "ben", For: time.Second}) != nil)
@@ -109,16 +109,16 @@
 		f.waitFor(5*time.Second, "are one core again", func() bool { return f.replicas[2].Wake(ctx, "proxy-1") == nil })
 		assert.NilError(t, f.replicas[2].Wake(ctx, "proxy-2"))
 		f.waitFor(2*time.Second, "agree", same)
-		assert.Equal(t, f.resting(1), 0)
+		assert.Equal(t, f.restingCount(1), 0)
 	})
 }
 
 // An order to rest outlives the power of all replicas.
-func TestRestOutlivesReplicas(t *testing.T) {
+func TestRestOrderSurvivesPowerLoss(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		f.replaceUntilAcknowledged(0, configurationBody(1, "a"))
-		defer f.proxies()()
-		assert.NilError(t, f.replicas[0].Rest(context.Background(), "proxy-2", half))
+		defer f.startProxies()()
+		assert.NilError(t, f.replicas[0].Rest(context.Background(), "proxy-2", halfAwake))
 		f.killAll(true)
 		time.Sleep(time.Second)
 		f.startAll()
--- a/internal/control/server_orders.go
+++ b/internal/control/server_orders.go
@@ -27,7 +27,7 @@
 func (b *Replica) OrderVerdict(ctx context.Context, id, word string, holds time.Duration) error {
 	_, known := orderedLevels[word]
 	switch {
-	case !nodeName.MatchString(id):
+	case !nodeNamePattern.MatchString(id):
 		return InvalidError{errors.Errorf("%q is not a valid server ID", id)}
 	case !known && word != api.WordWithdrawn:
 		return InvalidError{errors.Errorf("%s: %q is not one of fit, unfit, unfit-all, none", api.JudgeWord, word)}
@@ -57,11 +57,11 @@
 	case b.listedServiceOf(id) == "" && old.Count == 0:
 		return errors.WithMessage(ErrUnknownServer, id)
 	case orders >= maxServerOrders && old.Count == 0:
-		return Tight{errors.Errorf("orders about %d servers are stored already", orders)}
+		return TooFewAwakeError{errors.Errorf("orders about %d servers are stored already", orders)}
 	}
 	for name, h := range b.replicas { // a replica that does not know such orders would store only a part of one
 		if h.Voter && !h.Judges {
-			return Tight{errors.Errorf("%s does not judge servers (judge.records)", name)}
+			return TooFewAwakeError{errors.Errorf("%s does not judge servers (judge.records)", name)}
 		}
 	}
 	return nil
@@ -104,19 +104,19 @@
 // ExplainVerdict returns what this replica knows of a server's verdict: its level, the evidence and any operator's
 // order.
 func (b *Replica) ExplainVerdict(id string) *api.Explained {
-	b.healthJudge.work.Lock()
-	testimonies := b.healthJudge.floor.Testimonies(id)
-	b.healthJudge.work.Unlock()
+	b.healthJudge.evaluatorMu.Lock()
+	testimonies := b.healthJudge.evaluator.Testimonies(id)
+	b.healthJudge.evaluatorMu.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	explained := &api.Explained{Replica: b.self.Name, At: b.world.Now().UTC(), Server: id, Service: b.listedServiceOf(id), Said: []api.Testimony{}}
 	if explained.Service != "" {
-		explained.Keeper = keeperOf(explained.Service, b.judgesThere())
+		explained.Keeper = ownerOf(explained.Service, b.judgingReplicas())
 	}
-	if b.healthJudge.joined != nil {
+	if b.healthJudge.mergedVerdicts != nil {
 		explained.Level = serverhealth.Fit.String()
 	}
-	for _, v := range b.healthJudge.inForce() {
+	for _, v := range b.healthJudge.verdictsInForce() {
 		if v.Server == id {
 			explained.Level, explained.Why, explained.AgeMS, explained.Number, explained.Share = v.Level.String(), v.Why, v.Age.Milliseconds(), v.Number, v.Share
 			explained.For, explained.Against, explained.Relapses, explained.Trial = v.For, v.Against, v.Relapses, v.Trial
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -88,7 +88,7 @@
 	ctx, cancel := b.withTimeout(withLockToken(ctx, command.Token), min(command.Within, callTimeout))
 	defer cancel()
 	if command.Config != nil {
-		if !isIntactConfiguration(command.Config, idOf(command.Config)) {
+		if !isIntactConfiguration(command.Config, configIDOf(command.Config)) {
 			return nil
 		}
 		command.Config.Pack()
@@ -127,7 +127,7 @@
 	outcome.Text = err.Error()
 	var conflict ConflictError
 	var taken LockTakenError
-	var tight Tight
+	var tight TooFewAwakeError
 	switch {
 	case errors.As(err, &conflict):
 		outcome.Refusal, outcome.Held = peerlink.RefusedConflict, conflict.Held
@@ -156,7 +156,7 @@
 	case peerlink.RefusedLocked:
 		return LockTakenError{outcome.Lock}
 	case peerlink.RefusedTight:
-		return Tight{errors.New(outcome.Text)}
+		return TooFewAwakeError{errors.New(outcome.Text)}
 	}
 	return remoteRefusal{refusalErrors[outcome.Refusal], outcome.Text}
 }
--- a/internal/control/tell.go
+++ b/internal/control/tell.go
@@ -10,40 +10,40 @@
 
 // Times of telling the census.
 const (
-	lookEvery   = 200 * time.Millisecond // at who has fallen silent
-	stirEvery   = 50 * time.Millisecond  // at most one telling
-	manyEvery   = 500 * time.Millisecond // and among many proxies
-	diesEvery   = 100 * time.Millisecond // and then where one has fallen silent
-	manyProxies = 16                     // more are many
+	censusCheckInterval           = 200 * time.Millisecond // at who has fallen silent
+	minCensusInterval             = 50 * time.Millisecond  // at most one telling
+	minLargeCensusInterval        = 500 * time.Millisecond // and among many proxies
+	minLargeCensusFailureInterval = 100 * time.Millisecond // and then where one has fallen silent
+	maxSmallCensusProxies         = 16                     // more are many
 )
 
 // lead takes over whether an agent wants servers and census from this replica: at
 // first it is told wholes. The mutex is held.
-func (b *Replica) upstream(h *agent, wants bool) {
-	if h.upstream == wants {
+func (b *Replica) setFollowing(h *agentConn, wants bool) {
+	if h.follows == wants {
 		return
 	}
-	h.upstream, h.list, h.census, h.verdicts = wants, nil, nil, nil
+	h.follows, h.sentServers, h.sentCensus, h.sentVerdicts = wants, nil, nil, nil
 	if !wants {
 		return
 	}
-	b.recount()
-	h.list, h.census, h.verdicts = b.held(), b.census, b.healthJudge.joined
-	h.change(&peerlink.Change{Servers: h.list, Census: h.census, Verdicts: h.verdicts})
+	b.updateCensus()
+	h.sentServers, h.sentCensus, h.sentVerdicts = b.currentList(), b.census, b.healthJudge.mergedVerdicts
+	h.sendChange(&peerlink.Change{Servers: h.sentServers, Census: h.sentCensus, Verdicts: h.sentVerdicts})
 }
 
-// held is the list as of the newest reading, which may have told nothing new;
+// currentList is the list as of the newest reading, which may have told nothing new;
 // the mutex is held.
-func (b *Replica) held() *peerlink.Servers {
+func (b *Replica) currentList() *peerlink.Servers {
 	if b.serverList != nil && b.listStamp > b.serverList.Stamp {
 		b.serverList = (&peerlink.Servers{Stamp: b.listStamp, By: b.serverList.By, Part: true}).Onto(b.serverList)
 	}
 	return b.serverList
 }
 
-// aged is the list as another replica is told it, with its age; the mutex is held.
-func (b *Replica) aged(list *peerlink.Servers) *peerlink.Servers {
-	reading := b.newestReading.tell(b.now())
+// listWithAge is the list as another replica is told it, with its age; the mutex is held.
+func (b *Replica) listWithAge(list *peerlink.Servers) *peerlink.Servers {
+	reading := b.newestReading.message(b.now())
 	if list == nil || reading == nil {
 		return list
 	}
@@ -52,32 +52,32 @@
 	return &told
 }
 
-// tellList tells the agents that are led what is new in the list; the mutex is held.
-func (b *Replica) tellList() {
+// sendListToFollowers tells the agents that are led what is new in the list; the mutex is held.
+func (b *Replica) sendListToFollowers() {
 	type step struct{ part, whole *peerlink.Servers }
 	steps := map[*peerlink.Servers]step{}
 	var wholes []*peerlink.Servers
 	for h := range b.agents {
-		if !h.upstream {
+		if !h.follows {
 			continue
 		}
-		s, ok := steps[h.list]
+		s, ok := steps[h.sentServers]
 		if !ok {
-			if s.part = b.serverList.Since(h.list); s.part != nil {
-				s.whole = shared(&wholes, s.part.Onto(h.list))
+			if s.part = b.serverList.Since(h.sentServers); s.part != nil {
+				s.whole = shareEqualList(&wholes, s.part.Onto(h.sentServers))
 			}
-			steps[h.list] = s
+			steps[h.sentServers] = s
 		}
 		if s.part != nil {
-			h.list = s.whole
-			h.change(&peerlink.Change{Servers: s.part})
+			h.sentServers = s.whole
+			h.sendChange(&peerlink.Change{Servers: s.part})
 		}
 	}
 }
 
-// shared is a whole that tells the same, if there is one already: agents that
+// shareEqualList is a whole that tells the same, if there is one already: agents that
 // were led at different times come to share what they were told.
-func shared(all *[]*peerlink.Servers, s *peerlink.Servers) *peerlink.Servers {
+func shareEqualList(all *[]*peerlink.Servers, s *peerlink.Servers) *peerlink.Servers {
 	for _, x := range *all {
 		if x.Stamp == s.Stamp && slices.Equal(x.List, s.List) {
 			return x
@@ -87,27 +87,27 @@
 	return s
 }
 
-// tellCensus tells the agents that are led what is new in the census; the mutex is held.
-func (b *Replica) tellCensus() {
+// sendCensusToFollowers tells the agents that are led what is new in the census; the mutex is held.
+func (b *Replica) sendCensusToFollowers() {
 	parts := map[*peerlink.Census]*peerlink.Census{}
 	for h := range b.agents {
-		if !h.upstream || h.census == b.census {
+		if !h.follows || h.sentCensus == b.census {
 			continue
 		}
-		p, ok := parts[h.census]
+		p, ok := parts[h.sentCensus]
 		if !ok {
-			p = b.census.Since(h.census)
-			parts[h.census] = p
+			p = b.census.Since(h.sentCensus)
+			parts[h.sentCensus] = p
 		}
-		if h.census = b.census; p != nil {
-			h.change(&peerlink.Change{Census: p})
+		if h.sentCensus = b.census; p != nil {
+			h.sendChange(&peerlink.Change{Census: p})
 		}
 	}
 	b.sentCensus, b.censusSentAt = b.census, b.now()
 }
 
-// recount takes the census anew and tells whether it has changed; the mutex is held.
-func (b *Replica) recount() bool {
+// updateCensus takes the census anew and tells whether it has changed; the mutex is held.
+func (b *Replica) updateCensus() bool {
 	replicas := sortedByName(b.replicas)
 	proxies, shares, same := b.proxies.members(b.now())
 	if c := b.census; c != nil && same && shares == c.Shares && slices.Equal(replicas, c.Replicas) {
@@ -117,19 +117,19 @@
 	return true
 }
 
-// owed is for how long the telling of a changed census may wait; the mutex is held.
-func (b *Replica) owed() time.Duration {
-	every := stirEvery
-	if len(b.census.Proxies) > manyProxies {
-		if every = manyEvery; dies(b.sentCensus, b.census) {
-			every = diesEvery
+// censusDelay is for how long the telling of a changed census may wait; the mutex is held.
+func (b *Replica) censusDelay() time.Duration {
+	every := minCensusInterval
+	if len(b.census.Proxies) > maxSmallCensusProxies {
+		if every = minLargeCensusInterval; isAnyProxyNewlyDown(b.sentCensus, b.census) {
+			every = minLargeCensusFailureInterval
 		}
 	}
 	return max(0, b.censusSentAt+every-b.now())
 }
 
-// dies tells whether a proxy was told to be alive, or ready, and is not.
-func dies(old, now *peerlink.Census) bool {
+// isAnyProxyNewlyDown tells whether a proxy was told to be alive, or ready, and is not.
+func isAnyProxyNewlyDown(old, now *peerlink.Census) bool {
 	if old == nil {
 		return false
 	}
--- a/internal/testbed/emulator/process.go
+++ b/internal/testbed/emulator/process.go
@@ -159,7 +159,7 @@
 		}
 	case Replica:
 		b := control.New(set, w, n.disk.Mount(), logs.Logger())
-		b.ShowLog(logs.Ring)
+		b.SetLogRing(logs.Ring)
 		r.settle = b.SetSettings
 		serve = func() error { return b.Run(told(ctx, r.leave)) }
 	}
