--- a/internal/control/platform.go
+++ b/internal/control/list_reader.go
@@ -20,38 +20,39 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Bounds of a reading.
+// Bounds of a read of the server list from the platform.
 const (
 	maxPageBytes        = 8 << 20 // bytes
-	maxParallelCalls    = 16      // calls at once
+	maxParallelCalls    = 16      // zones read at once
 	cloudIdleTimeout    = 5 * time.Second
-	maxPageRetries      = 1  // of a page that failed
-	maxRateLimitRetries = 20 // and of one that the platform refused for its rate
+	maxPageRetries      = 1  // of a failed page
+	maxRateLimitRetries = 20 // of a page that the platform refused because of its rate limit
 
-	// A reading may be so far ahead of its pace, all who read together: short lists are read at once.
+	// How far reads may be ahead of the pace, divided among the replicas that read: short lists are read without waiting.
 	paceAllowance = 500 * time.Millisecond
 )
 
 var (
-	errTooManyPages = errors.New("a list without an end")
-	errRateLimited  = errors.New("over the platform's rate")
+	errTooManyPages = errors.New("server list has too many pages")
+	errRateLimited  = errors.New("refused by the platform's rate limit")
 )
 
+// newCloudClient returns the HTTP client for calls to the platform.
 func newCloudClient(w world.World) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: world.DialWithin(w, listCallTimeout), DisableCompression: true,
 		MaxIdleConns: maxParallelCalls, MaxIdleConnsPerHost: maxParallelCalls, IdleConnTimeout: cloudIdleTimeout}}
 }
 
-// readList reads all pages; half a list is none. A list of more pages than there are zones
-// is read zone by zone, side by side: each page waits for the one before it.
+// readList reads all pages of the list; it fails if a page fails. A list of more pages than there are zones is read by zone
+// with the zones in parallel, since within one listing each page needs the token of the page before it.
 func (b *Replica) readList(ctx context.Context, address string, terms listing.Terms) (list []peerlink.Server, pages int, err error) {
 	b.mu.Lock()
 	zones, known := b.listZones(), b.newestReading.pages
 	b.mu.Unlock()
-	r := &listReader{replica: b, address: address, terms: terms}
+	reader := &listReader{replica: b, address: address, terms: terms}
 	zoned := zones
 	if !listing.SideBySide(known, len(zones)) {
-		list, pages, whole, err := r.readPages(ctx, "", listing.MostInTurn(len(zones)))
+		list, pages, whole, err := reader.readPages(ctx, "", listing.MostInTurn(len(zones)))
 		switch {
 		case err != nil || whole:
 			return sortedByID(list), pages, err
@@ -60,10 +61,10 @@
 		}
 		zoned = mergeServerZones(zones, list)
 	}
-	return r.readZones(ctx, zoned)
+	return reader.readZones(ctx, zoned)
 }
 
-// listZones are the zones that the settings name or in which servers were listed; the mutex is held.
+// listZones returns the zones of the settings and of the listed servers; the mutex is held.
 func (b *Replica) listZones() []string {
 	zones := slices.Sorted(maps.Keys(b.liveSettings.Load().Network.Zones))
 	if b.serverList != nil {
@@ -72,29 +73,29 @@
 	return zones
 }
 
-// mergeServerZones adds the zones of servers to others.
+// mergeServerZones returns the given zones and those of the servers, sorted.
 func mergeServerZones(zones []string, servers []peerlink.Server) []string {
-	all := map[string]bool{}
+	merged := map[string]bool{}
 	for _, zone := range zones {
-		all[zone] = true
+		merged[zone] = true
 	}
 	for i := range servers {
-		all[servers[i].Zone] = true
+		merged[servers[i].Zone] = true
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(merged))
 }
 
-// listReader is one reading of the list. Its calls are spread over time.
+// listReader runs one read of the list. It spreads its calls over time.
 type listReader struct {
 	replica *Replica
 	address string
 	terms   listing.Terms
 
 	mu         sync.Mutex
-	pacedUntil time.Duration // when the calls so far would have ended at the pace, by the replica's steady clock
+	pacedUntil time.Duration // when the calls so far would have ended at the pace, by the replica's monotonic clock
 }
 
-// waitTurn waits until the next call may begin; it returns false when ctx has ended.
+// waitTurn waits until the next call may begin; it returns false if ctx has ended.
 func (r *listReader) waitTurn(ctx context.Context) bool {
 	readers := r.replica.listReaderCount()
 	r.mu.Lock()
@@ -105,7 +106,7 @@
 	return wait <= 0 || r.replica.sleep(ctx, wait)
 }
 
-// listReaderCount is how many replicas may read the list now: the holder of the duty alone, or all.
+// listReaderCount returns how many replicas may be reading the list now: 1 if this one holds the lease, else all.
 func (b *Replica) listReaderCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,43 +116,43 @@
 	return len(b.links) + 1
 }
 
-// readZones reads the pages of each zone, the zones side by side.
+// readZones reads all pages of each zone, with the zones in parallel.
 func (r *listReader) readZones(ctx context.Context, zones []string) (list []peerlink.Server, pages int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
-		mu    sync.Mutex
-		all   sync.WaitGroup
-		slots = make(chan struct{}, maxParallelCalls)
+		mu      sync.Mutex
+		readers sync.WaitGroup
+		slots   = make(chan struct{}, maxParallelCalls)
 	)
 	for _, zone := range zones {
-		all.Go(func() {
+		readers.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			part, n, whole, failed := r.readPages(ctx, zone, listing.MostPages)
-			if failed == nil && !whole {
-				failed = errTooManyPages
+			part, count, whole, partErr := r.readPages(ctx, zone, listing.MostPages)
+			if partErr == nil && !whole {
+				partErr = errTooManyPages
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			list, pages = append(list, part...), pages+n
-			if failed != nil && err == nil {
-				err = errors.WithMessage(failed, zone)
+			list, pages = append(list, part...), pages+count
+			if partErr != nil && err == nil {
+				err = errors.WithMessage(partErr, zone)
 				cancel()
 			}
 		})
 	}
-	all.Wait()
+	readers.Wait()
 	if err != nil {
 		return nil, 0, err
 	}
 	return sortedByID(list), pages, nil
 }
 
-// readPages reads pages of a zone, or of all where it is empty, one after the other; it is
-// not whole where there are more than so many.
-func (r *listReader) readPages(ctx context.Context, zone string, most int) (list []peerlink.Server, pages int, whole bool, err error) {
-	for token := ""; pages < most; {
+// readPages reads at most so many pages of a zone, or of all zones if it is empty, one after the other. The result is
+// whole if there are no further pages.
+func (r *listReader) readPages(ctx context.Context, zone string, maxPages int) (list []peerlink.Server, pages int, whole bool, err error) {
+	for token := ""; pages < maxPages; {
 		page, err := r.fetchPage(ctx, zone, token)
 		for tries := 0; err != nil && tries < maxRetries(err) && r.replica.sleep(ctx, listRetryDelay); tries++ {
 			page, err = r.fetchPage(ctx, zone, token)
@@ -161,10 +162,10 @@
 		}
 		rows, err := page.Servers()
 		if err != nil {
-			r.replica.log.Error(err, "rows of the list passed over")
+			r.replica.log.Error(err, "skipped invalid rows of the server list")
 		}
-		for _, s := range rows {
-			list = append(list, peerlink.Server{ID: s.ID, Backend: s.Backend, Address: s.Address, Zone: s.Zone, Gen: s.Gen, Capacity: s.Capacity, Draining: s.Draining, WarmLeft: s.WarmLeft})
+		for _, row := range rows {
+			list = append(list, peerlink.Server{ID: row.ID, Backend: row.Backend, Address: row.Address, Zone: row.Zone, Gen: row.Gen, Capacity: row.Capacity, Draining: row.Draining, WarmLeft: row.WarmLeft})
 		}
 		if pages++; page.NextToken == nil || *page.NextToken == "" {
 			return list, pages, true, nil
@@ -174,7 +175,7 @@
 	return list, pages, false, nil
 }
 
-// maxRetries is how often a page that ended so is asked for again.
+// maxRetries returns how often a page that failed with err is requested again.
 func maxRetries(err error) int {
 	if errors.Is(err, errRateLimited) {
 		return maxRateLimitRetries
@@ -182,6 +183,7 @@
 	return maxPageRetries
 }
 
+// fetchPage requests one page; the token is that of the page before it, or empty.
 func (r *listReader) fetchPage(ctx context.Context, zone, token string) (*api.Page, error) {
 	if !r.waitTurn(ctx) {
 		return nil, ctx.Err()
@@ -195,23 +197,23 @@
 	if token != "" {
 		query.Set(api.ServersToken, token)
 	}
-	at := url.URL{Scheme: "http", Host: r.address, Path: api.CloudServers, RawQuery: query.Encode()}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at.String(), nil)
+	address := url.URL{Scheme: "http", Host: r.address, Path: api.CloudServers, RawQuery: query.Encode()}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
 	if err != nil {
 		return nil, err
 	}
-	res, err := r.replica.cloudClient.Do(req)
+	response, err := r.replica.cloudClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer res.Body.Close()
-	if res.StatusCode == http.StatusTooManyRequests {
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusTooManyRequests {
 		return nil, errRateLimited
 	}
-	if res.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("status %d", res.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.Errorf("status %d", response.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxPageBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -219,7 +221,7 @@
 	return page, json.Unmarshal(body, page)
 }
 
-// sortedByID puts a list in the order of its ids, of equal ones the last.
+// sortedByID sorts a list by ID in place, and keeps only the last of several servers with the same ID.
 func sortedByID(list []peerlink.Server) []peerlink.Server {
 	slices.Reverse(list)
 	slices.SortStableFunc(list, func(x, y peerlink.Server) int { return cmp.Compare(x.ID, y.ID) })
