--- a/policy/store.go
+++ b/policy/store.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// addCustomer creates a customer. Its counts are summed by all its gateways or, where
+// registerCustomer creates a customer. Its counts are summed by all its gateways or, where
 // there are many gateways, by its roots, which the other gateways ask.
 func (g *Gateway) account(key uint64, plan *planState, firstGateway, gatewayCount int) *customer {
 	if gatewayCount = max(1, min(gatewayCount, g.cfg.Gateways)); g.cfg.MultiService != nil {
@@ -43,7 +43,7 @@
 	}
 	// This part of the ceiling starts empty, but for HardInitial: after a restart it must not be granted again.
 	c.ceiling = min(plan.HardBurst, plan.HardInitial+plan.HardRate*(g.now-g.startedAt).Seconds()) / c.parts
-	g.addCustomer(c)
+	g.registerCustomer(c)
 	return c
 }
 
