--- a/policy/admit.go
+++ b/policy/admit.go
@@ -1,7 +1,5 @@
 package policy
 
-// Arrival, admission, holding, release and refusal of requests, and the periodic tick.
-
 import (
 	"cmp"
 	"math"
@@ -86,8 +84,7 @@
 	return inFlight, held
 }
 
-// underCap reports whether one more attempt of the customer fits under its cap on attempts in flight. A new
-// request is limited to this gateway's part of the free room by demand, at least one place.
+// underCap reports whether one more attempt fits the cap. Arrivals get this gateway's part by demand, or one.
 func (g *Gateway) underCap(c *customer, arrival bool) bool {
 	if c.plan.MaxInFlight == 0 {
 		return true
@@ -195,8 +192,7 @@
 	return true
 }
 
-// releaseHeld sends held requests after an attempt ended: the customer's own while they stay under its cap,
-// then those of other customers that wait for a server, the longest wait first.
+// releaseHeld sends held requests after an attempt ended: the customer's own, then others', oldest first.
 func (g *Gateway) releaseHeld(c *customer) {
 	if g.cfg.MultiService != nil {
 		g.serve()
