--- a/policy/choose.go
+++ b/policy/choose.go
@@ -9,7 +9,7 @@
 )
 
 // minCapacityShare returns the share of its capacity that a server has at least: 1 when it is warm.
-func (g *Gateway) coldness(s *server) float64 {
+func (g *Gateway) minCapacityShare(s *server) float64 {
 	if g.now < s.ColdUntil {
 		return g.cfg.MultiService.ColdShare
 	}
@@ -21,59 +21,59 @@
 }
 
 // inFlightAt returns the attempts in flight at a server: this gateway's and, as last reported, the others'.
-func (g *Gateway) load(s *server) float64 {
-	return float64(s.inFlight) + max(s.peerInFlight, g.otherLoad(s))
+func (g *Gateway) inFlightAt(s *server) float64 {
+	return float64(s.inFlight) + max(s.peerInFlight, g.loadFromOthers(s))
 }
 
 // predictLatency returns the latency, in seconds, expected of a server for a class.
-func (g *Gateway) predict(s *server, cl *class) float64 {
-	return cl.mean * s.slowdown * g.stretch(s, g.load(s)) / g.coldness(s)
+func (g *Gateway) predictLatency(s *server, cl *class) float64 {
+	return cl.mean * s.slowdown * g.loadFactor(s, g.inFlightAt(s)) / g.minCapacityShare(s)
 }
 
 // loadFactor returns the factor by which a number of attempts in flight raises a server's latency.
-func (g *Gateway) stretch(s *server, load float64) float64 {
+func (g *Gateway) loadFactor(s *server, load float64) float64 {
 	if s.Slots == 0 {
 		return 1 + queueWeight*load/g.relativeSize(s)
 	}
 	slots := float64(s.Slots)
-	return 1 + crowded*min(1, load/slots) + max(0, load+1-slots)/slots
+	return 1 + slotUsePenalty*min(1, load/slots) + max(0, load+1-slots)/slots
 }
 
 // queueTooLong reports whether the predicted wait at a server exceeds a share of the shortest latency target. Beyond
 // that, requests are held at the gateway, where they can still be sent to another server or be refused.
-func (g *Gateway) full(s *server) bool {
-	load := g.load(s) / g.relativeSize(s)
-	return load >= leastOut && g.meanLatency*s.slowdown/g.coldness(s)*queueWeight*load > waitAim*g.minTarget
+func (g *Gateway) queueTooLong(s *server) bool {
+	load := g.inFlightAt(s) / g.relativeSize(s)
+	return load >= minInFlightWhenFull && g.meanLatency*s.slowdown/g.minCapacityShare(s)*queueWeight*load > maxWaitShare*g.minTarget
 }
 
 // slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
-func (g *Gateway) packed(s *server, r *request) bool {
+func (g *Gateway) slotQueueTooLong(s *server, r *request) bool {
 	serviceTime, target := r.class.mean*s.slowdown, r.class.LatencyTarget.Seconds()
-	wait := max(0, g.load(s)+1-float64(s.Slots)) / float64(s.Slots) * serviceTime
+	wait := max(0, g.inFlightAt(s)+1-float64(s.Slots)) / float64(s.Slots) * serviceTime
 	if wait+serviceTime > target-(g.now-r.arrivedAt+r.waitedBefore).Seconds() {
-		return wait > lateAim*target // this request misses its target anyway; a long queue would delay others too
+		return wait > maxLateSlotWaitShare*target // this request misses its target anyway; a long queue would delay others too
 	}
-	return wait > queueAim*target
+	return wait > maxSlotWaitShare*target
 }
 
 // canServe reports whether a server belongs to the request's service and is in one of its allowed regions.
-func (s *server) serves(r *request) bool {
+func (s *server) canServe(r *request) bool {
 	return s.Service == r.service && (len(r.regions) == 0 || slices.Contains(r.regions, s.Region))
 }
 
 // usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
 // budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || !s.serves(r) || !g.bears(s) || g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
+	if s.State != Running || !s.canServe(r) || !g.hasColdBudget(s) || g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
 		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
-	if cold := g.coldness(s); cold < 1 && g.cfg.MultiService == nil {
+	if cold := g.minCapacityShare(s); cold < 1 && g.cfg.MultiService == nil {
 		// The budget of each window, divided among all gateways: what a warm server
 		// receives, times the share of capacity that the cold server has at least.
 		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.FailTime })
 		warmRate := g.recentSends / max(1, float64(g.runningServers))
-		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldSafety) {
+		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldBudgetShare) {
 			return false
 		}
 	}
@@ -82,17 +82,17 @@
 
 // coldSendBudget returns how many sends a second this gateway may make to a cold server. Only a few gateways may send
 // to it, so that each has whole sends; the sum stays below the server's limit even if no message arrives.
-func (g *Gateway) coldSends(m Server) int {
+func (g *Gateway) coldSendBudget(m Server) int {
 	if m.ColdSendRate <= 0 {
 		return 0
 	}
-	budget := m.ColdSendRate * coldKeep
-	owners := max(1, min(g.shares(), int(budget/coldLeast)))
-	rank, ownHash := 0, mixed(uint32(m.ID), uint32(g.cfg.Me))
+	budget := m.ColdSendRate * coldSendsShare
+	owners := max(1, min(g.ceilingPartCount(), int(budget/minColdSendsPerOwner)))
+	rank, ownHash := 0, hashFraction(uint32(m.ID), uint32(g.cfg.Me))
 	for i := range g.cfg.Gateways {
-		if g.gone(g.peerAt(i)) {
+		if g.isNotPeer(g.peerAt(i)) {
 			continue // this gateway itself, or an unused number
-		} else if hash := mixed(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.cfg.Me {
+		} else if hash := hashFraction(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.cfg.Me {
 			rank++
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // hasColdBudget reports whether this gateway may send once more to a server that may be cold.
-func (g *Gateway) bears(s *server) bool {
+func (g *Gateway) hasColdBudget(s *server) bool {
 	if g.now >= s.ColdUntil {
 		return true
 	}
@@ -114,20 +114,20 @@
 // pickServer chooses a server, or nil when none has room. Servers ejected for the class are skipped unless too many
 // are ejected; their watcher sends them a trial request from time to time. With few gateways, pickServer compares a
 // few random servers by predicted latency and cost of crossing zones.
-func (g *Gateway) pick(r *request) *server {
+func (g *Gateway) pickServer(r *request) *server {
 	var candidates, ejected []*server
 	for _, s := range g.serverList {
-		if s == r.lastServer || !g.usable(s, r) || !s.trusted(r) {
+		if s == r.lastServer || !g.usable(s, r) || !s.allowedByTrust(r) {
 			continue
 		}
-		if s.trust.Trial && s.tries(r) {
+		if s.trust.Trial && s.mayTakeTrial(r) {
 			s.trust.Trial = false // a single trial, even if other servers have room
 			return s
 		}
 		if health := g.healthOf(s, r.class); health != nil && health.ejected && g.now < health.ejectedUntil {
 			// Only the watcher of an ejected server sends it trial requests.
-			if s.watchers[0] == g.cfg.Me && g.now >= health.nextTrial && g.mayTry(r) {
-				health.trialBackoff = min(2*health.trialBackoff+trialEvery, trialMost)
+			if s.watchers[0] == g.cfg.Me && g.now >= health.nextTrial && g.mayRunTrial(r) {
+				health.trialBackoff = min(2*health.trialBackoff+trialBackoffStep, maxTrialBackoff)
 				health.nextTrial = g.now + health.trialBackoff
 				return s
 			}
@@ -136,27 +136,27 @@
 		}
 		candidates = append(candidates, s)
 	}
-	if float64(len(ejected)) > mostOut*float64(len(candidates)+len(ejected)) {
+	if float64(len(ejected)) > maxEjectedShare*float64(len(candidates)+len(ejected)) {
 		candidates = append(candidates, ejected...)
 	}
 	if g.usesRoots {
-		return g.draw(candidates)
+		return g.pickWeighted(candidates)
 	} else if g.cfg.MultiService != nil {
-		return g.choose(candidates, r)
+		return g.pickLeastLatency(candidates, r)
 	}
 	var best *server
 	lowest := math.Inf(1)
-	for compared := 0; compared < choices && len(candidates) > 0; {
+	for compared := 0; compared < serversCompared && len(candidates) > 0; {
 		i := g.rng.IntN(len(candidates))
 		s := candidates[i]
 		candidates = slices.Delete(candidates, i, i+1)
-		if g.full(s) {
+		if g.queueTooLong(s) {
 			continue
 		}
-		predicted := g.predict(s, r.class) * (1 - jitter/2 + jitter*g.rng.Float64())
+		predicted := g.predictLatency(s, r.class) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
 		compared++
 		if s.Zone != g.cfg.Zone {
-			predicted += r.class.mean * g.cfg.CrossZoneCost * zonePrice
+			predicted += r.class.mean * g.cfg.CrossZoneCost * serviceTimesPerZoneCharge
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
@@ -166,19 +166,19 @@
 }
 
 // pickLeastLatency returns the server of the lowest predicted latency including the network's, or nil if all are full.
-func (g *Gateway) choose(candidates []*server, r *request) *server {
+func (g *Gateway) pickLeastLatency(candidates []*server, r *request) *server {
 	var best *server
 	lowest := math.Inf(1)
 	for _, s := range candidates {
-		if g.packed(s, r) {
+		if g.slotQueueTooLong(s, r) {
 			continue
 		}
-		predicted := (g.predict(s, r.class) + s.ExtraLatency.Seconds()) * (1 - jitter/2 + jitter*g.rng.Float64())
+		predicted := (g.predictLatency(s, r.class) + s.ExtraLatency.Seconds()) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
 		if s.trust.Level == Suspect && r.effect != Safe {
-			predicted += doubtedCost
+			predicted += suspectCostSeconds
 		}
 		if len(r.regions) == 0 && g.now < s.scarceUntil {
-			predicted += lackedAim * r.class.LatencyTarget.Seconds() // requests bound to this region have no other choice
+			predicted += regionBoundPenaltyShare * r.class.LatencyTarget.Seconds() // requests bound to this region have no other choice
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
@@ -186,7 +186,7 @@
 	}
 	for _, s := range candidates {
 		if best == nil && len(r.regions) > 0 {
-			s.scarceUntil = g.now + toldSpan
+			s.scarceUntil = g.now + serverLoadDecayTime
 		}
 	}
 	return best
@@ -195,19 +195,19 @@
 // pickWeighted draws a server at random, weighted by its share of the capacity. Many gateways don't see each other's
 // load; if each took the best of a few, all would overload the same servers. However slow the warm servers are, a cold
 // one gets at most its minimum capacity's part of an even share; the rest of the requests wait.
-func (g *Gateway) draw(candidates []*server) *server {
+func (g *Gateway) pickWeighted(candidates []*server) *server {
 	totalWeight, totalPart, minTotal := 0.0, 0.0, 0.0
 	for _, s := range candidates {
-		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.coldness(s)
+		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.minCapacityShare(s)
 		if s.Zone != g.cfg.Zone {
-			s.weight *= otherZone
+			s.weight *= otherZoneWeight
 		}
 		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
 	for _, s := range candidates {
-		if capacity := g.coldness(s); capacity < 1 {
+		if capacity := g.minCapacityShare(s); capacity < 1 {
 			s.weight = min(s.weight, capacity*s.share*totalWeight/totalPart)
-			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldSafety*max(1, g.cfg.FailFactor)))
+			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldBudgetShare*max(1, g.cfg.FailFactor)))
 		}
 	}
 	return g.drawByWeight(candidates, minTotal)
@@ -215,10 +215,10 @@
 
 // setAffinity sets a server's weight in this gateway's draws. Where there are many gateways, each prefers a few
 // servers, so that connections are reused; over all gateways, each server is drawn equally often.
-func (g *Gateway) prefer(s *server) {
+func (g *Gateway) setAffinity(s *server) {
 	gateways, preferring, preferredHere := float64(g.cfg.Gateways), 0.0, false
 	for i := range g.cfg.Gateways {
-		if g.usesRoots && mixed(uint32(s.ID), uint32(i))*float64(g.runningServers) < familiar {
+		if g.usesRoots && hashFraction(uint32(s.ID), uint32(i))*float64(g.runningServers) < preferredServers {
 			preferring, preferredHere = preferring+1, preferredHere || i == g.cfg.Me
 		}
 	}
@@ -226,8 +226,8 @@
 	case preferring == 0 || preferring == gateways:
 		s.share = 1
 	case preferredHere:
-		s.share = (1 - strange) * gateways / preferring
+		s.share = (1 - otherServersShare) * gateways / preferring
 	default:
-		s.share = strange * gateways / (gateways - preferring)
+		s.share = otherServersShare * gateways / (gateways - preferring)
 	}
 }
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -15,18 +15,18 @@
 func init() { _, _ = flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "40") }
 
 // multiServiceSettings returns the initial settings of a gateway that serves many services.
-func fieldSet() Settings {
+func multiServiceSettings() Settings {
 	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanMessagePeers: true, MessagesPerSecond: 40,
 		MaxRequestUnits: 1, MaxRetryAfter: time.Second,
 		MultiService: &MultiService{RetryBudgetPerAttempt: 0.14, MaxRetryBudget: func(string) float64 { return 3 }, ColdShare: 0.5, ColdWindow: 1150 * ms, ReportInterval: 250 * ms}}
 }
 
-func fieldTerms(plans ...Plan) ConfigUpdate {
+func multiServiceConfig(plans ...Plan) ConfigUpdate {
 	return ConfigUpdate{Plans: plans, Classes: []Class{{Name: "safe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second},
 		{Name: "once", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
 }
 
-func fieldServers(n int, service string) (l []Server) {
+func makeServers(n int, service string) (l []Server) {
 	for i := range n {
 		l = append(l, Server{ID: ServerID(len(service)*100 + i), Zone: "a", Region: "r", Service: service, Slots: 1000})
 	}
@@ -34,7 +34,7 @@
 }
 
 // limitedPlan returns a tenant's plan with its ceiling: in any span, at most 10 % and 20 units more than the quota.
-func limited(rate, burst float64) Plan {
+func limitedPlan(rate, burst float64) Plan {
 	return Plan{Name: "t", Rate: rate, Burst: burst, HardRate: 1.1 * rate, HardBurst: 0.9 * (1.1*burst + 20)}
 }
 
@@ -44,45 +44,45 @@
 	const maxDelay = 300 * ms
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Plan {
-			return limited(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
+			return limitedPlan(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
 		}
 		type limitPeriod struct {
 			Plan
 			from, to time.Duration
 		}
 		limits := []limitPeriod{{draw(), 0, time.Hour}}
-		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), fieldServers(4, "s"), limits[0].Plan)
+		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), makeServers(4, "s"), limits[0].Plan)
 		m.now += time.Minute // all stores are full
 		for range rapid.IntRange(2, 6).Draw(t, "phases") {
-			m.lost = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
-			at := rapid.IntRange(0, len(m.gs)).Draw(t, "at") // the last: at all alike
+			m.lossRate = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
+			at := rapid.IntRange(0, len(m.gateways)).Draw(t, "at") // the last: at all alike
 			times := rapid.SampledFrom([]float64{20, 3, 0.5}).Draw(t, "times the rate")
 			switch rapid.IntRange(0, 3).Draw(t, "what comes") {
 			case 1:
-				for range rapid.IntRange(1, len(m.gs)).Draw(t, "started anew") {
-					m.start(m.rnd.IntN(len(m.gs)), maxDelay)
+				for range rapid.IntRange(1, len(m.gateways)).Draw(t, "started anew") {
+					m.start(m.rng.IntN(len(m.gateways)), maxDelay)
 				}
 			case 2:
 				p := draw()
 				limits[len(limits)-1].to = m.now + maxDelay
 				limits = append(limits, limitPeriod{p, m.now, time.Hour})
 				m.plans = []Plan{p}
-				for i := range m.gs {
-					m.tell(i, fieldTerms(p), maxDelay)
+				for i := range m.gateways {
+					m.deliverLater(i, multiServiceConfig(p), maxDelay)
 				}
 			case 3:
-				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
-				for i := range m.gs[:len(m.gs)-1] {
-					m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, 0)
+				m.gateways, m.knownGateways = append(m.gateways, nil), append(m.knownGateways, 0)
+				for i := range m.gateways[:len(m.gateways)-1] {
+					m.deliverLater(i, GatewaySet{Me: i, Gateways: len(m.gateways)}, 0)
 				}
-				m.start(len(m.gs)-1, 0)
+				m.start(len(m.gateways)-1, 0)
 			}
 			owed := 0.0
 			m.pass(time.Duration(rapid.SampledFrom([]int{300, 1000, 4000}).Draw(t, "lasts"))*ms, func() {
 				for owed += times * limits[len(limits)-1].Rate / 100; owed >= 1; owed-- {
 					i := at
-					if at >= len(m.gs) {
-						i = m.rnd.IntN(len(m.gs))
+					if at >= len(m.gateways) {
+						i = m.rng.IntN(len(m.gateways))
 					}
 					m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
@@ -109,11 +109,11 @@
 // A tenant that sends more than its rate gets most of it, whether the gateways' messages arrive or not.
 func TestQuotaIsUsed(t *testing.T) {
 	for lossRate, minPassed := range map[float64]int{0: 900, 1: 600} { // of 1000
-		m := newServiceGateways(5, 3, fieldServers(4, "s"), limited(100, 100))
-		m.lost = lossRate
+		m := newServiceGateways(5, 3, makeServers(4, "s"), limitedPlan(100, 100))
+		m.lossRate = lossRate
 		m.pass(10*time.Second, func() {
 			for range 3 {
-				m.ask(m.rnd.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
+				m.ask(m.rng.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 			}
 		})
 		assert.Assert(t, len(m.sends) >= minPassed, "%d passed with %v of the messages lost", len(m.sends), lossRate)
@@ -122,16 +122,16 @@
 
 // A new gateway whose demand is about its part of a small tenant's rate borrows units for bursts: the tenant as a whole
 // uses less than half of its rate.
-func TestPartIsLentBeforeItIsUsedUp(t *testing.T) {
+func TestPeersLendToNewGateway(t *testing.T) {
 	asked, passed := 0, 0
 	for seed := range uint64(6) {
-		m := newServiceGateways(6, seed, fieldServers(4, "s"), limited(30, 30))
+		m := newServiceGateways(6, seed, makeServers(4, "s"), limitedPlan(30, 30))
 		m.now += time.Minute
 		m.start(0, 0)
 		m.pass(time.Second, nil)
 		m.pass(10*time.Second, func() {
 			for i, perSecond := range []float64{7, 1.5, 1.5, 1.5, 1.5, 1.5} {
-				if m.rnd.Float64() < perSecond/100 {
+				if m.rng.Float64() < perSecond/100 {
 					asked++
 					m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
@@ -144,19 +144,19 @@
 
 // A new limit applies to tenants that sent requests before it.
 func TestLimitComesIntoForce(t *testing.T) {
-	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limited(1000, 1000)}} {
+	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limitedPlan(1000, 1000)}} {
 		t.Run(name, func(t *testing.T) {
-			m := newServiceGateways(2, 1, fieldServers(4, "s"), before...)
+			m := newServiceGateways(2, 1, makeServers(4, "s"), before...)
 			flood := func() {
 				for range 10 {
-					m.ask(m.rnd.IntN(2), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
+					m.ask(m.rng.IntN(2), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
 			}
 			m.pass(3*time.Second, flood)
 			sentBefore := len(m.sends)
 			assert.Assert(t, sentBefore > 1500, "%d passed", sentBefore)
-			for i := range m.gs {
-				m.do(i, fieldTerms(limited(50, 50)))
+			for i := range m.gateways {
+				m.do(i, multiServiceConfig(limitedPlan(50, 50)))
 			}
 			m.pass(6*time.Second, flood)
 			n := len(m.sends) - sentBefore
@@ -166,7 +166,7 @@
 }
 
 // A request is sent only to running servers of its service in its regions, whatever codes the servers return.
-func TestOnlyToItsServiceAndHomes(t *testing.T) {
+func TestRequestStaysInItsServiceAndRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []Server
 		byID := map[ServerID]Server{}
@@ -177,19 +177,19 @@
 			servers, byID[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
-		m.code = func(Send) Code { return Code(m.rnd.IntN(int(NoRetry))) }
+		m.code = func(Send) Code { return Code(m.rng.IntN(int(NoRetry))) }
 		asked := map[RequestID]Request{}
 		m.pass(4*time.Second, func() {
-			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rnd.IntN(2)], Service: []string{"s", "t"}[m.rnd.IntN(2)],
-				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rnd.IntN(3)], MaxAttempts: 1 + m.rnd.IntN(3)}
-			asked[m.ids+1] = r
-			m.ask(m.rnd.IntN(2), r)
+			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rng.IntN(2)], Service: []string{"s", "t"}[m.rng.IntN(2)],
+				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rng.IntN(3)], MaxAttempts: 1 + m.rng.IntN(3)}
+			asked[m.lastID+1] = r
+			m.ask(m.rng.IntN(2), r)
 		})
 		for _, s := range m.sends {
 			r, at := asked[s.ID], byID[s.Server]
 			if at.Service != r.Service || len(r.Regions) > 0 && !slices.Contains(r.Regions, at.Region) || at.State != Running ||
-				m.tries[s.ID] > r.MaxAttempts {
-				t.Fatalf("%+v was sent %d times, to %+v", r, m.tries[s.ID], at)
+				m.attempts[s.ID] > r.MaxAttempts {
+				t.Fatalf("%+v was sent %d times, to %+v", r, m.attempts[s.ID], at)
 			}
 		}
 	})
@@ -200,17 +200,17 @@
 func TestColdServerBearsAllGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gatewayCount := rapid.IntRange(1, 24).Draw(t, "gateways")
-		cold := fieldServers(1, "s")
+		cold := makeServers(1, "s")
 		m := newServiceGateways(gatewayCount, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
 		for round := range 3 {
 			cold[0].ColdSendRate = rapid.Float64Range(0, 60).Draw(t, "bears")
 			if round == 2 {
 				gatewayCount++
-				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
+				m.gateways, m.knownGateways = append(m.gateways, nil), append(m.knownGateways, 0)
 				m.start(gatewayCount-1, 0)
 			}
-			for i := range m.gs {
+			for i := range m.gateways {
 				m.do(i, ServerList{Kind: CompleteList, Servers: cold})
 				if round == 2 {
 					m.do(i, GatewaySet{Me: i, Gateways: gatewayCount})
@@ -220,10 +220,10 @@
 			m.sends = nil
 			m.pass(2*time.Second, func() {
 				for range 2 + gatewayCount/10 {
-					m.ask(m.rnd.IntN(gatewayCount), Request{Customer: "t", Class: "safe", Service: "s"})
+					m.ask(m.rng.IntN(gatewayCount), Request{Customer: "t", Class: "safe", Service: "s"})
 				}
 			})
-			most := m.most(time.Second, func(sending) bool { return true })
+			most := m.maxSendsIn(time.Second, func(sentAttempt) bool { return true })
 			if float64(most) > cold[0].ColdSendRate || most == 0 && cold[0].ColdSendRate >= 2 {
 				t.Fatalf("%d sent in a second by %d gateways to a server with a limit of %.1f", most, gatewayCount, cold[0].ColdSendRate)
 			}
@@ -232,8 +232,8 @@
 }
 
 // Retries of a service are limited to a share of its own requests, and are possible again once it has recovered.
-func TestRetryBudgetIsTheServices(t *testing.T) {
-	m := newServiceGateways(1, 1, append(fieldServers(4, "s"), fieldServers(4, "tt")...))
+func TestRetryBudgetPerService(t *testing.T) {
+	m := newServiceGateways(1, 1, append(makeServers(4, "s"), makeServers(4, "tt")...))
 	failing := true
 	m.code = func(s Send) Code {
 		if s.Server >= 200 || !failing {
@@ -243,7 +243,7 @@
 	}
 	retries := func() (n int) {
 		for _, s := range m.sends {
-			if s.again {
+			if s.isRetry {
 				n++
 			}
 		}
@@ -270,8 +270,8 @@
 }
 
 // A failing server is avoided for classes added later too, whatever their number.
-func TestLateClassesAreJudged(t *testing.T) {
-	m := newServiceGateways(1, 1, fieldServers(4, "s"))
+func TestClassesAddedLaterAreTracked(t *testing.T) {
+	m := newServiceGateways(1, 1, makeServers(4, "s"))
 	var added ConfigUpdate
 	for i := range 12 {
 		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
@@ -295,25 +295,25 @@
 
 // If a server answers all other requests but one answer is lost, the gateway cancels that attempt early, provided the
 // request may run again; otherwise it waits.
-func TestLostAnswerIsAskedAgain(t *testing.T) {
-	m := newServiceGateways(1, 1, fieldServers(2, "s"))
-	m.do(0, fieldTerms())
+func TestLostAnswerIsRetried(t *testing.T) {
+	m := newServiceGateways(1, 1, makeServers(2, "s"))
+	m.do(0, multiServiceConfig())
 	lost := map[RequestID]string{}
 	n := 0
 	m.code = func(s Send) Code {
-		if n++; n > 400 && n%100 < 2 && m.tries[s.ID] == 1 { // one of each class
+		if n++; n > 400 && n%100 < 2 && m.attempts[s.ID] == 1 { // one of each class
 			lost[s.ID] = []string{"safe", "once"}[int(s.ID)%2]
-			return lostOnTheWay
+			return answerLost
 		}
 		return OK
 	}
 	m.pass(10*time.Second, func() {
-		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", MaxAttempts: 2})
+		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.lastID+1)%2], Service: "s", MaxAttempts: 2})
 	})
 	assert.Assert(t, len(lost) >= 8, "%d lost", len(lost))
 	cancelled := map[string]int{}
 	for _, s := range m.sends {
-		if at, is := m.recalls[s.ID]; is && !s.again {
+		if at, is := m.cancelledAt[s.ID]; is && !s.isRetry {
 			cancelled[lost[s.ID]]++
 			assert.Assert(t, at-s.at < time.Second, "%v", at-s.at)
 		}
@@ -323,11 +323,11 @@
 
 // After a change of gateway numbers, a gateway is not its own peer and removed gateways are not its peers; a request that
 // was read under a smaller gateway count gets no larger part of the ceiling.
-func TestAnotherNumber(t *testing.T) {
-	m := newServiceGateways(3, 1, fieldServers(4, "s"), limited(10, 10))
-	m.told[0] = 1
+func TestGatewayNumberChanges(t *testing.T) {
+	m := newServiceGateways(3, 1, makeServers(4, "s"), limitedPlan(10, 10))
+	m.knownGateways[0] = 1
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
-	g := m.gs[0]
+	g := m.gateways[0]
 	c := g.customers[keyOf("t")]
 	assert.Equal(t, c.parts, 3.0)
 	for _, change := range []struct {
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -16,9 +16,9 @@
 	}
 	s, c := r.server, r.customer
 	g.advance(c)
-	c.reportsLeft = repeatTicks
+	c.reportsLeft = reportsPerChange
 	g.endAttempt(r, ev.Code)
-	g.judge(s, r, ev)
+	g.learnFromOutcome(s, r, ev)
 	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
 		c.adjustUnits(ev.ActualUnits - r.units)
 	}
@@ -34,36 +34,36 @@
 }
 
 // learnFromOutcome updates latency estimates, error averages and load figures from an outcome.
-func (g *Gateway) judge(s *server, r *request, ev Outcome) {
-	g.hears(s, ev.Load)
+func (g *Gateway) learnFromOutcome(s *server, r *request, ev Outcome) {
+	g.noteServerLoad(s, ev.Load)
 	if ev.Code != NoRetry && ev.Code != Cancelled {
-		g.sight(s, r.class, ev.Code, ev.Latency)
+		g.reportOutcome(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.lateness += strainOwn * (min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.lateness)
+		g.lateness += latenessWeight * (min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.lateness)
 	}
 	switch ev.Code {
 	case OK:
 		if v := g.healthOf(s, r.class); v != nil {
 			v.lastOK = g.now
 		}
-		loadEffect := g.stretch(s, r.loadAtSend) / g.coldness(s)
+		loadEffect := g.loadFactor(s, r.loadAtSend) / g.minCapacityShare(s)
 		latency := ev.Latency.Seconds() / loadEffect
-		s.slowdown += g.ownOutcomeWeight * (min(latency/r.class.mean, mostPace) - s.slowdown)
-		g.meanLatency += learnMean * (r.class.mean - g.meanLatency)
+		s.slowdown += g.ownOutcomeWeight * (min(latency/r.class.mean, maxSlowdown) - s.slowdown)
+		g.meanLatency += meanLearningRate * (r.class.mean - g.meanLatency)
 		r.class.outcomes++ // the first outcomes weigh more
-		r.class.mean += max(learnMean, 1/(r.class.outcomes+1)) * (min(latency, mostLatency*r.class.mean) - r.class.mean)
+		r.class.mean += max(meanLearningRate, 1/(r.class.outcomes+1)) * (min(latency, maxLatencyMeans*r.class.mean) - r.class.mean)
 	case Full:
 		// The server may reject this plan only: requests of this plan avoid it for a while.
-		if s.planFull[r.customer.plan] = g.now + fullFor; g.cfg.MultiService != nil {
-			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+fullBrief // its queue is full for every plan
+		if s.planFull[r.customer.plan] = g.now + rejectionPause; g.cfg.MultiService != nil {
+			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+queueFullPause // its queue is full for every plan
 		}
-		g.lateness += strainOwn * (1 - g.lateness)
+		g.lateness += latenessWeight * (1 - g.lateness)
 	}
 }
 
 // reportOutcome sends an outcome to the server's watchers, or records it if this gateway is one.
-func (g *Gateway) sight(s *server, cl *class, code Code, latency time.Duration) {
+func (g *Gateway) reportOutcome(s *server, cl *class, code Code, latency time.Duration) {
 	if cl.Name == "" {
 		return // not a configured class
 	}
@@ -72,7 +72,7 @@
 			break
 		}
 		if w == g.cfg.Me {
-			g.gather(s, cl.index, code, latency)
+			g.recordOutcome(s, cl.index, code, latency)
 			continue
 		}
 		ms := uint16(min(max(0, latency.Milliseconds()), math.MaxUint16))
@@ -82,52 +82,52 @@
 
 // recordOutcome adds an outcome to the shared health of a watched server. A server that
 // rejects requests counts as very slow: it gets few until it answers again.
-func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
+func (g *Gateway) recordOutcome(s *server, class int, code Code, latency time.Duration) {
 	cl := g.classes[g.cfg.Classes[class].Name]
 	health, mean := g.healthOf(s, cl), cl.mean
-	observed := min(latency.Seconds()/mean/g.coldness(s), mostPace)
+	observed := min(latency.Seconds()/mean/g.minCapacityShare(s), maxSlowdown)
 	switch code {
 	case OK:
-		health.errorRate *= 1 - sightWeight
+		health.errorRate *= 1 - failureWeight
 		if health.ejected {
-			health.errorRate, health.trialBackoff = health.errorRate*trialWorth, 0
+			health.errorRate, health.trialBackoff = health.errorRate*failureShareAfterTrial, 0
 		}
 	case Full:
-		observed = mostPace
+		observed = maxSlowdown
 	case ConnectFailed:
-		s.recordFailure(2 * sightWeight)
+		s.recordFailure(2 * failureWeight)
 	default:
-		s.recordFailure(sightWeight / 2) // other classes may fail too
-		health.errorRate += sightWeight / 2 * (1 - health.errorRate)
+		s.recordFailure(failureWeight / 2) // other classes may fail too
+		health.errorRate += failureWeight / 2 * (1 - health.errorRate)
 		observed = max(observed, s.sharedSlowdown)
 	}
-	s.sharedSlowdown += paceLearn * (observed - s.sharedSlowdown)
-	g.tell(s)
+	s.sharedSlowdown += slowdownLearningRate * (observed - s.sharedSlowdown)
+	g.publishVerdict(s)
 }
 
 // publishVerdict sends all gateways what changed for a server watched here, and repeats an ejection before it expires.
 // A verdict goes to every gateway, so all watchers together use a limited share of the message rate.
-func (g *Gateway) tell(s *server) {
-	perSecond := g.cfg.MessagesPerSecond * verdictMail / float64(max(1, len(g.serverList)))
-	s.verdictTokens = min(verdictKeep, s.verdictTokens+perSecond*(g.now-s.verdictTokensAt).Seconds())
+func (g *Gateway) publishVerdict(s *server) {
+	perSecond := g.cfg.MessagesPerSecond * verdictIntakeShare / float64(max(1, len(g.serverList)))
+	s.verdictTokens = min(verdictBurst, s.verdictTokens+perSecond*(g.now-s.verdictTokensAt).Seconds())
 	s.verdictTokensAt = g.now
 	if g.cfg.MultiService != nil {
-		s.verdictTokens = verdictKeep // verdicts stay local
+		s.verdictTokens = verdictBurst // verdicts stay local
 	}
 	isFirst := s.watchers[0] == g.cfg.Me
 	if !isFirst || !g.usesRoots {
 		s.sharedSlowdown = s.slowdown // the second watcher knows only about connection failures
 	}
 	isBad := func(_ int, v *classHealth) bool {
-		return v.errorRate > sightLimit || v.ejected && (!isFirst || v.errorRate > sightLimit/2)
+		return v.errorRate > ejectionThreshold || v.ejected && (!isFirst || v.errorRate > ejectionThreshold/2)
 	}
 	ejectedBits, classChanged, anyEjected, until := s.ejectionBits(isBad)
-	slowdownChanged := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > paceStep
-	repeatDue := isFirst && anyEjected && until-g.now < verdictLife/4
+	slowdownChanged := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > slowdownReportFactor
+	repeatDue := isFirst && anyEjected && until-g.now < verdictTTL/4
 	if s.verdictTokens < 1 || !classChanged && !slowdownChanged && !repeatDue {
 		return
 	}
-	m := serverVerdict{Server: uint32(s.ID), EjectedBits: ejectedBits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, leastPace))))}
+	m := serverVerdict{Server: uint32(s.ID), EjectedBits: ejectedBits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, minSlowdown))))}
 	g.applyVerdict(s, m.Slowdown, isBad)
 	if g.usesRoots {
 		s.verdictTokens--
@@ -137,20 +137,20 @@
 
 // checkOverdue counts attempts far older than predicted as failed and, within the retry budget, cancels those that may
 // run elsewhere. It guards against servers that never answer; if all servers slow down at once, it adds load.
-func (g *Gateway) silence(s *server) {
+func (g *Gateway) checkOverdue(s *server) {
 	for _, r := range slices.Clone(s.attempts) {
-		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeans/2*r.class.mean {
+		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeanLatencies/2*r.class.mean {
 			r.askedAt = g.now // renews the root's lease: the attempt is still in flight
 			g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.class), leastLate*r.class.LatencyTarget.Seconds())
+		age := (g.now - r.sentAt).Seconds() / max(g.predictLatency(s, r.class), minOverdueShare*r.class.LatencyTarget.Seconds())
 		health := g.healthOf(s, r.class)
-		waitLonger := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswer // if the server has answered others since
-		if age < overdue || r.done || r.cancelled || r.streams || waitLonger && health != nil && health.lastOK > r.sentAt {
+		waitLonger := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswerFactor // if the server has answered others since
+		if age < overdueFactor || r.done || r.cancelled || r.streams || waitLonger && health != nil && health.lastOK > r.sentAt {
 			continue
 		}
 		r.cancelled = true
-		g.sight(s, r.class, TimedOut, g.now-r.sentAt)
+		g.reportOutcome(s, r.class, TimedOut, g.now-r.sentAt)
 		if g.cfg.CanCancel && r.effect == Safe && g.retryBudgets[r.service] >= 1 &&
 			(r.maxAttempts == 0 || r.attempts < r.maxAttempts) {
 			g.emit(Cancel{ID: r.id, Attempt: r.attempts - 1})
@@ -159,6 +159,6 @@
 }
 
 // mayRunTrial reports whether a request may be sent to an ejected server to test whether it has recovered.
-func (g *Gateway) mayTry(r *request) bool {
+func (g *Gateway) mayRunTrial(r *request) bool {
 	return r.attempts == 0 && (r.effect != Unsafe || g.cfg.MultiService != nil)
 }
--- a/policy/line.go
+++ b/policy/line.go
@@ -9,14 +9,14 @@
 )
 
 // willMissTarget reports whether an idle server of average speed would answer a request after its latency target.
-func (g *Gateway) late(r *request) bool {
+func (g *Gateway) willMissTarget(r *request) bool {
 	return (g.now-r.arrivedAt+r.waitedBefore).Seconds()+r.class.mean > r.class.LatencyTarget.Seconds()
 }
 
 // compareWaiting orders requests that wait for the same servers: first those that can still meet their
 // latency target, then by the operator's priority, then by arrival.
-func (g *Gateway) rank(a, b *request) int {
-	if late := g.late(a); late != g.late(b) {
+func (g *Gateway) compareWaiting(a, b *request) int {
+	if late := g.willMissTarget(a); late != g.willMissTarget(b) {
 		if late {
 			return 1
 		}
@@ -27,14 +27,14 @@
 
 // mayBypassQueue reports whether a new request may be sent ahead of all waiting ones: no request of its customer
 // waits for units, and no request that precedes it waits for the same servers.
-func (g *Gateway) first(r *request) bool {
+func (g *Gateway) mayBypassQueue(r *request) bool {
 	if g.cfg.MultiService == nil {
 		return len(r.customer.held) == 0
 	}
 	for _, c := range g.waiting {
 		for _, other := range c.held {
 			sameServers := other.serverGroup == r.serverGroup && other.attempts == 0 && !other.overQuota
-			if other.overQuota && c == r.customer || sameServers && g.rank(other, r) <= 0 {
+			if other.overQuota && c == r.customer || sameServers && g.compareWaiting(other, r) <= 0 {
 				return false
 			}
 		}
@@ -43,17 +43,17 @@
 }
 
 // serveWaiting sends waiting requests to servers with room, in the order of compareWaiting.
-func (g *Gateway) serve() {
+func (g *Gateway) serveWaiting() {
 	var waiting []*request
 	for _, c := range g.waiting {
 		g.advance(c)
 		waiting = append(waiting, c.held...)
 	}
-	slices.SortStableFunc(waiting, g.rank)
+	slices.SortStableFunc(waiting, g.compareWaiting)
 	fullServers, outOfUnits := map[string]bool{}, map[*customer]bool{}
 	for _, r := range waiting {
 		serverKey := r.serverGroup
-		if g.late(r) {
+		if g.willMissTarget(r) {
 			serverKey += "|late"
 		}
 		if fullServers[serverKey] || fullServers[r.serverGroup] || outOfUnits[r.customer] && !r.unitsTaken {
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -9,28 +9,30 @@
 )
 
 // reportInterval returns the time between two reports to a peer.
-func (g *Gateway) span() time.Duration { return g.tickInterval * time.Duration(g.reportTicks) }
+func (g *Gateway) reportInterval() time.Duration {
+	return g.tickInterval * time.Duration(g.reportTicks)
+}
 
 // reportUrgency orders the customers in a report: by held requests and by unreported
 // units relative to the bucket size, then by the time since they were last reported.
-func (g *Gateway) urgent(c *customer) float64 {
+func (g *Gateway) reportUrgency(c *customer) float64 {
 	units := float64(c.passedUnits-c.reportedUnits) / (c.plan.Burst + 1)
-	return float64(len(c.held)) + units + untold*float64(g.tickCount-c.reportedTick)
+	return float64(len(c.held)) + units + reportAgeWeight*float64(g.tickCount-c.reportedTick)
 }
 
 // askRoot asks the customer's root to admit a request, again if the message or its reply is lost, and then the
 // deputy. If neither answers, or no peer has been heard from for long, this gateway decides without them.
-func (g *Gateway) ask(r *request) {
+func (g *Gateway) askRoot(r *request) {
 	c := r.customer
-	isolated := g.unansweredAsks >= deafAsks && r.askCount > 0
-	if delete(g.pendingAsks, r.tag); isolated || r.askCount > rootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
-		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.alone(r) || !g.trySend(r) {
+	isolated := g.unansweredAsks >= isolatedAfterAsks && r.askCount > 0
+	if delete(g.pendingAsks, r.tag); isolated || r.askCount > maxRootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
+		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.mayAdmitWithoutRoot(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
 		return
 	}
 	to := c.askRoots[0]
-	if p := g.peerAt(to); r.askCount >= rootAsks || p.missed >= rootAsks && g.now-p.missedAt < rootRest {
+	if p := g.peerAt(to); r.askCount >= maxRootAsks || p.missed >= maxRootAsks && g.now-p.missedAt < unresponsivePause {
 		to = c.askRoots[1]
 	}
 	if to == g.cfg.Me {
@@ -40,7 +42,7 @@
 	if r.askCount > 0 {
 		p := g.peerAt(r.root)
 		p.missed, p.missedAt, g.unansweredAsks = p.missed+1, g.now, g.unansweredAsks+1
-		g.answeredShare -= learn * g.answeredShare
+		g.answeredShare -= learningRate * g.answeredShare
 	}
 	if r.askCount == 0 {
 		r.ownCeiling = c.ceiling >= r.units
@@ -54,7 +56,7 @@
 	}
 	r.root, r.askedAt = to, g.now
 	r.askCount++
-	wait := max(leastReply, time.Duration(replySpread*float64(g.meanReplyTime)))
+	wait := max(minReplyWait, time.Duration(replyWaitMeans*float64(g.meanReplyTime)))
 	r.askUntil = min(g.now+wait, r.deadline-2*g.cfg.Resolution)
 	g.pendingAsks[r.tag] = r
 	g.askTimeouts = append(g.askTimeouts, r)
@@ -64,30 +66,30 @@
 
 // mayAdmitWithoutRoot reports whether a request may pass though no root answers. If no peer answers, this gateway
 // passes no more of each plan than the roots allowed before, which keeps the load and, at the same demand, the quotas.
-func (g *Gateway) alone(r *request) bool {
-	if g.unansweredAsks < deafAsks { // other peers answer: the roots are overloaded
-		return g.rng.Float64() < math.Pow(g.answeredShare, unheardPower)
+func (g *Gateway) mayAdmitWithoutRoot(r *request) bool {
+	if g.unansweredAsks < isolatedAfterAsks { // other peers answer: the roots are overloaded
+		return g.rng.Float64() < math.Pow(g.answeredShare, unansweredPassExponent)
 	}
 	plan := r.customer.plan
-	observedShare := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/thinSpan.Seconds())
-	maxUnits := plan.passedGranted.add(g.now, thinSpan, 0) / observedShare * demandSpan.Seconds() / thinSpan.Seconds()
+	observedShare := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/askShareSpan.Seconds())
+	maxUnits := plan.passedGranted.add(g.now, askShareSpan, 0) / observedShare * demandTimeConstant.Seconds() / askShareSpan.Seconds()
 	if r.isRetry || plan.MaxInFlight > 0 {
-		maxUnits *= aloneCareful
+		maxUnits *= isolatedCautionFactor
 	}
-	return plan.passedAlone.add(g.now, demandSpan, 0)+r.units/2 <= maxUnits
+	return plan.passedAlone.add(g.now, demandTimeConstant, 0)+r.units/2 <= maxUnits
 }
 
 // replyToAsk sends a root's decision to the asking gateway, and the share of such requests it should ask for. Under a
 // limit on requests in flight, the share depends on the demand for them and on the root's remaining message rate.
-func (g *Gateway) answer(r *request, decision byte) {
+func (g *Gateway) replyToAsk(r *request, decision byte) {
 	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
 	askShare := 1.0
 	if r.customer.plan.MaxInFlight > 0 {
-		intakeLeft := max(askedLeast, 1-g.recentMessages/demandSpan.Seconds()/max(1, g.cfg.MessagesPerSecond))
-		askShare = min(1, intakeLeft*float64(r.customer.plan.MaxInFlight)*demandSpan.Seconds()/r.customer.slotDemand)
+		intakeLeft := max(minAskShare, 1-g.recentMessages/demandTimeConstant.Seconds()/max(1, g.cfg.MessagesPerSecond))
+		askShare = min(1, intakeLeft*float64(r.customer.plan.MaxInFlight)*demandTimeConstant.Seconds()/r.customer.slotDemand)
 	}
 	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
-		askShare = min(askShare, r.customer.plan.Rate*demandSpan.Seconds()/max(r.customer.demand, 1))
+		askShare = min(askShare, r.customer.plan.Rate*demandTimeConstant.Seconds()/max(r.customer.demand, 1))
 	}
 	g.emit(SendPeer{To: r.root, Data: encode(askReply{r.tag, decision, fill, toByte(100 * g.lateness), toByte(250 * askShare)})})
 }
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -8,41 +8,41 @@
 
 // serviceGateways runs gateways of many services: events reach them late, and their messages may be lost.
 type serviceGateways struct {
-	now     time.Duration
-	rnd     *rand.Rand
-	gs      []*Gateway // nil: not running
-	told    []int      // gateway count that each knows; 0: not known yet, it serves nothing
-	servers []Server
-	plans   []Plan
-	way     []arrival
-	lost    float64       // share of the messages
-	takes   time.Duration // duration of an attempt
-	code    func(s Send) Code
-	ids     RequestID
-	tries   map[RequestID]int
-	sends   []sending
-	recalls map[RequestID]time.Duration // when attempts were cancelled
+	now           time.Duration
+	rng           *rand.Rand
+	gateways      []*Gateway // nil: not running
+	knownGateways []int      // gateway count that each knows; 0: not known yet, it serves nothing
+	servers       []Server
+	plans         []Plan
+	inTransit     []delayedEvent
+	lossRate      float64       // share of the messages
+	attemptTime   time.Duration // duration of an attempt
+	code          func(s Send) Code
+	lastID        RequestID
+	attempts      map[RequestID]int
+	sends         []sentAttempt
+	cancelledAt   map[RequestID]time.Duration // when attempts were cancelled
 }
 
-type arrival struct {
+type delayedEvent struct {
 	at time.Duration
 	to *Gateway
 	ev Event
 }
 
-type sending struct {
+type sentAttempt struct {
 	at time.Duration
 	by int
 	Send
-	again bool
+	isRetry bool
 }
 
-const lostOnTheWay Code = -1 // returned by serviceGateways.code: the answer is lost
+const answerLost Code = -1 // returned by serviceGateways.code: the answer is lost
 
 func newServiceGateways(n int, seed uint64, servers []Server, plans ...Plan) *serviceGateways {
-	m := &serviceGateways{now: time.Second, rnd: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, takes: 30 * ms,
-		tries: map[RequestID]int{}, recalls: map[RequestID]time.Duration{}, code: func(Send) Code { return OK }}
-	m.gs, m.told = make([]*Gateway, n), make([]int, n)
+	m := &serviceGateways{now: time.Second, rng: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, attemptTime: 30 * ms,
+		attempts: map[RequestID]int{}, cancelledAt: map[RequestID]time.Duration{}, code: func(Send) Code { return OK }}
+	m.gateways, m.knownGateways = make([]*Gateway, n), make([]int, n)
 	for i := range n {
 		m.start(i, 0)
 	}
@@ -51,59 +51,59 @@
 }
 
 // randomTimeWithin returns a random time at most d after now.
-func (m *serviceGateways) upTo(d time.Duration) time.Duration {
-	return m.now + time.Duration(m.rnd.Int64N(int64(d)+1))
+func (m *serviceGateways) randomTimeWithin(d time.Duration) time.Duration {
+	return m.now + time.Duration(m.rng.Int64N(int64(d)+1))
 }
 
 // start replaces gateway i by a new one, which learns of the other gateways after up to maxDelay.
 func (m *serviceGateways) start(i int, maxDelay time.Duration) {
-	g, err := New(fieldSet(), m.rnd.Uint64())
+	g, err := New(multiServiceSettings(), m.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	m.gs[i], m.told[i] = g, 0
+	m.gateways[i], m.knownGateways[i] = g, 0
 	m.do(i, ServerList{Kind: CompleteList, Servers: m.servers})
-	m.do(i, fieldTerms(m.plans...))
-	m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, maxDelay)
+	m.do(i, multiServiceConfig(m.plans...))
+	m.deliverLater(i, GatewaySet{Me: i, Gateways: len(m.gateways)}, maxDelay)
 }
 
 // deliverLater delivers an event to gateway i after up to maxDelay.
-func (m *serviceGateways) tell(i int, ev Event, maxDelay time.Duration) {
-	m.way = append(m.way, arrival{m.upTo(maxDelay), m.gs[i], ev})
+func (m *serviceGateways) deliverLater(i int, ev Event, maxDelay time.Duration) {
+	m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(maxDelay), m.gateways[i], ev})
 }
 
 func (m *serviceGateways) do(i int, ev Event) {
 	if p, ok := ev.(GatewaySet); ok {
-		m.told[i] = p.Gateways
+		m.knownGateways[i] = p.Gateways
 	}
-	for _, a := range m.gs[i].Handle(m.now, ev, nil) {
+	for _, a := range m.gateways[i].Handle(m.now, ev, nil) {
 		switch a := a.(type) {
 		case SendPeer:
-			if m.gs[a.To] != nil && m.rnd.Float64() >= m.lost {
-				m.way = append(m.way, arrival{m.upTo(40 * ms), m.gs[a.To], PeerMessage{From: i, Data: a.Data}})
+			if m.gateways[a.To] != nil && m.rng.Float64() >= m.lossRate {
+				m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(40 * ms), m.gateways[a.To], PeerMessage{From: i, Data: a.Data}})
 			}
 		case Send:
-			attempt := m.tries[a.ID]
-			m.tries[a.ID]++
-			m.sends = append(m.sends, sending{m.now, i, a, attempt > 0})
+			attempt := m.attempts[a.ID]
+			m.attempts[a.ID]++
+			m.sends = append(m.sends, sentAttempt{m.now, i, a, attempt > 0})
 			code := m.code(a)
-			if code == lostOnTheWay {
+			if code == answerLost {
 				continue
 			}
-			m.way = append(m.way, arrival{m.now + m.takes, m.gs[i], Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
-				Code: code, Latency: m.takes, Final: code == OK}})
+			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i], Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
+				Code: code, Latency: m.attemptTime, Final: code == OK}})
 		case Cancel:
-			m.recalls[a.ID] = m.now
+			m.cancelledAt[a.ID] = m.now
 		}
 	}
 }
 
 func (m *serviceGateways) ask(i int, r Request) {
-	if m.gs[i] == nil || m.told[i] == 0 {
+	if m.gateways[i] == nil || m.knownGateways[i] == 0 {
 		return
 	}
-	m.ids++
-	r.ID, r.Units, r.Remaining, r.GatewayCount = m.ids, 1, 2*time.Second, m.told[i]
+	m.lastID++
+	r.ID, r.Units, r.Remaining, r.GatewayCount = m.lastID, 1, 2*time.Second, m.knownGateways[i]
 	m.do(i, r)
 }
 
@@ -111,16 +111,16 @@
 func (m *serviceGateways) pass(d time.Duration, step func()) {
 	for end := m.now + d; m.now < end; {
 		m.now += 10 * ms
-		due := m.way
-		m.way = nil
+		due := m.inTransit
+		m.inTransit = nil
 		for _, a := range due {
-			if i := slices.Index(m.gs, a.to); a.at > m.now {
-				m.way = append(m.way, a)
+			if i := slices.Index(m.gateways, a.to); a.at > m.now {
+				m.inTransit = append(m.inTransit, a)
 			} else if i >= 0 { // otherwise the gateway has been replaced
 				m.do(i, a.ev)
 			}
 		}
-		for i, g := range m.gs {
+		for i, g := range m.gateways {
 			if g != nil && (int(m.now/ms/10)+i)%5 == 0 {
 				m.do(i, Timer{Token: "tick"})
 			}
@@ -132,7 +132,7 @@
 }
 
 // maxSendsIn returns the largest number of sends of a kind in any span of this length.
-func (m *serviceGateways) most(span time.Duration, kind func(s sending) bool) (n int) {
+func (m *serviceGateways) maxSendsIn(span time.Duration, kind func(s sentAttempt) bool) (n int) {
 	var window []time.Duration
 	for _, s := range m.sends {
 		if !kind(s) {
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -14,33 +14,33 @@
 	}
 }
 
-func TestHeardUnitsAreTakenOff(t *testing.T) {
+func TestReportedUnitsAreDeducted(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		tell func(w *testGateway)
 		most int
 	}{
 		{"told", func(w *testGateway) {
-			w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+			w.report(1, 1, 2, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 		}, 2},
 		{"repeated", func(w *testGateway) {
 			for range 3 {
-				w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+				w.report(1, 1, 2, true, customerEntry{hash: hashOf("c"), passed: 4, bucketFill: unknownFill})
 			}
 		}, 6},
 		{"lost, then told", func(w *testGateway) {
-			w.report(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
-			w.report(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+			w.report(1, 1, 9, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
+			w.report(1, 1, 3, true, customerEntry{hash: hashOf("c"), passed: 4, bucketFill: unknownFill})
 		}, 2},
 		{"restarted", func(w *testGateway) {
-			w.report(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+			w.report(1, 2, 1, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 		}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w := newTestGateway(t, testSettings(), testServers(8))
 			w.requestMany(1, "rate")
 			w.advance(600 * ms)
-			w.report(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
+			w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), bucketFill: unknownFill})
 			test.tell(w)
 			if n := w.requestMany(30, "rate"); n > test.most || n == 0 && test.most > 3 {
 				t.Fatalf("%d units passed, at most %d are left", n, test.most)
@@ -49,10 +49,10 @@
 	}
 }
 
-func TestRestartAdoptsPeersStore(t *testing.T) {
+func TestRestartAdoptsPeerBucket(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "rate")
-	w.report(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
+	w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), passed: 100, bucketFill: 25})
 	if n := w.requestMany(20, "rate"); n > 1 {
 		t.Fatalf("%d units passed though a peer reports that one is left", n)
 	}
@@ -61,7 +61,7 @@
 func TestSilentPeerNeitherFreesNorBlocks(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "open")
-	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
+	w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 6, held: 3, bucketFill: unknownFill})
 	w.advance(3 * time.Second)
 	if n := w.requestMany(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
@@ -76,7 +76,7 @@
 
 // A client refused for its quota is advised to retry when the bucket will hold the units it
 // needs; after a longer wait it would return too late to be served.
-func TestAdviceFollowsTheStore(t *testing.T) {
+func TestRetryAfterFollowsBucket(t *testing.T) {
 	set := testSettings()
 	set.MaxRetryAfter = 5 * time.Second
 	w := newTestGateway(t, set, testServers(3))
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestSettledUnitsComeOff(t *testing.T) {
+func TestSettledUnitsAreDeducted(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.report(1, 1, 1, true)
 	s := w.send("safe", "rate")
@@ -101,7 +101,7 @@
 }
 
 // While a peer is never heard from, this gateway gets its own share of the quota, not all of it.
-func TestUnheardPeerKeepsItsPart(t *testing.T) {
+func TestSilentPeerKeepsItsShare(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "rate")
 	w.advance(60 * time.Second)
@@ -118,7 +118,7 @@
 
 // A customer is dropped once its state equals that of a new one: its bucket must be full
 // again, and the peers' use of it must have ended.
-func TestIdleCustomersAreForgotten(t *testing.T) {
+func TestIdleCustomersAreDropped(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 50 {
 		_, acts := w.request("safe", "rate", fmt.Sprint(i), 1)
@@ -127,7 +127,7 @@
 	}
 	c := w.g.customers[keyOf("7")]
 	c.bucket = -500 // after settlement: takes long to refill
-	w.advance(forgetAfter + 3*time.Second)
+	w.advance(idleExpiry + 3*time.Second)
 	w.requestMany(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
 		t.Fatalf("%d customers known, want 2", n)
@@ -139,14 +139,14 @@
 
 // A gateway that dropped a customer restarts its running total from 0: peers must deduct the
 // new units, and must not return old ones to the bucket.
-func TestTotalThatBeginsAnewGrantsNothing(t *testing.T) {
+func TestRestartedTotalGrantsNothing(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	seq := uint32(0)
 	receive := func(passed byte, newTotal bool) float64 {
 		seq++
-		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: newTotal, store: unknownStore}}}
+		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: newTotal, bucketFill: unknownFill}}}
 		w.g.advance(c)
 		before := c.bucket
 		w.do(PeerMessage{From: 1, Data: m.encode()})
@@ -158,19 +158,19 @@
 	if deducted := receive(5, true); deducted != 2 {
 		t.Errorf("%v units deducted when the total goes from 3 to 5", deducted)
 	}
-	w.advance(anewFor + time.Second)
+	w.advance(newTotalSpan + time.Second)
 	if deducted := receive(1, true); deducted != 1 {
 		t.Errorf("%v units deducted when a total restarts with 1", deducted)
 	}
 }
 
 // A new peer's fill of the bucket is taken over: the bucket may be full at this gateway only.
-func TestPeerJustMetTellsOfItsStore(t *testing.T) {
+func TestNewPeerReportsItsBucket(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	w.advance(5 * time.Second)
 	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
-	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, store: 50}}}
+	m := report{incarnation: 9, seq: 1, complete: true, customers: []customerEntry{{hash: c.hash, passed: 144, bucketFill: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
 	if c.bucket > 2 {
 		t.Errorf("%v units in a bucket that has 2 according to a peer", c.bucket)
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -9,36 +9,36 @@
 
 // dropExpired drops servers that have been removed for some time, and customers whose
 // state equals that of a new customer.
-func (g *Gateway) forget() {
+func (g *Gateway) dropExpired() {
 	g.serverList = slices.DeleteFunc(g.serverList, func(s *server) bool {
-		if s.State != Removed || s.inFlight > 0 || g.now-s.removedAt < forgetAfter {
+		if s.State != Removed || s.inFlight > 0 || g.now-s.removedAt < idleExpiry {
 			return false
 		}
 		delete(g.servers, s.ID)
 		return true
 	})
 	g.customerList = slices.DeleteFunc(g.customerList, func(c *customer) bool {
-		if !g.spent(c) {
+		if !g.canExpire(c) {
 			return false
 		}
 		delete(g.customers, c.key)
 		for _, v := range c.views {
 			v.peer.views = slices.DeleteFunc(v.peer.views, func(o *peerView) bool { return o == v })
 		}
-		g.unname(c)
+		g.removeHash(c)
 		return true
 	})
 }
 
 // canExpire reports whether a customer's state equals that of a new one: its quota and ceiling are
 // full again, no gateway has requests in flight or held, and nothing is left to report.
-func (g *Gateway) spent(c *customer) bool {
-	if c.inFlight > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.news() || c.inFlightSeconds > 0 ||
-		g.now-c.lastRequestAt < forgetAfter {
+func (g *Gateway) canExpire(c *customer) bool {
+	if c.inFlight > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.hasNews() || c.inFlightSeconds > 0 ||
+		g.now-c.lastRequestAt < idleExpiry {
 		return false
 	}
 	for _, v := range c.views {
-		if v.inFlight > 0 || v.held > 0 || v.reported && g.now-v.reportedAt < forgetAfter {
+		if v.inFlight > 0 || v.held > 0 || v.reported && g.now-v.reportedAt < idleExpiry {
 			return false
 		}
 	}
@@ -48,7 +48,7 @@
 
 // removeHash removes a customer from the table of short hashes. If exactly one other customer
 // has the same hash, the entry becomes that customer's.
-func (g *Gateway) unname(c *customer) {
+func (g *Gateway) removeHash(c *customer) {
 	if g.customersByHash[c.hash] == c {
 		delete(g.customersByHash, c.hash)
 		return
@@ -87,7 +87,7 @@
 }
 
 // createAllPeers creates the entries of all peers.
-func (g *Gateway) allPeers() {
+func (g *Gateway) createAllPeers() {
 	for i := range g.peers {
 		g.peerAt(i)
 	}
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -3,13 +3,13 @@
 // Trust in servers, based on what all gateways observed; a TrustUpdate event brings it.
 
 // allowedByTrust reports whether a server's trust level allows a request, at least as a trial.
-func (s *server) trusted(r *request) bool {
+func (s *server) allowedByTrust(r *request) bool {
 	level := s.trust.Level
-	return level <= Suspect || level == SafeOnly && r.effect == Safe || s.tries(r)
+	return level <= Suspect || level == SafeOnly && r.effect == Safe || s.mayTakeTrial(r)
 }
 
 // mayTakeTrial reports whether a request may be sent to a server as a trial, as its first attempt. A server that gets
 // trials only is tested with requests that may run again; one for safe requests only, with those that must not.
-func (s *server) tries(r *request) bool {
+func (s *server) mayTakeTrial(r *request) bool {
 	return s.trust.Trial && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == TrialsOnly)
 }
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -12,7 +12,7 @@
 // trust entry allows, and to suspect servers only while the others are full.
 func TestTrust(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, err := New(fieldSet(), rapid.Uint64().Draw(t, "seed"))
+		g, err := New(multiServiceSettings(), rapid.Uint64().Draw(t, "seed"))
 		assert.NilError(t, err)
 		now, id := time.Second, RequestID(0)
 		handle := func(ev Event) (sent []Send) {
@@ -24,11 +24,11 @@
 			}
 			return sent
 		}
-		servers := fieldServers(4, "desk")
+		servers := makeServers(4, "desk")
 		for i := range servers {
 			servers[i].Slots = 2
 		}
-		handle(fieldTerms(Plan{Name: "p"}))
+		handle(multiServiceConfig(Plan{Name: "p"}))
 		handle(GatewaySet{Gateways: 1})
 		handle(ServerList{Kind: CompleteList, Servers: servers})
 		trust := TrustUpdate{Servers: map[ServerID]Trust{servers[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, servers[1].ID: {Level: Suspect}}}
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -11,7 +11,7 @@
 
 // assignCeilingPart finds a customer's owners and sets this gateway's part of the ceiling. All parts add up to one
 // ceiling even if messages are lost: an owner deducts what it lends before the borrower receives it.
-func (g *Gateway) deal(c *customer) {
+func (g *Gateway) assignCeilingPart(c *customer) {
 	owners, isOwner := 0, false
 	c.owners = nil // owners of this gateway's region come first
 	for _, region := range g.regions {
@@ -22,24 +22,24 @@
 			}
 		}
 		slices.SortFunc(regionOwners, func(a, b int) int {
-			return cmp.Compare(mixed(c.hash, uint32(b)), mixed(c.hash, uint32(a)))
+			return cmp.Compare(hashFraction(c.hash, uint32(b)), hashFraction(c.hash, uint32(a)))
 		})
-		regionOwners = regionOwners[:min(len(regionOwners), ownersEach)]
+		regionOwners = regionOwners[:min(len(regionOwners), ownersPerRegion)]
 		owners, isOwner = owners+len(regionOwners), isOwner || slices.Contains(regionOwners, g.cfg.Me)
 		if g.cfg.Me < len(g.gatewayRegions) && region == g.gatewayRegions[g.cfg.Me] {
 			regionOwners, c.owners = append(regionOwners, c.owners...), nil
 		}
 		c.owners = append(c.owners, regionOwners...)
 	}
-	dealtShare := memberPart
-	if c.plan.HardBurst*dealtShare/float64(g.shares()) < leastDealt {
+	dealtShare := dealtCeilingShare
+	if c.plan.HardBurst*dealtShare/float64(g.ceilingPartCount()) < minDealtUnits {
 		dealtShare = 0
 	}
-	ownShare := dealtShare / float64(g.shares())
+	ownShare := dealtShare / float64(g.ceilingPartCount())
 	if isOwner {
 		ownShare += (1 - dealtShare) / float64(owners)
 	}
-	c.parts = g.ownOf(1 / max(ownShare, leastPart))
+	c.parts = g.ceilingDivisor(1 / max(ownShare, minCeilingShare))
 }
 
 // mayBorrow reports whether there is a gateway to borrow from for a request whose customer lacks units here.
@@ -56,14 +56,14 @@
 		to := r.customer.owners[r.askCount]
 		r.askCount++
 		p := g.peerAt(to)
-		if to == g.cfg.Me || p.missed >= rootAsks && g.now-p.missedAt < rootRest || !g.borrows && g.tired(r) {
+		if to == g.cfg.Me || p.missed >= maxRootAsks && g.now-p.missedAt < unresponsivePause || !g.borrows && g.pastLoanDeadline(r) {
 			continue
 		}
 		g.nextTag++
-		r.tag, r.root, r.askedAt, r.askUntil = g.nextTag, to, g.now, g.now+borrowWait
+		r.tag, r.root, r.askedAt, r.askUntil = g.nextTag, to, g.now, g.now+loanTimeout
 		g.pendingAsks[r.tag], g.askTimeouts = r, append(g.askTimeouts, r)
 		g.emit(SendPeer{To: to, Data: encode(loanRequest{r.customer.key, r.tag, uint16(math.Ceil(r.units))})})
-		g.emit(SetTimer{Token: "ask", After: borrowWait})
+		g.emit(SetTimer{Token: "ask", After: loanTimeout})
 		return
 	}
 	if r.overQuota = g.borrows; r.overQuota {
@@ -75,14 +75,14 @@
 }
 
 // onLoanRequest lends a peer the units it asks for, if this gateway has them.
-func (g *Gateway) onWant(from int, m loanRequest) {
+func (g *Gateway) onLoanRequest(from int, m loanRequest) {
 	c := g.customers[m.Customer]
 	if c == nil {
-		plan := g.planOf(m.Customer)
+		plan := g.planForKey(m.Customer)
 		if plan == nil {
 			return // its configuration has not arrived yet; the peer asks another gateway after a timeout
 		}
-		c = g.account(m.Customer, plan, 0, g.cfg.Gateways)
+		c = g.addCustomer(m.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
 	c.lastRequestAt = g.now
@@ -98,7 +98,7 @@
 }
 
 // onLoanTimeout records that a lender did not answer, and asks the next.
-func (g *Gateway) unanswered(r *request) {
+func (g *Gateway) onLoanTimeout(r *request) {
 	p := g.peerAt(r.root)
 	p.missed, p.missedAt = p.missed+1, g.now
 	g.borrow(r)
