--- a/policy/report.go
+++ b/policy/report.go
@@ -24,8 +24,8 @@
 	return float64(x^x>>15) / (1 << 32)
 }
 
-// report is what a gateway tells a peer once a tick. On the wire: version,
-// incarnation, sequence number, flags, number of servers, servers, customers.
+// report is the message that a gateway sends each peer at every report interval. Encoding:
+// version, incarnation, sequence number, flags, number of servers, servers, customers.
 type report struct {
 	incarnation uint32 // drawn anew at each start of the sender
 	seq         uint32
@@ -78,6 +78,7 @@
 	return n <= maxMessageBytes
 }
 
+// encode returns the report in its wire format.
 func (m *report) encode() []byte {
 	b := make([]byte, 0, maxMessageBytes)
 	b = append(b, reportVersion)
@@ -103,7 +104,7 @@
 	return b
 }
 
-// decodeReport reads a report; anything but a whole, well-formed one is not ok.
+// decodeReport decodes a report; ok is false unless b is a complete, well-formed one.
 func decodeReport(b []byte) (m report, ok bool) {
 	if len(b) < headerBytes || len(b) > maxMessageBytes || b[0] != reportVersion {
 		return m, false
@@ -143,8 +144,8 @@
 			v.passedUnits = e.passed
 		}
 	}
-	passed = float64(int8(e.passed - v.passedUnits)) // settled units may take it back
-	if quiet {
+	passed = float64(int8(e.passed - v.passedUnits)) // negative when settled units were given back
+	if outdated {
 		passed = max(0, passed)
 	} else {
 		lent = float64(e.lent-v.borrowedTotal) / lendPartsPerUnit
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serviceGateways drives gateways of many services: what they are told comes late, and their mail may be lost.
+// serviceGateways runs gateways of many services: events reach them late, and their messages may be lost.
 type serviceGateways struct {
 	now           time.Duration
 	rng           *rand.Rand
@@ -104,7 +104,7 @@
 	m.do(i, r)
 }
 
-// pass lets time go by in steps of 10 ms.
+// pass advances the clock in steps of 10 ms.
 func (m *serviceGateways) pass(d time.Duration, step func()) {
 	for end := m.now + d; m.now < end; {
 		m.now += 10 * ms
@@ -135,11 +135,11 @@
 		if !kind(s) {
 			continue
 		}
-		in = append(in, s.at)
-		for s.at-in[0] >= span {
-			in = in[1:]
+		window = append(window, s.at)
+		for s.at-window[0] >= span {
+			window = window[1:]
 		}
-		n = max(n, len(in))
+		n = max(n, len(window))
 	}
 	return n
 }
--- a/policy/store.go
+++ b/policy/store.go
@@ -1,6 +1,6 @@
 package policy
 
-// The rate companion: customers' stores, ceilings and shares, what is lent of them.
+// Token buckets of customers: quota, hard ceiling, each gateway's share of them, and loans.
 
 import (
 	"math"
@@ -35,21 +35,20 @@
 		} else if deputy == g.cfg.Me {
 			part += deputyCeilingShare
 		}
-		c.parts = 1 / part
+		c.parts = 1 / ownShare
 	}
-	// A restarted root knows nothing: it must not grant a whole store again.
+	// A restarted root has lost its counts: it must not grant a full bucket again.
 	if g.usesRoots && plan.Rate > 0 && (g.now-g.startedAt).Seconds() < plan.Burst/plan.Rate {
 		c.bucket *= restartedBucketFill
 	}
-	// The ceiling's own part starts empty at the gateway's start: after a
-	// restart it must not be granted a second time.
+	// This part of the ceiling starts empty, but for HardInitial: after a restart it must not be granted again.
 	c.ceiling = min(plan.HardBurst, plan.HardInitial+plan.HardRate*(g.now-g.startedAt).Seconds()) / c.parts
 	g.registerCustomer(c)
 	return c
 }
 
-// advance brings a customer's stores up to now. A peer long silent is taken
-// to use its demand-split part of the rate: it may only be cut off.
+// advance refills a customer's buckets up to now. A silent peer is assumed to use
+// its share of the rate by demand: it may merely be partitioned from this gateway.
 func (g *Gateway) advance(c *customer) {
 	dt := (g.now - c.refilledAt).Seconds()
 	if dt <= 0 {
@@ -64,7 +63,7 @@
 	}
 	share := 1 - unheard/g.totalDemand(c)
 	if len(c.askRoots) > 0 && !c.countsForOthers {
-		share = 1 / float64(c.gatewayCount) // what others pass is the root's to know
+		share = 1 / float64(c.gatewayCount) // only the root knows what the other gateways pass
 	}
 	c.bucket = min(c.plan.Burst, c.bucket+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+c.plan.HardRate/c.parts*dt))
@@ -112,8 +111,8 @@
 	return (c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
 }
 
-// allowance is what this gateway may pass of the customer's store now: its demand-split part, or what is left
-// once the peers have passed all they may be asked for before they are heard again, whichever is more.
+// allowance returns how many units of the customer's bucket this gateway may pass now: its share by demand, or
+// what remains if the peers pass all their expected demand until their next reports arrive, whichever is more.
 func (g *Gateway) allowance(c *customer) float64 {
 	blind := (g.reportInterval() + reportTransitTime).Seconds()
 	unseen := 0.0
@@ -127,9 +126,9 @@
 	return max(c.bucket*g.demandShare(c), c.bucket-unseen)
 }
 
-// lend gives peers of the ceiling's part here what this gateway does not need and they ask for
-// beyond their own. What is lent is off here before it is on there, a part never holds more than
-// its even share, and what is lost on the way is lost: all parts together stay under the ceiling.
+// lend gives peers what this gateway does not need of its part of the ceiling and they need beyond theirs.
+// Loans are deducted here before the peer adds them, a part never exceeds its even share, and units lost
+// in transit are not restored: all parts together stay below the ceiling.
 func (g *Gateway) lend(c *customer, dt time.Duration) {
 	if c.plan.HardRate == 0 || len(c.views) == 0 || g.usesRoots || g.unusedShare >= 1 {
 		return
@@ -138,7 +137,7 @@
 	if c.onLoan *= math.Exp(-dt.Seconds() / loanTransitTime.Seconds()); c.onLoan < 1/lendPartsPerUnit/16 {
 		c.onLoan = 0
 	}
-	part, want := c.plan.HardRate/c.parts, 0.0
+	fairRate, wanted := c.plan.HardRate/c.parts, 0.0
 	if g.cfg.MultiService != nil {
 		part *= lendThresholdShare
 	}
@@ -147,7 +146,7 @@
 		if !g.isSilent(v.peer) {
 			v.wantedUnits = max(0, v.demand/demandTimeConstant.Seconds()-part) * dt.Seconds() * maxLoanFactor
 		}
-		want += v.wantedUnits
+		wanted += view.wantedUnits
 	}
 	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandTimeConstant.Seconds()*unlentDemandSpan.Seconds()
 	for _, v := range c.views {
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// What may run once goes to no server that is unfit for it but as one named trial, to doubted ones not while others
-// have room, and the rest goes on wherever it may.
+// Requests that must not run twice are sent to a server that is not trusted with them only as the one trial that its
+// trust entry allows, and to suspect servers only while the others are full.
 func TestTrust(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, err := New(multiServiceSettings(), rapid.Uint64().Draw(t, "seed"))
 		assert.NilError(t, err)
 		now, id := time.Second, RequestID(0)
-		tell := func(ev Event) (sent []Send) {
+		handle := func(ev Event) (sent []Send) {
 			now += ms
 			for _, a := range g.Handle(now, ev, nil) {
 				if s, ok := a.(Send); ok {
@@ -38,16 +38,16 @@
 		for range 40 {
 			class := rapid.SampledFrom([]string{"safe", "once"}).Draw(t, "class")
 			id++
-			for _, s := range tell(Request{ID: id, Customer: "c", Plan: "p", Class: class, Units: 1, Remaining: 2 * time.Second, Service: "desk"}) {
-				once := class == "once"
+			for _, s := range handle(Request{ID: id, Customer: "c", Plan: "p", Class: class, Units: 1, Remaining: 2 * time.Second, Service: "desk"}) {
+				mustNotRepeat := class == "once"
 				switch {
-				case s.Server == list[0].ID && (bad.Level == TrialsOnly || bad.Level == SafeOnly && once):
+				case s.Server == servers[0].ID && (tested.Level == TrialsOnly || tested.Level == SafeOnly && mustNotRepeat):
 					trials++
-					assert.Assert(t, bad.Trial && once == (bad.Level == SafeOnly))
-				case s.Server == list[1].ID && once:
-					t.Fatal("to a doubted one, though others have room")
+					assert.Assert(t, tested.Trial && mustNotRepeat == (tested.Level == SafeOnly))
+				case s.Server == servers[1].ID && mustNotRepeat:
+					t.Fatal("sent to a suspect server though others have room")
 				}
-				tell(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Final: true})
+				handle(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Final: true})
 			}
 		}
 		assert.Assert(t, trials <= 1, "%d trials", trials)
