--- a/policy/judge.go
+++ b/policy/judge.go
@@ -1,7 +1,7 @@
 package policy
 
-// What outcomes tell of servers. In a large fleet each gateway meets a server too seldom to judge it,
-// so each server has a watcher that is told outcomes and tells all its verdicts, by class.
+// Server health from outcomes. Where there are many gateways, each sends too little to a server to assess it alone:
+// gateways report outcomes to the server's watcher, which sends its verdict by class to all gateways.
 
 import (
 	"math"
@@ -65,7 +65,7 @@
 
 func (g *Gateway) reportOutcome(s *server, cl *class, code Code, latency time.Duration) {
 	if cl.Name == "" {
-		return // not in the settings
+		return // not a configured class
 	}
 	for i, w := range s.watchers {
 		if i > 0 && (code != ConnectFailed || !g.usesRoots) {
@@ -114,9 +114,9 @@
 	if g.cfg.MultiService != nil {
 		s.verdictTokens = verdictBurst // they are told to none
 	}
-	first := s.watchers[0] == g.cfg.Me
-	if !first || !g.usesRoots {
-		s.sharedSlowdown = s.slowdown // the second knows only what it can't reach
+	isFirst := s.watchers[0] == g.cfg.Me
+	if !isFirst || !g.usesRoots {
+		s.sharedSlowdown = s.slowdown // the second watcher knows only about connection failures
 	}
 	isBad := func(_ int, v *classHealth) bool {
 		return v.errorRate > ejectionThreshold || v.ejected && (!first || v.errorRate > ejectionThreshold/2)
--- a/policy/line_test.go
+++ b/policy/line_test.go
@@ -28,7 +28,7 @@
 	b.do(ServerList{Kind: CompleteList, Servers: servers})
 	b.do(multiServiceConfig(Plan{Name: "t"}, Plan{Name: "u"}))
 	b.do(GatewaySet{Gateways: 1})
-	for range 40 { // it learns that an answer takes 100 ms
+	for range 40 { // the gateway learns a mean latency of 100 ms
 		id := b.ask(Request{Service: servers[0].Service})
 		b.pass(100 * ms)
 		b.end(id)
@@ -97,9 +97,9 @@
 		id := b.ask(Request{Customer: "u", Service: service, Regions: homes})
 		if len(b.sent) == n {
 			b.do(ClientGone{ID: id})
-			return out
+			return inFlight
 		}
-		out = append(out, id)
+		inFlight = append(inFlight, id)
 	}
 }
 
@@ -118,7 +118,7 @@
 func TestWaitingForOneServiceDoesNotBlockAnother(t *testing.T) {
 	b := newManualGateway(t, oneSlotServer(1, "s", "r"), oneSlotServer(2, "t", "r"))
 	b.fill("s")
-	waits := b.ask(Request{Service: "s"})
+	waiting := b.ask(Request{Service: "s"})
 	n := len(b.sent)
 	other := b.ask(Request{Service: "t"})
 	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{other})
@@ -126,7 +126,7 @@
 	held := b.ask(Request{Service: "t"})
 	n = len(b.sent)
 	b.end(other)
-	for _, id := range out {
+	for _, id := range inFlight {
 		b.end(id)
 	}
 	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{held}) // though the tenant's first still waits
@@ -144,7 +144,7 @@
 	first := b.ask(Request{Service: "s", Priority: 0, Customer: "u"})
 	second := b.ask(Request{Service: "s", Priority: 1})
 	n := len(b.sent)
-	for _, id := range out {
+	for _, id := range inFlight {
 		b.end(id)
 	}
 	fresh := b.ask(Request{Service: "s", Priority: 2})
@@ -176,10 +176,10 @@
 		b := newManualGateway(t, oneSlotServer(1, "s", "r"))
 		b.pass(time.Duration(7*i) * ms)
 		b.fill("s")
-		id, came := b.ask(Request{Service: "s"}), b.now
+		id, arrivedAt := b.ask(Request{Service: "s"}), b.now
 		b.pass(130 * ms)
-		at, refused := b.refused[id]
-		assert.Assert(t, refused && at-came <= 110*ms && at-came >= 100*ms, "after %s", at-came)
+		refusedAt, refused := b.refused[id]
+		assert.Assert(t, refused && refusedAt-arrivedAt <= 110*ms && refusedAt-arrivedAt >= 100*ms, "after %s", refusedAt-arrivedAt)
 	}
 }
 
@@ -198,10 +198,10 @@
 	}
 	b.ask(Request{Service: "s"})
 	b.ask(Request{Service: "s"})
-	assert.Equal(t, near(), 2) // it waits there for less than the way costs
-	out := b.fill("s", "r")
-	b.end(out[0])
-	n := near()
+	assert.Equal(t, sentNear(), 2) // the wait there costs less than the network latency to the other region
+	inFlight := b.fill("s", "r")
+	b.end(inFlight[0])
+	n := sentNear()
 	b.ask(Request{Service: "s"})
-	assert.Equal(t, near(), n)
+	assert.Equal(t, sentNear(), n)
 }
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -15,7 +15,7 @@
 			m.servers = append(m.servers, serverLoad{s.hash, byte(min(s.inFlight, maxReportedInFlight))})
 		}
 	}
-	for _, c := range list {
+	for _, c := range customers {
 		v := c.viewOf(p)
 		if v == nil {
 			continue
@@ -38,6 +38,7 @@
 	return m
 }
 
+// onReport applies a peer's report.
 func (g *Gateway) onReport(p *peer, m report) {
 	if p.reported && p.incarnation == m.incarnation && int32(m.seq-p.reportSeq) <= 0 {
 		return // old or repeated: the later report holds all it said
@@ -63,14 +64,14 @@
 // sendReports tells each peer what has changed.
 func (g *Gateway) sendReports() {
 	g.reportSeq++
-	var list []*customer
+	var changed []*customer
 	for _, c := range g.customerList {
 		if c.hasNews() {
 			c.reportPriority = g.reportUrgency(c)
 			list = append(list, c)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *customer) int { return cmp.Compare(b.reportPriority, a.reportPriority) })
+	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.reportPriority, a.reportPriority) })
 	for _, p := range g.peers {
 		if p == nil || p.index == g.cfg.Me || g.usesRoots && len(p.views) == 0 {
 			continue
@@ -79,7 +80,7 @@
 			g.emit(SendPeer{To: p.index, Data: m.encode()})
 		}
 	}
-	for _, c := range list {
+	for _, c := range changed {
 		if c.reportedTick == g.tickCount {
 			c.reportsLeft, c.reportedUnits = max(0, c.reportsLeft-1), c.passedUnits
 		}
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -10,7 +10,7 @@
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.report(1, 1, 1, true)
 	if n := w.requestMany(40, "rate"); n < 5 || n > 10 {
-		t.Fatalf("%d units passed of a store of 10", n)
+		t.Fatalf("%d units passed of a bucket of 10", n)
 	}
 }
 
@@ -36,7 +36,7 @@
 			w.report(1, 2, 1, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 		}, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			w := newTestGateway(t, testSettings(), testServers(8))
 			w.requestMany(1, "rate")
 			w.advance(600 * ms)
@@ -54,7 +54,7 @@
 	w.requestMany(1, "rate")
 	w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), passed: 100, bucketFill: 25})
 	if n := w.requestMany(20, "rate"); n > 1 {
-		t.Fatalf("%d units passed though a peer knows of one", n)
+		t.Fatalf("%d units passed though a peer reports that one is left", n)
 	}
 }
 
@@ -66,11 +66,11 @@
 	if n := w.requestMany(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
 	}
-	_, a := w.request("safe", "open", "c", 1)
-	_, b := w.request("safe", "open", "c", 1)
-	acts := append(append(a, b...), w.advance(100*ms)...)
+	_, first := w.request("safe", "open", "c", 1)
+	_, second := w.request("safe", "open", "c", 1)
+	acts := append(append(first, second...), w.advance(100*ms)...)
 	if n := len(actionsOf[Send](acts)); n > 1 {
-		t.Fatalf("a silent peer's room was freed: %d out", n)
+		t.Fatalf("a silent peer's share of the limit was used: %d in flight", n)
 	}
 }
 
@@ -81,7 +81,7 @@
 	set.MaxRetryAfter = 5 * time.Second
 	w := newTestGateway(t, set, testServers(3))
 	w.requestMany(40, "rate")
-	for units, want := range map[float64]time.Duration{1: 400 * ms, 4: 700 * ms} { // of 10 a second, 3 kept back
+	for units, want := range map[float64]time.Duration{1: 400 * ms, 4: 700 * ms} { // of 10 a second, 3 reserved
 		_, acts := w.request("safe", "rate", "c", units)
 		r := actionsOf[Refuse](acts)
 		if len(r) != 1 || r[0].RetryAfter < want-100*ms || r[0].RetryAfter > want+200*ms {
@@ -112,7 +112,7 @@
 		n += w.requestMany(3, "rate")
 	}
 	if n < 50 || n > 85 {
-		t.Fatalf("%d of 100 units passed beside a peer never heard", n)
+		t.Fatalf("%d of 100 units passed beside a peer never heard from", n)
 	}
 }
 
@@ -133,7 +133,7 @@
 		t.Fatalf("%d customers known, want 2", n)
 	}
 	if n := len(w.g.customers) + len(w.g.customerList) + len(w.g.customersByHash) + len(w.g.peers[1].views); n != 8 {
-		t.Fatalf("%d places still name customers, want 8", n)
+		t.Fatalf("%d table entries for customers, want 8", n)
 	}
 }
 
@@ -144,7 +144,7 @@
 	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	seq := uint32(0)
-	say := func(passed byte, anew bool) float64 {
+	receive := func(passed byte, newTotal bool) float64 {
 		seq++
 		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: anew, bucketFill: unknownFill}}}
 		w.g.advance(c)
@@ -152,11 +152,11 @@
 		w.do(PeerMessage{From: 1, Data: m.encode()})
 		return before - c.bucket
 	}
-	if d := say(3, true); d != 3 {
-		t.Errorf("%v units taken off at the first word of a fresh total of 3", d)
+	if deducted := receive(3, true); deducted != 3 {
+		t.Errorf("%v units deducted at the first report of a new total of 3", deducted)
 	}
-	if d := say(5, true); d != 2 {
-		t.Errorf("%v units taken off when the total goes from 3 to 5", d)
+	if deducted := receive(5, true); deducted != 2 {
+		t.Errorf("%v units deducted when the total goes from 3 to 5", deducted)
 	}
 	w.advance(newTotalSpan + time.Second)
 	if d := say(1, true); d != 1 {
@@ -173,6 +173,6 @@
 	m := report{incarnation: 9, seq: 1, complete: true, customers: []customerEntry{{hash: c.hash, passed: 144, bucketFill: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
 	if c.bucket > 2 {
-		t.Errorf("%v units in the store that a peer holds to have 2", c.bucket)
+		t.Errorf("%v units in a bucket that has 2 according to a peer", c.bucket)
 	}
 }
--- a/policy/values.go
+++ b/policy/values.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Tuned values. None is fitted to a deployment: they are shares, counts of
-// ticks, or times that people and networks set.
+// Constants of the policy. None is specific to a deployment: they are shares, counts
+// of ticks, or times given by people and networks.
 const (
 	reportIntakeShare  = 0.75 // part of a gateway's mail intake that reports may fill
 	minTick, maxTick   = 25 * time.Millisecond, 250 * time.Millisecond
