--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -24,19 +24,19 @@
 // Replica is one process of control. It takes part in deciding the operators' configuration, and keeps the connected
 // agents up to date.
 type Replica struct {
-	world         world.World
-	log           logr.Logger
-	settings      *settings.Settings                // as read at the start
-	liveSettings  atomic.Pointer[settings.Settings] // the latest; only what may change without a restart differs
-	self          peerlink.Hello
-	store         *statestore.Store
-	startedAt     time.Time // zero of the replica's monotonic clock
-	cloudClient   *http.Client
-	roundWanted   chan struct{} // signals that a round of reports is wanted now
-	censusChanged chan struct{} // signals that the census may have changed
-	dutyWakeup    chan struct{} // signals that the list lease may have changed hands
-	jobs          sync.WaitGroup
-	ctx           context.Context // parent of every background job's context
+	world           world.World
+	log             logr.Logger
+	settings        *settings.Settings                // as read at the start
+	liveSettings    atomic.Pointer[settings.Settings] // the latest; only what may change without a restart differs
+	self            peerlink.Hello
+	store           *statestore.Store
+	startedAt       time.Time // zero of the replica's monotonic clock
+	cloudClient     *http.Client
+	roundWanted     chan struct{} // signals that a round of reports is wanted now
+	censusChanged   chan struct{} // signals that the census may have changed
+	listLeaseWakeup chan struct{} // signals that the list lease may have changed hands
+	jobs            sync.WaitGroup
+	ctx             context.Context // parent of every background job's context
 
 	mu             sync.Mutex
 	leaving        bool
@@ -76,14 +76,14 @@
 	contactAlarmedAt     time.Duration              // when the loss of contact with a majority was last logged
 	observedLock         lockObservation
 
-	serverList      *peerlink.Servers // the newest known list
-	listStamp       int64             // stamp of the latest read of the list, which may have found it unchanged
-	newestReading   latestListRead    // age and period of the latest read of the list
-	othersReadingAt time.Duration     // when the latest read by another replica began
-	drainedServers  map[string]bool   // by ID: server instances that were seen draining
+	serverList       *peerlink.Servers // the newest known list
+	listStamp        int64             // stamp of the latest read of the list, which may have found it unchanged
+	latestListRead   latestListRead    // age and period of the latest read of the list
+	othersListReadAt time.Duration     // when the latest read by another replica began
+	drainedServers   map[string]bool   // by ID: server instances that were seen draining
 
-	duty       *lease.Lease // the lease on reading the server list
-	ownReading ownListReads
+	listLease    *lease.Lease // the lease on reading the server list
+	ownListReads ownListReads
 
 	healthJudge *serverJudge // health verdicts on servers, from the evidence of all proxies
 
@@ -93,7 +93,7 @@
 // New returns a replica with the state that it finds on disk; disk is nil for a replica without one.
 func New(initial *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
 	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(),
-		roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), dutyWakeup: make(chan struct{}, 1),
+		roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), listLeaseWakeup: make(chan struct{}, 1),
 		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1),
 		lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{},
 		dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
@@ -108,7 +108,7 @@
 	b.applyRestoredState()
 	b.cloudClient = newCloudClient(w)
 	b.healthJudge = newServerJudge()
-	b.duty = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
+	b.listLease = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
 	return b
 }
 
@@ -163,7 +163,7 @@
 	b.leaving = true
 	why := "told to end"
 	var duty *peerlink.Duty
-	for _, message := range b.duty.Leave() {
+	for _, message := range b.listLease.Leave() {
 		duty = &message.Duty
 	}
 	for _, all := range b.links {
