--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// sendChange numbers a change and sends it, with the state of the duty unless that is nil.
+// sendChange numbers a change and sends it, with the state of the list lease unless that is nil.
 func (l *link) sendChange(c *peerlink.Change, d *peerlink.Duty) {
 	l.lastChangeNumber++
 	c.No = l.lastChangeNumber
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -52,9 +52,9 @@
 	sentCensus     *peerlink.Census // the census last sent to the agents that use this replica as upstream
 	censusSentAt   time.Duration
 
-	contents            statestore.Contents         // this replica's record and the configurations that it refers to, as they are written to disk
+	contents            statestore.Contents         // this replica's record and its configurations, as written to disk
 	highestRound        uint64                      // round of the highest ballot that was used or seen
-	lastOnePhaseVersion uint64                      // the newest version that this process proposed in one phase, without promises
+	lastOnePhaseVersion uint64                      // the newest version that this process proposed in one phase
 	pendingChanges      []*stateChange              // changes that no proposal contains yet
 	versionLearned      chan struct{}               // signals that a newer decided version was learned
 	promisedAt          time.Duration               // when this replica last granted a promise or an acceptance
@@ -69,8 +69,8 @@
 	configuration        *peerlink.Configuration    // the decided one
 	parsedConfiguration  *routeconfig.Configuration // configuration, parsed; an earlier one, or nil, until parsing ends
 	ordersInForce        map[string]peerlink.Zone   // decided orders by subject: a zone, a proxy or a server
-	decidedConfirmed     delivery.Confirmation      // start of the last round in which a majority confirmed the decided state as the latest
-	majorityContact      delivery.Confirmation      // start of the last round in which a majority answered and this replica was not behind
+	decidedConfirmed     delivery.Confirmation      // start of the last round that confirmed the decided state as the latest
+	majorityContact      delivery.Confirmation      // start of the last round that a majority answered with this replica not behind
 	newestReported       uint64                     // highest version that another replica reported in the previous round
 	configurationHistory delivery.History           // configurations that have been in force at this replica
 	contactAlarmedAt     time.Duration              // when the loss of contact with a majority was last logged
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// announceLeaving tells all connected replicas and agents that this replica shuts down, and hands its duty over.
+// announceLeaving tells all connected replicas and agents that this replica shuts down, and hands the list lease over.
 func (b *Replica) announceLeaving() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// What is drawn is the same in every run, and less than usual; -rapid.seed and -rapid.checks say otherwise.
+// Property tests use a fixed seed and fewer checks than the default; the flags -rapid.seed and -rapid.checks override both.
 func init() { _, _ = flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "40") }
 
 // multiServiceSettings are the settings of a gateway of many services before it is told anything.
@@ -38,16 +38,15 @@
 	return Plan{Name: "t", Rate: rate, Burst: burst, HardRate: 1.1 * rate, HardBurst: 0.9 * (1.1*burst + 20)}
 }
 
-// Whatever gateways hear of each other, are told late of limits, however often they start anew and while more of
-// them come (of whom all are told at once), all together pass no more of a tenant's requests in any span than its rule allows, by the limits that were in
-// force at some moment of it.
+// All gateways together pass no more of a tenant's requests in any span than the limits in force during it allow, while
+// messages are lost, limits arrive late, gateways restart and gateways are added (which all learn of at once).
 func TestQuotaHoldsOverAllGateways(t *testing.T) {
-	const late = 300 * ms
+	const maxDelay = 300 * ms
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Plan {
 			return limitedPlan(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
 		}
-		type term struct {
+		type limitPeriod struct {
 			Plan
 			from, to time.Duration
 		}
@@ -65,8 +64,8 @@
 				}
 			case 2:
 				p := draw()
-				terms[len(terms)-1].to = m.now + late
-				terms = append(terms, term{p, m.now, time.Hour})
+				limits[len(limits)-1].to = m.now + maxDelay
+				limits = append(limits, limitPeriod{p, m.now, time.Hour})
 				m.plans = []Plan{p}
 				for i := range m.gateways {
 					m.deliverLater(i, multiServiceConfig(p), late)
@@ -80,7 +79,7 @@
 			}
 			owed := 0.0
 			m.pass(time.Duration(rapid.SampledFrom([]int{300, 1000, 4000}).Draw(t, "lasts"))*ms, func() {
-				for owed += times * terms[len(terms)-1].Rate / 100; owed >= 1; owed-- {
+				for owed += times * limits[len(limits)-1].Rate / 100; owed >= 1; owed-- {
 					i := at
 					if at >= len(m.gateways) {
 						i = m.rng.IntN(len(m.gateways))
@@ -94,20 +93,20 @@
 				at, rate, burst := m.sends[i].at, 0.0, 0.0
 				for ; end < len(m.sends) && m.sends[end].at < at+span; end++ {
 				}
-				for _, p := range terms {
+				for _, p := range limits {
 					if p.from < at+span && at < p.to {
 						rate, burst = max(rate, p.Rate), max(burst, p.Burst)
 					}
 				}
-				if most := (rate*span.Seconds()+burst)*1.1 + 20; float64(end-i) > most {
-					t.Fatalf("%d passed in %v from %v on, where %.1f may", end-i, span, at, most)
+				if allowed := (rate*span.Seconds()+burst)*1.1 + 20; float64(end-i) > allowed {
+					t.Fatalf("%d passed in %v from %v on, %.1f allowed", end-i, span, at, allowed)
 				}
 			}
 		}
 	})
 }
 
-// A tenant that asks for more than its rate gets most of it, whether gateways hear each other or not.
+// A tenant that sends more than its rate gets most of it, whether the gateways' messages arrive or not.
 func TestQuotaIsUsed(t *testing.T) {
 	for lost, least := range map[float64]int{0: 900, 1: 600} { // of 1000
 		m := newServiceGateways(5, 3, makeServers(4, "s"), limitedPlan(100, 100))
@@ -117,7 +116,7 @@
 				m.ask(m.rng.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 			}
 		})
-		assert.Assert(t, len(m.sends) >= least, "%d passed with %v of the mail lost", len(m.sends), lost)
+		assert.Assert(t, len(m.sends) >= minPassed, "%d passed with %v of the messages lost", len(m.sends), lossRate)
 	}
 }
 
@@ -143,7 +142,7 @@
 	assert.Assert(t, float64(passed) >= 0.99*float64(asked), "%d of %d passed", passed, asked)
 }
 
-// A limit holds for tenants that were there before it.
+// A new limit applies to tenants that sent requests before it.
 func TestLimitComesIntoForce(t *testing.T) {
 	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limitedPlan(1000, 1000)}} {
 		t.Run(name, func(t *testing.T) {
@@ -160,7 +159,7 @@
 				m.do(i, multiServiceConfig(limitedPlan(50, 50)))
 			}
 			m.pass(6*time.Second, flood)
-			n := len(m.sends) - was
+			n := len(m.sends) - sentBefore
 			assert.Assert(t, n >= 240 && n <= 50+6*55+20, "%d passed under a limit of 50 a second", n)
 		})
 	}
@@ -170,12 +169,12 @@
 func TestRequestStaysInItsServiceAndRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []Server
-		by := map[ServerID]Server{}
+		byID := map[ServerID]Server{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
 			s := Server{ID: ServerID(i), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Slots: 2,
 				Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"), Region: rapid.SampledFrom([]string{"r", "q"}).Draw(t, "region"),
 				State: rapid.SampledFrom([]State{Running, Running, Draining}).Draw(t, "state")}
-			servers, by[s.ID] = append(servers, s), s
+			servers, byID[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
 		m.code = func(Send) Code { return Code(m.rng.IntN(int(NoRetry))) }
@@ -187,7 +186,7 @@
 			m.ask(m.rng.IntN(2), r)
 		})
 		for _, s := range m.sends {
-			r, at := asked[s.ID], by[s.Server]
+			r, at := asked[s.ID], byID[s.Server]
 			if at.Service != r.Service || len(r.Regions) > 0 && !slices.Contains(r.Regions, at.Region) || at.State != Running ||
 				m.attempts[s.ID] > r.MaxAttempts {
 				t.Fatalf("%+v was sent %d times, to %+v", r, m.attempts[s.ID], at)
@@ -196,15 +195,15 @@
 	})
 }
 
-// A cold server gets no more in a second than it bears, from any number of gateways, and something where it can:
-// when it turns cold, as its service's figures change, and when more gateways come.
+// A cold server gets no more requests a second than its limit from any number of gateways, but some if the limit is 2 or
+// more: when it becomes cold, as its limit changes, and when gateways are added.
 func TestColdServerBearsAllGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "gateways")
 		cold := makeServers(1, "s")
 		m := newServiceGateways(n, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
-		for k := range 3 {
+		for round := range 3 {
 			cold[0].ColdSendRate = rapid.Float64Range(0, 60).Draw(t, "bears")
 			if k == 2 {
 				n++
@@ -213,11 +212,11 @@
 			}
 			for i := range m.gateways {
 				m.do(i, ServerList{Kind: CompleteList, Servers: cold})
-				if k == 2 {
-					m.do(i, GatewaySet{Me: i, Gateways: n})
+				if round == 2 {
+					m.do(i, GatewaySet{Me: i, Gateways: gatewayCount})
 				}
 			}
-			m.pass(1200*ms, nil) // what went before counts for those
+			m.pass(1200*ms, nil) // earlier sends count for this long
 			m.sends = nil
 			m.pass(2*time.Second, func() {
 				for range 2 + n/10 {
@@ -226,7 +225,7 @@
 			})
 			most := m.maxSendsIn(time.Second, func(sentAttempt) bool { return true })
 			if float64(most) > cold[0].ColdSendRate || most == 0 && cold[0].ColdSendRate >= 2 {
-				t.Fatalf("%d sent in a second by %d gateways to a server that bears %.1f", most, n, cold[0].ColdSendRate)
+				t.Fatalf("%d sent in a second by %d gateways to a server with a limit of %.1f", most, gatewayCount, cold[0].ColdSendRate)
 			}
 		}
 	})
@@ -237,12 +236,12 @@
 	m := newServiceGateways(1, 1, append(makeServers(4, "s"), makeServers(4, "tt")...))
 	ill := true
 	m.code = func(s Send) Code {
-		if s.Server >= 200 || !ill {
+		if s.Server >= 200 || !failing {
 			return OK
 		}
 		return Error
 	}
-	again := func() (n int) {
+	retries := func() (n int) {
 		for _, s := range m.sends {
 			if s.isRetry {
 				n++
@@ -259,15 +258,15 @@
 	}
 	ask("tt", 300)
 	ask("s", 10)
-	assert.Equal(t, again(), 1, "of ten requests, whatever another service has earned")
+	assert.Equal(t, retries(), 1, "retries of ten requests, whatever another service has earned")
 	ask("s", 400)
-	n := again()
-	assert.Assert(t, n > 0 && n <= 400*14/100+1, "%d further tries of 400 that failed", n)
-	ill = false
+	n := retries()
+	assert.Assert(t, n > 0 && n <= 400*14/100+1, "%d retries of 400 failed requests", n)
+	failing = false
 	ask("s", 50)
-	ill = true
+	failing = true
 	ask("s", 10)
-	assert.Assert(t, again() >= 3, "a service that was ill and has been well for 50 requests gets no further tries")
+	assert.Assert(t, retries() >= 3, "too few retries for a service after 50 successful requests")
 }
 
 // A server that fails is left, whatever number its requests' class has.
@@ -275,9 +274,9 @@
 	m := newServiceGateways(1, 1, makeServers(4, "s"))
 	var many ConfigUpdate
 	for i := range 12 {
-		many.Classes = append(many.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
+		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
 	}
-	m.do(0, many)
+	m.do(0, added)
 	m.code = func(s Send) Code {
 		if s.Server == 100 {
 			return Error
@@ -291,7 +290,7 @@
 			hits++
 		}
 	}
-	assert.Assert(t, hits <= 10, "%d of %d to a server that fails", hits, len(m.sends)/2)
+	assert.Assert(t, hits <= 10, "%d of %d sent to a failing server", hits, len(m.sends)/2)
 }
 
 // An answer that is lost at a server that answers all others is not waited for to the end, if its request may run again;
@@ -312,14 +311,14 @@
 		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.lastID+1)%2], Service: "s", MaxAttempts: 2})
 	})
 	assert.Assert(t, len(lost) >= 8, "%d lost", len(lost))
-	recalled := map[string]int{}
+	cancelled := map[string]int{}
 	for _, s := range m.sends {
 		if at, is := m.cancelledAt[s.ID]; is && !s.isRetry {
 			recalled[lost[s.ID]]++
 			assert.Assert(t, at-s.at < time.Second, "%v", at-s.at)
 		}
 	}
-	assert.Assert(t, recalled["safe"] >= 3 && recalled["once"] == 0 && recalled[""] == 0, "%v", recalled)
+	assert.Assert(t, cancelled["safe"] >= 3 && cancelled["once"] == 0 && cancelled[""] == 0, "%v", cancelled)
 }
 
 // One that is given another number is no peer of its own, one that has gone is none either, and a request that was
@@ -331,17 +330,17 @@
 	g := m.gateways[0]
 	c := g.customers[keyOf("t")]
 	assert.Equal(t, c.parts, 3.0)
-	for _, x := range []struct {
+	for _, change := range []struct {
 		GatewaySet
 		others []int
 	}{{GatewaySet{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {GatewaySet{Me: 1, Gateways: 3}, []int{0, 2}}, {GatewaySet{Me: 0, Gateways: 2}, []int{1}}} {
-		g.Handle(m.now, x.GatewaySet, nil)
-		var at []int
+		g.Handle(m.now, change.GatewaySet, nil)
+		var peers []int
 		for _, v := range c.views {
-			at = append(at, v.peer.index)
+			peers = append(peers, v.peer.index)
 		}
-		slices.Sort(at)
-		assert.DeepEqual(t, at, x.others)
-		assert.Equal(t, c.parts, float64(x.Gateways))
+		slices.Sort(peers)
+		assert.DeepEqual(t, peers, change.others)
+		assert.Equal(t, c.parts, float64(change.Gateways))
 	}
 }
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -8,7 +8,7 @@
 		g.updateUsualLoads()
 	}
 	if g.usesRoots || g.borrows {
-		return // reports tell of no servers
+		return // reports contain no servers
 	}
 	for _, s := range g.serverList {
 		s.peerInFlight = 0
@@ -43,7 +43,7 @@
 func (g *Gateway) updateUsualLoads() {
 	type group struct{ service, region string }
 	type mean struct{ sum, weight, latest float64 }
-	all := map[group]mean{}
+	means := map[group]mean{}
 	for _, s := range g.serverList {
 		if s.hasLoadReport && s.State == Running {
 			k := group{s.Service, s.Region}
@@ -53,8 +53,8 @@
 	}
 	for _, s := range g.serverList {
 		s.typicalInFlight = 0
-		if m := all[group{s.Service, s.Region}]; m.weight > 0 {
-			s.typicalInFlight = m.sum / m.weight * m.latest
+		if previous := means[group{s.Service, s.Region}]; previous.weight > 0 {
+			s.typicalInFlight = previous.sum / previous.weight * previous.latest
 		}
 	}
 }
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -1,7 +1,7 @@
 package policy
 
-// Reports from all to all, and where those are too many the roots of customers: where a customer's
-// counts are not here, a request waits for its root's answer.
+// Messages between gateways: reports from all to all or, where those would be too many, asking a
+// customer's root. A request of a customer that is not counted here waits for the root's reply.
 
 import (
 	"math"
@@ -47,9 +47,9 @@
 	if r.askCount == 0 {
 		r.ownCeiling = c.ceiling >= r.units
 	}
-	if r.askCount == 0 || r.root != to { // the same name when the same root is asked again
+	if r.askCount == 0 || r.root != to { // the tag stays when the same root is asked again
 		if r.askCount > 0 {
-			g.sendAskEnded(r) // it may have granted it
+			g.sendAskEnded(r) // the former root may have granted it
 		}
 		g.nextTag++
 		r.tag = g.nextTag
@@ -83,7 +83,7 @@
 // that follows from the places that are asked for and from what the root's mail still bears.
 func (g *Gateway) replyToAsk(r *request, v byte) {
 	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
-	part := 1.0
+	askShare := 1.0
 	if r.customer.plan.MaxInFlight > 0 {
 		left := max(minAskShare, 1-g.recentMessages/demandTimeConstant.Seconds()/max(1, g.cfg.MessagesPerSecond))
 		part = min(1, left*float64(r.customer.plan.MaxInFlight)*demandTimeConstant.Seconds()/r.customer.slotDemand)
@@ -91,6 +91,5 @@
 	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
 		part = min(part, r.customer.plan.Rate*demandTimeConstant.Seconds()/max(r.customer.demand, 1))
 	}
-	g.emit(SendPeer{To: r.root, Data: encode(askReply{
-		r.tag, v, fill, toByte(100 * g.lateness), toByte(250 * part)})})
+	g.emit(SendPeer{To: r.root, Data: encode(askReply{r.tag, decision, fill, toByte(100 * g.lateness), toByte(250 * askShare)})})
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -1,6 +1,6 @@
 package policy
 
-// Tables at the start, and what is let go of them.
+// Creation of a gateway's tables, and removal of expired entries.
 
 import (
 	"math/rand/v2"
@@ -55,16 +55,16 @@
 	}
 	delete(g.customersByHash, c.hash)
 	var other *customer
-	n := 0
-	for _, o := range g.customers {
-		if o.hash == c.hash {
-			other, n = o, n+1
+	count := 0
+	for _, candidate := range g.customers {
+		if candidate.hash == c.hash {
+			other, count = candidate, count+1
 		}
 	}
 	switch {
-	case n == 1:
+	case count == 1:
 		g.customersByHash[c.hash] = other
-	case n > 1:
+	case count > 1:
 		g.customersByHash[c.hash] = nil
 	}
 }
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -1,6 +1,6 @@
 package policy
 
-// How far servers are trusted, by what all gateways saw together; who sums that up tells it with Trusts.
+// Trust in servers, based on what all gateways observed; a TrustUpdate event brings it.
 
 // allowedByTrust tells whether a request may go to a server, if only as a trial.
 func (s *server) allowedByTrust(r *request) bool {
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -1,7 +1,7 @@
 package policy
 
-// Where reports from all to all would be too many: few owners near each gateway hold what of a
-// customer's ceiling is too little to be dealt out, and the others borrow it, a request at a time.
+// Borrowing, for so many gateways that not all can report to all: where a customer's ceiling is too small to divide
+// among all gateways, a few owners near each gateway hold it, and the others borrow units for each request.
 
 import (
 	"cmp"
@@ -15,10 +15,10 @@
 	all, mine := 0, false
 	c.owners = nil // those of the own region first
 	for _, region := range g.regions {
-		var list []int
+		var regionOwners []int
 		for i, r := range g.gatewayRegions {
 			if r == region {
-				list = append(list, i)
+				regionOwners = append(regionOwners, i)
 			}
 		}
 		slices.SortFunc(list, func(a, b int) int {
@@ -27,9 +27,9 @@
 		list = list[:min(len(list), ownersPerRegion)]
 		all, mine = all+len(list), mine || slices.Contains(list, g.cfg.Me)
 		if g.cfg.Me < len(g.gatewayRegions) && region == g.gatewayRegions[g.cfg.Me] {
-			list, c.owners = append(list, c.owners...), nil
+			regionOwners, c.owners = append(regionOwners, c.owners...), nil
 		}
-		c.owners = append(c.owners, list...)
+		c.owners = append(c.owners, regionOwners...)
 	}
 	dealt := dealtCeilingShare
 	if c.plan.HardBurst*dealt/float64(g.ceilingPartCount()) < minDealtUnits {
@@ -42,7 +42,7 @@
 	c.parts = g.ceilingDivisor(1 / max(part, minCeilingShare))
 }
 
-// mayBorrow tells whether there is somebody to ask for the units that a request's customer lacks here.
+// mayBorrow reports whether there is a gateway to borrow from for a request whose customer lacks units here.
 func (g *Gateway) mayBorrow(r *request) bool {
 	if !g.borrows {
 		r.customer.owners = g.lenders(r)
@@ -50,7 +50,7 @@
 	return len(r.customer.owners) > 0
 }
 
-// borrow asks the customer's owners for a request's units, one after the other.
+// borrow asks the possible lenders for a request's units, one after the other.
 func (g *Gateway) borrow(r *request) {
 	for delete(g.pendingAsks, r.tag); r.askCount < len(r.customer.owners); {
 		to := r.customer.owners[r.askCount]
@@ -80,21 +80,21 @@
 	if c == nil {
 		plan := g.planForKey(m.Customer)
 		if plan == nil {
-			return // its configuration is not here yet; the asker goes on to another
+			return // its configuration has not arrived yet; the peer asks another gateway after a timeout
 		}
 		c = g.addCustomer(m.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
 	c.lastRequestAt = g.now
-	answer := loanReply{m.Customer, m.Tag, 0}
+	reply := loanReply{m.Customer, m.Tag, 0}
 	if units := float64(m.Units); c.ceiling >= units && g.unusedShare < 1 {
 		c.ceiling -= units
 		if !g.borrows {
-			c.onLoan += units // not filled again before it has arrived
+			c.onLoan += units // not refilled before the loan arrives
 		}
-		answer.Units = m.Units
+		reply.Units = m.Units
 	}
-	g.emit(SendPeer{To: from, Data: encode(answer)})
+	g.emit(SendPeer{To: from, Data: encode(reply)})
 }
 
 // onLoanTimeout notes that an owner did not answer, and asks another.
--- a/policy/wide_test.go
+++ b/policy/wide_test.go
@@ -12,12 +12,12 @@
 	shares := 0
 	for _, r := range regions {
 		if r != "" {
-			shares++
+			usedNumbers++
 		}
 	}
 	for i, g := range m.gateways {
 		if g != nil {
-			m.do(i, GatewaySet{Me: i, Gateways: len(regions), CeilingParts: shares, Regions: regions})
+			m.do(i, GatewaySet{Me: i, Gateways: len(regions), CeilingParts: usedNumbers, Regions: regions})
 		}
 	}
 }
@@ -52,11 +52,12 @@
 			m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 		}
 	})
-	return float64(len(m.sends)-sent) / float64(asked)
+	return float64(len(m.sends)-sentBefore) / float64(asked)
 }
 
-// Forty gateways serve a tenant of forty requests a second, a crumb for each: nearly all of what it asks for
-// inside its limit passes, with an owner dead too; a flood stays under the rule, with mail lost and owners started anew.
+// Forty gateways serve a tenant with a limit of forty requests a second, too few to divide: nearly all requests within
+// the limit pass, even with an owner down, and an overload stays below the limit while messages are lost and owners
+// restart.
 func TestSmallQuotaOverManyGateways(t *testing.T) {
 	for seed := range uint64(4) {
 		m := newServiceGateways(40, seed, makeServers(3, "a"), limitedPlan(40, 40))
@@ -151,11 +152,11 @@
 	for _, c := range m.gateways[0].customerList {
 		c.ceiling = 0
 	}
-	sent := len(m.sends)
+	sentBefore := len(m.sends)
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
 	assert.Equal(t, m.heldRequests(), 1)
 	m.pass(120*ms, nil)
-	assert.Equal(t, len(m.sends)-sent, 1)
+	assert.Equal(t, len(m.sends)-sentBefore, 1)
 }
 
 // Where the part of a tenant's rate that a gateway holds is used up and another's is not, requests go with units of the
