--- a/policy/admit.go
+++ b/policy/admit.go
@@ -36,8 +36,7 @@
 	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
 	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
 	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < serverShortageSpan
-	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayWait(r) ||
-		r.isRetry && (bucketLow || serversBusy) {
+	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayWait(r) || r.isRetry && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
 	}
@@ -62,7 +61,7 @@
 	return c.plan.HardRate == 0 || !r.usesOwnCeiling() || c.ceiling >= r.units
 }
 
-// mayWait reports whether a request may wait for its customer's units: no more than refill in time.
+// mayWait reports whether a request may wait for its customer's units: no more may than refill in time.
 func (g *Gateway) mayWait(r *request) bool {
 	if g.cfg.MultiService == nil || g.borrows || g.totalDemand(r.customer) > r.customer.plan.Rate {
 		return false // demand exceeds the quota: waiting would only delay later requests
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -179,9 +179,10 @@
 // askFor returns the ask for a request.
 func (g *Gateway) askFor(r *request) askMessage {
 	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
-	m := askMessage{Customer: c.key, FirstGateway: uint16(c.firstGateway), GatewayCount: uint16(c.gatewayCount), Plan: c.plan.index,
-		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
-		Tag: r.tag, BucketFill: unknownFill, AskChance: toByte(250 * r.askChance)}
+	m := askMessage{Customer: c.key, FirstGateway: uint16(c.firstGateway), GatewayCount: uint16(c.gatewayCount),
+		Plan: c.plan.index, Class: byte(r.class.index), Units: uint16(r.units),
+		RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
+		Tag:         r.tag, BucketFill: unknownFill, AskChance: toByte(250 * r.askChance)}
 	if r.isRetry {
 		m.Flags |= flagRetry
 	}
@@ -196,7 +197,8 @@
 
 // requestFrom returns the request that another gateway asks for.
 func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
-	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
+	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name],
+		effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
 		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRetry != 0,
 		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
