--- a/internal/control/agent_updates.go
+++ b/internal/control/agent_updates.go
@@ -42,7 +42,7 @@
 
 // listWithAge returns the list with its age, as it is sent to another replica; the mutex is held.
 func (b *Replica) listWithAge(list *peerlink.Servers) *peerlink.Servers {
-	reading := b.newestReading.message(b.now())
+	reading := b.latestListRead.message(b.now())
 	if list == nil || reading == nil {
 		return list
 	}
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -280,7 +280,7 @@
 func (r *runningReplica) holdsListLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.duty.Holds()
+	return r.listLease.Holds()
 }
 
 // An agent that holds another text under the number of the configuration in force is sent the one in force.
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -103,7 +103,7 @@
 func (f *clusterFixture) leaseSuccessor(holder int) int {
 	r := f.at(holder)
 	r.mu.Lock()
-	next := r.duty.Known().Next.Name
+	next := r.listLease.Known().Next.Name
 	r.mu.Unlock()
 	for i := range f.replicas {
 		if f.settings(i).Self.Name == next {
@@ -119,7 +119,7 @@
 		reader := f.at(holder)
 		reader.mu.Lock()
 		defer reader.mu.Unlock()
-		return !reader.ownReading.inProgress && reader.now() >= reader.ownReading.work.LastOwn+reader.ownReading.work.Period-20*time.Millisecond
+		return !reader.ownListReads.inProgress && reader.now() >= reader.ownListReads.work.LastOwn+reader.ownListReads.work.Period-20*time.Millisecond
 	})
 }
 
@@ -143,7 +143,7 @@
 			reader, last, rank := f.leaseHolder(), -1, -1
 			for i, r := range f.replicas {
 				r.mu.Lock()
-				if n := r.duty.Rank(r.leaseView()); i != reader && n > rank {
+				if n := r.listLease.Rank(r.leaseView()); i != reader && n > rank {
 					last, rank = i, n
 				}
 				r.mu.Unlock()
--- a/internal/control/list_lease.go
+++ b/internal/control/list_lease.go
@@ -34,16 +34,16 @@
 		return
 	}
 	b.mu.Lock()
-	b.ownReading.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
+	b.ownListReads.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
 		now, view := b.now(), b.leaseView()
-		b.sendLeaseMessages(b.duty.Step(view))
-		next := min(b.duty.NextStep(view), now+time.Second)
+		b.sendLeaseMessages(b.listLease.Step(view))
+		next := min(b.listLease.NextStep(view), now+time.Second)
 		if due := b.nextListReadAt(view); due > now {
 			next = min(next, due)
-		} else if reads := &b.ownReading; !reads.inProgress {
+		} else if reads := &b.ownListReads; !reads.inProgress {
 			reads.inProgress, reads.work.LastOwn = true, now
 			stamp := max(b.world.Now().UnixNano(), b.listStamp+1)
 			b.jobs.Go(func() { b.readListOnce(ctx, stamp) })
@@ -52,7 +52,7 @@
 		timer := b.world.NewTimer(max(minWakeDelay, next-now))
 		select {
 		case <-timer.C():
-		case <-b.dutyWakeup:
+		case <-b.listLeaseWakeup:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -64,9 +64,9 @@
 	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return view.Now + time.Second
 	}
-	work := &b.ownReading.work
-	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.newestReading.period), b.newestReading.learnedAt, b.othersReadingAt
-	return max(b.ownReading.retryAt, b.duty.NextRun(view, b.ownReading.work))
+	work := &b.ownListReads.work
+	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.latestListRead.period), b.latestListRead.learnedAt, b.othersListReadAt
+	return max(b.ownListReads.retryAt, b.listLease.NextRun(view, b.ownListReads.work))
 }
 
 // readListOnce reads the list from the platform and applies it under the given stamp, in nanoseconds.
@@ -78,13 +78,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.signalLeaseChange()
-	reads := &b.ownReading
+	reads := &b.ownListReads
 	if reads.inProgress = false; err != nil {
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
 		reads.failureCount++
 		reads.retryAt = b.now() + listRetryDelay
-		if b.othersReadingAt > reads.work.LastOwn-reads.work.Period {
-			b.sendLeaseMessages(b.duty.Yield()) // another replica can read it
+		if b.othersListReadAt > reads.work.LastOwn-reads.work.Period {
+			b.sendLeaseMessages(b.listLease.Yield()) // another replica can read it
 		}
 		return
 	}
@@ -93,9 +93,9 @@
 	b.log.V(1).Info("list read", "pages", pages, "took", reads.lastReadTook)
 	servers := &peerlink.Servers{Stamp: stamp, By: b.self.Name, List: list,
 		Reading: peerlink.Reading{Age: reads.lastReadTook, Period: terms.Period(pages), Pages: pages}}
-	if b.duty.Holds() {
-		servers.Term = b.duty.Known().Term
-		b.duty.NoteAnnounced(b.now())
+	if b.listLease.Holds() {
+		servers.Term = b.listLease.Known().Term
+		b.listLease.NoteAnnounced(b.now())
 	}
 	b.applyList(servers)
 }
@@ -122,9 +122,9 @@
 
 // handleLeaseMessage processes another replica's message about the list lease; the mutex is held.
 func (b *Replica) handleLeaseMessage(link *link, message *peerlink.Duty) {
-	before := b.duty.Known()
-	b.sendLeaseMessages(b.duty.Receive(b.leaseView(), link.processID(), *message))
-	if after := b.duty.Known(); after.Term != before.Term {
+	before := b.listLease.Known()
+	b.sendLeaseMessages(b.listLease.Receive(b.leaseView(), link.processID(), *message))
+	if after := b.listLease.Known(); after.Term != before.Term {
 		b.log.Info("list lease changed", "holder", after.Holder.Name, "next", after.Next.Name, "epoch", after.Term.Epoch, "step", after.Term.Step)
 	}
 	b.signalLeaseChange()
@@ -144,7 +144,7 @@
 // signalLeaseChange makes runListLease check the lease now; the mutex may be held.
 func (b *Replica) signalLeaseChange() {
 	select {
-	case b.dutyWakeup <- struct{}{}:
+	case b.listLeaseWakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/control/list_reader.go
+++ b/internal/control/list_reader.go
@@ -47,7 +47,7 @@
 // with the zones in parallel, since within one listing each page needs the token of the page before it.
 func (b *Replica) readList(ctx context.Context, address string, terms listing.Terms) (list []peerlink.Server, pages int, err error) {
 	b.mu.Lock()
-	zones, known := b.listZones(), b.newestReading.pages
+	zones, known := b.listZones(), b.latestListRead.pages
 	b.mu.Unlock()
 	reader := &listReader{replica: b, address: address, terms: terms}
 	zoned := zones
@@ -110,7 +110,7 @@
 func (b *Replica) listReaderCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.duty.Holds() {
+	if b.listLease.Holds() {
 		return 1
 	}
 	return len(b.links) + 1
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -86,7 +86,7 @@
 		f.waitFor(time.Minute, "read by all again", func() bool {
 			for _, replica := range f.replicas {
 				replica.mu.Lock()
-				age := replica.now() - replica.newestReading.startedAt
+				age := replica.now() - replica.latestListRead.startedAt
 				replica.mu.Unlock()
 				if age > time.Since(restored) {
 					return false
--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -166,7 +166,7 @@
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
 	l.sentList = b.currentList()
-	duty := b.duty.Greeting()
+	duty := b.listLease.Greeting()
 	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.listWithAge(l.sentList), Lately: b.healthJudge.verdictsInForce()}, &duty)
 	b.sendDecided(l)
 	if target := b.dialTargets[h.Inner]; target != nil && target.stopDialling != nil && b.isDialledBy(h.Inner) {
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -225,8 +225,8 @@
 		left := max(0, lock.For-(now-b.observedLock.firstSeen))
 		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
-	duty := b.duty.Known()
-	status.Duties = []api.Duty{{Name: listLeaseName, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.duty.Rank(b.leaseView())}}
+	duty := b.listLease.Known()
+	status.Duties = []api.Duty{{Name: listLeaseName, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.listLease.Rank(b.leaseView())}}
 	status.List = b.listView(now)
 	return status
 }
@@ -323,7 +323,7 @@
 	if b.serverList == nil {
 		return view
 	}
-	view.By, view.HeardMS = b.serverList.By, (now - b.newestReading.learnedAt).Milliseconds()
+	view.By, view.HeardMS = b.serverList.By, (now - b.latestListRead.learnedAt).Milliseconds()
 	zones := map[string]*api.ServersIn{}
 	for _, server := range b.serverList.List {
 		zone := zones[server.Zone]
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -24,19 +24,19 @@
 // Replica is one process of control. It takes part in deciding the operators' configuration, and keeps the connected
 // agents up to date.
 type Replica struct {
-	world         world.World
-	log           logr.Logger
-	settings      *settings.Settings                // as read at the start
-	liveSettings  atomic.Pointer[settings.Settings] // the latest settings; they differ from settings only in what may change without a restart
-	self          peerlink.Hello
-	store         *statestore.Store
-	startedAt     time.Time // zero of the replica's monotonic clock
-	cloudClient   *http.Client
-	roundWanted   chan struct{} // signals that a round of reports is wanted now
-	censusChanged chan struct{} // signals that the census may have changed
-	dutyWakeup    chan struct{} // signals that the holder of the duty may have changed
-	jobs          sync.WaitGroup
-	ctx           context.Context // parent of every background job's context
+	world           world.World
+	log             logr.Logger
+	settings        *settings.Settings                // as read at the start
+	liveSettings    atomic.Pointer[settings.Settings] // the latest settings; they differ from settings only in what may change without a restart
+	self            peerlink.Hello
+	store           *statestore.Store
+	startedAt       time.Time // zero of the replica's monotonic clock
+	cloudClient     *http.Client
+	roundWanted     chan struct{} // signals that a round of reports is wanted now
+	censusChanged   chan struct{} // signals that the census may have changed
+	listLeaseWakeup chan struct{} // signals that the holder of the duty may have changed
+	jobs            sync.WaitGroup
+	ctx             context.Context // parent of every background job's context
 
 	mu             sync.Mutex
 	leaving        bool
@@ -76,14 +76,14 @@
 	contactAlarmedAt     time.Duration              // when the loss of contact with a majority was last logged
 	observedLock         lockObservation
 
-	serverList      *peerlink.Servers // the newest known list
-	listStamp       int64             // stamp of the newest reading, which may have found the list unchanged
-	newestReading   latestListRead    // age and period of the newest reading
-	othersReadingAt time.Duration     // when the newest reading by another replica began
-	drainedServers  map[string]bool   // by ID: server instances that were seen draining
+	serverList       *peerlink.Servers // the newest known list
+	listStamp        int64             // stamp of the newest reading, which may have found the list unchanged
+	latestListRead   latestListRead    // age and period of the newest reading
+	othersListReadAt time.Duration     // when the newest reading by another replica began
+	drainedServers   map[string]bool   // by ID: server instances that were seen draining
 
-	duty       *lease.Lease // the lease on the duty to read the server list
-	ownReading ownListReads
+	listLease    *lease.Lease // the lease on the duty to read the server list
+	ownListReads ownListReads
 
 	healthJudge *serverJudge // health verdicts on servers, from the evidence of all proxies
 
@@ -92,7 +92,7 @@
 
 // New returns a replica with the state that it finds on disk; disk is nil for a replica without one.
 func New(initial *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
-	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), dutyWakeup: make(chan struct{}, 1),
+	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), listLeaseWakeup: make(chan struct{}, 1),
 		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1), lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{}, dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
 		ordersInForce: map[string]peerlink.Zone{}, drainedServers: map[string]bool{}}
 	b.liveSettings.Store(initial)
@@ -105,7 +105,7 @@
 	b.applyRestoredState()
 	b.cloudClient = newCloudClient(w)
 	b.healthJudge = newServerJudge()
-	b.duty = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
+	b.listLease = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
 	return b
 }
 
@@ -160,7 +160,7 @@
 	b.leaving = true
 	why := "told to end"
 	var duty *peerlink.Duty
-	for _, message := range b.duty.Leave() {
+	for _, message := range b.listLease.Leave() {
 		duty = &message.Duty
 	}
 	for _, all := range b.links {
--- a/internal/control/server_list.go
+++ b/internal/control/server_list.go
@@ -13,8 +13,8 @@
 		return
 	}
 	b.listStamp = servers.Stamp
-	if b.newestReading.update(servers.Reading, b.now()); servers.By != b.self.Name {
-		b.othersReadingAt = b.newestReading.startedAt
+	if b.latestListRead.update(servers.Reading, b.now()); servers.By != b.self.Name {
+		b.othersListReadAt = b.latestListRead.startedAt
 	}
 	if len(servers.List) > 0 {
 		servers = b.withKnownDraining(servers)
@@ -29,8 +29,8 @@
 		return
 	}
 	var duty *peerlink.Duty
-	if b.duty.Holds() {
-		greeting := b.duty.Greeting()
+	if b.listLease.Holds() {
+		greeting := b.listLease.Greeting()
 		duty = &greeting
 	}
 	for _, links := range b.links {
@@ -64,7 +64,7 @@
 		servers = &peerlink.Servers{Stamp: servers.Stamp, By: servers.By}
 	}
 	servers.Reading = reading
-	if b.duty.AcceptsTerm(term) {
+	if b.listLease.AcceptsTerm(term) {
 		b.applyList(servers)
 	}
 }
