--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -166,8 +166,8 @@
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
 	l.sentList = b.currentList()
-	duty := b.listLease.Greeting()
-	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.listWithAge(l.sentList), Lately: b.healthJudge.verdictsInForce()}, &duty)
+	leaseState := b.listLease.Greeting()
+	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.listWithAge(l.sentList), Lately: b.healthJudge.verdictsInForce()}, &leaseState)
 	b.sendDecided(l)
 	if target := b.dialTargets[h.Inner]; target != nil && target.stopDialling != nil && b.isDialledBy(h.Inner) {
 		target.stopDialling()
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -27,14 +27,14 @@
 	world           world.World
 	log             logr.Logger
 	settings        *settings.Settings                // as read at the start
-	liveSettings    atomic.Pointer[settings.Settings] // the latest settings; they differ from settings only in what may change without a restart
+	liveSettings    atomic.Pointer[settings.Settings] // the latest; only what may change without a restart differs
 	self            peerlink.Hello
 	store           *statestore.Store
 	startedAt       time.Time // zero of the replica's monotonic clock
 	cloudClient     *http.Client
 	roundWanted     chan struct{} // signals that a round of reports is wanted now
 	censusChanged   chan struct{} // signals that the census may have changed
-	listLeaseWakeup chan struct{} // signals that the holder of the duty may have changed
+	listLeaseWakeup chan struct{} // signals that the list lease may have changed hands
 	jobs            sync.WaitGroup
 	ctx             context.Context // parent of every background job's context
 
@@ -77,12 +77,12 @@
 	observedLock         lockObservation
 
 	serverList       *peerlink.Servers // the newest known list
-	listStamp        int64             // stamp of the newest reading, which may have found the list unchanged
-	latestListRead   latestListRead    // age and period of the newest reading
-	othersListReadAt time.Duration     // when the newest reading by another replica began
+	listStamp        int64             // stamp of the latest read of the list, which may have found it unchanged
+	latestListRead   latestListRead    // age and period of the latest read of the list
+	othersListReadAt time.Duration     // when the latest read by another replica began
 	drainedServers   map[string]bool   // by ID: server instances that were seen draining
 
-	listLease    *lease.Lease // the lease on the duty to read the server list
+	listLease    *lease.Lease // the lease on reading the server list
 	ownListReads ownListReads
 
 	healthJudge *serverJudge // health verdicts on servers, from the evidence of all proxies
@@ -92,8 +92,11 @@
 
 // New returns a replica with the state that it finds on disk; disk is nil for a replica without one.
 func New(initial *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
-	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), listLeaseWakeup: make(chan struct{}, 1),
-		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1), lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{}, dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
+	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(),
+		roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), listLeaseWakeup: make(chan struct{}, 1),
+		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1),
+		lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{},
+		dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
 		ordersInForce: map[string]peerlink.Zone{}, drainedServers: map[string]bool{}}
 	b.liveSettings.Store(initial)
 	s := initial.Self
