--- a/policy/mail.go
+++ b/policy/mail.go
@@ -23,15 +23,15 @@
 func (g *Gateway) askRoot(r *request) {
 	c := r.customer
 	isolated := g.unansweredAsks >= isolatedAfterAsks && r.askCount > 0
-	if delete(g.pendingAsks, r.tag); isolated || r.askCount > maxRootAsks ||
+	if delete(g.pendingAsks, r.tag); isolated || r.askCount > rootAsks ||
 		g.now+2*g.cfg.Resolution >= r.deadline {
-		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.mayAdmitWithoutRoot(r) || !g.trySend(r) {
+		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.mayAdmitAlone(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
 		return
 	}
 	to := c.askRoots[0]
-	if p := g.peerAt(to); r.askCount >= maxRootAsks || p.missed >= maxRootAsks && g.now-p.missedAt < unresponsivePause {
+	if p := g.peerAt(to); r.askCount >= rootAsks || p.missed >= rootAsks && g.now-p.missedAt < peerPause {
 		to = c.askRoots[1]
 	}
 	if to == g.cfg.Me {
@@ -65,18 +65,18 @@
 
 // mayAdmitAlone reports whether a request may pass though no root answers. If no peer answers, no more of a
 // plan passes here than roots allowed before: that limits the load and, while demand stays, keeps quotas.
-func (g *Gateway) mayAdmitWithoutRoot(r *request) bool {
+func (g *Gateway) mayAdmitAlone(r *request) bool {
 	if g.unansweredAsks < isolatedAfterAsks { // other peers answer: the roots are overloaded
 		return g.rng.Float64() < math.Pow(g.answeredShare, unansweredPassExponent)
 	}
 	plan := r.customer.plan
 	observedShare := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/askShareSpan.Seconds())
 	maxUnits := plan.passedGranted.add(g.now, askShareSpan, 0) / observedShare *
-		demandTimeConstant.Seconds() / askShareSpan.Seconds()
+		demandDecay.Seconds() / askShareSpan.Seconds()
 	if r.isRetry || plan.MaxInFlight > 0 {
 		maxUnits *= isolatedCautionFactor
 	}
-	return plan.passedAlone.add(g.now, demandTimeConstant, 0)+r.units/2 <= maxUnits
+	return plan.passedAlone.add(g.now, demandDecay, 0)+r.units/2 <= maxUnits
 }
 
 // replyToAsk sends a root's decision to the asking gateway, with the share of such requests to ask for. Under
@@ -85,12 +85,12 @@
 	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
 	askShare := 1.0
 	if r.customer.plan.MaxInFlight > 0 {
-		intake := max(minAskShare, 1-g.recentMessages/demandTimeConstant.Seconds()/max(1, g.cfg.MessagesPerSecond))
+		intake := max(minAskShare, 1-g.recentMessages/demandDecay.Seconds()/max(1, g.cfg.MessagesPerSecond))
 		askShare = min(1,
-			intake*float64(r.customer.plan.MaxInFlight)*demandTimeConstant.Seconds()/r.customer.slotDemand)
+			intake*float64(r.customer.plan.MaxInFlight)*demandDecay.Seconds()/r.customer.slotDemand)
 	}
 	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
-		askShare = min(askShare, r.customer.plan.Rate*demandTimeConstant.Seconds()/max(r.customer.demand, 1))
+		askShare = min(askShare, r.customer.plan.Rate*demandDecay.Seconds()/max(r.customer.demand, 1))
 	}
 	g.emit(SendPeer{To: r.root,
 		Data: encode(askReply{r.tag, decision, fill, toByte(100 * g.lateness), toByte(250 * askShare)})})
--- a/policy/values.go
+++ b/policy/values.go
@@ -4,15 +4,15 @@
 
 // Constants of no particular deployment: shares, counts of ticks, and times given by people and networks.
 const (
-	reportIntakeShare  = 0.75 // share of a gateway's message intake that reports may use
-	minTick, maxTick   = 25 * time.Millisecond, 250 * time.Millisecond
-	staleAfterReports  = 6    // report intervals after which a peer's report is no longer used
-	minSilentWeight    = 0.33 // a silent peer's demand decays to this share of it
-	idleExpiry         = 10 * time.Second
-	demandTimeConstant = 2 * time.Second       // decay of the demand rates
-	reportTransitTime  = 25 * time.Millisecond // transit time of a report
-	reportAgeWeight    = 0.01                  // urgency that a customer gains with each tick without a report
-	reportsPerChange   = 3                     // a change is included in this many reports
+	reportIntakeShare = 0.75 // share of a gateway's message intake that reports may use
+	minTick, maxTick  = 25 * time.Millisecond, 250 * time.Millisecond
+	staleAfterReports = 6    // report intervals after which a peer's report is no longer used
+	minSilentWeight   = 0.33 // a silent peer's demand decays to this share of it
+	idleExpiry        = 10 * time.Second
+	demandDecay       = 2 * time.Second       // decay of the demand rates
+	reportTransitTime = 25 * time.Millisecond // transit time of a report
+	reportAgeWeight   = 0.01                  // urgency that a customer gains with each tick without a report
+	reportsPerChange  = 3                     // a change is included in this many reports
 
 	assumedDemandShare, minAssumedDemand = 0.02, 0.05 // assumed of each gateway: of the rate, units a second
 
@@ -41,7 +41,7 @@
 
 	retryBudgetEarned, maxRetryBudget = 0.15, 12.0 // earned by each first attempt, maximum kept
 
-	coldBudgetShare = 0.5 // share of a cold server's budget that is used
+	coldSafety = 0.5 // share of a cold server's budget that is used
 
 	minOverdueShare  = 0.1 // an attempt is overdue at the soonest after this share of its target,
 	overdueFactor    = 4.0 // and when this many times as old as predicted
@@ -70,9 +70,9 @@
 	rootIntakeShare    = 0.5 // share of its message intake that a root spends on one customer
 	rootAskPeakFactor  = 2.0 // asks a root must bear, as a multiple of those within the quota
 	rootReportTicks    = 2   // ticks between the reports of a customer's roots to each other
-	maxRootAsks        = 3   // times a root is asked before its deputy is
+	rootAsks           = 3   // times a root is asked before its deputy is
 
-	unresponsivePause = time.Second // for a peer that left as many asks unanswered
+	peerPause = time.Second // for a peer that left as many asks unanswered
 
 	restartedBucketFill    = 0.8  // share of a bucket that a root assumes after its start
 	deputyCeilingShare     = 0.1  // share of a hard ceiling that the deputy holds
@@ -106,7 +106,7 @@
 	unlentDemandSpan = 500 * time.Millisecond // this gateway's demand of this time is not lent
 
 	lendThresholdShare = 0.5 // of its part, which a peer uses before it gets loans: bursts come on top
-	maxLoanFactor      = 2.0 // maximum loan, as a multiple of the demand beyond a part
+	maxLoan            = 2.0 // maximum loan, as a multiple of the demand beyond a part
 
 	// Where gateways serve many services.
 	minColdSendsPerOwner = 2                      // minimum sends a second of a gateway to a cold server
