--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -100,7 +100,7 @@
 	out := &attempt{id: 1, cancelled: false}
 	k := &openRequest{commands: make(chan command, 1), inFlight: out}
 	k.ID = 1
-	l.calls[1] = k
+	l.requests[1] = k
 	l.finish(k, command{refused: true})
 	if !out.cancelled || len(k.commands) != 0 {
 		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.commands))
@@ -108,8 +108,8 @@
 	l.finish(k, command{}) // a second end changes nothing
 	k.inFlight = nil
 	l.answer(k, *k.pendingAnswer)
-	if cmd := <-k.commands; cmd.refused || cmd.attempt != nil || len(l.calls) != 0 {
-		t.Errorf("%+v, %d open", cmd, len(l.calls))
+	if cmd := <-k.commands; cmd.refused || cmd.attempt != nil || len(l.requests) != 0 {
+		t.Errorf("%+v, %d open", cmd, len(l.requests))
 	}
 }
 
@@ -138,9 +138,9 @@
 	})
 	n := nodeWith(t, a.Addr())
 	old, open, idle := dial(t, n), dial(t, n), dial(t, n)
-	send(t, old, request(n.url, "lookup", patience))()
-	send(t, idle, request(n.url, "lookup", patience))()
-	held := send(t, open, request(n.url, "loan", patience))
+	writeRequest(t, old, request(n.url, "lookup", patience))()
+	writeRequest(t, idle, request(n.url, "lookup", patience))()
+	held := writeRequest(t, open, request(n.url, "loan", patience))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 3 })
 	n.stop()
 	eventually(t, "the stop", n.server.draining.Load)
@@ -159,7 +159,7 @@
 		"old connection": {old, again, 200},
 		"new connection": {fresh, refused, 429},
 	} {
-		if resp := send(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
+		if resp := writeRequest(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: %d, close %v", what, resp.StatusCode, resp.Close)
 		}
 	}
