--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -15,8 +15,8 @@
 // overloadedDiscovery is one discovery for many edge nodes. It serves calls in turn, takes
 // more than it can answer before they run out, and works on all that it took.
 type overloadedDiscovery struct {
-	perCall, patience, maxQueue time.Duration
-	freeAt                      time.Duration // when it has done all that it took
+	perCall, callTimeout, maxQueue time.Duration
+	freeAt                         time.Duration // when it has done all that it took
 }
 
 // call tells when a call is over, and whether it brought an answer.
@@ -26,8 +26,8 @@
 		return at, false
 	}
 	o.freeAt += o.perCall
-	if o.freeAt-at > o.patience {
-		return at + o.patience, false
+	if o.freeAt-at > o.callTimeout {
+		return at + o.callTimeout, false
 	}
 	return o.freeAt, true
 }
@@ -81,14 +81,14 @@
 	}
 	for life := uint64(1); life <= 200; life++ {
 		// It can take a whole list's call from each in 8 s, a change's in half of it.
-		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		first, _ := o.run(paces(80, life, true), 0, 8*time.Second)
 		second, failed := o.run(paces(56, life+1000, true), 10*time.Second, 18*time.Second)
 		if first != 80 || second != 56 || failed > 0 {
 			t.Fatalf("seeds %d: %d of 80 and %d of 56 have an answer, %d calls failed", life, first, second, failed)
 		}
 	}
-	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 	if n, _ := o.run(paces(80, 1, false), 0, 8*time.Second); n > 45 {
 		t.Errorf("%d of 80 have an answer though all call in step: the stand-in is too kind", n)
 	}
@@ -98,7 +98,7 @@
 // the bound of the pause holds for fleets of any size.
 func TestStartSpreadHoldsForAnyFleetSize(t *testing.T) {
 	for _, n := range []int{81, 300, 1000} {
-		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		var paces []callPacing
 		for i := range n {
 			paces = append(paces, newSharedPacing(n, uint64(i)))
@@ -114,7 +114,7 @@
 func TestAddressChangeSpreadsCalls(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		play := func(spread bool) (answered, failed int) {
-			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 			var paces []callPacing
 			next := make([]time.Duration, n)
 			for i := range n {
@@ -138,7 +138,7 @@
 // A discovery that is too small for a while, and has a long line then, is left
 // alone long enough to get rid of it.
 func TestDiscoveryBacklogDrains(t *testing.T) {
-	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, patience: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
+	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
 	var paces []callPacing
 	for i := range 80 {
 		paces = append(paces, newSharedPacing(80, uint64(i)))
@@ -195,7 +195,7 @@
 		_, _ = w.Write([]byte(`{"rev":7,"all":true,"targets":[]}`))
 	}))
 	t.Cleanup(agent.Close)
-	clock := &stoppedClock{slept: make(chan time.Duration, 100)}
+	clock := &recordingClock{timers: make(chan time.Duration, 100)}
 	d := newDiscovery(clock, strings.TrimPrefix(agent.URL, "http://"), nil, func(*serverList, policy.ServerListKind) {})
 	d.pacing = newSharedPacing(300, 1)
 	want := newSharedPacing(300, 1)
@@ -206,13 +206,13 @@
 		t.Errorf("asked %q first, with no list", q)
 	}
 	for slept := time.Duration(0); slept != minWatchInterval; { // it has the list, and watches
-		slept = <-clock.slept
+		slept = <-clock.timers
 	}
 	d.moveTo(strings.TrimPrefix(agent.URL, "http://"))
 	turn, never := want.moveDelay(), time.After(20*time.Second)
 	for slept := time.Duration(0); slept != turn; {
 		select {
-		case slept = <-clock.slept:
+		case slept = <-clock.timers:
 		case <-never:
 			t.Fatalf("did not wait its turn of %v", turn)
 		}
@@ -221,13 +221,13 @@
 	<-done
 }
 
-// stoppedClock tells what is slept for and lets nothing run out.
-type stoppedClock struct {
+// recordingClock tells what is slept for and lets nothing run out.
+type recordingClock struct {
 	world.Real
-	slept chan time.Duration
+	timers chan time.Duration
 }
 
-func (c *stoppedClock) NewTimer(d time.Duration) world.Timer {
-	c.slept <- d
+func (c *recordingClock) NewTimer(d time.Duration) world.Timer {
+	c.timers <- d
 	return c.Real.NewTimer(time.Hour)
 }
