--- a/policy/admit.go
+++ b/policy/admit.go
@@ -116,7 +116,7 @@
 	}
 	c.reportsLeft = reportsPerChange
 	g.startAttempt(r, s)
-	if g.minCapacityShare(s) < 1 || g.now < s.ColdUntil {
+	if g.minCapacity(s) < 1 || g.now < s.ColdUntil {
 		s.sends = append(s.sends, g.now)
 	} else {
 		g.recentSends++
@@ -245,7 +245,7 @@
 	g.recentSends *= math.Exp(-float64(dt) / float64(g.cfg.FailTime)) // unused with MultiService (FailTime 0)
 	g.sumPeerLoads()
 	g.adaptAdmission(dt)
-	g.recentMessages *= math.Exp(-dt.Seconds() / demandTimeConstant.Seconds())
+	g.recentMessages *= math.Exp(-dt.Seconds() / demandDecay.Seconds())
 	for _, s := range g.serverList {
 		// A server that gets no requests yields no new data: old measurements decay.
 		s.decay(min(1, dt.Seconds()/healthDecayTime.Seconds()))
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// minCapacityShare returns the share of its capacity that a server has at least: 1 when it is warm.
-func (g *Gateway) minCapacityShare(s *server) float64 {
+// minCapacity returns the share of its capacity that a server has at least: 1 when it is warm.
+func (g *Gateway) minCapacity(s *server) float64 {
 	if g.now < s.ColdUntil {
 		return g.cfg.MultiService.ColdShare
 	}
@@ -27,7 +27,7 @@
 
 // predictLatency returns the latency, in seconds, expected of a server for a class.
 func (g *Gateway) predictLatency(s *server, cl *class) float64 {
-	return cl.mean * s.slowdown * g.loadFactor(s, g.inFlightAt(s)) / g.minCapacityShare(s)
+	return cl.mean * s.slowdown * g.loadFactor(s, g.inFlightAt(s)) / g.minCapacity(s)
 }
 
 // loadFactor returns the factor by which a number of attempts in flight raises a server's latency.
@@ -43,7 +43,7 @@
 // that, requests are held at the gateway, where they can still be sent to another server or be refused.
 func (g *Gateway) queueTooLong(s *server) bool {
 	load := g.inFlightAt(s) / g.relativeSize(s)
-	return load >= minInFlightWhenFull && g.meanLatency*s.slowdown/g.minCapacityShare(s)*queueWeight*load > maxWaitShare*g.minTarget
+	return load >= minInFlightWhenFull && g.meanLatency*s.slowdown/g.minCapacity(s)*queueWeight*load > maxWaitShare*g.minTarget
 }
 
 // slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
@@ -68,12 +68,12 @@
 		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
-	if cold := g.minCapacityShare(s); cold < 1 && g.cfg.MultiService == nil {
+	if cold := g.minCapacity(s); cold < 1 && g.cfg.MultiService == nil {
 		// The budget of each window, divided among all gateways: what a warm server
 		// receives, times the share of capacity that the cold server has at least.
 		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.FailTime })
 		warmRate := g.recentSends / max(1, float64(g.runningServers))
-		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldBudgetShare) {
+		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldSafety) {
 			return false
 		}
 	}
@@ -198,16 +198,16 @@
 func (g *Gateway) pickWeighted(candidates []*server) *server {
 	totalWeight, totalPart, minTotal := 0.0, 0.0, 0.0
 	for _, s := range candidates {
-		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.minCapacityShare(s)
+		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.minCapacity(s)
 		if s.Zone != g.cfg.Zone {
 			s.weight *= otherZoneWeight
 		}
 		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
 	for _, s := range candidates {
-		if capacity := g.minCapacityShare(s); capacity < 1 {
+		if capacity := g.minCapacity(s); capacity < 1 {
 			s.weight = min(s.weight, capacity*s.share*totalWeight/totalPart)
-			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldBudgetShare*max(1, g.cfg.FailFactor)))
+			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldSafety*max(1, g.cfg.FailFactor)))
 		}
 	}
 	return g.drawByWeight(candidates, minTotal)
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -47,7 +47,7 @@
 		if v := g.healthOf(s, r.class); v != nil {
 			v.lastOK = g.now
 		}
-		loadEffect := g.loadFactor(s, r.loadAtSend) / g.minCapacityShare(s)
+		loadEffect := g.loadFactor(s, r.loadAtSend) / g.minCapacity(s)
 		latency := ev.Latency.Seconds() / loadEffect
 		s.slowdown += g.ownOutcomeWeight * (min(latency/r.class.mean, maxSlowdown) - s.slowdown)
 		g.meanLatency += meanLearningRate * (r.class.mean - g.meanLatency)
@@ -85,7 +85,7 @@
 func (g *Gateway) recordOutcome(s *server, class int, code Code, latency time.Duration) {
 	cl := g.classes[g.cfg.Classes[class].Name]
 	health, mean := g.healthOf(s, cl), cl.mean
-	observed := min(latency.Seconds()/mean/g.minCapacityShare(s), maxSlowdown)
+	observed := min(latency.Seconds()/mean/g.minCapacity(s), maxSlowdown)
 	switch code {
 	case OK:
 		health.errorRate *= 1 - failureWeight
--- a/policy/store.go
+++ b/policy/store.go
@@ -67,7 +67,7 @@
 	}
 	c.bucket = min(c.plan.Burst, c.bucket+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+c.plan.HardRate/c.parts*dt))
-	decay := math.Exp(-dt / demandTimeConstant.Seconds())
+	decay := math.Exp(-dt / demandDecay.Seconds())
 	c.demand, c.slotDemand = c.demand*decay, c.slotDemand*decay
 	for _, view := range c.views {
 		view.demand *= decay
@@ -95,12 +95,12 @@
 		fade := math.Exp(-(g.now - max(view.peer.reportedAt, g.startedAt)).Seconds() / idleExpiry.Seconds())
 		rate = max(rate, c.demand) * (minSilentWeight + (1-minSilentWeight)*fade)
 	}
-	return rate/demandTimeConstant.Seconds() + g.assumedDemand(c)
+	return rate/demandDecay.Seconds() + g.assumedDemand(c)
 }
 
 // totalDemand returns all gateways' demand, in units a second, including this gateway's.
 func (g *Gateway) totalDemand(c *customer) float64 {
-	sum := c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)
+	sum := c.demand/demandDecay.Seconds() + g.assumedDemand(c)
 	for _, view := range c.views {
 		sum += g.peerDemand(c, view)
 	}
@@ -109,7 +109,7 @@
 
 // demandShare returns this gateway's share of the total demand.
 func (g *Gateway) demandShare(c *customer) float64 {
-	return (c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
+	return (c.demand/demandDecay.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
 }
 
 // allowance returns how many units of the customer's bucket this gateway may pass now: its share by demand, or
@@ -135,7 +135,7 @@
 		return
 	}
 	g.advance(c)
-	if c.onLoan *= math.Exp(-dt.Seconds() / loanTransitTime.Seconds()); c.onLoan < 1/lendPartsPerUnit/16 {
+	if c.onLoan *= math.Exp(-dt.Seconds() / loanTransitTime.Seconds()); c.onLoan < 1/loanScale/16 {
 		c.onLoan = 0
 	}
 	fairRate, wanted := c.plan.HardRate/c.parts, 0.0
@@ -145,15 +145,15 @@
 	for _, view := range c.views {
 		view.wantedUnits = 0
 		if !g.isSilent(view.peer) {
-			view.wantedUnits = max(0, view.demand/demandTimeConstant.Seconds()-fairRate) * dt.Seconds() * maxLoanFactor
+			view.wantedUnits = max(0, view.demand/demandDecay.Seconds()-fairRate) * dt.Seconds() * maxLoan
 		}
 		wanted += view.wantedUnits
 	}
-	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandTimeConstant.Seconds()*unlentDemandSpan.Seconds()
+	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandDecay.Seconds()*unlentDemandSpan.Seconds()
 	for _, view := range c.views {
-		loan := min(lendPartsPerUnit*30, math.Floor(lendPartsPerUnit*view.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
+		loan := min(loanScale*30, math.Floor(loanScale*view.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
 		view.lentTotal += byte(loan)
-		c.ceiling, c.onLoan = c.ceiling-loan/lendPartsPerUnit, c.onLoan+loan/lendPartsPerUnit
+		c.ceiling, c.onLoan = c.ceiling-loan/loanScale, c.onLoan+loan/loanScale
 		if loan > 0 {
 			c.reportsLeft = max(c.reportsLeft, 1)
 		}
--- a/policy/values.go
+++ b/policy/values.go
@@ -7,15 +7,15 @@
 // Constants of the policy. None is specific to a deployment: they are shares, counts
 // of ticks, or times given by people and networks.
 const (
-	reportIntakeShare  = 0.75 // share of the messages a gateway takes that reports may use
-	minTick, maxTick   = 25 * time.Millisecond, 250 * time.Millisecond
-	staleAfterReports  = 6    // report intervals after which a peer's last report is no longer used
-	minSilentWeight    = 0.33 // a silent peer's demand decays to this share of it
-	idleExpiry         = 10 * time.Second
-	demandTimeConstant = 2 * time.Second       // decay time constant of the demand rates
-	reportTransitTime  = 25 * time.Millisecond // transit time of a report
-	reportAgeWeight    = 0.01                  // added to a customer's urgency by each tick since it was last reported
-	reportsPerChange   = 3                     // a change is included in this many reports
+	reportIntakeShare = 0.75 // share of the messages a gateway takes that reports may use
+	minTick, maxTick  = 25 * time.Millisecond, 250 * time.Millisecond
+	staleAfterReports = 6    // report intervals after which a peer's last report is no longer used
+	minSilentWeight   = 0.33 // a silent peer's demand decays to this share of it
+	idleExpiry        = 10 * time.Second
+	demandDecay       = 2 * time.Second       // decay time constant of the demand rates
+	reportTransitTime = 25 * time.Millisecond // transit time of a report
+	reportAgeWeight   = 0.01                  // added to a customer's urgency by each tick since it was last reported
+	reportsPerChange  = 3                     // a change is included in this many reports
 
 	assumedDemandShare, minAssumedDemand = 0.02, 0.05             // demand assumed of each gateway: share of the rate, plus units a second
 	arrivalSlack, releaseSlack           = 0.5, 0.25              // part of a request by which a cap may be exceeded, at arrival and later
@@ -36,7 +36,7 @@
 	queueFullPause                       = 150 * time.Millisecond // short, as a full queue has room again for any request
 	newTotalSpan                         = 2 * time.Second        // a running total is marked as restarted from 0
 	retryBudgetEarned, maxRetryBudget    = 0.15, 12.0             // retry budget earned by each first attempt, maximum kept
-	coldBudgetShare                      = 0.5                    // share of a cold server's budget that is used
+	coldSafety                           = 0.5                    // share of a cold server's budget that is used
 
 	minOverdueShare                  = 0.1       // an attempt is overdue no sooner than after this share of its target,
 	overdueFactor                    = 4.0       // and when this many times as old as predicted
@@ -60,8 +60,8 @@
 	rootIntakeShare        = 0.5                   // share of its message intake that a root spends on one customer
 	rootAskPeakFactor      = 2.0                   // asks a root must be able to take, as a multiple of those within the quota
 	rootReportTicks        = 2                     // ticks between the reports of a customer's roots to each other
-	maxRootAsks            = 3                     // times a root is asked before its deputy is
-	unresponsivePause      = time.Second           // pause in asking a peer that left as many asks unanswered
+	rootAsks               = 3                     // times a root is asked before its deputy is
+	peerPause              = time.Second           // pause in asking a peer that left as many asks unanswered
 	restartedBucketFill    = 0.8                   // share of a bucket that a root assumes to be full after its start
 	deputyCeilingShare     = 0.1                   // share of a hard ceiling that the deputy holds
 	dealtCeilingShare      = 0.6                   // share that is divided evenly among all gateways, and used first
@@ -87,7 +87,7 @@
 	loanTransitTime    = 300 * time.Millisecond // time in which a loan of ceiling units arrives
 	unlentDemandSpan   = 500 * time.Millisecond // this gateway's demand of this time is not lent
 	lendThresholdShare = 0.5                    // share of its part that a peer uses before it gets loans, as bursts come on top
-	maxLoanFactor      = 2.0                    // maximum loan, as a multiple of a peer's demand beyond its part
+	maxLoan            = 2.0                    // maximum loan, as a multiple of a peer's demand beyond its part
 
 	// Where gateways serve many services.
 	minColdSendsPerOwner = 2                      // minimum sends a second for each gateway that may send to a cold server
