--- a/internal/dataplane/node/answers_fault_test.go
+++ b/internal/dataplane/node/answers_fault_test.go
@@ -179,7 +179,7 @@
 			text = text[:i]
 		}
 	case faultHideLeadingBytes:
-		text = strings.TrimPrefix(text, otherBody)
+		text = strings.TrimPrefix(text, foreignAnswer)
 	}
 	return copy(b, text), err
 }
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -100,7 +100,7 @@
 // observedClient records what one client sent and received.
 type observedClient struct {
 	sent           []sentRequest
-	answers        []*answered
+	answers        []*timedAnswer
 	left           time.Time // when it disconnected; zero: it stayed connected
 	pendingAnswers int       // answers outstanding at that time
 }
@@ -108,7 +108,7 @@
 // answersScenario runs a script and records what clients and servers observe.
 type answersScenario struct {
 	script
-	r        *rig
+	r        *managedFixture
 	mu       sync.Mutex
 	attempts []*observedAttempt
 	clients  []*observedClient
@@ -156,9 +156,9 @@
 	case actInterim:
 		text = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + whole
 	case actStrayBefore:
-		text = otherBody + whole
+		text = foreignAnswer + whole
 	case actStrayAfter:
-		text = whole + otherBody
+		text = whole + foreignAnswer
 	case actTwice:
 		text = whole + whole
 	case actFail:
@@ -191,8 +191,8 @@
 		switch step {
 		case stepRead, stepWrite:
 			p.mu.Lock()
-			text := wired(map[clientStep]string{stepRead: "/get/", stepWrite: "/act/"}[step], "")
-			seen.sent = append(seen.sent, sentRequest{fmt.Sprint("id", nextID), step == stepRead, time.Now()})
+			text := requestText(map[clientStep]string{stepRead: "/get/", stepWrite: "/act/"}[step], "")
+			seen.sent = append(seen.sent, sentRequest{fmt.Sprint("id", nextAttemptID), step == stepRead, time.Now()})
 			p.mu.Unlock()
 			if _, err := io.WriteString(c, text); err != nil {
 				return
@@ -242,7 +242,7 @@
 			return
 		}
 		p.mu.Lock()
-		seen.answers = append(seen.answers, &answered{Response: resp, body: string(body)})
+		seen.answers = append(seen.answers, &timedAnswer{Response: resp, body: string(body)})
 		p.mu.Unlock()
 	}
 }
@@ -250,9 +250,9 @@
 // run executes the script and describes the first property that is broken, or returns an empty string.
 func (p *answersScenario) run(t *testing.T, fault string) (broken string) {
 	world := func(n *sim.Net) world.World { return &faultyWorld{Net: n, fault: fault} }
-	playIn(t, false, world, func(r *rig) {
-		p.r, r.acts = r, []act{p.serve}
-		r.tell()
+	runManagedIn(t, false, world, func(r *managedFixture) {
+		p.r, r.behaviors = r, []serverBehavior{p.serve}
+		r.configure()
 		var all sync.WaitGroup
 		for _, steps := range p.script.clients {
 			seen := &observedClient{}
@@ -260,7 +260,7 @@
 			all.Go(func() { p.client(seen, steps) })
 		}
 		if p.reload > 0 {
-			all.Go(func() { time.Sleep(p.reload); r.configuration() })
+			all.Go(func() { time.Sleep(p.reload); r.applyConfiguration() })
 		}
 		if p.stop > 0 {
 			all.Go(func() { time.Sleep(p.stop); r.stop() })
--- a/internal/dataplane/node/asked.go
+++ b/internal/dataplane/node/asked.go
@@ -90,6 +90,6 @@
 }
 
 // RequestCounts returns the last minute's requests by route, or nil if there is no configuration yet.
-func (e *Estate) RequestCounts() *RequestCounts {
-	return e.minute.countRecent(e.estate.tilled.Load(), e.node.server.clock.now())
+func (e *ManagedNode) RequestCounts() *RequestCounts {
+	return e.requests.countRecent(e.managed.tilled.Load(), e.node.server.clock.now())
 }
--- a/internal/dataplane/node/bench_test.go
+++ b/internal/dataplane/node/bench_test.go
@@ -199,18 +199,18 @@
 }
 
 // startBenchmarkProxy starts a managed proxy with one server.
-func startBenchmarkProxy(b *testing.B, w world.World, server string) (e *Estate, end func()) {
-	e, err := NewEstate(EstateConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 4100,
+func startBenchmarkProxy(b *testing.B, w world.World, server string) (e *ManagedNode, end func()) {
+	e, err := NewManagedNode(ManagedConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 4100,
 		World: w, Regions: map[string]string{"a": "r"}, Grace: time.Second, RetryRatio: 1, RetrySlack: 100})
 	assert.NilError(b, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
-	p, err := routeconfig.Parse([]byte(strings.ReplaceAll(estateConfiguration, `"timeout_ms":2000`, `"timeout_ms":30000`)))
+	p, err := routeconfig.Parse([]byte(strings.ReplaceAll(managedConfiguration, `"timeout_ms":2000`, `"timeout_ms":30000`)))
 	assert.NilError(b, err)
-	e.Configuration(p)
-	e.Servers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: server, Zone: "a", Slots: 400}})
-	e.Peers(0, 1, 0, []netip.AddrPort{{}}, nil)
+	e.SetConfiguration(p)
+	e.SetServers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: server, Zone: "a", Slots: 400}})
+	e.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 	return e, func() {
 		stop()
 		assert.Check(b, <-ended)
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -326,7 +326,7 @@
 func (r *running) hasOpenRequest(id string) (open bool) {
 	done := make(chan struct{})
 	r.loop.events <- func() {
-		open = r.loop.names[id] != nil
+		open = r.loop.requestsByClientID[id] != nil
 		close(done)
 	}
 	<-done
--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -38,7 +38,7 @@
 // connected gets 408, which promises that the request has not run.
 func TestInterruptedUpload(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
-		play(t, false, func(r *rig) {
+		runManaged(t, false, func(r *managedFixture) {
 			h := r.open(nil, nil)
 			for place, n := range cutPoints {
 				for how, end := range disconnects {
@@ -47,7 +47,7 @@
 					assert.NilError(t, err)
 					end(c)
 					if how == "stall" {
-						a := r.answer(c)
+						a := r.readAnswer(c)
 						assert.Assert(t, a.StatusCode == 408 && a.Close, "%s: %d", place, a.StatusCode)
 						assert.Assert(t, a.took < 800*time.Millisecond, "%s: %v", place, a.took)
 					}
@@ -56,9 +56,9 @@
 					assert.Equal(t, h.complete(), 0, "%s, %s", place, how)
 				}
 			}
-			assert.Equal(t, r.ask("/act/", "").StatusCode, 200)
-			open, _ := r.Estate.node.server.connectionActivity()
-			assert.Assert(t, open <= 1 && r.Estate.node.upstream.open <= 1)
+			assert.Equal(t, r.request("/act/", "").StatusCode, 200)
+			open, _ := r.ManagedNode.node.server.connectionActivity()
+			assert.Assert(t, open <= 1 && r.ManagedNode.node.upstream.open <= 1)
 		})
 	})
 }
@@ -71,7 +71,7 @@
 			for name, status := range map[string]int{"window": 503, "middle": 503, "last": 502} {
 				for _, how := range []string{"close", "reset"} {
 					t.Run(name+how+path, func(t *testing.T) {
-						play(t, false, func(r *rig) {
+						runManaged(t, false, func(r *managedFixture) {
 							h := r.open(func(c net.Conn, q *http.Request) bool {
 								n := cutPoints[name]
 								if n < 0 {
@@ -85,7 +85,7 @@
 							}, nil)
 							c := r.send(upload(path, content(large), chunked))
 							defer c.Close()
-							a := r.answer(c)
+							a := r.readAnswer(c)
 							assert.Equal(t, a.StatusCode, status, a.body)
 							assert.Equal(t, a.StatusCode == 503, a.Close && a.Header.Get("Retry-After") != "")
 							assert.Assert(t, a.took < time.Second, "%v", a.took)
@@ -105,7 +105,7 @@
 		for place, n := range cutPoints {
 			for how, end := range disconnects {
 				t.Run(place+how, func(t *testing.T) {
-					play(t, false, func(r *rig) {
+					runManaged(t, false, func(r *managedFixture) {
 						stays := make(chan bool)
 						defer close(stays)
 						h := r.open(nil, func(c net.Conn, q *http.Request) bool {
@@ -123,7 +123,7 @@
 						if within {
 							path = "/act/"
 						}
-						c := r.send([]byte(wired(path, patient)))
+						c := r.send([]byte(requestText(path, patient)))
 						defer c.Close()
 						began := time.Now()
 						b, err := io.ReadAll(io.LimitReader(c, 2*large))
@@ -131,7 +131,7 @@
 						text := string(b[:min(len(b), 12)])
 						assert.Equal(t, bytes.Count(b, []byte("HTTP/1.1 ")), 1)
 						assert.Equal(t, len(h.seen()), 1)
-						r.in(func(l *loop) { assert.Equal(t, len(l.calls), 0) })
+						r.runOnLoop(func(l *loop) { assert.Equal(t, len(l.requests), 0) })
 						if within {
 							want := "HTTP/1.1 502"
 							if how == "stall" {
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			framings(t, func(t *testing.T, chunked bool) {
-				play(t, false, func(r *rig) {
+				runManaged(t, false, func(r *managedFixture) {
 					h := r.open(c.before, nil)
 					b := upload(c.path, content(c.n), chunked)
 					if c.key != "" {
@@ -188,7 +188,7 @@
 						_, err := conn.Write(b)
 						all <- err
 					}()
-					a := r.answer(conn)
+					a := r.readAnswer(conn)
 					assert.Equal(t, a.StatusCode, c.status, a.body)
 					assert.Assert(t, a.took < time.Second, "%v", a.took)
 					assert.Equal(t, a.Close, c.status != 200)
@@ -212,18 +212,18 @@
 			status int
 		}{
 			"goes on":      {"HTTP/1.1 100 Continue\r\n\r\n", 200},
-			"another's":    {otherBody, 200},
-			"long other":   {strings.Replace(otherBody, "5\r\n\r\nwrong", "50000\r\n\r\n"+strings.Repeat("x", 50000), 1), 200},
-			"both":         {"HTTP/1.1 100 Continue\r\n\r\n" + otherBody + "HTTP/1.1 103 Hints\r\n\r\n", 200},
+			"another's":    {foreignAnswer, 200},
+			"long other":   {strings.Replace(foreignAnswer, "5\r\n\r\nwrong", "50000\r\n\r\n"+strings.Repeat("x", 50000), 1), 200},
+			"both":         {"HTTP/1.1 100 Continue\r\n\r\n" + foreignAnswer + "HTTP/1.1 103 Hints\r\n\r\n", 200},
 			"its own":      {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: s\r\nContent-Length: 3\r\n\r\nyes", 200},
 			"too long":     {"HTTP/1.1 413 Long\r\nAttempt-Id: ID\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n", 413},
 			"failed":       {"HTTP/1.1 500 No\r\nAttempt-Id: ID\r\nContent-Length: 0\r\n\r\n", 500},
 			"no answer":    {"no", 503},
 			"not run":      {"HTTP/1.1 429 No\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", 503},
-			"another's id": {strings.Repeat(otherBody, 9), 503},
+			"another's id": {strings.Repeat(foreignAnswer, 9), 503},
 		} {
 			t.Run(name, func(t *testing.T) {
-				play(t, false, func(r *rig) {
+				runManaged(t, false, func(r *managedFixture) {
 					r.open(func(s net.Conn, q *http.Request) bool {
 						_, err := io.WriteString(s, strings.ReplaceAll(c.text, "ID", q.Header.Get(fieldID)))
 						time.Sleep(300 * time.Millisecond)
@@ -231,7 +231,7 @@
 					}, nil)
 					conn := r.send(upload("/act/", content(large), chunked))
 					defer conn.Close()
-					a := r.answer(conn)
+					a := r.readAnswer(conn)
 					assert.Equal(t, a.StatusCode, c.status, a.body)
 				})
 			})
@@ -247,7 +247,7 @@
 			"cut":    func(q *http.Request) []byte { return told(q, "200 OK", content(large), chunked)[:bodyWindow] },
 			"failed": func(q *http.Request) []byte { return told(q, "500 No", content(large), chunked) },
 		} {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				times := 0
 				h := r.open(nil, func(c net.Conn, q *http.Request) bool {
 					if times++; times == 1 {
@@ -257,13 +257,13 @@
 					_, err := c.Write(told(q, "200 OK", content(large), chunked))
 					return err == nil
 				})
-				c := r.send([]byte(wired("/get/", patient)))
+				c := r.send([]byte(requestText("/get/", patient)))
 				defer c.Close()
 				n, err := read(c)
 				assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
 				assert.Equal(t, h.complete(), 2)
 				r.list[0].Address = "127.0.0.1:1" // nothing listens there
-				r.Servers(2, r.list)
+				r.SetServers(2, r.list)
 				for i := range 9 {
 					c := r.send(upload("/act/", content(large), chunked))
 					n, err := read(c)
@@ -305,10 +305,10 @@
 		"not repeatable": {acts: []func(net.Conn, *http.Request) bool{long}, from: "/get/", to: "/act/", want: "500 300001 s"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				times := 0
 				h := r.open(nil, func(s net.Conn, q *http.Request) bool { times++; return c.acts[times-1](s, q) })
-				conn := r.send([]byte(strings.Replace(wired("/get/", patient), c.from, c.to, 1)))
+				conn := r.send([]byte(strings.Replace(requestText("/get/", patient), c.from, c.to, 1)))
 				defer conn.Close()
 				a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				assert.NilError(t, err)
@@ -319,14 +319,14 @@
 				assert.Equal(t, h.complete(), len(c.acts))
 				time.Sleep(10 * time.Millisecond)
 				synctest.Wait()
-				r.in(func(l *loop) { // no connection is held for a large answer any more
-					l.up.mu.Lock()
-					defer l.up.mu.Unlock()
+				r.runOnLoop(func(l *loop) { // no connection is held for a large answer any more
+					l.upstream.mu.Lock()
+					defer l.upstream.mu.Unlock()
 					idle := 0
-					for _, s := range l.up.servers {
+					for _, s := range l.upstream.servers {
 						idle += len(s.idle)
 					}
-					assert.Equal(t, l.up.open, idle)
+					assert.Equal(t, l.upstream.open, idle)
 				})
 			})
 		})
@@ -336,7 +336,7 @@
 // An answer that is being streamed to its client is not cancelled in favour of another attempt, however long it takes, and its
 // server does not count as silent. The same holds for an upload that can't be sent again.
 func TestLargeTransfersAreNotCancelled(t *testing.T) {
-	play(t, false, func(r *rig) {
+	runManaged(t, false, func(r *managedFixture) {
 		slow := func(c net.Conn, b []byte) bool {
 			for ; len(b) > 0; b = b[min(len(b), 25_000):] {
 				if _, err := c.Write(b[:min(len(b), 25_000)]); err != nil {
@@ -355,9 +355,9 @@
 			return err == nil
 		})
 		for range 40 {
-			assert.Equal(t, r.ask("/get/", "").StatusCode, 200)
+			assert.Equal(t, r.request("/get/", "").StatusCode, 200)
 		}
-		c := r.send([]byte(wired("/get/?long", patient)))
+		c := r.send([]byte(requestText("/get/?long", patient)))
 		defer c.Close()
 		n, err := read(c)
 		assert.Assert(t, err == nil && n == large, "%d bytes, %v", n, err)
--- a/internal/dataplane/node/clientconn.go
+++ b/internal/dataplane/node/clientconn.go
@@ -8,7 +8,7 @@
 // clientConn is a client's connection and the state of its current request.
 type clientConn struct {
 	net.Conn
-	in          stream
+	in          messageReader
 	req         clientRequest
 	out         []byte
 	badRequests int // consecutive invalid requests
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -73,7 +73,7 @@
 	if cfg.Random == nil {
 		n.server.booked.random = rand.Reader
 	}
-	n.loop.mustAsk = cfg.Settings.MustWatch
+	n.loop.reportWatchFailures = cfg.Settings.MustWatch
 	n.loop.onList = func(kind policy.ServerListKind) {
 		switch kind {
 		case policy.CompleteList:
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		n.loop.tell = n.peers.tell
+		n.loop.sendPeer = n.peers.tell
 		if t := cfg.Membership; t != nil {
 			if n.peers.watch, err = newWatch(cfg, *t, clk, n.peers, cfg.Seed); err != nil {
 				n.closePeers()
@@ -122,7 +122,7 @@
 		}
 	}
 	n.discovery = newDiscovery(machine, cfg.Discovery, cfg.CachedList, func(l *serverList, kind policy.ServerListKind) {
-		n.loop.events <- listed{l, kind}
+		n.loop.events <- listUpdate{l, kind}
 	})
 	if cfg.Settings.MustWatch {
 		n.discovery.pacing = newSharedPacing(cfg.Settings.Gateways, cfg.Seed)
@@ -146,7 +146,7 @@
 	defer cancel()
 	defer n.closePeers()
 	if cached := n.cfg.CachedList; cached != nil {
-		n.loop.events <- listed{cached, policy.CachedList}
+		n.loop.events <- listUpdate{cached, policy.CachedList}
 	}
 	go n.loop.run(ctx.Done())
 	go n.discovery.run(ctx)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -98,7 +98,7 @@
 	out := &attempt{id: 1, cancelled: false}
 	open := &openRequest{commands: make(chan command, 1), inFlight: out}
 	open.ID = 1
-	l.calls[1] = open
+	l.requests[1] = open
 	l.finish(open, command{refused: true})
 	if !out.cancelled || len(open.commands) != 0 {
 		t.Fatalf("cancelled %v, answers %d", out.cancelled, len(open.commands))
@@ -106,8 +106,8 @@
 	l.finish(open, command{}) // finishing it again has no effect
 	open.inFlight = nil
 	l.answer(open, *open.pendingAnswer)
-	if cmd := <-open.commands; cmd.refused || cmd.attempt != nil || len(l.calls) != 0 {
-		t.Errorf("%+v, %d open", cmd, len(l.calls))
+	if cmd := <-open.commands; cmd.refused || cmd.attempt != nil || len(l.requests) != 0 {
+		t.Errorf("%+v, %d open", cmd, len(l.requests))
 	}
 }
 
@@ -134,9 +134,9 @@
 	})
 	n := nodeWith(t, a.Addr())
 	old, open, idle := dial(t, n), dial(t, n), dial(t, n)
-	send(t, old, request(n.url, "lookup", patience))()
-	send(t, idle, request(n.url, "lookup", patience))()
-	held := send(t, open, request(n.url, "loan", patience))
+	writeRequest(t, old, request(n.url, "lookup", patience))()
+	writeRequest(t, idle, request(n.url, "lookup", patience))()
+	held := writeRequest(t, open, request(n.url, "loan", patience))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 3 })
 	n.stop()
 	eventually(t, "the stop", n.server.draining.Load)
@@ -155,7 +155,7 @@
 		"old connection": {old, again, 200},
 		"new connection": {fresh, refused, 429},
 	} {
-		if resp := send(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
+		if resp := writeRequest(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: %d, close %v", what, resp.StatusCode, resp.Close)
 		}
 	}
--- a/internal/dataplane/node/reply.go
+++ b/internal/dataplane/node/reply.go
@@ -67,7 +67,7 @@
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
 func (cc *clientConn) write(b []byte, by time.Time) error {
-	if cc.out = b; cap(b) > 4*leastBuf {
+	if cc.out = b; cap(b) > 4*minBufferBytes {
 		cc.out = nil // a large one is not kept
 	}
 	if err := cc.SetWriteDeadline(by); err != nil {
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -22,7 +22,7 @@
 	now := clk.now()
 	c := &openRequest{Request: policy.Request{ID: 1}, class: &policy.Class{Name: "loan", Effect: policy.Keyed, DedupWindow: 2 * time.Second}, effect: policy.Keyed,
 		answerBy: now + 10*time.Second, commands: make(chan command, 1)}
-	l.calls[1] = c
+	l.requests[1] = c
 	return l, c, now
 }
 
@@ -94,5 +94,5 @@
 func (l *loop) attemptEnds(c *openRequest, sent time.Duration, end verdict.End) {
 	c.inFlight = &attempt{id: c.ID, num: c.attempts, server: 1, sent: sent}
 	c.attempts++
-	l.end(outcome{request: c, attempt: c.inFlight, result: ended(end, nil)})
+	l.endAttempt(outcome{request: c, attempt: c.inFlight, result: ended(end, nil)})
 }
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -41,9 +41,9 @@
 	reuse  reuse
 
 	booked bookReader
-	watch  *watch  // nil: no view of the fleet is kept
-	estate *estate // nil: the platform's wire is spoken
-	counts counts  // an estate's
+	watch  *watch         // nil: no view of the fleet is kept
+	estate *estate        // nil: the platform's wire is spoken
+	counts trafficCounter // an estate's
 	failed func(id string, why verdict.Verdict)
 	over   <-chan struct{} // closed when an estate's loop has ended
 }
@@ -94,7 +94,7 @@
 func (s *server) talk(cc *clientConn) {
 	defer s.removeConnection(cc)
 	for first := true; ; first = false {
-		cc.in.begin()
+		cc.in.startMessage()
 		tune := s.tune.Load()
 		wait, whole := tune.ClientIdle, tune.WholeRequest
 		if first && s.estate == nil {
@@ -103,13 +103,13 @@
 			whole = tune.FirstRequest
 		}
 		if cc.in.buffered() == 0 {
-			if s.setReadTimeout(cc, wait) != nil || cc.in.more() != nil {
+			if s.setReadTimeout(cc, wait) != nil || cc.in.fill() != nil {
 				return // idle for long, or gone
 			}
 		}
 		s.setState(cc, connReading)
 		if s.estate != nil {
-			cc.in.head, cc.in.most = s.estate.bounds()
+			cc.in.maxHead, cc.in.maxBody = s.estate.bounds()
 		}
 		if whole > 0 && s.setReadTimeout(cc, whole) != nil {
 			return
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -41,7 +41,7 @@
 func (f *front) unread() bool { return f.cc != nil && f.cc.in.unread() }
 
 // spent tells whether the request can't be sent again.
-func (f *front) spent() bool { return f.cc != nil && f.cc.in.rest.taken }
+func (f *front) spent() bool { return f.cc != nil && f.cc.in.remainder.taken }
 
 // ending tells whether some of the end of a body in chunks was written: it may be taken for whole.
 func (f *front) ending() bool {
@@ -203,7 +203,7 @@
 	f := &req.managed.front
 	h := &heldAnswer{a, c, r.answer}
 	r.answer = nil
-	unknown := c.head.length < 0 && strings.HasSuffix(string(req.first), "1.0") // this client would not know its end
+	unknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // this client would not know its end
 	switch {
 	case h.begin == nil:
 	case r.End != verdict.Served && f.call.effect == policy.Safe:
