--- a/policy/values.go
+++ b/policy/values.go
@@ -1,11 +1,8 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// Constants of the policy. None is specific to a deployment: they are shares, counts
-// of ticks, or times given by people and networks.
+// Constants of no particular deployment: shares, counts of ticks, and times given by people and networks.
 const (
 	reportIntakeShare = 0.75 // share of the messages a gateway takes that reports may use
 	minTick, maxTick  = 25 * time.Millisecond, 250 * time.Millisecond
@@ -38,22 +35,21 @@
 	retryBudgetEarned, maxRetryBudget    = 0.15, 12.0             // retry budget earned by each first attempt, maximum kept
 	coldSafety                           = 0.5                    // share of a cold server's budget that is used
 
-	minOverdueShare                  = 0.1       // an attempt is overdue no sooner than after this share of its target,
-	overdueFactor                    = 4.0       // and when this many times as old as predicted
-	lostAnswerFactor                 = 6.0       // or this many times, if its server has answered others since
-	failureWeight, ejectionThreshold = 0.2, 0.45 // weight of a failure; average above which a server is ejected
-	failureShareAfterTrial           = 0.6       // share of its failure average that a server keeps after a successful trial
+	arrivalSlack, releaseSlack = 0.5, 0.25 // part of a request allowed over a cap, at arrival and later
 
-	trialBackoffStep, maxTrialBackoff = time.Second, 8 * time.Second // between trials of an ejected server: first, maximum
+	latencyJitter             = 0.2  // random spread of predictions, so that every server is tried
+	maxLatencyMeans           = 4.0  // a latency is limited to this multiple of the class's mean
+	serversCompared           = 4    // servers compared for an attempt
+	serviceTimesPerZoneCharge = 25.0 // service times worth a charge of 1 for crossing zones
+	queueWeight               = 0.5  // latency that each attempt in flight adds, in service times
+	maxWaitShare              = 0.15 // a server is full if the wait exceeds this share of the target
+	minInFlightWhenFull       = 2.5  // but not below this many attempts in flight
+	retryReserve              = 0.3  // share of the bucket that retries leave to first requests
 
-	maxEjectedShare               = 0.7  // if a larger share of the servers is ejected, ejections are ignored
-	admissionCutLateness          = 0.4  // mean latency over target above which a share of the requests is refused
-	admissionCutLatenessWithRoots = 0.35 // the same, where gateways don't see each other's load at servers
+	serverShortageSpan = 200 * time.Millisecond // retries are refused after a shortage
 
-	admissionCutTime, admissionRecoveryTime = 3 * time.Second, 8 * time.Second // to fall to 1/e, to rise from 0 to 1
-	minAdmission                            = 0.25                             // admits enough requests to notice a recovery
-	latenessDecayTime                       = 12 * time.Second                 // time constant by which the measured lateness decays
-	latenessWeight                          = 0.15                             // weight of an outcome or a root's reply in the lateness
+	holdShare             = 0.25 // a request is held for this share of its latency target
+	initialLatencyDivisor = 8.0  // a class's initial mean latency is its target over this
 
 	// With so many gateways that reports from all to all exceed the message rate.
 	useRootsTickFactor     = 2                     // roots are used if reports would need ticks longer than maxTick by this factor
@@ -90,24 +86,24 @@
 	maxLoan            = 2.0                    // maximum loan, as a multiple of a peer's demand beyond its part
 
 	// Where gateways serve many services.
-	minColdSendsPerOwner = 2                      // minimum sends a second for each gateway that may send to a cold server
-	coldSendsShare       = 0.9                    // share of a cold server's limit that is divided among gateways
-	slotUsePenalty       = 0.15                   // latency that full use of its slots adds at a server, in service times
-	borrowBeyondGateways = 24                     // gateways beyond which reports from all to all are too many
+	minColdSendsPerOwner = 2                      // minimum sends a second of a gateway to a cold server
+	coldSendsShare       = 0.9                    // share of a cold server's limit that gateways divide
+	slotUsePenalty       = 0.15                   // latency added when all slots are in use, in service times
+	borrowBeyondGateways = 24                     // more gateways are too many to report to all
 	ownersPerRegion      = 2                      // owners of a customer in each region
 	loanTimeout          = 90 * time.Millisecond  // wait for a lender's reply
 	borrowPause          = 100 * time.Millisecond // pause in borrowing after all lenders refused
-	serverLoadDecayTime  = 400 * time.Millisecond // time constant by which the load that a server reported decays
-	usualLoadDecayTime   = 2 * time.Second        // time constant by which it decays in the average of its service and region
+	serverLoadDecayTime  = 400 * time.Millisecond // time constant of a load that a server reported
+	usualLoadDecayTime   = 2 * time.Second        // the same, in its service's average in a region
 
-	minDealtUnits, minCeilingShare = 2.0, 1e-9 // minimum units in a gateway's even part; minimum share of a ceiling
+	minDealtUnits, minCeilingShare = 2.0, 1e-9 // minimum of a gateway's even part; of a share of the ceiling
 
-	maxSlotWaitShare        = 0.5 // a server is full when the wait for a slot exceeds this share of the request's target
-	maxLateSlotWaitShare    = 0.2 // the same, for a request that will miss its target on any server
-	regionBoundPenaltyShare = 0.5 // share of its target that an unbound request waits elsewhere to leave room to region-bound ones
+	maxSlotWaitShare        = 0.5 // a server is full if a slot's wait exceeds this share of the target
+	maxLateSlotWaitShare    = 0.2 // the same, for a request that misses its target anyway
+	regionBoundPenaltyShare = 0.5 // of its target that an unbound request leaves room to bound ones
 	holdMargin              = 20 * time.Millisecond
 	multiServiceTick        = 50 * time.Millisecond
-	beyondQuotaAdvice       = 250 * time.Millisecond // advised wait before a retry beyond the quota: units may be there then
-	suspectCostSeconds      = 1e3                    // penalty in seconds that puts suspect servers last
-	noServerAdvice          = 60 * time.Millisecond  // advised wait before a retry after a refusal because no server had room
+	beyondQuotaAdvice       = 250 * time.Millisecond // advised wait beyond the quota: units may be there
+	suspectCostSeconds      = 1e3                    // penalty that puts suspect servers last
+	noServerAdvice          = 60 * time.Millisecond  // advised wait after finding no server
 )
