--- a/policy/choose.go
+++ b/policy/choose.go
@@ -43,7 +43,8 @@
 // Beyond that, requests are held at the gateway, from where they can still go elsewhere or be refused.
 func (g *Gateway) queueTooLong(s *server) bool {
 	load := g.inFlightAt(s) / g.relativeSize(s)
-	return load >= minInFlightWhenFull && g.meanLatency*s.slowdown/g.minCapacity(s)*queueWeight*load > maxWaitShare*g.minTarget
+	return load >= minInFlightWhenFull &&
+		g.meanLatency*s.slowdown/g.minCapacity(s)*queueWeight*load > maxWaitShare*g.minTarget
 }
 
 // slotQueueTooLong reports whether the wait for a server's slot exceeds what a request's target allows.
@@ -70,8 +71,7 @@
 		return false
 	}
 	if cold := g.minCapacity(s); cold < 1 && g.cfg.MultiService == nil {
-		// The budget of each window, divided among all gateways: what a warm server
-		// receives, times the share of capacity that the cold server has at least.
+		// This gateway's budget in a window: what a warm server receives, times the cold one's capacity.
 		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.FailTime })
 		warmRate := g.recentSends / max(1, float64(g.runningServers))
 		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldSafety) {
@@ -206,9 +206,9 @@
 		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
 	for _, s := range candidates {
-		if capacity := g.minCapacity(s); capacity < 1 {
-			s.weight = min(s.weight, capacity*s.share*totalWeight/totalPart)
-			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldSafety*max(1, g.cfg.FailFactor)))
+		if cold := g.minCapacity(s); cold < 1 {
+			s.weight = min(s.weight, cold*s.share*totalWeight/totalPart)
+			minTotal = max(minTotal, s.weight*totalPart/(s.share*cold*coldSafety*max(1, g.cfg.FailFactor)))
 		}
 	}
 	return g.drawByWeight(candidates, minTotal)
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -23,7 +23,8 @@
 func (g *Gateway) askRoot(r *request) {
 	c := r.customer
 	isolated := g.unansweredAsks >= isolatedAfterAsks && r.askCount > 0
-	if delete(g.pendingAsks, r.tag); isolated || r.askCount > rootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
+	if delete(g.pendingAsks, r.tag); isolated || r.askCount > rootAsks ||
+		g.now+2*g.cfg.Resolution >= r.deadline {
 		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.mayAdmitAlone(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
@@ -62,15 +63,16 @@
 	g.emit(SetTimer{Token: "ask", After: r.askUntil - g.now})
 }
 
-// mayAdmitAlone reports whether a request may pass though no root answers. If no peer answers, this gateway
-// passes no more of each plan than the roots allowed before, which keeps the load and, at the same demand, the quotas.
+// mayAdmitAlone reports whether a request may pass though no root answers. If no peer answers, no more of a
+// plan passes here than roots allowed before: that limits the load and, while demand stays, keeps quotas.
 func (g *Gateway) mayAdmitAlone(r *request) bool {
 	if g.unansweredAsks < isolatedAfterAsks { // other peers answer: the roots are overloaded
 		return g.rng.Float64() < math.Pow(g.answeredShare, unansweredPassExponent)
 	}
 	plan := r.customer.plan
 	observedShare := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/askShareSpan.Seconds())
-	maxUnits := plan.passedGranted.add(g.now, askShareSpan, 0) / observedShare * demandDecay.Seconds() / askShareSpan.Seconds()
+	maxUnits := plan.passedGranted.add(g.now, askShareSpan, 0) / observedShare *
+		demandDecay.Seconds() / askShareSpan.Seconds()
 	if r.isRetry || plan.MaxInFlight > 0 {
 		maxUnits *= isolatedCautionFactor
 	}
@@ -83,8 +85,9 @@
 	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
 	askShare := 1.0
 	if r.customer.plan.MaxInFlight > 0 {
-		intakeLeft := max(minAskShare, 1-g.recentMessages/demandDecay.Seconds()/max(1, g.cfg.MessagesPerSecond))
-		askShare = min(1, intakeLeft*float64(r.customer.plan.MaxInFlight)*demandDecay.Seconds()/r.customer.slotDemand)
+		intake := max(minAskShare, 1-g.recentMessages/demandDecay.Seconds()/max(1, g.cfg.MessagesPerSecond))
+		askShare = min(1,
+			intake*float64(r.customer.plan.MaxInFlight)*demandDecay.Seconds()/r.customer.slotDemand)
 	}
 	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
 		askShare = min(askShare, r.customer.plan.Rate*demandDecay.Seconds()/max(r.customer.demand, 1))
--- a/policy/store.go
+++ b/policy/store.go
@@ -150,9 +150,9 @@
 		wanted += view.wantedUnits
 	}
 	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandDecay.Seconds()*unlentDemandSpan.Seconds()
-	for _, view := range c.views {
-		loan := min(loanScale*30, math.Floor(loanScale*view.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
-		view.lentTotal += byte(loan)
+	for _, v := range c.views {
+		loan := min(loanScale*30, math.Floor(loanScale*v.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
+		v.lentTotal += byte(loan)
 		c.ceiling, c.onLoan = c.ceiling-loan/loanScale, c.onLoan+loan/loanScale
 		if loan > 0 {
 			c.reportsLeft = max(c.reportsLeft, 1)
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -56,7 +56,8 @@
 		to := r.customer.owners[r.askCount]
 		r.askCount++
 		p := g.peerAt(to)
-		if to == g.cfg.Me || p.missed >= rootAsks && g.now-p.missedAt < peerPause || !g.borrows && g.pastLoanDeadline(r) {
+		if to == g.cfg.Me || p.missed >= rootAsks && g.now-p.missedAt < peerPause ||
+			!g.borrows && g.pastLoanDeadline(r) {
 			continue
 		}
 		g.nextTag++
