--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -23,7 +23,7 @@
 func (l *loop) execute(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		l.send(a)
+		l.sendAttempt(a)
 	case policy.Cancel:
 		if c := l.requests[a.ID]; c != nil && c.inFlight != nil && c.inFlight.num == a.Attempt {
 			c.inFlight.recall()
@@ -53,9 +53,9 @@
 	}
 }
 
-// send starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or is past
+// sendAttempt starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or is past
 // its deadline, nothing is sent and the gateway receives an outcome without a retry.
-func (l *loop) send(s policy.Send) {
+func (l *loop) sendAttempt(s policy.Send) {
 	c, now := l.requests[s.ID], l.clock.now()
 	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
 	if c != nil {
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -62,10 +62,10 @@
 
 // script determines one run: what clients and servers do, and when the proxy reloads and stops.
 type script struct {
-	clients [][]clientStep
-	acts    []serverAct
-	reload  time.Duration // 0: never
-	stop    time.Duration // 0: never
+	clients    [][]clientStep
+	serverActs []serverAct
+	reload     time.Duration // 0: never
+	stop       time.Duration // 0: never
 }
 
 func drawScript(t *rapid.T) script {
@@ -75,18 +75,18 @@
 	act := rapid.Custom(func(t *rapid.T) serverAct { return serverAct(rapid.IntRange(0, int(serverActCount)-1).Draw(t, "act")) })
 	when := rapid.SampledFrom([]time.Duration{0, 0, 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond})
 	return script{
-		clients: rapid.SliceOfN(rapid.SliceOfN(step, 1, 7), 1, 3).Draw(t, "clients"),
-		acts:    rapid.SliceOfN(act, 1, 10).Draw(t, "acts"),
-		reload:  when.Draw(t, "reload"),
-		stop:    when.Draw(t, "stop"),
+		clients:    rapid.SliceOfN(rapid.SliceOfN(step, 1, 7), 1, 3).Draw(t, "clients"),
+		serverActs: rapid.SliceOfN(act, 1, 10).Draw(t, "acts"),
+		reload:     when.Draw(t, "reload"),
+		stop:       when.Draw(t, "stop"),
 	}
 }
 
 // sentRequest is a request as recorded by its client.
 type sentRequest struct {
-	id     string
-	repeat bool
-	at     time.Time
+	id         string
+	idempotent bool
+	at         time.Time
 }
 
 // observedAttempt is an attempt as recorded by its server.
@@ -101,14 +101,14 @@
 type observedClient struct {
 	sent           []sentRequest
 	answers        []*timedAnswer
-	left           time.Time // when it disconnected; zero: it stayed connected
+	disconnectedAt time.Time // when it disconnected; zero: it stayed connected
 	pendingAnswers int       // answers outstanding at that time
 }
 
 // answersScenario runs a script and records what clients and servers observe.
 type answersScenario struct {
 	script
-	r        *managedFixture
+	rig      *managedFixture
 	mu       sync.Mutex
 	attempts []*observedAttempt
 	clients  []*observedClient
@@ -125,17 +125,17 @@
 func (p *answersScenario) serve(c net.Conn, q *standin.Request) bool {
 	id := q.Header.Get("Attempt-Id")
 	p.mu.Lock()
-	a := &observedAttempt{id: id, act: p.acts[len(p.attempts)%len(p.acts)], conn: c, at: time.Now()}
+	a := &observedAttempt{id: id, act: p.serverActs[len(p.attempts)%len(p.serverActs)], conn: c, at: time.Now()}
 	p.attempts = append(p.attempts, a)
 	p.mu.Unlock()
-	goesOn := p.act(c, a)
+	goesOn := p.answerAs(c, a)
 	p.mu.Lock()
 	a.ended = time.Now()
 	p.mu.Unlock()
 	return goesOn
 }
 
-func (p *answersScenario) act(c net.Conn, a *observedAttempt) bool {
+func (p *answersScenario) answerAs(c net.Conn, a *observedAttempt) bool {
 	own := "HTTP/1.1 200 OK\r\nAttempt-Id: " + a.id + "\r\nServer-Seal: s\r\n"
 	body := "yes " + a.id
 	whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", own, len(body), body)
@@ -180,7 +180,7 @@
 
 // client runs the steps of one client.
 func (p *answersScenario) client(seen *observedClient, steps []clientStep) {
-	c := p.r.dial()
+	c := p.rig.dial()
 	defer c.Close()
 	read := make(chan struct{})
 	go func() {
@@ -203,7 +203,7 @@
 			time.Sleep(pauseDuration)
 		default:
 			p.mu.Lock()
-			seen.left, seen.pendingAnswers = time.Now(), len(seen.sent)-len(seen.answers)
+			seen.disconnectedAt, seen.pendingAnswers = time.Now(), len(seen.sent)-len(seen.answers)
 			p.mu.Unlock()
 			disconnects[map[clientStep]string{stepReset: "reset", stepClose: "close", stepHalfClose: "half"}[step]](c)
 			if step != stepHalfClose {
@@ -249,9 +249,9 @@
 
 // run executes the script and describes the first property that is broken, or returns an empty string.
 func (p *answersScenario) run(t *testing.T, fault string) (broken string) {
-	world := func(n *sim.Net) world.World { return &faultyWorld{Net: n, fault: fault} }
+	world := func(n *sim.Net) world.World { return &faultyNetwork{Net: n, fault: fault} }
 	runManagedIn(t, false, world, func(r *managedFixture) {
-		p.r, r.behaviors = r, []serverBehavior{p.serve}
+		p.rig, r.behaviors = r, []serverBehavior{p.serve}
 		r.configure()
 		var all sync.WaitGroup
 		for _, steps := range p.script.clients {
@@ -303,7 +303,7 @@
 	return ""
 }
 
-func (p *answersScenario) runs(id string) (n int) {
+func (p *answersScenario) runCount(id string) (n int) {
 	for _, a := range p.attempts {
 		if a.id == id && a.act.mayRun() {
 			n++
@@ -316,7 +316,7 @@
 func (p *answersScenario) runsOnce() string {
 	for _, c := range p.clients {
 		for _, s := range c.sent {
-			if n := p.runs(s.id); !s.repeat && n > 1 {
+			if n := p.runCount(s.id); !s.idempotent && n > 1 {
 				return fmt.Sprintf("once: %s ran %d times", s.id, n)
 			}
 		}
@@ -330,7 +330,7 @@
 		for i, a := range c.answers {
 			switch a.StatusCode {
 			case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-				if id := c.sent[i].id; p.runs(id) > 0 {
+				if id := c.sent[i].id; p.runCount(id) > 0 {
 					return fmt.Sprintf("promise: %s is refused with %d and ran", id, a.StatusCode)
 				}
 			}
@@ -344,7 +344,7 @@
 // closed must not have run either.
 func (p *answersScenario) answersAll() string {
 	for _, c := range p.clients {
-		if !c.left.IsZero() {
+		if !c.disconnectedAt.IsZero() {
 			continue
 		}
 		n := len(c.answers)
@@ -353,7 +353,7 @@
 			return fmt.Sprintf("answer: %d of %d requests are answered", n, len(c.sent))
 		}
 		for _, s := range c.sent[n:] {
-			if p.runs(s.id) > 0 {
+			if p.runCount(s.id) > 0 {
 				return fmt.Sprintf("answer: %s ran and is not answered", s.id)
 			}
 		}
@@ -380,13 +380,13 @@
 // answer outstanding are checked.
 func (p *answersScenario) stopsWorkForDisconnectedClients() string {
 	for _, c := range p.clients {
-		if c.left.IsZero() || c.pendingAnswers != 1 {
+		if c.disconnectedAt.IsZero() || c.pendingAnswers != 1 {
 			continue
 		}
 		for _, s := range c.sent[len(c.sent)-1:] {
 			for _, a := range p.attempts {
-				if a.id == s.id && s.repeat && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.left) > maxEndDelay) {
-					return fmt.Sprintf("left: %s is worked on %v after its client disconnected", s.id, a.ended.Sub(c.left))
+				if a.id == s.id && s.idempotent && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.disconnectedAt) > maxEndDelay) {
+					return fmt.Sprintf("left: %s is worked on %v after its client disconnected", s.id, a.ended.Sub(c.disconnectedAt))
 				}
 			}
 		}
--- a/internal/dataplane/node/asked.go
+++ b/internal/dataplane/node/asked.go
@@ -43,8 +43,8 @@
 
 // countSnapshot holds the total count of each route at one time.
 type countSnapshot struct {
-	at     time.Duration
-	counts []uint32
+	takenAt time.Duration
+	counts  []uint32
 }
 
 // countRecent returns the last minute's requests by route, or nil if there is no configuration yet. The counts cover a whole
@@ -62,20 +62,20 @@
 	if m.current != current {
 		m.current, m.snapshots = current, nil
 	}
-	for len(m.snapshots) > 1 && now-m.snapshots[1].at >= requestCountWindow {
+	for len(m.snapshots) > 1 && now-m.snapshots[1].takenAt >= requestCountWindow {
 		m.snapshots = m.snapshots[1:]
 	}
 	counts := &RequestCounts{Gen: current.configuration.Gen}
 	if len(m.snapshots) > 0 {
 		oldest := m.snapshots[0]
-		counts.Span = now - oldest.at
+		counts.Span = now - oldest.takenAt
 		for i, n := range latest.counts {
 			if n -= oldest.counts[i]; n > 0 {
 				counts.Routes = append(counts.Routes, RouteRequests{uint32(i), n})
 			}
 		}
 	}
-	if n := len(m.snapshots); n == 0 || now-m.snapshots[n-1].at >= requestCountInterval {
+	if n := len(m.snapshots); n == 0 || now-m.snapshots[n-1].takenAt >= requestCountInterval {
 		m.snapshots = append(m.snapshots, latest)
 	}
 	if len(counts.Routes) > maxCountedRoutes {
--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -51,7 +51,7 @@
 	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
 		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
 	}
-	l.send(policy.Send{ID: 2, Server: 1})
+	l.sendAttempt(policy.Send{ID: 2, Server: 1})
 	l.endAttempt(outcome{out, out.inFlight, ended(verdict.Failed, nil)})
 	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -23,17 +23,17 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := clientConn{in: messageReader{src: bytes.NewReader(data)}}
+		c := clientConn{input: messageReader{src: bytes.NewReader(data)}}
 		err := c.readRequest()
-		slow := clientConn{in: messageReader{src: iotest.OneByteReader(bytes.NewReader(data))}}
-		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.req.body, slow.req.body) {
-			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.req.body, slowErr, slow.req.body)
+		slow := clientConn{input: messageReader{src: iotest.OneByteReader(bytes.NewReader(data))}}
+		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.request.body, slow.request.body) {
+			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.request.body, slowErr, slow.request.body)
 		}
 		if err != nil {
 			return
 		}
-		if len(c.req.body) > maxBodyBytes {
-			t.Fatalf("a body of %d bytes", len(c.req.body))
+		if len(c.request.body) > maxBodyBytes {
+			t.Fatalf("a body of %d bytes", len(c.request.body))
 		}
 		br := bufio.NewReader(bytes.NewReader(data))
 		r, err := http.ReadRequest(br)
@@ -44,11 +44,11 @@
 			return // a target that is no URL: it goes on as it is
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !bytes.Equal(body, c.req.body) {
-			t.Fatalf("body %q, elsewhere %q, %v", c.req.body, body, err)
+		if err != nil || !bytes.Equal(body, c.request.body) {
+			t.Fatalf("body %q, elsewhere %q, %v", c.request.body, body, err)
 		}
 		there, _ := io.ReadAll(br)
-		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.in.buf[c.in.off:]), c.in.src))
+		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.input.buf[c.input.off:]), c.input.src))
 		if !bytes.Equal(here, there) {
 			t.Fatalf("rest %q, elsewhere %q", here, there)
 		}
--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -15,8 +15,8 @@
 // overloadedDiscovery simulates one discovery service for many proxies. It serves calls in order, accepts more calls than it
 // can answer before they time out, and spends time on every accepted call.
 type overloadedDiscovery struct {
-	perCall, patience, maxQueue time.Duration
-	freeAt                      time.Duration // when it has finished all accepted calls
+	perCall, callTimeout, maxQueue time.Duration
+	freeAt                         time.Duration // when it has finished all accepted calls
 }
 
 // call returns when a call ends and whether it is answered.
@@ -26,8 +26,8 @@
 		return at, false
 	}
 	o.freeAt += o.perCall
-	if o.freeAt-at > o.patience {
-		return at + o.patience, false
+	if o.freeAt-at > o.callTimeout {
+		return at + o.callTimeout, false
 	}
 	return o.freeAt, true
 }
@@ -81,14 +81,14 @@
 	}
 	for life := uint64(1); life <= 200; life++ {
 		// In 8 s the service can send the complete list to every proxy, or in half of that a change.
-		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		first, _ := o.run(paces(80, life, true), 0, 8*time.Second)
 		second, failed := o.run(paces(56, life+1000, true), 10*time.Second, 18*time.Second)
 		if first != 80 || second != 56 || failed > 0 {
 			t.Fatalf("seeds %d: %d of 80 and %d of 56 have an answer, %d calls failed", life, first, second, failed)
 		}
 	}
-	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 	if n, _ := o.run(paces(80, 1, false), 0, 8*time.Second); n > 45 {
 		t.Errorf("%d of 80 have an answer although all calls are synchronized: the simulated service is not overloaded", n)
 	}
@@ -97,7 +97,7 @@
 // Within 8 s the service can take a call from every proxy, whatever their number: maxSpread suits fleets of any size.
 func TestStartSpreadHoldsForAnyFleetSize(t *testing.T) {
 	for _, n := range []int{81, 300, 1000} {
-		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		var paces []callPacing
 		for i := range n {
 			paces = append(paces, newSharedPacing(n, uint64(i)))
@@ -113,7 +113,7 @@
 func TestAddressChangeSpreadsCalls(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		play := func(spread bool) (answered, failed int) {
-			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 			var paces []callPacing
 			next := make([]time.Duration, n)
 			for i := range n {
@@ -136,7 +136,7 @@
 
 // A discovery service that has built up a long queue while it was too slow gets few enough calls to drain it.
 func TestDiscoveryBacklogDrains(t *testing.T) {
-	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, patience: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
+	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
 	var paces []callPacing
 	for i := range 80 {
 		paces = append(paces, newSharedPacing(80, uint64(i)))
@@ -193,7 +193,7 @@
 		_, _ = w.Write([]byte(`{"rev":7,"all":true,"targets":[]}`))
 	}))
 	t.Cleanup(agent.Close)
-	clock := &stoppedClock{slept: make(chan time.Duration, 100)}
+	clock := &recordingClock{timers: make(chan time.Duration, 100)}
 	d := newDiscovery(clock, strings.TrimPrefix(agent.URL, "http://"), nil, func(*serverList, policy.ServerListKind) {})
 	d.pacing = newSharedPacing(300, 1)
 	want := newSharedPacing(300, 1)
@@ -204,13 +204,13 @@
 		t.Errorf("asked %q first, with no list", q)
 	}
 	for slept := time.Duration(0); slept != minWatchInterval; { // until it has the list and watches it
-		slept = <-clock.slept
+		slept = <-clock.timers
 	}
 	d.moveTo(strings.TrimPrefix(agent.URL, "http://"))
 	turn, never := want.moveDelay(), time.After(20*time.Second)
 	for slept := time.Duration(0); slept != turn; {
 		select {
-		case slept = <-clock.slept:
+		case slept = <-clock.timers:
 		case <-never:
 			t.Fatalf("did not wait its delay of %v", turn)
 		}
@@ -219,13 +219,13 @@
 	<-done
 }
 
-// stoppedClock reports the duration of each timer and never lets one expire.
-type stoppedClock struct {
+// recordingClock reports the duration of each timer and never lets one expire.
+type recordingClock struct {
 	world.Real
-	slept chan time.Duration
+	timers chan time.Duration
 }
 
-func (c *stoppedClock) NewTimer(d time.Duration) world.Timer {
-	c.slept <- d
+func (c *recordingClock) NewTimer(d time.Duration) world.Timer {
+	c.timers <- d
 	return c.Real.NewTimer(time.Hour)
 }
--- a/internal/dataplane/node/passing.go
+++ b/internal/dataplane/node/passing.go
@@ -242,11 +242,11 @@
 // 9.6). So what still comes is passed over first, unless the client itself asked for the end.
 func (s *server) pass(cc *clientConn) bool {
 	on := s.served(cc)
-	unread := cc.in.unread()
+	unread := cc.input.unread()
 	if on && !unread {
 		return true
 	}
-	if unread || cc.finalAnswerSent && !cc.req.over() {
+	if unread || cc.finalAnswerSent && !cc.request.over() {
 		s.setState(cc, connLinger)
 		s.passOver(cc)
 	}
@@ -254,7 +254,7 @@
 }
 
 func (s *server) served(cc *clientConn) bool {
-	r := &cc.req
+	r := &cc.request
 	c, turned := s.estate.read(r)
 	if turned != nil {
 		cc.badRequests = 0
@@ -322,11 +322,11 @@
 		return s.whole(cc, t.last)
 	case t.Ran() && s.up.flows(t.held):
 		var r result
-		s.up.flow(&cc.req.managed.front, t.held, &r)
+		s.up.flow(&cc.request.managed.front, t.held, &r)
 		return cc.goesOn(r.whole)
 	}
 	if t.Ran() && s.failed != nil {
-		s.failed(cc.req.managed.id, t.Last())
+		s.failed(cc.request.managed.id, t.Last())
 	}
 	return s.own(cc, t.GivenUp(cmd.overQuota, cmd.timedOut, cmd.retryAfter))
 }
@@ -353,7 +353,7 @@
 
 // goesOn tells whether the connection goes on after an answer that was passed on as it came, whole or not.
 func (cc *clientConn) goesOn(whole bool) bool {
-	over := cc.req.managed.over
+	over := cc.request.managed.over
 	cc.finalAnswerSent = whole && over
 	return whole && !over
 }
@@ -363,7 +363,7 @@
 	if i := len(answerStart); len(answer) > i {
 		s.counts.countForwarded(answer[i])
 	}
-	over := s.draining.Load() || s.resting.Load() || cc.req.over() || cc.in.unread()
+	over := s.draining.Load() || s.resting.Load() || cc.request.over() || cc.input.unread()
 	if over {
 		const more = "Connection: close\r\n"
 		if i := bytes.Index(answer, []byte("\r\n")); i >= 0 {
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -27,12 +27,12 @@
 	now := u.clock.now()
 	a := &attempt{id: 7, server: 1, sent: now, deadline: now + deadline, writeBy: now + deadline}
 	return a, func() (result, string) {
-		in := clientConn{in: messageReader{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
+		in := clientConn{input: messageReader{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Request-Id: 9b1f03aa5c7e2d41\r\n\r\n")}}
 		if err := in.readRequest(); err != nil {
 			panic(err)
 		}
-		r := u.do(a, &in.req)
+		r := u.do(a, &in.request)
 		return r, r.body
 	}
 }
