--- a/internal/dataplane/node/bench_test.go
+++ b/internal/dataplane/node/bench_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// startBenchmarkProxy is an edge node before one server.
+// startBenchmarkProxy starts a managed proxy with one server.
 func startBenchmarkProxy(b *testing.B, w world.World, server string) (e *ManagedNode, end func()) {
 	e, err := NewManagedNode(ManagedConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 4100,
 		World: w, Regions: map[string]string{"a": "r"}, Grace: time.Second, RetryRatio: 1, RetrySlack: 100})
--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -262,7 +262,7 @@
 				n, err := read(c)
 				assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
 				assert.Equal(t, h.complete(), 2)
-				r.list[0].Address = "127.0.0.1:1" // nobody is there
+				r.list[0].Address = "127.0.0.1:1" // nothing listens there
 				r.SetServers(2, r.list)
 				for i := range 9 {
 					c := r.send(upload("/act/", content(large), chunked))
@@ -319,7 +319,7 @@
 				assert.Equal(t, h.complete(), len(c.acts))
 				time.Sleep(10 * time.Millisecond)
 				synctest.Wait()
-				r.runOnLoop(func(l *loop) { // nothing is held any more
+				r.runOnLoop(func(l *loop) { // no connection is held for a large answer any more
 					l.upstream.mu.Lock()
 					defer l.upstream.mu.Unlock()
 					idle := 0
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -121,7 +121,7 @@
 			cfg.CachedList = nil
 		}
 	}
-	n.discovery = newDiscovery(w, cfg.Discovery, cfg.CachedList, func(l *serverList, kind policy.ServerListKind) {
+	n.discovery = newDiscovery(machine, cfg.Discovery, cfg.CachedList, func(l *serverList, kind policy.ServerListKind) {
 		n.loop.events <- listUpdate{l, kind}
 	})
 	if cfg.Settings.MustWatch {
@@ -145,8 +145,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer n.closePeers()
-	if k := n.cfg.CachedList; k != nil {
-		n.loop.events <- listUpdate{k, policy.CachedList}
+	if cached := n.cfg.CachedList; cached != nil {
+		n.loop.events <- listUpdate{cached, policy.CachedList}
 	}
 	go n.loop.run(ctx.Done())
 	go n.discovery.run(ctx)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -96,17 +96,17 @@
 	c := newClock(world.Real{})
 	l := newLoop(c, nil, nil)
 	out := &attempt{id: 1, cancelled: false}
-	k := &openRequest{commands: make(chan command, 1), inFlight: out}
-	k.ID = 1
-	l.requests[1] = k
-	l.finish(k, command{refused: true})
-	if !out.cancelled || len(k.commands) != 0 {
-		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.commands))
+	open := &openRequest{commands: make(chan command, 1), inFlight: out}
+	open.ID = 1
+	l.requests[1] = open
+	l.finish(open, command{refused: true})
+	if !out.cancelled || len(open.commands) != 0 {
+		t.Fatalf("cancelled %v, answers %d", out.cancelled, len(open.commands))
 	}
-	l.finish(k, command{}) // a second end changes nothing
-	k.inFlight = nil
-	l.answer(k, *k.pendingAnswer)
-	if cmd := <-k.commands; cmd.refused || cmd.attempt != nil || len(l.requests) != 0 {
+	l.finish(open, command{}) // finishing it again has no effect
+	open.inFlight = nil
+	l.answer(open, *open.pendingAnswer)
+	if cmd := <-open.commands; cmd.refused || cmd.attempt != nil || len(l.requests) != 0 {
 		t.Errorf("%+v, %d open", cmd, len(l.requests))
 	}
 }
