--- a/internal/dataplane/node/answers_fault_test.go
+++ b/internal/dataplane/node/answers_fault_test.go
@@ -33,8 +33,8 @@
 		faultFailureAsRefusal:  {script{clients: pair, serverActs: []serverAct{actReset}}, "promise: "},
 		faultAnswerLost:        {script{clients: pair, serverActs: []serverAct{actServe}}, "answer: "},
 		faultCloseEarly:        {script{clients: pair, serverActs: []serverAct{actServe}}, "answer: "},
-		faultHideTrailingBytes: {script{clients: many, serverActs: []serverAct{actTwice}}, "spoilt: "},
-		faultHideLeadingBytes:  {script{clients: many, serverActs: []serverAct{actStrayBefore}}, "spoilt: "},
+		faultHideTrailingBytes: {script{clients: many, serverActs: []serverAct{actTwice}}, "damaged: "},
+		faultHideLeadingBytes:  {script{clients: many, serverActs: []serverAct{actStrayBefore}}, "damaged: "},
 		faultHideDisconnect:    {script{clients: leaves, serverActs: []serverAct{actWork}}, "left: "},
 	} {
 		t.Run(fault, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	faultHideLeadingBytes  = "bytes before an answer hidden"
 )
 
-// faultyNetwork is a network that plants a fault in the node's connections.
+// faultyNetwork is a network that injects a fault into the proxy's connections.
 type faultyNetwork struct {
 	*sim.Net
 	fault string
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -101,8 +101,8 @@
 type observedClient struct {
 	sent           []sentRequest
 	answers        []*timedAnswer
-	disconnectedAt time.Time // zero: it stayed
-	pendingAnswers int       // answers that had not come then
+	disconnectedAt time.Time // when it disconnected; zero: it stayed connected
+	pendingAnswers int       // answers outstanding at that time
 }
 
 // answersScenario runs a script and records what clients and servers observe.
@@ -386,7 +386,7 @@
 		for _, s := range c.sent[len(c.sent)-1:] {
 			for _, a := range p.attempts {
 				if a.id == s.id && s.idempotent && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.disconnectedAt) > maxEndDelay) {
-					return fmt.Sprintf("left: %s is worked on %v after its client left", s.id, a.ended.Sub(c.disconnectedAt))
+					return fmt.Sprintf("left: %s is worked on %v after its client disconnected", s.id, a.ended.Sub(c.disconnectedAt))
 				}
 			}
 		}
--- a/internal/dataplane/node/asked.go
+++ b/internal/dataplane/node/asked.go
@@ -68,7 +68,7 @@
 	counts := &RequestCounts{Gen: current.configuration.Gen}
 	if len(m.snapshots) > 0 {
 		oldest := m.snapshots[0]
-		a.Span = now - oldest.takenAt
+		counts.Span = now - oldest.takenAt
 		for i, n := range latest.counts {
 			if n -= oldest.counts[i]; n > 0 {
 				counts.Routes = append(counts.Routes, RouteRequests{uint32(i), n})
--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -16,7 +16,7 @@
 // can answer before they time out, and spends time on every accepted call.
 type overloadedDiscovery struct {
 	perCall, callTimeout, maxQueue time.Duration
-	freeAt                         time.Duration // when it has done all that it took
+	freeAt                         time.Duration // when it has finished all accepted calls
 }
 
 // call returns when a call ends and whether it is answered.
@@ -80,7 +80,7 @@
 		return list
 	}
 	for life := uint64(1); life <= 200; life++ {
-		// It can take a whole list's call from each in 8 s, a change's in half of it.
+		// In 8 s the service can send the complete list to every proxy, or in half of that a change.
 		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		first, _ := o.run(paces(80, life, true), 0, 8*time.Second)
 		second, failed := o.run(paces(56, life+1000, true), 10*time.Second, 18*time.Second)
@@ -203,7 +203,7 @@
 	if q := <-asked; !strings.HasSuffix(q, "?") {
 		t.Errorf("asked %q first, with no list", q)
 	}
-	for slept := time.Duration(0); slept != minWatchInterval; { // it has the list, and watches
+	for slept := time.Duration(0); slept != minWatchInterval; { // until it has the list and watches it
 		slept = <-clock.timers
 	}
 	d.moveTo(strings.TrimPrefix(agent.URL, "http://"))
@@ -219,7 +219,7 @@
 	<-done
 }
 
-// recordingClock tells what is slept for and lets nothing run out.
+// recordingClock reports the duration of each timer and never lets one expire.
 type recordingClock struct {
 	world.Real
 	timers chan time.Duration
