--- a/internal/dataplane/node/pieces.go
+++ b/internal/dataplane/node/bodyreader.go
@@ -1,32 +1,32 @@
 package node
 
-// What of a body is beyond its window.
+// Reading of the part of a body that is longer than the window.
 
 const (
-	// A body up to here is held whole, so that it may be sent again; of a longer one no more is held at a time.
-	// It is what an edge node's memory bears for each of its connections to servers at once, and far above what most
-	// bodies have.
+	// A body up to this size is buffered whole, so that it can be sent again. Of a longer body no more than this is
+	// buffered at a time. A proxy can afford this much for each of its server connections at once, and most bodies
+	// are far smaller.
 	bodyWindowBytes  = 16 << 10
-	maxDoublingBytes = 8 << 10 // a body beyond gets room of its size
+	maxDoublingBytes = 8 << 10 // to read more bytes than this, the buffer grows to the exact size
 )
 
-// bodyRemainder is what is to come of a body beyond the window.
+// bodyRemainder is the unread part of a body that is longer than the window.
 type bodyRemainder struct {
-	bytesLeft     int  // bytes of the body, or of its chunk
-	chunkBytes    int  // bytes of all chunks that were told
-	isChunked     bool // more chunks may follow
-	chunkEndRead  bool // the line's end behind the last one has been passed over
-	lastChunkRead bool // the last one has come, and its trailer not yet
-	hasDiscarded  bool // some of it is held no more
+	bytesLeft     int  // unread bytes of the body or of its current chunk
+	chunkBytes    int  // total size of the chunks announced so far
+	isChunked     bool // further chunks may follow
+	chunkEndRead  bool // the line break after the last chunk has been read
+	lastChunkRead bool // the last chunk's size line has been read, but not yet the trailer
+	hasDiscarded  bool // part of the body is no longer buffered
 }
 
-// hasUnreadBody tells whether something of the body has not come yet.
+// hasUnreadBody reports whether part of the body has not arrived yet.
 func (s *messageReader) hasUnreadBody() bool {
 	return s.remainder.bytesLeft > 0 || s.remainder.isChunked
 }
 
-// grow makes room. What has been used is let go where nobody needs it there; who still has a slice keeps the old
-// buffer.
+// grow makes room in the buffer. If the reader owns the buffer, it reuses the space of consumed bytes. Otherwise it
+// allocates a new buffer, so that slices handed out earlier stay valid.
 func (s *messageReader) grow() {
 	rest := s.buf[s.off:]
 	switch {
@@ -39,8 +39,8 @@
 	}
 }
 
-// nextPiece returns what comes next of the rest, and no bytes at its end. They hold until the next call. After a
-// time-out it may be called again.
+// nextPiece returns the next piece of the remainder, or no bytes at its end. The bytes are valid until the next call.
+// After a timeout it may be called again.
 func (s *messageReader) nextPiece() ([]byte, error) {
 	r := &s.remainder
 	for r.bytesLeft == 0 {
@@ -72,7 +72,7 @@
 	return s.buf[s.off-n : s.off], nil
 }
 
-// startNextChunk passes over the end of a chunk and reads the size of the next one.
+// startNextChunk reads past the end of a chunk and reads the next chunk's size.
 func (s *messageReader) startNextChunk() error {
 	r := &s.remainder
 	if !r.chunkEndRead {
--- a/internal/dataplane/node/pieces_test.go
+++ b/internal/dataplane/node/bodyreader_test.go
@@ -14,7 +14,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// timeoutReader gives a byte at a time, with a time-out ahead of each.
+// timeoutReader returns one byte at a time, with a timeout before each.
 type timeoutReader struct {
 	data  []byte
 	ready bool
@@ -29,7 +29,7 @@
 	return n, nil
 }
 
-// A body's pieces are the same however often reading them had to stop.
+// Timeouts between the pieces of a body must not change what is read.
 func TestPiecesAfterTimeOuts(t *testing.T) {
 	want := content(3 * bodyWindowBytes)
 	_, wire := frameBody(want, true)
@@ -46,7 +46,7 @@
 	assert.Assert(t, !s.hasUnreadBody() && bytes.Equal(got, want), "%d bytes", len(got))
 }
 
-// breakingConn takes so many bytes and breaks.
+// breakingConn accepts the given number of bytes and then fails.
 type breakingConn struct {
 	net.Conn
 	left int
@@ -63,7 +63,8 @@
 func (c *breakingConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *breakingConn) Peek() world.Peeked               { return world.PeekQuiet }
 
-// With any byte of the end of a body in chunks written the server may take the request for whole.
+// Once any byte of a chunked body's last chunk is written, the server may take the request as complete, so the
+// attempt must not count as one that never ran.
 func TestEndOfChunksMayRun(t *testing.T) {
 	u := &upstream{clock: newClock(world.Real{})}
 	const rest = "3\r\nabc\r\n"
--- a/internal/dataplane/node/harness_test.go
+++ b/internal/dataplane/node/harness_test.go
@@ -21,12 +21,12 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// newApp starts an app server that does with each request what the test says.
+// newApp starts an app server that handles each request with the given function.
 func newApp(t *testing.T, do func(c net.Conn, r *standin.Request) bool) *standin.Raw {
 	t.Helper()
 	a, err := standin.ServeRaw(world.Real{}, "127.0.0.1:0", do)
@@ -47,7 +47,7 @@
 	return addr
 }
 
-// discoveryFixture is a discovery agent and the roster that it tells of.
+// discoveryFixture is a discovery agent and the server list that it serves.
 type discoveryFixture struct {
 	*standin.Agent
 	roster *standin.Roster
@@ -64,7 +64,7 @@
 	return &discoveryFixture{a, r}
 }
 
-// set changes lines of the roster, and whether the agent answers.
+// set changes servers in the list, and whether the agent answers.
 func (g *discoveryFixture) set(down bool, list ...target) {
 	status := 0
 	if down {
@@ -103,7 +103,7 @@
 	return c
 }
 
-// runningNode is an edge node under test.
+// runningNode is a proxy under test.
 type runningNode struct {
 	*Node
 	url  string
@@ -137,7 +137,7 @@
 	return r
 }
 
-// nodeWith starts an edge node that knows the app servers at the addresses.
+// nodeWith starts a proxy that knows the app servers at the addresses.
 func nodeWith(t *testing.T, addrs ...string) *runningNode {
 	t.Helper()
 	var list []target
@@ -147,7 +147,7 @@
 	return start(t, testConfig(t, newDiscoveryFixture(t, list...).Addr()))
 }
 
-// newTestRequest makes a client's request; POST for the keyed class.
+// newTestRequest makes a client's request: POST for the keyed class, else GET.
 func newTestRequest(url, class string, deadline time.Duration) *http.Request {
 	method, body := http.MethodGet, ""
 	if class == "loan" {
@@ -169,7 +169,7 @@
 	return r
 }
 
-// sendTestRequest sends a request and returns the whole answer.
+// sendTestRequest sends a request and returns the complete answer.
 func sendTestRequest(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
--- a/internal/dataplane/node/passing.go
+++ b/internal/dataplane/node/managedrequest.go
@@ -15,7 +15,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Fields of the system's wire.
+// Header fields of the managed protocol.
 const (
 	fieldID       = "Attempt-Id"
 	fieldDeadline = "Deadline-Ms"
@@ -28,47 +28,49 @@
 )
 
 const (
-	longestWaitDecayRequests = 512       // requests after which what one client said has mostly worn off
-	maxConfiguredHeadBytes   = 256 << 10 // bytes of a head, whatever the configuration says: each connection may hold so many
+	longestWaitDecayRequests = 512       // requests over which the longest wait announced by clients of a route mostly decays
+	maxConfiguredHeadBytes   = 256 << 10 // limit on a request's head, whatever the configuration allows: every connection may buffer that much
 )
 
-// managedState is what requests are read by on the system's wire.
+// managedState is what the managed protocol needs to read a request: the active configuration and what control
+// announced.
 type managedState struct {
 	clock           clock
-	maxStatementAge atomic.Int64 // how old control's statements may be for requests with a key; 0: any age
-	confirmedAt     atomic.Int64 // by the clock
+	maxStatementAge atomic.Int64 // maximum age of control's last confirmation for requests with a key, in nanoseconds; 0: any age
+	confirmedAt     atomic.Int64 // clock time of control's last confirmation
 	gatewayCount    atomic.Int64
 	active          atomic.Pointer[activeConfiguration]
-	workDeadline    atomic.Int64 // by the clock: servers are told to have ended by then; 0: by their requests' deadlines alone
+	workDeadline    atomic.Int64 // clock time by which servers are told to have finished their work; 0: only the requests' deadlines apply
 	hostTraffic     homing.Tally
 
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// activeConfiguration is a configuration in force, with its classes.
+// activeConfiguration is the current configuration with its policy classes.
 type activeConfiguration struct {
 	configuration *routeconfig.Configuration
 	classes       map[string]*policy.Class
 	routes        map[*routeconfig.Route]*routeStats
-	boundHosts    map[*routeconfig.Route]uint32 // hosts of which some routes are bound to regions
+	boundHosts    map[*routeconfig.Route]uint32 // hosts that have both routes bound to regions and routes that are not
 }
 
-// waitedBefore is how long a client has waited before this try: its others told it, so it waits that much less than
-// clients of its route do at their first try. What none has said lately any more is forgotten.
+// waitedBefore returns how long a client has already waited in earlier tries of a request. A request announces the
+// time that its client will still wait, so the time waited is the difference to the longest wait that clients of the
+// route have announced. The longest wait decays with each request that announces less.
 func (t *activeConfiguration) waitedBefore(r *routeconfig.Route, ms int64) time.Duration {
-	longest := &t.routes[r].longestDeadlineMS
-	most := longest.Load()
-	longest.Store(max(ms, most-(most-ms+longestWaitDecayRequests-1)/longestWaitDecayRequests))
-	return time.Duration(max(0, most-ms)) * time.Millisecond
+	stored := &t.routes[r].longestDeadlineMS
+	longestMS := stored.Load()
+	stored.Store(max(ms, longestMS-(longestMS-ms+longestWaitDecayRequests-1)/longestWaitDecayRequests))
+	return time.Duration(max(0, longestMS-ms)) * time.Millisecond
 }
 
-// managedRequest is what a request is under the configuration it came in by.
+// managedRequest is the state of a request under the managed protocol.
 type managedRequest struct {
 	id               string
-	tenant           string     // empty: it needs none
-	client           clientSide // who sent it
-	closeAfterAnswer bool       // its answer, passed on as it came, is the connection's last
+	tenant           string     // empty: the route needs no tenant
+	client           clientSide // the client's connection
+	closeAfterAnswer bool       // the streamed answer is the last one on the client's connection
 }
 
 func className(r *routeconfig.Route, service string) string {
@@ -82,7 +84,7 @@
 	return policy.Unsafe
 }
 
-// activate puts a configuration in force, and returns its classes.
+// activate makes a configuration the active one and returns its classes.
 func (e *managedState) activate(p *routeconfig.Configuration) map[string]*policy.Class {
 	t := &activeConfiguration{configuration: p, classes: map[string]*policy.Class{}, routes: map[*routeconfig.Route]*routeStats{}, boundHosts: map[*routeconfig.Route]uint32{}}
 	for i := range p.Routes {
@@ -101,12 +103,12 @@
 }
 
 func (e *managedState) isFresh(now time.Duration) bool {
-	most := time.Duration(e.maxStatementAge.Load())
-	return most == 0 || now-time.Duration(e.confirmedAt.Load()) < most
+	maxAge := time.Duration(e.maxStatementAge.Load())
+	return maxAge == 0 || now-time.Duration(e.confirmedAt.Load()) < maxAge
 }
 
-// messageLimits are how many bytes a request's head and its body may have; a head of 0 stands for the usual bound. Before there
-// is a configuration no request is served.
+// messageLimits returns the maximum sizes of a request's head and body in bytes; a head of 0 stands for the default
+// limit. Without a configuration no request is served, so the body is not limited.
 func (e *managedState) messageLimits() (head, body int) {
 	t := e.active.Load()
 	if t == nil {
@@ -116,7 +118,7 @@
 	return int(min(l.MaxHeaderBytes, maxConfiguredHeadBytes)), int(min(l.MaxBodyBytes, math.MaxInt))
 }
 
-// workDuration is how long a server is told that it may work on a request that has so long left.
+// workDuration returns how long a server is told that it may work on a request with the given time left.
 func (e *managedState) workDuration(left, now time.Duration) time.Duration {
 	if ends := time.Duration(e.workDeadline.Load()); ends > 0 {
 		return min(left, ends-now)
@@ -124,16 +126,16 @@
 	return left
 }
 
-// unavailableAnswer turns a request away that can't be decided about yet.
+// unavailableAnswer rejects a request that can't be decided yet, for a reason that is sent to the client.
 func unavailableAnswer(why string) *verdict.Own { return unsentAnswer(503, refusalRetryAfter, why) }
 
-// unsentAnswer is an answer to what has not been sent on, and won't be.
+// unsentAnswer returns this proxy's answer to a request that was not and will not be sent to a server.
 func unsentAnswer(status int, after time.Duration, why string) *verdict.Own {
 	own := (&verdict.Course{}).Answer(status, after, why)
 	return &own
 }
 
-// parseRequest finds what a request is: its route, its tenant, its service, its time.
+// parseRequest finds the route, tenant, service and time limit of a request, or returns the answer that rejects it.
 func (e *managedState) parseRequest(r *clientRequest) (*openRequest, *verdict.Own) {
 	now := e.clock.now()
 	t := e.active.Load()
@@ -193,7 +195,7 @@
 	return c, nil
 }
 
-// intersectRegions are the regions that are in two lists of homes, where an empty list stands for all; nil: all.
+// intersectRegions returns the regions that are in both lists. An empty list and a nil result stand for all regions.
 func intersectRegions(a, b []string) []string {
 	switch {
 	case len(a) == 0 && len(b) == 0:
@@ -212,7 +214,7 @@
 	return out
 }
 
-// pickService takes one of a route's services by weight.
+// pickService picks one of a route's services at random by weight.
 func (e *managedState) pickService(r *routeconfig.Route) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Backend
@@ -237,13 +239,13 @@
 	return last
 }
 
-// serveManaged answers a request of the system's wire; it is false when the connection is over. A client may have sent more by
-// then: a connection that is closed over bytes that were not read is reset, and takes the last answer with it (RFC 9112,
-// 9.6). So what still comes is passed over first, unless the client itself asked for the end.
+// serveManaged answers a request of the managed protocol and reports whether the connection can go on. The client may
+// have sent more bytes by then. Closing a connection with unread bytes resets it, and the client may lose the last
+// answer (RFC 9112, 9.6). So unread bytes are discarded first, unless the client itself asked to close.
 func (s *server) serveManaged(cc *clientConn) bool {
-	on := s.answerManaged(cc)
+	canGoOn := s.answerManaged(cc)
 	unread := cc.input.hasUnreadBody()
-	if on && !unread {
+	if canGoOn && !unread {
 		return true
 	}
 	if unread || cc.finalAnswerSent && !cc.request.wantsClose() {
@@ -255,13 +257,13 @@
 
 func (s *server) answerManaged(cc *clientConn) bool {
 	r := &cc.request
-	c, turned := s.managed.parseRequest(r)
-	if turned != nil {
+	c, rejected := s.managed.parseRequest(r)
+	if rejected != nil {
 		cc.badRequests = 0
 		if !s.beginRequest(cc) {
 			return false
 		}
-		return s.writeOwnAnswer(cc, *turned)
+		return s.writeOwnAnswer(cc, *rejected)
 	}
 	if !s.beginRequest(cc) {
 		return false
@@ -296,11 +298,12 @@
 	}
 }
 
-// attemptHistory is what is known of a request from its attempts, and the last answer of a server's own that was no success.
+// attemptHistory is what the attempts of a request have shown, with the last unsuccessful answer that a server sent
+// itself.
 type attemptHistory struct {
 	verdict.Course
-	lastAnswer []byte      // whole
-	held       *heldAnswer // or beyond its window
+	lastAnswer []byte      // complete; nil: none or longer than the window
+	held       *heldAnswer // an answer longer than the window; nil: none
 }
 
 func (t *attemptHistory) add(u *upstream, r *result) {
@@ -312,8 +315,9 @@
 	t.lastAnswer, t.held = r.answer, r.held
 }
 
-// answerUnservedManaged writes the answer to what was not served: a promise where it has not run, else a server's own answer if there
-// was one.
+// answerUnservedManaged answers a request that no attempt has served. A request that may have run gets a server's own
+// answer if there is one. Any other gets this proxy's answer, which states that the request has not run where that is
+// certain.
 func (s *server) answerUnservedManaged(cc *clientConn, cmd command, t *attemptHistory) bool {
 	switch {
 	case cmd.clientErrorStatus != 0:
@@ -331,44 +335,45 @@
 	return s.writeOwnAnswer(cc, t.GivenUp(cmd.overQuota, cmd.timedOut, cmd.retryAfter))
 }
 
-// writeOwnAnswer writes an answer of the system's own.
+// writeOwnAnswer writes an answer that this proxy made itself, and counts it.
 func (s *server) writeOwnAnswer(cc *clientConn, o verdict.Own) bool {
 	s.counts.countOwn(o.Status())
 	return s.reply(cc, o.Status(), o.Fields(), o.Text())
 }
 
-// answerBrokenBody ends a request whose body the client has not sent as it should.
+// answerBrokenBody answers a request whose body failed while it was read from the client.
 func (s *server) answerBrokenBody(cc *clientConn, why error, t *attemptHistory) bool {
 	status := statusForReadError(why)
 	return status != 0 && s.writeOwnAnswer(cc, t.Answer(status, 0, why.Error()))
 }
 
-// writeServerAnswer writes an app server's answer, made by buildClientAnswer.
+// writeServerAnswer writes an app server's answer, built by buildClientAnswer.
 func (s *server) writeServerAnswer(cc *clientConn, answer []byte) bool {
-	answer, over := s.markLastAnswer(cc, answer)
+	answer, isLast := s.markLastAnswer(cc, answer)
 	written := cc.write(answer, s.clock.Now().Add(s.tune.Load().ClientWrite)) == nil
-	cc.finalAnswerSent = written && over
-	return written && !over
+	cc.finalAnswerSent = written && isLast
+	return written && !isLast
 }
 
-// finishStreamedAnswer tells whether the connection goes on after an answer that was passed on as it came, whole or not.
-func (cc *clientConn) finishStreamedAnswer(whole bool) bool {
-	over := cc.request.managed.closeAfterAnswer
-	cc.finalAnswerSent = whole && over
-	return whole && !over
+// finishStreamedAnswer reports whether the connection can go on after a streamed answer, which may be incomplete.
+func (cc *clientConn) finishStreamedAnswer(complete bool) bool {
+	isLast := cc.request.managed.closeAfterAnswer
+	cc.finalAnswerSent = complete && isLast
+	return complete && !isLast
 }
 
-// markLastAnswer tells the client, where it is so, that this is the connection's last answer.
+// markLastAnswer counts an answer and, if it is the last one on the connection, adds "Connection: close". It reports
+// whether it is the last one.
 func (s *server) markLastAnswer(cc *clientConn, answer []byte) ([]byte, bool) {
 	if i := len(answerPrefix); len(answer) > i {
 		s.counts.countForwarded(answer[i])
 	}
-	over := s.draining.Load() || s.resting.Load() || cc.request.wantsClose() || cc.input.hasUnreadBody()
-	if over {
-		const more = "Connection: close\r\n"
+	isLast := s.draining.Load() || s.resting.Load() || cc.request.wantsClose() || cc.input.hasUnreadBody()
+	if isLast {
+		const closeField = "Connection: close\r\n"
 		if i := bytes.Index(answer, []byte("\r\n")); i >= 0 {
-			answer = slices.Insert(answer, i+2, []byte(more)...)
+			answer = slices.Insert(answer, i+2, []byte(closeField)...)
 		}
 	}
-	return answer, over
+	return answer, isLast
 }
--- a/internal/dataplane/node/peers.go
+++ b/internal/dataplane/node/peers.go
@@ -15,10 +15,10 @@
 
 const (
 	maxDatagramBytes = 256 // bytes
-	maxQueuedToPeers = 256 // datagrams that wait to be sent; more are dropped
+	maxQueuedToPeers = 256 // datagrams that wait to be sent; further ones are dropped
 )
 
-// peers carries the module's messages to the other edge nodes and back.
+// peers exchanges the policy's messages with the other proxies.
 type peers struct {
 	conn      world.PacketConn
 	addresses atomic.Pointer[peerAddresses]
@@ -26,20 +26,20 @@
 	outgoing  chan datagram
 	onMessage func(from int, data []byte)
 
-	watch      *fleetWatch                 // nil: no view of the fleet is kept
-	onHandover func(from int, data []byte) // nil: nothing is handed over
+	watch      *fleetWatch                 // nil: this proxy keeps no view of the fleet
+	onHandover func(from int, data []byte) // receives handover messages; nil: they go to onMessage
 }
 
-// peerAddresses are where the edge nodes of each number are; an address of none is not valid.
+// peerAddresses maps between the proxies' numbers and their addresses. An unknown address is invalid.
 type peerAddresses struct {
 	byNumber []netip.AddrPort
 	numbers  map[netip.AddrPort]int
 }
 
-// setAddresses takes over the addresses of all.
-func (p *peers) setAddresses(to []netip.AddrPort) {
-	b := &peerAddresses{to, make(map[netip.AddrPort]int, len(to))}
-	for i, a := range to {
+// setAddresses replaces the addresses of all proxies.
+func (p *peers) setAddresses(byNumber []netip.AddrPort) {
+	b := &peerAddresses{byNumber, make(map[netip.AddrPort]int, len(byNumber))}
+	for i, a := range byNumber {
 		if a.IsValid() {
 			b.numbers[a] = i
 		}
@@ -52,31 +52,31 @@
 	data []byte
 }
 
-func listenPeers(w world.World, listen string, to []netip.AddrPort, all netip.AddrPort, hear func(int, []byte)) (*peers, error) {
+func listenPeers(w world.World, listen string, addresses []netip.AddrPort, broadcast netip.AddrPort, onMessage func(int, []byte)) (*peers, error) {
 	conn, err := w.ListenPacket(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p := &peers{conn: conn, broadcast: all, outgoing: make(chan datagram, maxQueuedToPeers), onMessage: hear}
-	p.setAddresses(to)
+	p := &peers{conn: conn, broadcast: broadcast, outgoing: make(chan datagram, maxQueuedToPeers), onMessage: onMessage}
+	p.setAddresses(addresses)
 	return p, nil
 }
 
-// sendMessage queues a message to one edge node, or to all for a number below 0. It
-// never blocks: messages may be lost in any case.
+// sendMessage queues a message to one proxy, or to all if the number is negative. It never blocks; messages may be
+// lost in any case.
 func (p *peers) sendMessage(to int, data []byte) {
-	known := p.addresses.Load().byNumber
+	peerAddrs := p.addresses.Load().byNumber
 	switch {
 	case len(data) > maxDatagramBytes:
-		slog.Error("message to a peer dropped", "to", to, "bytes", len(data))
-	case to >= len(known): // there are fewer since the module decided
-	case to >= 0 && known[to].IsValid():
-		p.enqueue(known[to], data)
+		slog.Error("dropped a message to a peer: it exceeds the datagram limit", "to", to, "bytes", len(data))
+	case to >= len(peerAddrs): // the number of proxies has shrunk since the policy decided
+	case to >= 0 && peerAddrs[to].IsValid():
+		p.enqueue(peerAddrs[to], data)
 	case to >= 0:
 	case p.broadcast.IsValid():
 		p.enqueue(p.broadcast, data)
 	default:
-		for _, a := range known {
+		for _, a := range peerAddrs {
 			p.enqueue(a, data)
 		}
 	}
@@ -89,19 +89,19 @@
 	}
 }
 
-// writeQueued writes what is queued until done is closed.
+// writeQueued sends queued datagrams until done is closed.
 func (p *peers) writeQueued(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		case d := <-p.outgoing:
-			_, _ = p.conn.WriteTo(d.data, d.to) // lost like any other
+			_, _ = p.conn.WriteTo(d.data, d.to) // a datagram that fails to be sent counts as lost
 		}
 	}
 }
 
-// receive hands over what known edge nodes send until the socket is closed.
+// receive dispatches datagrams from known proxies until the socket is closed.
 func (p *peers) receive() {
 	buf := make([]byte, maxDatagramBytes+1)
 	for {
@@ -110,7 +110,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an ICMP error of an earlier send
+			continue // an ICMP error caused by an earlier datagram
 		}
 		num, known := p.addresses.Load().numbers[addr]
 		switch {
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -1,6 +1,6 @@
 package node
 
-// The app servers there are, and the connections to them that stand idle.
+// The known app servers and the idle connections to them.
 
 import (
 	"slices"
@@ -16,14 +16,14 @@
 	addr            string
 	bootMS          float64
 	state           policy.State
-	notRunningSince time.Duration // when this edge node heard that it drains
+	notRunningSince time.Duration // when this proxy learned that the server no longer accepts new work
 	idle            []*upConn
-	maxIdle         int           // idle ones kept; 0: any number
-	fastestConnect  time.Duration // the least time in which a connection came up; 0: none has
+	maxIdle         int           // limit on idle connections to this server; 0: none
+	fastestConnect  time.Duration // shortest time that a connection took to establish; 0: no connection was made yet
 }
 
-// update takes over the list or changes to it.
-func (u *upstream) update(l *serverList, whole bool) {
+// update applies a server list. A partial list holds only changes.
+func (u *upstream) update(l *serverList, complete bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.clock.now()
@@ -38,16 +38,16 @@
 			u.servers[id] = s
 		}
 		if t.State != "DELETED" && (s.addr != t.Endpoint || s.bootMS != t.BootMS) {
-			u.dropIdle(s) // they lead to the process before
+			u.dropIdle(s) // they belong to the server's previous process or address
 			s.addr, s.bootMS, s.fastestConnect = t.Endpoint, t.BootMS, 0
 		}
 		s.maxIdle = t.maxIdleConns
 		u.setState(s, targetStates[t.State], now)
 	}
-	// What is gone is forgotten: an attempt that is out has its connection, and
-	// nothing new finds a way there.
+	// Removed servers are deleted. An attempt in flight to one keeps its connection, and no new attempt can select
+	// it.
 	for id, s := range u.servers {
-		if s.state == policy.Removed || whole && !listed[id] {
+		if s.state == policy.Removed || complete && !listed[id] {
 			u.dropIdle(s)
 			delete(u.servers, id)
 		}
@@ -69,8 +69,8 @@
 	s.idle = nil
 }
 
-// isClosedToWork tells whether new work to the server is over. It is so before the
-// grace runs out: the bytes have a way to go yet.
+// isClosedToWork reports whether a server gets no new requests any more. It stops drainGraceMargin before the drain
+// grace ends, because bytes already written still need time to arrive.
 func (u *upstream) isClosedToWork(id policy.ServerID) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -78,25 +78,24 @@
 	return s == nil || s.state != policy.Running && u.clock.now()-s.notRunningSince >= max(0, u.drainGrace-drainGraceMargin)
 }
 
-// takeConnection returns the newest idle connection that is still good, or else the
-// address to dial; ok is false when there are too many connections or no such
-// server. What may run once gets none on a system's wire as old as one that
-// broke lately.
-func (u *upstream) takeConnection(id policy.ServerID, once bool) (c *upConn, addr string, ok bool) {
+// takeConnection returns the newest idle connection that is still usable, or else the address to dial. ok is false if
+// the connection limit is reached or the server is unknown. Under the managed protocol, a request that may run at
+// most once gets no connection of an idle age at which one broke recently.
+func (u *upstream) takeConnection(id policy.ServerID, atMostOnce bool) (c *upConn, addr string, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.servers[id]
 	if s == nil {
 		return nil, "", false
 	}
-	now, most := u.clock.now(), u.idleAges.maxUsableAge(u.idleTimeout)
+	now, maxAge := u.clock.now(), u.idleAges.maxUsableAge(u.idleTimeout)
 	for i := len(s.idle) - 1; i >= 0; i-- {
 		c := s.idle[i]
 		if now-c.idleSince < u.reuseDelay {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
-		if now-c.idleSince < most && isQuiet(c) && !(once && u.isManaged && u.idleAges.brokeRecently(now-c.idleSince, now)) {
+		if now-c.idleSince < maxAge && isQuiet(c) && !(atMostOnce && u.isManaged && u.idleAges.brokeRecently(now-c.idleSince, now)) {
 			return c, "", true
 		}
 		c.Close()
@@ -109,7 +108,7 @@
 	return nil, s.addr, true
 }
 
-// recordConnectTime takes in how long a connection took to come up, and returns the least such time.
+// recordConnectTime records how long a connection took to establish and returns the shortest such time.
 func (u *upstream) recordConnectTime(id policy.ServerID, took time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,7 +122,7 @@
 	return s.fastestConnect
 }
 
-// dropOldest closes the connection that is idle for longest.
+// dropOldest closes the connection that has been idle the longest. It returns false if there is none.
 func (u *upstream) dropOldest() bool {
 	var from *appServer
 	for _, s := range u.servers {
@@ -140,8 +139,7 @@
 	return true
 }
 
-// discard closes a connection that can't be used again; c may be nil when it
-// never came up.
+// discard closes a connection that can't be used again. A nil connection was counted but never established.
 func (u *upstream) discard(c *upConn) {
 	if c != nil {
 		c.Close()
@@ -151,7 +149,7 @@
 	u.mu.Unlock()
 }
 
-// returnConnection puts a connection back.
+// returnConnection makes a connection idle, or closes it if its server has changed or keeps enough idle ones.
 func (u *upstream) returnConnection(id policy.ServerID, c *upConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -162,22 +160,22 @@
 		return
 	}
 	if c.idleSince = u.clock.now(); s.maxIdle > 0 && len(s.idle) >= s.maxIdle {
-		c.Close() // the server takes so many from all
+		c.Close() // the server limits its idle connections from all proxies together
 		u.openConns--
 		return
 	}
 	s.idle = append(s.idle, c)
 }
 
-// closeStaleConnections closes connections that are idle for long or that the server closed.
+// closeStaleConnections closes idle connections that are too old or that the server has closed.
 func (u *upstream) closeStaleConnections() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, most := u.clock.now(), u.idleAges.maxUsableAge(u.idleTimeout)
+	now, maxAge := u.clock.now(), u.idleAges.maxUsableAge(u.idleTimeout)
 	u.idleAges.decay()
 	for _, s := range u.servers {
 		s.idle = slices.DeleteFunc(s.idle, func(c *upConn) bool {
-			if now-c.idleSince < most && isQuiet(c) {
+			if now-c.idleSince < maxAge && isQuiet(c) {
 				return false
 			}
 			c.Close()
@@ -187,13 +185,12 @@
 	}
 }
 
-// isQuiet tells whether nothing has come on an idle connection: neither its end
-// nor bytes that nobody asked for.
+// isQuiet reports whether nothing has arrived on an idle connection: neither its end nor unexpected bytes.
 func isQuiet(c *upConn) bool {
 	return c.in.buffered() == 0 && world.Peek(c.Conn) == world.PeekQuiet
 }
 
-// uid is a server's name on the wire.
+// uid returns a server's identifier on the wire, or an empty string if the server is unknown.
 func (u *upstream) uid(id policy.ServerID) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/dataplane/node/reload.go
+++ b/internal/dataplane/node/reload.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	reloadPause    = 50 * time.Millisecond // a file that can't be used may be half written: it is read again
+	reloadPause    = 50 * time.Millisecond // a file that can't be used may be half written, so it is read again after this pause
 	maxReloadTries = 40
 )
 
-// reload takes over the configuration file's addresses whenever hup says that
-// the file is new. What can't be used changes nothing.
+// reload applies the configuration file's addresses whenever hup signals a new file. A file that can't be used
+// changes nothing.
 func (n *Node) reload(ctx context.Context, hup <-chan os.Signal) {
 	for {
 		select {
@@ -31,7 +31,7 @@
 				break
 			}
 			if try == maxReloadTries {
-				slog.Error("new configuration passed over; the old one stays in force", "err", err)
+				slog.Error("new configuration rejected; the old one stays in effect", "err", err)
 				break
 			}
 			if !world.Sleep(ctx, n.world, reloadPause) {
@@ -41,10 +41,10 @@
 	}
 }
 
-// apply takes over what may change while the node serves.
+// apply applies the settings that may change while the node runs.
 func (n *Node) apply(cfg *Config) {
 	if !reflect.DeepEqual(cfg.Settings, n.cfg.Settings) || cfg.Listen != n.cfg.Listen || cfg.PeerListen != n.cfg.PeerListen {
-		slog.Warn("new configuration: other settings than discovery are taken over at the next start")
+		slog.Warn("new configuration: changes other than the discovery address take effect at the next start")
 	}
 	n.tuningMu.Lock()
 	defer n.tuningMu.Unlock()
--- a/internal/dataplane/node/reply.go
+++ b/internal/dataplane/node/reply.go
@@ -9,17 +9,16 @@
 )
 
 const (
-	maxInvalidRequests  = 3                      // requests in a row that can't be used, then the connection is closed
-	invalidRequestPause = 100 * time.Millisecond // before the next is read: one client must not take the core from others
+	maxInvalidRequests  = 3                      // consecutive invalid requests after which the connection is closed
+	invalidRequestPause = 100 * time.Millisecond // delay before the next request is read, so that one client can't take the CPU from others
 
-	lingerTime            = 500 * time.Millisecond // a client that still sends is given so long to read why not
+	lingerTime            = 500 * time.Millisecond // how long a client that is still sending may read its rejection
 	maxLingerBytes        = 256 << 10              // bytes
-	maxManagedLingerBytes = 16 << 20               // where bodies may be long
+	maxManagedLingerBytes = 16 << 20               // under the managed protocol, where bodies may be long
 )
 
-// rejectAndClose answers what can't be read and lets go of the connection. What the
-// client still sends is passed over for a while: were it closed at once, the
-// answer might never reach it.
+// rejectAndClose answers a request that can't be read and closes the connection. It first discards what the client
+// still sends, because closing at once could keep the answer from reaching the client.
 func (s *server) rejectAndClose(cc *clientConn, status int, fields, why string) {
 	s.setState(cc, connLinger)
 	if s.writeAnswer(cc, status, fields+"Connection: close\r\n", why) == nil {
@@ -27,24 +26,24 @@
 	}
 }
 
-// discardInput ends the sending and lets go of what the client still sends.
+// discardInput closes the sending side and discards what the client still sends, up to a limit.
 func (s *server) discardInput(cc *clientConn) {
-	most := int64(maxLingerBytes)
+	limit := int64(maxLingerBytes)
 	if s.managed != nil {
-		most = maxManagedLingerBytes
+		limit = maxManagedLingerBytes
 	}
 	if half, ok := cc.Conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
 	}
 	if s.setReadTimeout(cc, lingerTime) == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(cc.Conn, most))
+		_, _ = io.Copy(io.Discard, io.LimitReader(cc.Conn, limit))
 	}
 }
 
-// writeAnswer writes an answer in one piece.
+// writeAnswer writes an answer in one call.
 func (s *server) writeAnswer(cc *clientConn, status int, fields, body string) error {
 	b := appendHead(cc.output[:0], status, fields, len(body))
-	if string(cc.request.method) != "HEAD" { // RFC 9110, 9.3.2: the length that a GET would have, and no body
+	if string(cc.request.method) != "HEAD" { // RFC 9110, 9.3.2: an answer to HEAD has the length that GET would have, and no body
 		b = append(b, body...)
 	}
 	return cc.write(b, s.clock.Now().Add(s.tune.Load().ClientWrite))
@@ -68,7 +67,7 @@
 
 func (cc *clientConn) write(b []byte, by time.Time) error {
 	if cc.output = b; cap(b) > 4*minBufferBytes {
-		cc.output = nil // a large one is not kept
+		cc.output = nil // a large buffer is not kept
 	}
 	if err := cc.SetWriteDeadline(by); err != nil {
 		return err
@@ -77,30 +76,30 @@
 	return err
 }
 
-// reply answers a request; the connection goes on if both sides want it.
+// reply answers a request and reports whether the connection can go on.
 func (s *server) reply(cc *clientConn, status int, fields, body string) bool {
-	over := s.draining.Load() || s.resting.Load() || cc.request.wantsClose() || cc.input.hasUnreadBody() || s.shouldCloseAfterAnswer(cc)
-	if over {
+	isLast := s.draining.Load() || s.resting.Load() || cc.request.wantsClose() || cc.input.hasUnreadBody() || s.shouldCloseAfterAnswer(cc)
+	if isLast {
 		fields += "Connection: close\r\n"
 	}
 	written := s.writeAnswer(cc, status, fields, body) == nil
-	cc.finalAnswerSent = written && over
-	return written && !over
+	cc.finalAnswerSent = written && isLast
+	return written && !isLast
 }
 
-// rejectInvalid answers a request that can't be used, at once; the next one waits. A
-// client that sends nothing else is let go.
+// rejectInvalid answers an invalid request at once and delays the next one. A client that sends only invalid requests
+// is disconnected.
 func (s *server) rejectInvalid(cc *clientConn, why *rejection) bool {
 	if cc.badRequests++; cc.badRequests < maxInvalidRequests {
-		on := s.reply(cc, why.status, why.headerFields, why.text)
+		canGoOn := s.reply(cc, why.status, why.headerFields, why.text)
 		world.Pause(s.clock, invalidRequestPause)
-		return on
+		return canGoOn
 	}
 	s.rejectAndClose(cc, why.status, why.headerFields, why.text)
 	return false
 }
 
-// answerUnserved writes the answer to what was not served.
+// answerUnserved writes the final answer to a request that was not served.
 func (s *server) answerUnserved(cc *clientConn, cmd command) bool {
 	switch {
 	case cmd.clientErrorStatus != 0:
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maxIDBytes             = 64  // bytes of a request's id
-	maxIdempotencyKeyBytes = 128 // of an Idempotency-Key
+	maxIDBytes             = 64  // length limit of a request's id
+	maxIdempotencyKeyBytes = 128 // length limit of an Idempotency-Key
 	customerHexDigits      = 16
 	customerBits           = 33
 )
 
-// parseStartLine splits the first line.
+// parseStartLine splits and checks the request line.
 func (r *clientRequest) parseStartLine() error {
 	var version []byte
 	var ok, whole bool
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// wantsClose tells whether the client wants its connection closed.
+// wantsClose reports whether the client wants the connection closed after the answer.
 func (r *clientRequest) wantsClose() bool {
 	return r.hasToken("Connection", "close") || bytes.HasSuffix(r.firstLine, []byte("1.0")) && !r.hasToken("Connection", "keep-alive")
 }
@@ -56,9 +56,8 @@
 	return string(p)
 }
 
-// parseStandaloneRequest checks a client's request: what is not as agreed is turned away before
-// the module sees it, so that it neither makes nor changes a customer's counts.
-// The errors go to the client.
+// parseStandaloneRequest checks and reads a client's request. An invalid request is rejected before the policy sees
+// it, so that it can't create or change a customer's counts. The errors are sent to the client.
 func (s *server) parseStandaloneRequest(r *clientRequest) (*openRequest, error) {
 	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1)}
 	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key",
@@ -89,7 +88,7 @@
 	}
 	ms, n := parseDecimal(r.get("X-Deadline-Ms"))
 	c.budget = time.Duration(ms) * time.Millisecond
-	if n == 0 || n > 9 || c.budget > c.class.Deadline+time.Millisecond { // the settings' may have been rounded
+	if n == 0 || n > 9 || c.budget > c.class.Deadline+time.Millisecond { // the settings' deadline may have been rounded
 		return nil, fmt.Errorf("X-Deadline-Ms: not whole milliseconds up to the class's %v", c.class.Deadline)
 	}
 	c.effect = c.class.Effect
@@ -97,7 +96,7 @@
 	return c, s.parseCallTerms(&c.Request, string(r.get("X-Call-Terms")))
 }
 
-// parseClass finds the request's class; method and path follow from it.
+// parseClass sets the request's class and checks that method, path and body fit it.
 func (s *server) parseClass(c *openRequest, r *clientRequest) error {
 	c.Class = wire.Word(string(r.get("X-Class")))
 	for i := range s.settings.Classes {
@@ -123,7 +122,7 @@
 	return nil
 }
 
-// customerFromCookies reads the customer from the cookies.
+// customerFromCookies reads the customer's key from the cookies.
 func customerFromCookies(cookies string) (string, error) {
 	found := ""
 	for pair := range strings.SplitSeq(cookies, ";") {
@@ -140,7 +139,7 @@
 	return strings.ToLower(found), nil
 }
 
-// parseCallTerms reads the units that a request takes and the customer's set.
+// parseCallTerms reads the request's units and the set of proxies that serve its customer.
 func (s *server) parseCallTerms(r *policy.Request, text string) error {
 	r.Units, r.GatewayCount = 1, s.settings.Gateways
 	if text == "" {
--- a/internal/dataplane/node/retune.go
+++ b/internal/dataplane/node/retune.go
@@ -11,7 +11,7 @@
 	return serverlist.Terms{Excess: cfg.WarmupExcess, Slack: cfg.WarmupSlack, Lag: cfg.ListLag, Regions: cfg.Regions}
 }
 
-// maxStatementAge is how old control's statements may be for requests with a key; 0: any age.
+// maxStatementAge returns how old control's confirmation may be for requests with a key; 0: any age.
 func maxStatementAge(cfg *ManagedConfig) time.Duration {
 	if !cfg.EnforceRevocation {
 		return 0
@@ -19,14 +19,15 @@
 	return max(freshnessMargin, cfg.RevocationLimit-freshnessMargin)
 }
 
-// retryCap is how many further tries for a service this edge node may save up; on the loop.
+// retryCap returns how many retries for a service this proxy may save up. It must run on the loop.
 func (e *ManagedNode) retryCap(service string) float64 {
 	p := &e.handover.peers
 	return handover.Tries(max(e.cfg.RetrySlack*retryBudgetShare, min(1, e.cfg.RetrySlack)), p.CeilingParts, p.Gateways, p.Me, service)
 }
 
-// Retune takes over the bounds of cfg, its zones' regions and the list's lag while the edge node serves. What it was
-// told at its start alone, as its addresses, is passed over. All is in force when Retune returns; requests under way go on.
+// Retune applies the limits of cfg, the zones' regions and the list's lag while the proxy serves. Settings that are
+// fixed at the start, such as addresses, are ignored. All others are in effect when Retune returns; requests in
+// progress continue.
 func (e *ManagedNode) Retune(cfg ManagedConfig) {
 	e.runOnLoop(func(l *loop) {
 		old := e.cfg
--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -11,7 +11,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// New bounds hold from the moment that they are told, requests under way don't suffer, and addresses stay.
+// Retune applies new limits at once, without affecting requests in progress and without changing addresses.
 func TestEstateRetuned(t *testing.T) {
 	runManaged(t, true, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
@@ -29,7 +29,7 @@
 		cfg := r.cfg
 		cfg.RevocationLimit, cfg.Grace, cfg.RetrySlack, cfg.WarmupSlack, cfg.Zone = 2*time.Second, 2*time.Second, 10, 7, "b"
 		r.Retune(cfg)
-		assert.Equal(t, r.request("/act/", "").StatusCode, 503) // control's word is too old by now
+		assert.Equal(t, r.request("/act/", "").StatusCode, 503) // control's last confirmation is too old now
 		a := r.readAnswer(slow)
 		assert.Assert(t, a.StatusCode == 200 && a.body == "yes")
 		r.ConfirmConfiguration(0)
--- a/internal/dataplane/node/reuse_test.go
+++ b/internal/dataplane/node/reuse_test.go
@@ -13,25 +13,25 @@
 func TestReuseVerdict(t *testing.T) {
 	none := func() int { return 0 }
 	for _, c := range []struct {
-		name          string
-		again, unused int // connections noted, alternating as far as they go
-		standing      int
-		taken         int // of a room of 100
-		over          bool
+		name           string
+		reused, unused int // connections recorded as reused or unused, alternately until one count is used up
+		unusedOpen     int
+		taken          int // of 100 possible connections
+		wantClose      bool
 	}{
-		{"nothing known", 0, 0, 0, 90, false},
+		{"nothing recorded", 0, 0, 0, 90, false},
 		{"few unused", 0, 7, 0, 90, false},
-		{"clients that churn", 0, 40, 0, 90, true},
-		{"clients that churn, with room", 0, 40, 0, 25, false},
-		{"and a connection more", 0, 40, 0, 26, true},
-		{"some still stand", 0, 0, 8, 90, true},
-		{"half are used again", 40, 40, 0, 90, false},
-		{"one in eight is used again", 5, 40, 0, 90, true},
+		{"clients do not reuse", 0, 40, 0, 90, true},
+		{"no reuse, few connections in use", 0, 40, 0, 25, false},
+		{"no reuse, one connection more", 0, 40, 0, 26, true},
+		{"unused connections still open", 0, 0, 8, 90, true},
+		{"half are reused", 40, 40, 0, 90, false},
+		{"one reused for each eight unused", 5, 40, 0, 90, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var u reuseStats
-			for i := range max(c.again, c.unused) {
-				if i < c.again {
+			for i := range max(c.reused, c.unused) {
+				if i < c.reused {
 					u.record(true)
 				}
 				if i < c.unused {
@@ -40,20 +40,20 @@
 			}
 			closed := 0
 			for range reuseTrialInterval {
-				if u.shouldClose(time.Second, c.taken, 100, func() int { return c.standing }) {
+				if u.shouldClose(time.Second, c.taken, 100, func() int { return c.unusedOpen }) {
 					closed++
 				}
 			}
 			want := 0
-			if c.over {
-				want = reuseTrialInterval - 1 // one is left open to learn from
+			if c.wantClose {
+				want = reuseTrialInterval - 1 // one is left open as a trial
 			}
 			if closed != want {
-				t.Errorf("%d of %d first answers end their connection, want %d", closed, reuseTrialInterval, want)
+				t.Errorf("%d of %d first answers close their connection, want %d", closed, reuseTrialInterval, want)
 			}
 		})
 	}
-	// Clients that keep connections again are found by the trials.
+	// The trials detect that clients reuse connections again.
 	var u reuseStats
 	for range 200 {
 		u.record(false)
@@ -62,11 +62,11 @@
 		u.record(true)
 	}
 	if u.shouldClose(0, 90, 100, none) {
-		t.Error("clients that use connections again now are still held to churn")
+		t.Error("connections of clients that reuse them again are still closed")
 	}
 }
 
-// nodeWithSockets starts an edge node that may hold so many descriptors.
+// nodeWithSockets starts a proxy with the given limit on descriptors.
 func nodeWithSockets(t *testing.T, sockets int, app string) *runningNode {
 	t.Helper()
 	cfg := testConfig(t, newDiscoveryFixture(t, servingTarget("s-00000001", app)).Addr())
@@ -74,8 +74,8 @@
 	return start(t, cfg)
 }
 
-// sendOnNewConnections sends so many requests, each on a connection of its own that stays
-// open until the end, and tells how many answers ended theirs.
+// sendOnNewConnections sends n requests, each on a connection of its own that stays open until the end of the test,
+// and returns how many answers closed theirs.
 func sendOnNewConnections(t *testing.T, r *runningNode, n int, pause time.Duration) (closed int) {
 	t.Helper()
 	for i := range n {
@@ -103,9 +103,9 @@
 	app := newApp(t, standin.Answer("200 OK", "", "ok"))
 	r := nodeWithSockets(t, 80, app.Addr()) // clients have half: 40
 	if n := sendOnNewConnections(t, r, 10, time.Millisecond); n > 0 {
-		t.Fatalf("%d connections ended with three quarters of the room free", n)
+		t.Fatalf("%d connections closed with three quarters of them free", n)
 	}
-	eventually(t, "connections that stood for long", func() bool {
+	eventually(t, "connections that count as unused", func() bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
 		n := 0
@@ -117,11 +117,11 @@
 		return n >= int(minUnusedConns)
 	})
 	if n := sendOnNewConnections(t, r, 20, 0); n < 15 {
-		t.Errorf("%d of 20 connections ended while clients leave theirs unused and room is short", n)
+		t.Errorf("%d of 20 connections closed while clients leave theirs unused and few are free", n)
 	}
 }
 
-// Clients that use their connections keep them, however short the room is.
+// Clients that reuse their connections keep them, however few are free.
 func TestUsedConnectionsStay(t *testing.T) {
 	app := newApp(t, standin.Answer("200 OK", "", "ok"))
 	r := nodeWithSockets(t, 64, app.Addr()) // clients have half: 32
@@ -144,7 +144,7 @@
 			}
 			resp.Body.Close()
 			if resp.Close {
-				t.Fatalf("round %d: a connection that is used was ended", round)
+				t.Fatalf("round %d: a connection in use was closed", round)
 			}
 		}
 	}
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -9,7 +9,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// loopWithRequest makes a loop with one open request of a class with a window.
+// loopWithRequest makes a loop with one open request of a class with a deduplication window.
 func loopWithRequest(t *testing.T) (*loop, *openRequest, time.Duration) {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1")
@@ -26,71 +26,70 @@
 	return l, c, now
 }
 
-// A repeat of what may have run must be written while its rack still knows the
-// key: the window counts from when the first was asked for.
+// A repeat of an attempt that may have run must be written while the servers still recognize the key. Their window
+// counts from when the first attempt was asked for.
 func TestKeyedRepeatHasToBeWrittenInTheWindow(t *testing.T) {
 	l, c, now := loopWithRequest(t)
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
-		t.Errorf("a first attempt is to be written by %v, want the deadline, %v", a.writeBy-now, c.answerBy-now)
+		t.Errorf("first attempt: writeBy is %v, want the deadline, %v", a.writeBy-now, c.answerBy-now)
 	}
 	c.inFlight, c.mayHaveRunSince = nil, now-time.Second
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.mayHaveRunSince+2*time.Second || a.deadline != c.answerBy {
-		t.Errorf("a repeat is to be written by %v and ends at %v, want 1s and %v", a.writeBy-now, a.deadline-now, c.answerBy-now)
+		t.Errorf("repeat: writeBy is %v and the deadline %v, want 1s and %v", a.writeBy-now, a.deadline-now, c.answerBy-now)
 	}
 	c.inFlight, c.class, c.effect = nil, &policy.Class{Name: "lookup"}, policy.Safe
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
-		t.Errorf("what may run any number of times is to be written by %v", a.writeBy-now)
+		t.Errorf("safe request: writeBy is %v, want the deadline", a.writeBy-now)
 	}
 }
 
-// Nothing is sent once the final answer is decided, while another attempt is
-// out, or when no time is left; the module is told that it was moot.
+// Nothing is sent once the final answer is decided, while another attempt is in flight, or when no time is left. The
+// policy gets an outcome that says so.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
-	for name, spoil := range map[string]func(*openRequest, time.Duration){
-		"the answer is decided": func(c *openRequest, _ time.Duration) { c.pendingAnswer = &command{} },
-		"an attempt is out":     func(c *openRequest, _ time.Duration) { c.inFlight = &attempt{} },
-		"its time is over":      func(c *openRequest, now time.Duration) { c.answerBy = now },
+	for name, block := range map[string]func(*openRequest, time.Duration){
+		"answer decided":    func(c *openRequest, _ time.Duration) { c.pendingAnswer = &command{} },
+		"attempt in flight": func(c *openRequest, _ time.Duration) { c.inFlight = &attempt{} },
+		"deadline passed":   func(c *openRequest, now time.Duration) { c.answerBy = now },
 	} {
 		l, c, now := loopWithRequest(t)
-		spoil(c, now)
+		block(c, now)
 		l.sendAttempt(policy.Send{ID: 1, Server: 1})
 		select {
 		case cmd := <-c.commands:
-			t.Errorf("%s: sent all the same: %+v", name, cmd)
+			t.Errorf("%s: still sent: %+v", name, cmd)
 		default:
 		}
 		if o, ok := l.queue[0].(policy.Outcome); len(l.queue) != 1 || !ok || o.Code != policy.NoRetry {
-			t.Errorf("%s: the module is told %+v, want one moot outcome", name, l.queue)
+			t.Errorf("%s: the policy gets %+v, want one outcome that it is not to be retried", name, l.queue)
 		}
 	}
 }
 
-// The rack's window of a keyed request begins with the first attempt that may
-// have run: a repeat that may have run too does not begin it anew, or a third
-// attempt could come when the rack has forgotten the first.
+// The deduplication window of a keyed request begins with the first attempt that may have run. If a repeat restarted
+// it, a third attempt could arrive after the servers have forgotten the first, and run twice.
 func TestWindowBeginsWithTheFirstThatMayHaveRun(t *testing.T) {
 	l, c, now := loopWithRequest(t)
 	c.commands = make(chan command, 8)
 	l.endTestAttempt(c, now-900*time.Millisecond, verdict.Unsent)
 	if c.mayHaveRunSince != 0 {
-		t.Fatalf("an attempt that never ran began the window at %v", c.mayHaveRunSince)
+		t.Fatalf("an attempt that never ran started the window at %v", c.mayHaveRunSince)
 	}
 	first := now - 800*time.Millisecond
 	l.endTestAttempt(c, first, verdict.Broken)
 	l.endTestAttempt(c, now-300*time.Millisecond, verdict.Broken)
 	if c.mayHaveRunSince != first {
-		t.Fatalf("the window began %v after the first attempt that may have run", c.mayHaveRunSince-first)
+		t.Fatalf("the window started %v after the first attempt that may have run", c.mayHaveRunSince-first)
 	}
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != first+2*time.Second {
-		t.Errorf("the third attempt is to be written by %v after the first, want 2 s", a.writeBy-first)
+		t.Errorf("third attempt: writeBy is %v after the first, want 2 s", a.writeBy-first)
 	}
 }
 
-// endTestAttempt has the loop take in the end of an attempt asked for at a time.
+// endTestAttempt ends an attempt that was asked for at the given time.
 func (l *loop) endTestAttempt(c *openRequest, sent time.Duration, end verdict.End) {
 	c.inFlight = &attempt{id: c.ID, number: c.attempts, server: 1, requestedAt: sent}
 	c.attempts++
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -21,8 +21,8 @@
 	acceptPause                = 5 * time.Millisecond
 )
 
-// server is the clients' side: it reads their requests, hands them to the
-// loop, carries out what the loop commands and writes the one answer.
+// server accepts clients' connections, reads their requests, hands them to the loop, carries out the loop's commands
+// and writes one answer per request.
 type server struct {
 	clock    clock
 	settings policy.Settings
@@ -30,27 +30,27 @@
 	events   chan<- any
 	ready    atomic.Bool
 	draining atomic.Bool
-	resting  atomic.Bool // an estate's, told to rest
+	resting  atomic.Bool // managed protocol: control has ordered this proxy to rest
 	tune     atomic.Pointer[Tuning]
 
 	mu            sync.Mutex
-	maxConns      int // connections kept open at once
+	maxConns      int // limit on open connections
 	conns         map[*clientConn]struct{}
-	closingConns  int           // of them, closed here and not yet let go
-	lastRequestAt time.Duration // when a request last came
+	closingConns  int           // connections in conns that this proxy has closed but not yet removed
+	lastRequestAt time.Duration // when the last request arrived
 	reuse         reuseStats
 
 	bookReader      bookReader
-	watch           *fleetWatch    // nil: no view of the fleet is kept
-	managed         *managedState  // nil: the platform's wire is spoken
-	counts          trafficCounter // an estate's
+	watch           *fleetWatch    // nil: this proxy keeps no view of the fleet
+	managed         *managedState  // nil: clients speak the standalone protocol
+	counts          trafficCounter // managed protocol only
 	onRequestFailed func(id string, why verdict.Verdict)
-	loopStopped     <-chan struct{} // closed when an estate's loop has ended
+	loopStopped     <-chan struct{} // managed protocol: closed when the loop has ended
 }
 
-// newServer keeps at most so many connections open at once.
-func newServer(c clock, set policy.Settings, up *upstream, events chan<- any, most int) *server {
-	s := &server{clock: c, settings: set, upstream: up, events: events, maxConns: most, conns: map[*clientConn]struct{}{}}
+// newServer creates a server that keeps at most the given number of connections open.
+func newServer(c clock, settings policy.Settings, up *upstream, events chan<- any, maxConns int) *server {
+	s := &server{clock: c, settings: settings, upstream: up, events: events, maxConns: maxConns, conns: map[*clientConn]struct{}{}}
 	def := DefaultTuning()
 	s.tune.Store(&def)
 	return s
@@ -78,8 +78,8 @@
 	}
 }
 
-// canKeepAccepting tells whether accepting may go on: descriptors or memory are short, or
-// the connection broke before it was accepted.
+// canKeepAccepting reports whether a failed accept was temporary: descriptors or memory are short, or the connection
+// broke before it was accepted.
 func canKeepAccepting(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED,
 		syscall.EINTR, syscall.EPROTO} {
@@ -90,34 +90,34 @@
 	return false
 }
 
-// serveConnection serves a connection, one request after another.
+// serveConnection handles the requests of a connection one after another.
 func (s *server) serveConnection(cc *clientConn) {
 	defer s.removeConnection(cc)
 	for first := true; ; first = false {
 		cc.input.startMessage()
 		tune := s.tune.Load()
-		wait, whole := tune.ClientIdle, tune.WholeRequest
+		idleTimeout, requestTimeout := tune.ClientIdle, tune.WholeRequest
 		if first && s.managed == nil {
-			wait, whole = tune.FirstRequest, 0 // from the connect; on the system's wire a connection may rest before it
+			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect; under the managed protocol a connection may be idle before its first request
 		} else if first {
-			whole = tune.FirstRequest
+			requestTimeout = tune.FirstRequest
 		}
 		if cc.input.buffered() == 0 {
-			if s.setReadTimeout(cc, wait) != nil || cc.input.fill() != nil {
-				return // idle for long, or gone
+			if s.setReadTimeout(cc, idleTimeout) != nil || cc.input.fill() != nil {
+				return // idle for too long, or closed by the client
 			}
 		}
 		s.setState(cc, connReading)
 		if s.managed != nil {
 			cc.input.maxHead, cc.input.maxBody = s.managed.messageLimits()
 		}
-		if whole > 0 && s.setReadTimeout(cc, whole) != nil {
+		if requestTimeout > 0 && s.setReadTimeout(cc, requestTimeout) != nil {
 			return
 		}
 		if err := cc.readRequest(); err != nil {
 			if status := statusForReadError(err); status != 0 {
-				o := unsentAnswer(status, 0, err.Error())
-				s.rejectAndClose(cc, o.Status(), o.Fields(), o.Text())
+				answer := unsentAnswer(status, 0, err.Error())
+				s.rejectAndClose(cc, answer.Status(), answer.Fields(), answer.Text())
 			}
 			return
 		}
@@ -128,8 +128,7 @@
 	}
 }
 
-// handle answers a request that could be read; it is false when the connection
-// is over.
+// handle answers a request that was read and reports whether the connection can go on.
 func (s *server) handle(cc *clientConn) bool {
 	r := &cc.request
 	if s.managed != nil {
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -1,6 +1,6 @@
 package node
 
-// Bodies beyond their window, passed on as they come: a client's to a server, a server's to a client.
+// Streaming of bodies that are longer than the window: requests to servers and answers to clients.
 
 import (
 	"errors"
@@ -15,42 +15,44 @@
 )
 
 const (
-	bodyPollInterval = 50 * time.Millisecond // while one side is waited for, the other is looked at so often
+	bodyPollInterval = 50 * time.Millisecond // while waiting for one side, how often the other side is checked
 	lastChunk        = "0\r\n\r\n"
 )
 
 var (
-	errEarlyAnswer      = errors.New("the server has said something before the request was whole")
-	errDeadlinePassed   = errors.New("the time is over")
-	errAttemptCancelled = errors.New("the attempt was called back")
-	errNoConnection     = errors.New("no connection to the server may be made")
-	errClientGone       = errors.New("the client takes no more")
+	errEarlyAnswer      = errors.New("the server sent something before the request was complete")
+	errDeadlinePassed   = errors.New("the attempt's deadline has passed")
+	errAttemptCancelled = errors.New("the attempt was cancelled")
+	errNoConnection     = errors.New("the server is unknown or the connection limit is reached")
+	errClientGone       = errors.New("the client can't take the rest of the answer")
 )
 
-// clientSide is the client's side of a request, for who carries an attempt out.
+// clientSide is the client's side of a request, used by the goroutine that carries out an attempt.
 type clientSide struct {
 	server  *server
 	conn    *clientConn
 	request *openRequest
 
-	pending []byte // of what goes to the server
-	isLast  bool   // nothing comes behind it
+	pending []byte // bytes that still have to be written to the server
+	isLast  bool   // pending holds the end of the body
 	buf     []byte
 }
 
 func (f *clientSide) hasUnreadBody() bool { return f.conn != nil && f.conn.input.hasUnreadBody() }
 
-// hasDiscardedBody tells whether the request can't be sent again.
+// hasDiscardedBody reports whether part of the body was discarded, so that the request can't be sent again.
 func (f *clientSide) hasDiscardedBody() bool {
 	return f.conn != nil && f.conn.input.remainder.hasDiscarded
 }
 
-// hasBegunLastChunk tells whether some of the end of a body in chunks was written: it may be taken for whole.
+// hasBegunLastChunk reports whether part of a chunked body's last chunk was written: the server may then take the
+// request as complete.
 func (f *clientSide) hasBegunLastChunk() bool {
 	return f.isLast && f.conn.request.length == -1 && len(f.pending) < len(lastChunk)
 }
 
-// pin rules out that the request is sent to another server for it.
+// pin rules out further attempts of the request and reports that to the loop. It returns false if this attempt was
+// cancelled.
 func (f *clientSide) pin(a *attempt) bool {
 	if !a.pin() {
 		return false
@@ -59,7 +61,7 @@
 	return true
 }
 
-// appendFramingField writes how the end of a body in pieces is told.
+// appendFramingField appends the header field that tells how a streamed body ends.
 func appendFramingField(b []byte, h *head) []byte {
 	if h.length < 0 {
 		return append(b, "\r\nTransfer-Encoding: chunked"...)
@@ -68,7 +70,7 @@
 	return strconv.AppendInt(b, int64(h.length), 10)
 }
 
-// appendPiece writes a piece of such a body, in a chunk of its own where there are chunks.
+// appendPiece appends a piece of a streamed body, as a chunk of its own if the body is chunked.
 func appendPiece(b []byte, h *head, p []byte) []byte {
 	if h.length >= 0 || len(p) == 0 {
 		return append(b, p...)
@@ -79,7 +81,7 @@
 	return append(b, "\r\n"...)
 }
 
-// framePiece makes of a piece what is written next. Without bytes it is the end.
+// framePiece returns a piece as it is written to the other side. An empty piece stands for the end of the body.
 func (f *clientSide) framePiece(h *head, p []byte) []byte {
 	switch {
 	case h.length >= 0:
@@ -101,8 +103,8 @@
 	return err
 }
 
-// upload passes on what of a request's body is beyond the window. It comes back before the end, and tells so, when
-// the server says something sooner; with an end when the attempt is over.
+// upload streams the part of a request's body that is beyond the window. If the server sends something before the
+// body is complete, upload returns unsent as true without a result. If the attempt is over, it returns its result.
 func (u *upstream) upload(a *attempt, c *upConn, req *clientRequest) (unsent bool, end *result) {
 	f := &req.managed.client
 	if !f.pin(a) {
@@ -124,7 +126,7 @@
 			case err != nil:
 				return true, &result{Verdict: verdict.Of(verdict.Moot, err), clientFault: err}
 			}
-			req.body = nil // of no use any more
+			req.body = nil // the buffered part can't be sent again, so its memory is released
 			f.pending = f.framePiece(&req.head, p)
 			f.isLast = len(p) == 0 || !f.hasUnreadBody()
 		}
@@ -142,12 +144,12 @@
 	}
 }
 
-// stoppedResult is the end of an attempt in the middle of its request's body.
-func stoppedResult(end verdict.End, cause error, spent bool) *result {
-	return &result{Verdict: verdict.Of(end, cause), cannotRepeat: spent}
+// stoppedResult returns the result of an attempt that ended in the middle of its request's body.
+func stoppedResult(end verdict.End, cause error, discarded bool) *result {
+	return &result{Verdict: verdict.Of(end, cause), cannotRepeat: discarded}
 }
 
-// nextPiece waits for the client's next piece.
+// nextPiece waits for the next piece of the client's body.
 func (u *upstream) nextPiece(a *attempt, c *upConn, f *clientSide) ([]byte, error) {
 	stalled := u.clock.now() + f.server.tune.Load().BodyStall
 	for {
@@ -173,7 +175,8 @@
 	}
 }
 
-// writePart writes to the server until it is done or the server says something; it tells how much is written.
+// writePart writes to the server until everything is written or the server sends something. It returns the number of
+// bytes written.
 func (u *upstream) writePart(a *attempt, c *upConn, b []byte) (n int, err error) {
 	for {
 		if err := c.SetWriteDeadline(u.clock.time(min(u.clock.now()+bodyPollInterval, a.deadline))); err != nil {
@@ -192,27 +195,28 @@
 	}
 }
 
-// heldAnswer is a server's answer beyond its window that waits, there and on its connection, for what comes of the
-// request elsewhere.
+// heldAnswer is a server's answer that is longer than the window and waits, unread, on its connection while the
+// request is tried at other servers.
 type heldAnswer struct {
 	attempt    *attempt
 	conn       *upConn
-	firstBytes []byte // what its client would get first
+	firstBytes []byte // start of the answer as the client would get it
 }
 
-// download passes on an answer that is longer than its window, or holds it where another server may do better.
+// download streams an answer that is longer than its window to the client, or holds it if another server may give a
+// better one.
 func (u *upstream) download(a *attempt, c *upConn, req *clientRequest, r *result) {
 	f := &req.managed.client
 	h := &heldAnswer{a, c, r.answer}
 	r.answer = nil
-	unknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // this client would not know its end
+	endUnknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // an HTTP/1.0 client could not tell where the answer ends
 	switch {
 	case h.firstBytes == nil:
 	case r.End != verdict.Served && f.request.effect == policy.Safe:
-		if !unknown {
+		if !endUnknown {
 			r.held = h
 		}
-	case unknown:
+	case endUnknown:
 		r.Verdict, r.cannotRepeat = verdict.Of(verdict.Recalled, errClientGone), true
 	case !f.pin(a):
 		r.Verdict = verdict.Of(verdict.Recalled, errAttemptCancelled)
@@ -221,11 +225,11 @@
 	}
 }
 
-// streamAnswer passes an answer on to its end. One that breaks off never gets its end.
+// streamAnswer streams an answer to the client. An answer that breaks off gets no end mark, so the client notices.
 func (u *upstream) streamAnswer(f *clientSide, h *heldAnswer, r *result) {
 	r.isStreamed = true
-	answer, over := f.server.markLastAnswer(f.conn, h.firstBytes)
-	f.request.managed.closeAfterAnswer = over
+	answer, isLast := f.server.markLastAnswer(f.conn, h.firstBytes)
+	f.request.managed.closeAfterAnswer = isLast
 	for {
 		by := min(u.clock.now()+f.server.tune.Load().ClientWrite, h.attempt.deadline)
 		if len(answer) > 0 && f.write(answer, u.clock.time(by)) != nil {
@@ -245,12 +249,12 @@
 	}
 }
 
-// canStream tells whether a held answer can still be passed on.
+// canStream reports whether a held answer can still be streamed to the client.
 func (u *upstream) canStream(h *heldAnswer) bool {
 	return h != nil && u.clock.now() < h.attempt.deadline && (h.conn.in.buffered() > 0 || world.Peek(h.conn.Conn) != world.PeekEnd)
 }
 
-// dropHeldAnswer lets go of a held answer; nil: there is none.
+// dropHeldAnswer closes the connection of a held answer; nil: there is none.
 func (u *upstream) dropHeldAnswer(h *heldAnswer) {
 	if h != nil {
 		u.discard(h.conn)
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -20,7 +20,7 @@
 
 const (
 	large                  = 300_001
-	configuredMaxBodyBytes = 4 << 20 // by the configuration
+	configuredMaxBodyBytes = 4 << 20 // as configured
 	longDeadlineField      = "Deadline-Ms: 1900\r\n"
 )
 
@@ -31,10 +31,10 @@
 	return b
 })
 
-// content is a body in which no part looks like another.
+// content returns a body in which no part equals another, so that misplaced pieces are noticed.
 func content(n int) []byte { return contentSource()[:n:n] }
 
-// frameBody is a body as it goes on the wire behind a head, with the fields that tell of it.
+// frameBody returns a body as it follows a head on the wire, and the header fields that describe its framing.
 func frameBody(body []byte, chunked bool) (fields string, wire []byte) {
 	if !chunked {
 		return fmt.Sprintf("Content-Length: %d\r\n", len(body)), body
@@ -47,7 +47,7 @@
 	return "Transfer-Encoding: chunked\r\n", append(wire, "0\r\nA: b\r\n\r\n"...)
 }
 
-// uploadRequest is a request with such a body.
+// uploadRequest returns a request with such a body.
 func uploadRequest(path string, body []byte, chunked bool) []byte {
 	fields, wire := frameBody(body, chunked)
 	head := requestText(path, longDeadlineField)
@@ -55,18 +55,18 @@
 	return append([]byte(head+fields+"\r\n"), wire...)
 }
 
-// receivedRequest is a request as a server saw it.
+// receivedRequest is a request as a server received it.
 type receivedRequest struct {
 	*http.Request
 	body []byte
-	err  error // before its end
+	err  error // an error before the body's end
 }
 
-// scriptedServers is servers whose connections a test plays itself.
+// scriptedServers are servers whose connections are handled by a test.
 type scriptedServers struct {
 	mu          sync.Mutex
 	requests    []receivedRequest
-	closedConns int // connections that the edge node has ended
+	closedConns int // connections that the proxy has closed
 	conns       []net.Conn
 }
 
@@ -76,7 +76,7 @@
 	return h.requests
 }
 
-// countComplete counts the requests that came whole.
+// countComplete counts the requests that arrived completely.
 func (h *scriptedServers) countComplete() (n int) {
 	for _, v := range h.received() {
 		if v.err == nil {
@@ -86,8 +86,9 @@
 	return n
 }
 
-// startScriptedServers makes these the servers of the site, and the configuration with bounds. before is done when a request's head has
-// come, after when all of it has, each till it is false; nil: nothing, and an answer.
+// startScriptedServers starts the servers of the site and sets a configuration with limits. A server calls before
+// when a request's head has arrived and after when its body has; each closes the connection by returning false. A nil
+// before does nothing, and a nil after sends an answer.
 func (r *managedFixture) startScriptedServers(before, after func(c net.Conn, q *http.Request) bool) *scriptedServers {
 	h := &scriptedServers{}
 	r.t.Cleanup(func() {
@@ -112,7 +113,7 @@
 	return h
 }
 
-// accept serves with what a test does.
+// accept serves connections with the functions of a test.
 func (h *scriptedServers) accept(ln net.Listener, before, after func(c net.Conn, q *http.Request) bool) {
 	for {
 		c, err := ln.Accept()
@@ -153,14 +154,14 @@
 	}
 }
 
-// sendInBackground writes a request without waiting for its end.
+// sendInBackground writes a request without waiting until it is written.
 func (r *managedFixture) sendInBackground(b []byte) net.Conn {
 	c := r.dial()
 	go func() { _, _ = c.Write(b) }()
 	return c
 }
 
-// serverAnswer is an answer with a body, as a server writes it.
+// serverAnswer returns an answer with a body, as a server writes it.
 func serverAnswer(q *http.Request, status string, body []byte, chunked bool) []byte {
 	fields, wire := frameBody(body, chunked)
 	return append(fmt.Appendf(nil, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n%s\r\n", status, q.Header.Get(fieldID), fields), wire...)
@@ -172,7 +173,7 @@
 	}
 }
 
-// Bodies of any size go both ways unchanged, and the connections go on behind them.
+// Bodies of any size pass unchanged in both directions, and the connections stay usable afterwards.
 func TestBodiesPass(t *testing.T) {
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
@@ -211,7 +212,7 @@
 	})
 }
 
-// countedConn counts what is written through it.
+// countedConn counts the bytes written through it.
 type countedConn struct {
 	net.Conn
 	mu sync.Mutex
@@ -237,10 +238,10 @@
 	return c.n
 }
 
-// Of what one side does not take the other can send no more than two sockets' and the edge node's windows, and a side that
-// takes nothing holds nobody for ever.
+// If one side stops reading, the other can send only as much as two sockets and the proxy's windows hold. A side that
+// never reads must not block a request beyond its deadline.
 func TestBodiesWait(t *testing.T) {
-	const sockets, held = 2 * 64 << 10, 4 * bodyWindowBytes
+	const socketBytes, proxyBytes = 2 * 64 << 10, 4 * bodyWindowBytes
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		t.Run("server", func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
@@ -250,7 +251,7 @@
 				defer c.Close()
 				go func() { _, _ = c.Write(uploadRequest("/act/", content(large), chunked)) }()
 				time.Sleep(time.Second)
-				assert.Assert(t, c.written() > sockets && c.written() < sockets+held, "%d", c.written())
+				assert.Assert(t, c.written() > socketBytes && c.written() < socketBytes+proxyBytes, "%d", c.written())
 				began := time.Now()
 				close(stuck)
 				assert.Equal(t, r.readAnswer(c).body, "yes")
@@ -260,22 +261,22 @@
 		})
 		t.Run("client", func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
-				var out *countedConn
-				var let error // how the server's sending ended
+				var serverConn *countedConn
+				var writeErr error // how the server's write ended
 				h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
-					out = &countedConn{Conn: c}
-					_, err := out.Write(serverAnswer(q, "200 OK", content(large), chunked))
-					let = err
+					serverConn = &countedConn{Conn: c}
+					_, err := serverConn.Write(serverAnswer(q, "200 OK", content(large), chunked))
+					writeErr = err
 					return err == nil
 				})
 				c := r.sendInBackground([]byte(requestText("/get/", longDeadlineField)))
 				defer c.Close()
 				time.Sleep(time.Second)
 				synctest.Wait()
-				assert.Assert(t, out.written() >= sockets && out.written() < sockets+held, "%d", out.written())
-				time.Sleep(2 * time.Second) // its time is over: the server is let go
+				assert.Assert(t, serverConn.written() >= socketBytes && serverConn.written() < socketBytes+proxyBytes, "%d", serverConn.written())
+				time.Sleep(2 * time.Second) // the deadline has passed: the server's connection is released
 				synctest.Wait()
-				assert.Assert(t, h.countComplete() == 1 && let != nil)
+				assert.Assert(t, h.countComplete() == 1 && writeErr != nil)
 				open, _ := r.ManagedNode.node.server.connectionActivity()
 				assert.Equal(t, open, 0)
 				n, err := readAnswerBody(c)
@@ -285,7 +286,7 @@
 	})
 }
 
-// readAnswerBody reads an answer's body; it fails where that is not complete.
+// readAnswerBody reads an answer's body and returns its length; it fails if the body is incomplete.
 func readAnswerBody(c io.Reader) (int, error) {
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -22,8 +22,7 @@
 
 var swapFor = flag.Duration("swap.for", 6*time.Second, "how long books are swapped")
 
-// installation is several edge nodes in this process, with loan servers, and a
-// ledger of what all sides saw.
+// installation is several proxies in this process, with loan servers, and a ledger of what all sides saw.
 type installation struct {
 	ledger    *audit.Ledger
 	site      *standin.Site
@@ -34,10 +33,10 @@
 	libraries []keyring.Library
 	keys      []string
 	ring      *keyring.Ring
-	script    func(*standin.Request) standin.Fault // nil: no faults; set before requests come
+	script    func(*standin.Request) standin.Fault // nil: no faults; set before the first request
 }
 
-// startInstallation starts so many edge nodes; settings may be shaped first.
+// startInstallation starts the given number of proxies; shape may change the settings first.
 func startInstallation(t *testing.T, count int, shape func(s *standin.Settings)) *installation {
 	t.Helper()
 	in := &installation{settings: standin.SiteSettings(count)}
@@ -104,7 +103,7 @@
 	return in
 }
 
-// buildKeyRing makes the table of keys.
+// buildKeyRing builds the table of API keys.
 func (in *installation) buildKeyRing(t *testing.T) {
 	t.Helper()
 	salt := keyring.Salt("0123456789abcdef")
@@ -118,8 +117,8 @@
 	}
 }
 
-// testBook makes a book whose costs, repeats and operations follow from its
-// number, and tells the audit of it.
+// testBook makes a route book whose costs, repeats and operations depend on its number, and announces it to the
+// audit.
 func (in *installation) testBook(t *testing.T, number int) *routing.Table {
 	t.Helper()
 	units := func(n int) routebook.Units { return routebook.Units{Base: float64(n), Most: 6} }
@@ -128,14 +127,13 @@
 			Units: routebook.Units{Base: float64(1 + number%2), Param: "limit", Per: 25, Each: 1, Most: 6}},
 		{Operation: "place", Method: "POST", Template: "/loans", Class: "loan-request", Repeat: []routebook.Repeat{routebook.Keyed, routebook.Never}[number/2%2], Units: units(1 + number%3), Place: "f:2"},
 	}
-	if number%5 != 4 { // now and then it is gone
+	if number%5 != 4 { // an operation that some revisions lack
 		list = append(list, routebook.Route{Operation: "end", Method: "DELETE", Template: "/loans/{id}", Class: "loan-request", Units: units(1 + (number+1)%2), Place: "f:3"})
 	}
 	return in.compileBook(t, fmt.Sprintf("r%d", number), list)
 }
 
-// compileBook makes a book of routes, with keys in a header and whatever other
-// places, and tells the audit of it.
+// compileBook makes a route book with keys in a header and the other given places, and announces it to the audit.
 func (in *installation) compileBook(t *testing.T, name string, list []routebook.Route, places ...routebook.KeyPlace) *routing.Table {
 	t.Helper()
 	b, err := routebook.Compile(name, list)
@@ -158,14 +156,14 @@
 	return tab
 }
 
-// activateBook puts a book in force at one edge node and tells the audit.
+// activateBook activates a route book at one proxy and announces that to the audit.
 func (in *installation) activateBook(i int, tab *routing.Table) {
 	in.ledger.Note(audit.Swapping{Node: in.addrs[i].Name, Revision: tab.Book.Generation})
 	in.nodes[i].setRoutes(tab)
 	in.ledger.Note(audit.Swapped{Node: in.addrs[i].Name, Revision: tab.Book.Generation})
 }
 
-// newFront makes the ordinary clients of all libraries.
+// newFront creates ordinary clients for all libraries.
 func (in *installation) newFront(t *testing.T, rate float64) *standin.Front {
 	t.Helper()
 	var customers []standin.Customer
@@ -182,10 +180,9 @@
 	return f
 }
 
-// The book is replaced 200 times with other costs, repeats and operations while
-// clients ask through three edge nodes that learn of each at different times. A
-// request is charged by the book that it was read under and by no other, none is
-// lost, and none takes effect twice, though loan servers fail on the way.
+// The route book is replaced 200 times, with other costs, repeats and operations, while clients send requests through
+// three proxies that get each book at different times and loan servers fail. Each request must be charged by exactly
+// the book under which it was read. No request may be lost or take effect twice.
 func TestSwapsUnderLoad(t *testing.T) {
 	const swaps = 200
 	in := startInstallation(t, 3, nil)
@@ -209,7 +206,7 @@
 					in.activateBook(i, tab)
 				})
 			}
-			if n%20 == 0 { // a break while attempts are out
+			if n%20 == 0 { // break connections while attempts are in flight
 				in.loans[n/20%4].Kill()
 				if err := in.loans[n/20%4].Restart(); err != nil {
 					t.Error(err)
@@ -225,7 +222,7 @@
 	}
 	tally := front.Tally()
 	if tally.Lost > 0 || tally.Served < 200 || tally.Unreached > 0 {
-		t.Errorf("%d lost, %d served, %d found no edge node", tally.Lost, tally.Served, tally.Unreached)
+		t.Errorf("%d lost, %d served, %d reached no proxy", tally.Lost, tally.Served, tally.Unreached)
 	}
 	books := map[string]bool{}
 	for _, o := range tally.Operations {
@@ -234,15 +231,15 @@
 		}
 	}
 	if len(books) < swaps/2 || tally.Statuses[404] == 0 {
-		t.Errorf("answers under %d books, %d for an operation that was gone: the test shows little", len(books), tally.Statuses[404])
+		t.Errorf("answers under %d books, %d for a missing operation: too few for this test to be meaningful", len(books), tally.Statuses[404])
 	}
 	t.Logf("%d books, statuses %v", len(books), tally.Statuses)
 }
 
 var swapPairs = flag.Int("swap.pairs", 0, "measure so many pairs of runs, without and with swaps")
 
-// TestMeasureSwaps measures the answer delay of requests while books are
-// swapped ten times a second against none. It is a measurement behind a flag.
+// TestMeasureSwaps compares the delay of answers while books are replaced ten times a second with the delay without
+// replacements. It is a measurement and runs only with its flag.
 func TestMeasureSwaps(t *testing.T) {
 	if *swapPairs == 0 {
 		t.Skip("needs -swap.pairs")
@@ -251,7 +248,7 @@
 	number := 0
 	bring := func() {
 		number++
-		tab := in.testBook(t, 5*number) // an operation that is gone would spoil the comparison
+		tab := in.testBook(t, 5*number) // a missing operation would distort the comparison
 		for i := range in.nodes {
 			in.activateBook(i, tab)
 		}
@@ -283,7 +280,7 @@
 			median[with], tail[with] = c.Quantile(0.5), c.Quantile(0.99)
 		}
 		ratios = append(ratios, float64(tail[1])/float64(tail[0]))
-		t.Logf("without swaps: median %v, 99th %v; with ten a second at each of 3 edge nodes: %v, %v", median[0], tail[0], median[1], tail[1])
+		t.Logf("without swaps: median %v, 99th %v; with ten a second at each of 3 proxies: %v, %v", median[0], tail[0], median[1], tail[1])
 	}
 	slices.Sort(ratios)
 	t.Logf("ratio of the 99th percentiles: median %.2f, from %.2f to %.2f", ratios[len(ratios)/2], ratios[0], ratios[len(ratios)-1])
--- a/internal/dataplane/node/timers.go
+++ b/internal/dataplane/node/timers.go
@@ -15,7 +15,7 @@
 	l.timer.Reset(max(0, l.timerAt-l.clock.now()))
 }
 
-// fireTimers tells of the timers that have run out.
+// fireTimers handles the timers that have expired.
 func (l *loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.clock.now() {
 		t := heap.Pop(&l.timers).(*timer)
@@ -30,13 +30,13 @@
 	}
 }
 
-// timer is a timer of the module, or the backstop of a request.
+// timer is a policy timer, a request's deadline timer or the periodic check for disconnected clients.
 type timer struct {
 	at                time.Duration
 	token             string
 	request           *openRequest
-	isDisconnectCheck bool // for clients that have gone
-	heapIndex         int  // in the heap; -1: it is out
+	isDisconnectCheck bool // checks for disconnected clients
+	heapIndex         int  // index in the heap; -1: removed
 }
 
 type timerHeap []*timer
--- a/internal/dataplane/node/tuning.go
+++ b/internal/dataplane/node/tuning.go
@@ -7,43 +7,41 @@
 	"pepperfall.example/pepperfall/internal/dataplane/routing"
 )
 
-// Tuning holds the figures that those who run an installation may change while
-// an edge node serves. What the platform's program does by itself is
-// DefaultTuning.
+// Tuning holds the settings that operators may change while a proxy runs. DefaultTuning returns the defaults.
 type Tuning struct {
 	FirstRequest      time.Duration // from a client's connect to the end of its first request
 	WholeRequest      time.Duration // from a later request's first byte to its last
 	ClientIdle        time.Duration // between requests
-	BodyStall         time.Duration // for the next bytes of a body that is passed on as it comes
-	ClientWrite       time.Duration // for a client to take an answer
-	CloseUnused       bool          // connections that clients leave unused are ended when room is short
-	ReuseDelay        time.Duration // an idle connection to an app server rests so long before it is used again
-	AnswerStall       time.Duration // an answer that has begun and stops for so long is spoilt
-	Discovery         string        // goes before the platform's address; empty: that one
-	Generation        string        // names these figures to whoever asks healthz; empty: none is told
-	RefusedGeneration string        // the last generation that was not taken over; empty: none
+	BodyStall         time.Duration // for the next bytes of a streamed body
+	ClientWrite       time.Duration // for a client to accept an answer
+	CloseUnused       bool          // close connections that clients leave unused when few are free
+	ReuseDelay        time.Duration // how long an idle connection to an app server waits before it is used again
+	AnswerStall       time.Duration // an answer that has begun and then pauses for longer is treated as broken
+	Discovery         string        // overrides the address from the configuration; empty: no override
+	Generation        string        // name of these settings in healthz answers; empty: none
+	RefusedGeneration string        // the last generation that was rejected; empty: none
 
-	Routes          *routing.Table // what requests are read by; nil: as the platform has it
-	PendingRevision string         // a revision of the book that waits to be accepted; empty: none
+	Routes          *routing.Table // the route book by which requests are read; nil: the standalone protocol's own routes
+	PendingRevision string         // a revision of the route book that waits to be accepted; empty: none
 }
 
-// DefaultTuning is what holds without an operator file.
+// DefaultTuning returns the settings that apply without an operator file.
 func DefaultTuning() Tuning {
 	return Tuning{FirstRequest: defaultFirstRequestTimeout, WholeRequest: defaultRequestTimeout, ClientIdle: defaultClientIdleTimeout, BodyStall: defaultRequestTimeout, ClientWrite: defaultClientWriteTimeout,
 		CloseUnused: true, ReuseDelay: defaultReuseDelay, AnswerStall: defaultAnswerStall}
 }
 
-// Header fields of healthz answers that tell a supervisor what is in force.
+// Header fields of healthz answers that tell a supervisor which settings and route book are current.
 const (
 	GenerationField = "Pepperfall-Generation"
 	RefusedField    = "Pepperfall-Refused"
 	PendingField    = "Pepperfall-Pending"
 )
 
-// ViewPath is where an edge node that keeps a view of its fleet tells it, as JSON (package fleetview).
+// ViewPath is the path at which a proxy serves its view of the fleet as JSON (package fleetview).
 const ViewPath = "/healthz/view"
 
-// healthFields is the header of a healthz answer.
+// healthFields returns the header fields of a healthz answer.
 func (t *Tuning) healthFields() (fields string) {
 	if t.Generation != "" {
 		fields = GenerationField + ": " + t.Generation + "\r\n"
@@ -60,7 +58,7 @@
 	return fields
 }
 
-// Tune takes new figures over, all at once.
+// Tune applies new settings, all at once.
 func (n *Node) Tune(t Tuning) {
 	n.tuningMu.Lock()
 	defer n.tuningMu.Unlock()
@@ -70,14 +68,14 @@
 		n.discovery.moveTo(n.discoveryAddress(t))
 	}
 	if was, is := old.Routes.Name(), t.Routes.Name(); was != is {
-		slog.Info("route book in force", "was", was, "is", is)
+		slog.Info("route book activated", "was", was, "is", is)
 	}
 	if old.Generation != t.Generation {
-		slog.Info("operator file in force", "generation", t.Generation)
+		slog.Info("operator file activated", "generation", t.Generation)
 	}
 }
 
-// Tuning returns the figures in force.
+// Tuning returns the current settings.
 func (n *Node) Tuning() Tuning { return *n.server.tune.Load() }
 
 func (n *Node) discoveryAddress(t Tuning) string {
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	idleTimeoutShare   = 0.6 // of the time after which app servers close idle connections
+	idleTimeoutShare   = 0.6 // idle connections are closed after this share of the servers' own idle timeout
 	drainGraceMargin   = 50 * time.Millisecond
 	answerPrefix       = "HTTP/1.1 "
-	defaultAnswerStall = 250 * time.Millisecond // an answer that has begun and stops for so long is spoilt
-	maxInterimAnswers  = 8                      // 1xx answers ahead of one
-	maxLoadValue       = 1e6                    // a figure beyond is none
+	defaultAnswerStall = 250 * time.Millisecond // an answer that has begun and then pauses for longer is treated as broken
+	maxInterimAnswers  = 8                      // 1xx answers accepted before the final one
+	maxLoadValue       = 1e6                    // a larger value in a load report makes the report invalid
 
-	// An idle connection rests before it is used again: what comes behind an
-	// answer must not be taken for the next one.
+	// Time before an idle connection is used again. Unexpected bytes that follow an answer must not be taken for the
+	// next answer.
 	defaultReuseDelay = 5 * time.Millisecond
 )
 
-// upstream keeps the connections to the app servers and carries attempts out.
-// Each attempt is written here, once: the stock clients send a request again
-// by themselves and don't tell whether its last byte was written.
+// upstream keeps the connections to the app servers and carries out attempts. It writes each attempt exactly once
+// itself, because the standard HTTP client may resend a request on its own and does not report whether the last byte
+// was written.
 type upstream struct {
 	clock       clock
 	network     world.Network
-	dialTimeout time.Duration // for a connection to come up
+	dialTimeout time.Duration // for establishing a connection
 	idleTimeout time.Duration
 	drainGrace  time.Duration
-	reuseDelay  time.Duration // before an idle connection is used again
-	maxConns    int           // connections at once, to all servers
-	loadFields  []string      // of load reports, by the module's order
-	answerStall atomic.Int64  // nanoseconds for which an answer may stop
-	isManaged   bool          // a system's wire is spoken
+	reuseDelay  time.Duration // time before an idle connection is used again
+	maxConns    int           // limit on open connections to all servers together
+	loadFields  []string      // names of the load report's fields, in the policy's order
+	answerStall atomic.Int64  // longest pause within an answer, in nanoseconds
+	isManaged   bool          // servers speak the managed protocol
 
 	mu        sync.Mutex
 	openConns int
@@ -60,11 +60,11 @@
 	idleSince time.Duration
 	up        *upstream
 
-	fastestConnect time.Duration // the least time in which a connection to its server came up
-	probedBytes    int           // bytes of the request that were written to try it
+	fastestConnect time.Duration // shortest time that a connection to the server took to establish
+	probedBytes    int           // bytes of the request that a probe has already written
 }
 
-// Read gives up an answer that has begun and stops.
+// Read fails if an answer that has begun pauses for longer than answerStall.
 func (c *upConn) Read(b []byte) (int, error) {
 	if len(c.in.buf) > 0 && !c.up.isManaged {
 		if err := c.SetReadDeadline(c.up.clock.Now().Add(time.Duration(c.up.answerStall.Load()))); err != nil {
@@ -79,19 +79,19 @@
 	id          policy.RequestID
 	number      int
 	server      policy.ServerID
-	requestedAt time.Duration // when the module asked for it
-	deadline    time.Duration // when it is given up
-	writeBy     time.Duration // written later it might run twice: its repeat would not be known as one
-	atMostOnce  bool          // it can't be sent again where it may have run
+	requestedAt time.Duration // when the policy asked for the attempt
+	deadline    time.Duration // when the attempt is abandoned
+	writeBy     time.Duration // the request must be written by then: servers would not recognize a later repeat as one, and it could run twice
+	atMostOnce  bool          // the request must not be sent again if it may have run
 
 	mu          sync.Mutex
 	isCancelled bool
-	isPinned    bool // it has no other after it: what it was made of, or what came of it, has been passed on
+	isPinned    bool // no other attempt may follow: part of the request was discarded or part of the answer was sent to the client
 	conn        *upConn
 	stopDial    context.CancelFunc
 }
 
-// cancel gives the attempt up; the goroutine that carries it out ends it.
+// cancel abandons the attempt. The goroutine that runs it then ends it.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// cancelIfUnsent is cancel where nothing has been sent yet.
+// cancelIfUnsent cancels the attempt unless it is already on a connection.
 func (a *attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	unsent := a.conn == nil
@@ -114,7 +114,7 @@
 	}
 }
 
-// cancelIfNotPinned is cancel for the sake of another attempt.
+// cancelIfNotPinned cancels the attempt in favour of another one, unless no other attempt may follow.
 func (a *attempt) cancelIfNotPinned() {
 	a.mu.Lock()
 	pinned := a.isPinned
@@ -124,7 +124,7 @@
 	}
 }
 
-// pin rules another attempt out; it is false when this one was cancelled.
+// pin rules out further attempts of the request. It returns false if this one was cancelled.
 func (a *attempt) pin() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -132,7 +132,7 @@
 	return !a.isCancelled
 }
 
-// setConn puts the attempt on a connection; it is false when it was cancelled.
+// setConn records the attempt's connection; nil: none. It returns false if the attempt was cancelled.
 func (a *attempt) setConn(c *upConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,22 +146,22 @@
 	loadReport      []float64
 	contentType     string // of a served answer
 	body            string
-	answer          []byte // on a system's wire: the app server's own, as it is passed on
-	hasStrayAnswers bool   // and there: answers to others came in its place
+	answer          []byte // managed protocol: the server's answer as the client gets it
+	hasStrayAnswers bool   // managed protocol: answers to other requests arrived first
 
-	// On a system's wire, of bodies beyond their window.
-	clientFault  error         // of the client's, in the middle of its body: nothing has run
-	cannotRepeat bool          // part of the request is held no more: it can't be sent again
-	isStreamed   bool          // the answer was passed on as it came
-	held         *heldAnswer   // nil: no answer is kept at its server
-	isComplete   bool          // and has come to its end
-	latency      time.Duration // without the time that the client took; 0: as the module counts
+	// Managed protocol, for bodies that are longer than the window.
+	clientFault  error         // error in the client's body while it was sent on; the request has not run
+	cannotRepeat bool          // part of the request was discarded, so it can't be sent again
+	isStreamed   bool          // the answer was streamed to the client
+	held         *heldAnswer   // an answer that is still at its server; nil: none
+	isComplete   bool          // the answer was streamed to its end
+	latency      time.Duration // without the time that the client took; 0: the policy measures it
 }
 
-// endedResult is an attempt's end and no more.
+// endedResult returns a result that holds only the verdict for the given end and cause.
 func endedResult(end verdict.End, cause error) result { return result{Verdict: verdict.Of(end, cause)} }
 
-// errorResult is the end of an attempt that was written whole and met an error in place of its answer.
+// errorResult returns the result of an attempt that was written completely but got an error instead of an answer.
 func (u *upstream) errorResult(a *attempt, err error) result {
 	if errors.Is(err, os.ErrDeadlineExceeded) && u.clock.now() >= a.deadline {
 		return endedResult(verdict.Silent, err)
@@ -169,8 +169,8 @@
 	return endedResult(verdict.Broken, err)
 }
 
-// do carries an attempt out. The connection of one that did not come to its end
-// is closed before do returns, but for that of an answer held.
+// do carries out an attempt. If the attempt did not complete, its connection is closed before do returns, except for
+// the connection of a held answer.
 func (u *upstream) do(a *attempt, req *clientRequest) result {
 	c, addr, ok := u.takeConnection(a.server, a.atMostOnce)
 	for ok && c != nil && u.needsProbe(a, c) && !u.probe(a, c, req) {
@@ -215,7 +215,7 @@
 		u.idleAges.recordUse(now-c.idleSince, u.clock.now(), u.clock.now()-now-c.fastestConnect, r.Code(), len(c.in.buf) > 0)
 		u.mu.Unlock()
 	}
-	if !a.setConn(nil) { // cancelled: its connection is closed already
+	if !a.setConn(nil) { // cancelled: its connection is already closed
 		reuse = false
 		if r.End == verdict.Broken || r.End == verdict.Silent {
 			r.Verdict = verdict.Of(verdict.Recalled, errAttemptCancelled)
@@ -223,7 +223,7 @@
 		r.held = nil
 	}
 	switch {
-	case r.held != nil: // it is let go of by who passes the answer on
+	case r.held != nil: // whoever streams or drops the held answer releases the connection
 	case reuse:
 		u.returnConnection(a.server, c)
 	default:
@@ -245,9 +245,8 @@
 	return u.network.Dial(ctx, "tcp", addr)
 }
 
-// exchange writes the request in one call and reads the answer. The number of
-// bytes written decides: before the last one the request can't have run, after
-// it may have.
+// exchange writes the request in one call and reads its answer. A request whose last byte was not written can't have
+// run; any other may have.
 func (u *upstream) exchange(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
 	if err := c.SetDeadline(u.clock.time(a.deadline)); err != nil {
 		return endedResult(verdict.Unsent, err), false
@@ -255,11 +254,11 @@
 	msg := requestBuffers.Get().(*[]byte)
 	b := appendRequest((*msg)[:0], req, left)
 	n, err := c.Write(b)
-	whole := n == len(b)
+	complete := n == len(b)
 	if *msg = b; cap(b) <= 4*minBufferBytes {
 		requestBuffers.Put(msg)
 	}
-	if !whole {
+	if !complete {
 		return endedResult(verdict.Unsent, err), false
 	}
 	var r result
@@ -273,7 +272,7 @@
 	r.Verdict, r.loadReport = verdict.Of(verdict.Failed, nil), u.parseLoadReport(&c.head)
 	switch {
 	case status == 200 && !framed:
-		r.Verdict = verdict.Of(verdict.Broken, errFraming) // its end can't be told from a break
+		r.Verdict = verdict.Of(verdict.Broken, errFraming) // without framing, the end of the answer looks the same as a broken connection
 	case status == 200:
 		r.Verdict, r.contentType, r.body = verdict.Of(verdict.Served, nil), string(c.head.get("Content-Type")), string(body)
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
@@ -281,17 +280,16 @@
 	case status/100 == 4:
 		r.Verdict = verdict.Of(verdict.Unfit, nil)
 	}
-	// What comes behind an answer belongs to none.
+	// Bytes that follow an answer belong to no request, so the connection is not reused.
 	reuse := framed && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	c.in.startMessage()
 	return r, reuse
 }
 
-// readAnswer reads an answer. One that only the end of the connection would end is
-// not framed, and its body is left unread. One to HEAD has none, whatever its
-// length says (RFC 9112, 6.3). One that only announces the answer is told where
-// some of the request is still to be sent.
-func (c *upConn) readAnswer(bare, unsent bool) (status int, body []byte, framed bool, err error) {
+// readAnswer reads an answer. An answer that ends only with the connection is reported as not framed, and its body is
+// not read. An answer to HEAD has no body, whatever length it announces (RFC 9112, 6.3). A 1xx answer is returned to
+// the caller only if part of the request is still unsent.
+func (c *upConn) readAnswer(headRequest, unsent bool) (status int, body []byte, framed bool, err error) {
 	for range maxInterimAnswers + 1 {
 		if err = c.in.readHead(&c.head, answerPrefix); err != nil {
 			return 0, nil, false, err
@@ -306,9 +304,9 @@
 		case status < 200 && unsent:
 			return status, nil, true, nil
 		case status < 200:
-			c.in.startMessage() // it only announces the answer, which may take its time
+			c.in.startMessage() // an interim answer; the final one may take its time
 			continue
-		case status == 204 || status == 304 || bare:
+		case status == 204 || status == 304 || headRequest:
 			return status, nil, true, nil
 		case c.head.length == -2:
 			return status, nil, false, nil
@@ -323,7 +321,7 @@
 
 var forwardedFieldNames = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
 
-// appendRequest writes what goes on to an app server.
+// appendRequest appends the request as an app server gets it.
 func appendRequest(b []byte, req *clientRequest, left time.Duration) []byte {
 	b = append(b, req.method...)
 	b = append(b, ' ')
@@ -353,13 +351,12 @@
 	return append(b, req.body...)
 }
 
-// loadFieldAliases gives the names in a load report for the settings' own, where
-// these differ.
+// loadFieldAliases maps field names of the settings to the names that load reports may use instead.
 var loadFieldAliases = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
 	"rps": "qps", "err_rps": "eps"}
 
-// parseLoadReport reads a load report: a word, then name=value pairs. One that lacks a
-// field, or can't be meant, counts for nothing.
+// parseLoadReport parses a load report: a word, then name=value pairs. A report that lacks a field or holds an
+// invalid value is ignored.
 func (u *upstream) parseLoadReport(h *head) []float64 {
 	text, n := h.valueAndCount("X-Load")
 	if n != 1 || len(u.loadFields) == 0 {
@@ -374,7 +371,7 @@
 			continue
 		}
 		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(x >= 0 && x <= maxLoadValue) { // NaN is neither
+		if err != nil || !(x >= 0 && x <= maxLoadValue) { // also rejects NaN
 			return nil
 		}
 		out[i] = x
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// What comes back decides whether a request may be sent or refused again: a
-// code that wrongly proves 'never ran' would let an effect happen twice.
+// The outcome of an attempt decides whether its request may be sent again or refused. An outcome that wrongly states
+// that the request never ran would let an effect happen twice.
 func TestOutcomes(t *testing.T) {
 	raw := func(text string) func(net.Conn, *standin.Request) bool {
 		return func(c net.Conn, _ *standin.Request) bool {
@@ -55,7 +55,7 @@
 	for name, c := range map[string]struct {
 		do   func(net.Conn, *standin.Request) bool
 		want policy.Code
-		kept bool // the connection can be used again
+		kept bool // the connection stays open for reuse
 	}{
 		"served":            {standin.Answer("200 OK", "", "hits"), policy.OK, true},
 		"served, then over": {standin.Answer("200 OK", "Connection: close\r\n", "hits"), policy.OK, false},
@@ -64,8 +64,8 @@
 			return true
 		}, policy.OK, true},
 		"error":            {standin.Answer("500 No", "", ""), policy.Error, true},
-		"turned away":      {standin.Answer("503 No", "X-Not-Run: 1\r\n", ""), policy.Full, true},
-		"over already":     {standin.Answer("504 No", "X-Not-Run: 1\r\n", ""), policy.Full, true},
+		"declined":         {standin.Answer("503 No", "X-Not-Run: 1\r\n", ""), policy.Full, true},
+		"declined, 504":    {standin.Answer("504 No", "X-Not-Run: 1\r\n", ""), policy.Full, true},
 		"503 may have run": {standin.Answer("503 No", "", ""), policy.Error, true},
 		"504 may have run": {standin.Answer("504 No", "X-Not-Run: 0\r\n", ""), policy.Error, true},
 		"another 2xx":      {standin.Answer("202 Later", "", ""), policy.Error, true},
@@ -73,9 +73,9 @@
 		"break in headers": {raw("HTTP/1.1 200 OK\r\nContent-Le"), policy.Reset, false},
 		"break in body":    {raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhits"), policy.Reset, false},
 		"break in chunks":  {raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhits\r\n"), policy.Reset, false},
-		"no end told":      {raw("HTTP/1.1 200 OK\r\n\r\nhits"), policy.Reset, false},
+		"no framing":       {raw("HTTP/1.1 200 OK\r\n\r\nhits"), policy.Reset, false},
 		"not HTTP":         {raw("hello\r\n\r\n"), policy.Reset, false},
-		// Spoilt answers, on connections that stay open: the deadline must not be waited for.
+		// Broken answers on connections that stay open must be detected without waiting for the deadline.
 		"noise":            {stays("\x88\xdb\xce@>4"), policy.Reset, false},
 		"no number":        {stays("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nhits"), policy.Reset, false},
 		"words swapped":    {stays("HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\nhits"), policy.Reset, false},
@@ -92,7 +92,7 @@
 		"half a head":      {stays("HTTP/1.1 200 OK\r\nContent-Le"), policy.Reset, false},
 		"only 1xx":         {stays(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 1000)), policy.Reset, false},
 		"switched":         {stays("HTTP/1.1 101 Switching\r\n\r\n"), policy.Reset, false},
-		// Good answers that bring more than belongs to them.
+		// Valid answers with unexpected additional bytes.
 		"1xx ahead":         {stays("HTTP/1.1 103 Early\r\nX: y\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits"), policy.OK, true},
 		"a copy behind":     {stays(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits", 2)), policy.OK, false},
 		"noise behind":      {stays("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits\x88\xdb"), policy.OK, false},
@@ -117,7 +117,7 @@
 	}
 }
 
-// A refused connection proves that nothing ran.
+// A refused connection proves that the request has not run.
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	u := newTestUpstream(refusingAddress(t))
 	_, do := u.newAttempt(testTimeout)
@@ -126,8 +126,8 @@
 	}
 }
 
-// A request that was written and not answered may run yet; its connection must
-// be closed before the module hears of it, or two attempts would be out.
+// A request that was written and not answered may still run. Its connection must be closed before the policy learns
+// of the outcome, or two attempts could run at once.
 func TestTimeoutClosesFirst(t *testing.T) {
 	a := newApp(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
@@ -136,10 +136,10 @@
 	if r.Code() != policy.TimedOut || u.openConns != 0 {
 		t.Errorf("code %d, %d open", r.Code(), u.openConns)
 	}
-	eventually(t, "the end of the connection", func() bool { return a.Ended.Load() == 1 })
+	eventually(t, "the connection's end", func() bool { return a.Ended.Load() == 1 })
 }
 
-// The same for an attempt that the module calls back.
+// The same holds for an attempt that the policy cancels.
 func TestCancelClosesFirst(t *testing.T) {
 	a := newApp(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
@@ -154,10 +154,10 @@
 	if r.Code() != policy.Cancelled || u.openConns != 0 {
 		t.Errorf("code %d, %d open", r.Code(), u.openConns)
 	}
-	eventually(t, "the end of the connection", func() bool { return a.Ended.Load() == 1 })
+	eventually(t, "the connection's end", func() bool { return a.Ended.Load() == 1 })
 }
 
-// What is called back before it is written never ran.
+// An attempt that is cancelled before it is written has not run.
 func TestCancelBeforeWriting(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", ""))
 	u := newTestUpstream(a.Addr())
@@ -168,8 +168,8 @@
 	}
 }
 
-// An app server closes idle connections; a request written to one would end as
-// a reset, which costs a keyed request its further attempts.
+// An app server closes idle connections. A request written to one would end with a reset, after which a keyed request
+// has fewer attempts left.
 func TestNoticesCloseWhileIdle(t *testing.T) {
 	var answers atomic.Int32
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -190,7 +190,7 @@
 	}
 }
 
-// Connections are used again, newest first, and closed before the server does.
+// Connections are reused, the newest first, and closed before the server closes them.
 func TestPoolReusesAndExpires(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
@@ -204,12 +204,12 @@
 	u.idleTimeout = 0
 	u.closeStaleConnections()
 	if u.openConns != 0 || len(u.servers[1].idle) != 0 {
-		t.Errorf("%d open after their time", u.openConns)
+		t.Errorf("%d open after their idle timeout", u.openConns)
 	}
 }
 
-// A second copy of an answer may come when its connection is idle again: it
-// must never be taken for the answer to the next request.
+// A second copy of an answer may arrive on a connection that is idle again. It must never be taken as the answer to
+// the next request.
 func TestLateCopy(t *testing.T) {
 	copied := make(chan struct{})
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -222,7 +222,7 @@
 	for i := range 2 {
 		_, do := u.newAttempt(testTimeout)
 		if r, body := do(); r.Code() != policy.OK || body != "hits" || int(a.Accepted.Load()) != i+1 {
-			t.Errorf("code %d, %q, %d connections: an idle one did not rest", r.Code(), body, a.Accepted.Load())
+			t.Errorf("code %d, %q, %d connections: an idle one was reused too soon", r.Code(), body, a.Accepted.Load())
 		}
 	}
 	close(copied)
@@ -238,35 +238,34 @@
 	}
 }
 
-// App servers that drop idle connections sooner than they say, unseen until a
-// request is written, cost that request: the age from which they do is learned,
-// and unlearned once they do so no longer.
+// App servers may drop idle connections sooner than they announce, which is noticed only when a request fails on one.
+// The upstream learns the age from which this happens, and forgets it when it no longer does.
 func TestLearnsHowLongConnectionsLast(t *testing.T) {
 	var x idleAgeStats
 	for range 40 {
 		x.recordUse(20*time.Millisecond, time.Second, time.Millisecond, policy.OK, true)
 		x.recordUse(150*time.Millisecond, time.Second, time.Millisecond, policy.OK, true)
-		x.recordUse(150*time.Millisecond, time.Second, time.Second, policy.Reset, false) // broke at work
+		x.recordUse(150*time.Millisecond, time.Second, time.Second, policy.Reset, false) // broke after the request was being worked on
 		x.recordUse(150*time.Millisecond, time.Second, time.Millisecond, policy.Reset, true)
 	}
 	if got := x.maxUsableAge(time.Minute); got != time.Minute {
-		t.Fatalf("%v while none broke for its age", got)
+		t.Fatalf("%v although none broke because of its age", got)
 	}
 	for range 40 {
 		x.recordUse(150*time.Millisecond, time.Second, time.Millisecond, policy.Reset, false)
 	}
 	if got := x.maxUsableAge(time.Minute); got != 128*time.Millisecond {
-		t.Fatalf("%v, want 128ms: those of 150ms break", got)
+		t.Fatalf("%v, want 128ms: connections idle for 150ms break", got)
 	}
 	for range 300 {
 		x.decay()
 	}
 	if got := x.maxUsableAge(time.Minute); got != time.Minute {
-		t.Errorf("%v long after the last broke", got)
+		t.Errorf("%v long after the last break", got)
 	}
 }
 
-// A connection past the age learned is not used again, though it seems alive.
+// A connection beyond the learned age is not reused, even if it seems open.
 func TestOldConnectionsAreLeftWhenTheyBreak(t *testing.T) {
 	served := atomic.Int32{}
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -281,7 +280,7 @@
 		do()
 		u.mu.Lock()
 		for _, c := range u.servers[1].idle {
-			c.idleSince -= 200 * time.Millisecond // as if it had stood for so long
+			c.idleSince -= 200 * time.Millisecond // as if it had been idle that much longer
 		}
 		full := u.idleAges.maxUsableAge(u.idleTimeout) < u.idleTimeout
 		u.mu.Unlock()
@@ -290,7 +289,7 @@
 		}
 	}
 	if u.idleAges.maxUsableAge(u.idleTimeout) > 200*time.Millisecond {
-		t.Fatalf("%v learned where those of 200ms break", u.idleAges.maxUsableAge(u.idleTimeout))
+		t.Fatalf("learned %v where connections idle for 200ms break", u.idleAges.maxUsableAge(u.idleTimeout))
 	}
 	before := a.Accepted.Load()
 	_, do := u.newAttempt(testTimeout)
@@ -300,8 +299,8 @@
 	}
 }
 
-// An idle connection outlives the deadline of the attempt before: taken for
-// dead, most connections would be dialled anew, at the app server's cost.
+// An idle connection must outlive the deadline of its previous attempt. If it were taken as dead, most connections
+// would be dialed anew, which costs the app server work.
 func TestReusesAfterTheDeadlineBefore(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
@@ -317,8 +316,8 @@
 	}
 }
 
-// New work to a server that drains is over when the grace is: a send decided
-// before, but delayed by its dial, must not be written after.
+// A draining server gets no new request once its grace period has ended, even one that was decided earlier and
+// delayed by its dial.
 func TestDrainedServerGetsNothing(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
@@ -326,7 +325,7 @@
 	drains.State = "DRAINING"
 	u.update(&serverList{Targets: []target{drains}}, false)
 	if u.isClosedToWork(1) {
-		t.Error("closed before the grace is over")
+		t.Error("closed before the grace has ended")
 	}
 	u.servers[1].notRunningSince -= u.drainGrace
 	_, do := u.newAttempt(testTimeout)
@@ -335,8 +334,8 @@
 	}
 }
 
-// A server that is gone keeps no connections; its successor at another address
-// or with a new start gets none of the old ones.
+// The idle connections of a removed server are closed. A server that has restarted or moved gets none of the old
+// connections.
 func TestConnectionsGoWithTheServer(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	for name, l := range map[string]*serverList{
@@ -357,8 +356,8 @@
 	}
 }
 
-// A keyed repeat that is written after the servers have forgotten the first
-// would run twice; a dial can take that long.
+// A keyed repeat that is written after the servers have forgotten the first attempt would run twice. A slow dial can
+// cause such a delay.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
@@ -369,7 +368,7 @@
 	}
 }
 
-// The descriptors are bounded: idle connections to others make room first.
+// The number of connections is limited: idle ones to other servers are closed first to make room.
 func TestConnectionBound(t *testing.T) {
 	a, b := newApp(t, standin.Answer("200 OK", "", "hits")), newApp(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
@@ -384,14 +383,14 @@
 	eventually(t, "the request at the second server", func() bool { return b.Seen.Load() == 1 })
 	_, do = u.newAttempt(testTimeout)
 	if r, _ := do(); r.Code() != policy.ConnectFailed {
-		t.Errorf("code %d over the bound", r.Code())
+		t.Errorf("code %d beyond the connection limit", r.Code())
 	}
 	at.cancel()
 	<-done
 }
 
-// The module gets a report's values in the order of its settings, whichever of
-// the two spellings comes; half a report is none.
+// The policy gets a report's values in the order of its settings, under either spelling of the names; an incomplete
+// report is ignored.
 func TestLoadReport(t *testing.T) {
 	u := newTestUpstream("127.0.0.1:1")
 	for text, want := range map[string][]float64{
--- a/internal/dataplane/node/watch.go
+++ b/internal/dataplane/node/watch.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	maxQueuedFromPeers = 256 // datagrams that wait to be taken in; more are lost
+	maxQueuedFromPeers = 256 // received datagrams that wait to be processed; further ones are dropped
 	statusInterval     = 200 * time.Millisecond
 )
 
-// fleetWatch keeps this edge node's picture of the others, on a goroutine of its own:
-// it waits for nothing but its clock and its mail.
+// fleetWatch maintains this proxy's view of the other proxies on a goroutine of its own, which blocks only on its
+// clock and on incoming datagrams.
 type fleetWatch struct {
 	fleet        *members.Fleet
 	clock        clock
 	peers        *peers
 	incoming     chan receivedDatagram
-	status       atomic.Pointer[string] // for healthz, as JSON
+	status       atomic.Pointer[string] // the view as JSON, for healthz
 	hasNewEvents bool
 }
 
@@ -37,8 +37,8 @@
 	data []byte
 }
 
-// newFleetWatch begins a picture. Every edge node of a fleet gives the others' numbers
-// as the platform does; their addresses are this node's own for them.
+// newFleetWatch starts a view. All proxies of a fleet use the same numbers for each other, from the configuration;
+// the addresses are as this proxy reaches them.
 func newFleetWatch(cfg *Config, t members.Timing, c clock, p *peers, seed uint64) (*fleetWatch, error) {
 	seeds := make([]members.Peer, 0, len(cfg.Peers))
 	for i, a := range cfg.Peers {
@@ -54,7 +54,7 @@
 	return &fleetWatch{fleet: f, clock: c, peers: p, incoming: make(chan receivedDatagram, maxQueuedFromPeers)}, nil
 }
 
-// receive takes a datagram of another edge node; it never waits.
+// receive queues a datagram from another proxy; it never blocks.
 func (w *fleetWatch) receive(from netip.AddrPort, data []byte) {
 	select {
 	case w.incoming <- receivedDatagram{from, data}:
@@ -62,11 +62,11 @@
 	}
 }
 
-// run goes on until ctx ends, and then tells the others that this edge node leaves.
+// run processes datagrams and timers until ctx ends, and then tells the other proxies that this one leaves.
 func (w *fleetWatch) run(ctx context.Context) {
 	t := w.clock.NewTimer(0)
 	defer t.Stop()
-	told := w.clock.now()
+	published := w.clock.now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -77,7 +77,7 @@
 		case h := <-w.incoming:
 			out, err := w.fleet.Receive(w.clock.now(), h.from, h.data)
 			if err != nil {
-				slog.Debug("datagram passed over", "from", h.from, "err", err)
+				slog.Debug("ignored a datagram of the fleet view", "from", h.from, "err", err)
 			}
 			w.send(out)
 		case <-t.C():
@@ -85,8 +85,8 @@
 			t.Reset(max(0, w.fleet.Next()-w.clock.now()))
 		}
 		w.logEvents()
-		if now := w.clock.now(); w.hasNewEvents || now-told >= statusInterval {
-			told, w.hasNewEvents = now, false
+		if now := w.clock.now(); w.hasNewEvents || now-published >= statusInterval {
+			published, w.hasNewEvents = now, false
 			w.publishStatus()
 		}
 	}
@@ -98,11 +98,11 @@
 	}
 }
 
-// logEvents writes down what has happened.
+// logEvents logs the view's recent events.
 func (w *fleetWatch) logEvents() {
 	list, dropped := w.fleet.Events()
 	if dropped > 0 {
-		slog.Warn("events of the fleet's view were dropped", "events", dropped)
+		slog.Warn("dropped events of the fleet view", "events", dropped)
 	}
 	for _, e := range list {
 		w.hasNewEvents = true
@@ -114,18 +114,18 @@
 		case members.Suspected:
 			slog.Warn("edge node suspected", "number", e.Name, "level", e.Level)
 		case members.Replaced:
-			slog.Error("another process runs under this edge node's number")
+			slog.Error("another process uses this proxy's number")
 		default:
 			slog.Info("view", "event", e.Kind.String(), "number", e.Name)
 		}
 	}
 }
 
-// publishStatus keeps the status for healthz.
+// publishStatus stores the view's status for healthz.
 func (w *fleetWatch) publishStatus() {
 	b, err := json.Marshal(fleetview.Of(w.fleet))
 	if err != nil {
-		slog.Error("view can't be told", "err", err)
+		slog.Error("cannot encode the fleet view", "err", err)
 		return
 	}
 	s := string(b)
