--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -184,13 +184,13 @@
 func TestRetryAfterWithoutRateQuota(t *testing.T) {
 	for _, c := range []struct {
 		plan string
-		most time.Duration
+		max  time.Duration
 	}{{"open", 120 * ms}, {"rate", 500 * ms}} {
 		w := newManyGateways(t, 100, testServers(10))
 		g := w.gateways[0]
 		r := &request{customer: g.addCustomer(keyOf("k"), g.plans[c.plan], 0, 100), units: 1}
-		if got := g.retryAfter(r); got > c.most || got <= 0 {
-			t.Errorf("plan %s: advised after %v, want %v at most", c.plan, got, c.most)
+		if got := g.retryAfter(r); got > c.max || got <= 0 {
+			t.Errorf("plan %s: advised after %v, want %v at most", c.plan, got, c.max)
 		}
 	}
 }
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -30,8 +30,8 @@
 		w.g.now += 50 * ms // 2.5 units refill in this time
 		w.g.lend(c, 50*ms)
 	}
-	if most := 10 - lent/3; c.ceiling > most {
-		t.Errorf("the part has %.2f units 0.2 s after %.2f of 10 were lent, want %.2f at most", c.ceiling, lent, most)
+	if limit := 10 - lent/3; c.ceiling > limit {
+		t.Errorf("the part has %.2f units 0.2 s after %.2f of 10 were lent, want %.2f at most", c.ceiling, lent, limit)
 	}
 	for range 40 {
 		w.g.now += 50 * ms
