--- a/internal/dataplane/node/fit.go
+++ b/internal/dataplane/node/health.go
@@ -8,16 +8,16 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// lateTargetFactor is after how many of its aims a confirmed answer counts as late.
+// lateTargetFactor is the multiple of the latency target beyond which a successful answer counts as late.
 const lateTargetFactor = 4
 
-// serverHealthState is what an estate notes of servers, and how far they are trusted; the loop's.
+// serverHealthState holds the observations of servers and the trust in them. It is owned by the loop.
 type serverHealthState struct {
-	recorder *serverhealth.Recorder // nil: nothing is noted
+	recorder *serverhealth.Recorder // nil: nothing is recorded
 	trust    map[policy.ServerID]policy.Trust
 }
 
-// StartHealthRecording has the edge node note how attempts end, under a name of its own.
+// StartHealthRecording begins to record how attempts end, under the name of this proxy.
 func (e *ManagedNode) StartHealthRecording(name, zone string, life int64) {
 	e.runOnLoop(func(l *loop) {
 		e.health.recorder = serverhealth.NewRecorder(name, zone, life)
@@ -25,27 +25,27 @@
 	})
 }
 
-// recorderNow is the clock of what is noted.
+// recorderNow returns the time for recorded observations, by the monotonic clock.
 func (e *ManagedNode) recorderNow() time.Duration {
 	c := e.node.loop.clock
 	return c.Now().Sub(c.anchor)
 }
 
-// HealthReport is what was noted after a number, at most so many observations of it, and the number to ask from the next time; nil
-// where nothing is noted.
-func (e *ManagedNode) HealthReport(after uint64, most int) (s *serverhealth.Report, next uint64) {
+// HealthReport returns the observations recorded after a number, at most maxObservations of them, and the number to pass the
+// next time. The report is nil if nothing is recorded.
+func (e *ManagedNode) HealthReport(after uint64, maxObservations int) (report *serverhealth.Report, next uint64) {
 	e.runOnLoop(func(*loop) {
 		if e.health.recorder != nil {
-			s, next = e.health.recorder.Tell(e.recorderNow(), after, func(string) bool { return true })
+			report, next = e.health.recorder.Tell(e.recorderNow(), after, func(string) bool { return true })
 		}
 	})
-	if s != nil {
-		s.Thin(most)
+	if report != nil {
+		report.Thin(maxObservations)
 	}
-	return s, next
+	return report, next
 }
 
-// MarkUnreliable notes that the edge node itself is starved, cut off or leaving.
+// MarkUnreliable records that the proxy itself is short of CPU time, cut off or leaving, so that its observations say little.
 func (e *ManagedNode) MarkUnreliable() {
 	e.runOnLoop(func(*loop) {
 		if e.health.recorder != nil {
@@ -54,52 +54,52 @@
 	})
 }
 
-// SetTrust takes over how far servers are trusted, by their ids; one that is left out is trusted. Whoever may be tried
-// may be so once.
+// SetTrust sets how far servers are trusted, by their ids. A server that is left out is trusted. A server that is due for a
+// trial gets one trial per call.
 func (e *ManagedNode) SetTrust(servers map[string]policy.Trust) {
 	e.runOnLoop(func(l *loop) {
-		was := len(e.health.trust) > 0
+		hadEntries := len(e.health.trust) > 0
 		e.health.trust = make(map[policy.ServerID]policy.Trust, len(servers))
 		for id, t := range servers {
 			e.health.trust[serverID(id)] = t
 		}
-		if was || len(servers) > 0 {
+		if hadEntries || len(servers) > 0 {
 			e.applyTrust(l)
 		}
 		for id, t := range e.health.trust {
-			t.Trial = false // told once
+			t.Trial = false // a trial is passed on only once
 			e.health.trust[id] = t
 		}
 	})
 }
 
-// applyTrust tells the module how far servers are trusted.
+// applyTrust passes the trust in servers to the policy package.
 func (e *ManagedNode) applyTrust(l *loop) { l.decide(policy.TrustUpdate{Servers: e.health.trust}) }
 
-// recordOutcome notes how an attempt ended, where that says anything of its server.
+// recordOutcome records how an attempt ended, if that says anything about its server.
 func (e *ManagedNode) recordOutcome(o outcome) {
-	out, says := serverOutcome(&o, e.node.loop.clock.now())
-	if id := e.node.upstream.uid(o.attempt.server); says && id != "" {
+	observed, known := serverOutcome(&o, e.node.loop.clock.now())
+	if id := e.node.upstream.uid(o.attempt.server); known && id != "" {
 		kind := serverhealth.Record
 		if o.request.effect == policy.Safe {
 			kind = serverhealth.Search
 		}
-		e.health.recorder.Add(e.recorderNow(), id, kind, serverhealth.Group(o.request.managed.tenant), out)
+		e.health.recorder.Add(e.recorderNow(), id, kind, serverhealth.Group(o.request.managed.tenant), observed)
 	}
 }
 
-// serverOutcome is what the end of an attempt says of its server; false: nothing.
+// serverOutcome returns what the end of an attempt says about its server, and false if it says nothing.
 func serverOutcome(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
-	aim := o.request.class.LatencyTarget
+	target := o.request.class.LatencyTarget
 	switch {
-	case o.clientFault != nil || o.End == verdict.Unfit: // the client's fault
+	case o.clientFault != nil || o.End == verdict.Unfit: // the client caused it
 		return 0, false
-	case o.isStreamed && !o.isComplete && o.End == verdict.Served: // and here, who has gone or reads too slowly
+	case o.isStreamed && !o.isComplete && o.End == verdict.Served: // the client disconnected or reads too slowly
 		return 0, false
 	}
 	switch o.Code() {
 	case policy.OK:
-		if took := max(o.latency, 0); took > lateTargetFactor*aim || took == 0 && now-o.attempt.requestedAt > lateTargetFactor*aim {
+		if took := max(o.latency, 0); took > lateTargetFactor*target || took == 0 && now-o.attempt.requestedAt > lateTargetFactor*target {
 			return serverhealth.Late, true
 		}
 		return serverhealth.Confirmed, true
@@ -109,10 +109,10 @@
 		if o.hasStrayAnswers {
 			return serverhealth.WrongID, true
 		}
-		// Who was given less time than is usual may find any server silent.
-		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.requestedAt >= aim
+		// With less time than usual, any server may fail to answer in time.
+		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.requestedAt >= target
 	case policy.Cancelled:
-		// It was called back since it was overdue, unless its client had gone.
+		// The attempt was cancelled because it was overdue, unless its client had disconnected.
 		return serverhealth.Late, o.request.pendingAnswer == nil && !o.isStreamed && !o.cannotRepeat
 	}
 	return 0, false
