--- a/policy/admit.go
+++ b/policy/admit.go
@@ -38,7 +38,7 @@
 	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
 	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
 	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < pressedFor
-	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayAwaitUnits(r) ||
+	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayWait(r) ||
 		r.isRetry && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
@@ -64,8 +64,8 @@
 	return c.plan.HardRate == 0 || !r.usesOwnCeiling() || c.ceiling >= r.units
 }
 
-// mayAwaitUnits reports whether a request may wait for its customer's units: no more than refill in time.
-func (g *Gateway) mayAwaitUnits(r *request) bool {
+// mayWait reports whether a request may wait for its customer's units: no more than refill in time.
+func (g *Gateway) mayWait(r *request) bool {
 	if g.cfg.MultiService == nil || g.borrows || g.demand(r.customer) > r.customer.plan.Rate {
 		return false // demand exceeds the quota: waiting would only delay later requests
 	}
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -10,7 +10,7 @@
 	w := newManyGateways(t, 100, testServers(10))
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
-	m := encode(askMessage{Customer: keyOf("k"), Spread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
+	m := encode(askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
 	for range 3 {
 		w.do(roots[0], PeerMessage{From: 99, Data: m})
 	}
@@ -87,7 +87,7 @@
 	w := newManyGateways(t, 100, testServers(10))
 	_, root, _ := w.member("open")
 	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third request is held
-		m := askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 2000, Tag: uint32(min(tag, 2)), AskChance: 250, BucketFill: unknownStore}
+		m := askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 1, RemainingMS: 2000, Tag: uint32(min(tag, 2)), AskChance: 250, BucketFill: unknownStore}
 		w.do(root, PeerMessage{From: 99, Data: encode(m)})
 		if c := w.gs[root].customers[keyOf("k")]; c.inFlight+len(c.held) != want || w.told != tag+1 {
 			t.Fatalf("ask %d: %d granted, %d held, %d answers", tag, c.inFlight, len(c.held), w.told)
@@ -203,7 +203,7 @@
 	roots, _ := w.gs[0].roots(c)
 	root := w.gs[roots[0]]
 	root.classes["safe"].mean = 0.5 // seconds, with a latency target of 800 ms
-	m := encode(askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 3000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
+	m := encode(askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 1, RemainingMS: 3000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
 	w.do(roots[0], PeerMessage{From: 99, Data: m})
 	w.pass(1200*ms, nil)
 	if out := root.customers[keyOf("k")].inFlight; out != 1 {
@@ -221,7 +221,7 @@
 	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
 	root := w.gs[roots[0]]
-	m := askMessage{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore}
+	m := askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore}
 	w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
 	other := root.customers[keyOf("k")].slotDemand
 	w.do(roots[0], Request{ID: 1, Customer: "k", Plan: "open", Class: "safe", Units: 4, Remaining: 2 * time.Second, GatewayCount: 50})
--- a/policy/asks.go
+++ b/policy/asks.go
@@ -93,7 +93,7 @@
 	c := g.customers[m.Customer]
 	isNew := c == nil
 	if isNew {
-		c = g.account(m.Customer, g.plans[g.cfg.Plans[m.Plan].Name], int(m.First), int(m.Spread))
+		c = g.account(m.Customer, g.plans[g.cfg.Plans[m.Plan].Name], int(m.FirstGateway), int(m.GatewayCount))
 	}
 	// A deputy that stands in for an unreachable root uses the bucket fill that the root last reported.
 	if m.BucketFill != unknownStore && (isNew || len(c.askRoots) > 0) {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// addCustomer adds a customer to the tables. Reports can't tell apart two customers of the same short hash: their
+// registerCustomer adds a customer to the tables. Reports can't tell apart two customers of the same short hash: their
 // entries are ignored.
-func (g *Gateway) addCustomer(c *customer) {
+func (g *Gateway) registerCustomer(c *customer) {
 	g.customers[c.key] = c
 	if _, shared := g.customersByHash[c.hash]; shared {
 		g.customersByHash[c.hash] = nil
--- a/policy/events.go
+++ b/policy/events.go
@@ -105,7 +105,7 @@
 	g.peerAt(ev.From).missed = 0
 	switch m := decode(ev.Data).(type) {
 	case askMessage:
-		if int(m.Plan) < len(g.cfg.Plans) && int(m.Class) < len(g.cfg.Classes) && m.Spread > 0 {
+		if int(m.Plan) < len(g.cfg.Plans) && int(m.Class) < len(g.cfg.Classes) && m.GatewayCount > 0 {
 			g.onAsk(ev.From, m)
 		}
 	case loanRequest:
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -11,18 +11,18 @@
 
 // askMessage asks a customer's root to admit and count a request.
 type askMessage struct {
-	Customer           uint64
-	First, Spread      uint16
-	Plan, Class        byte
-	Units, RemainingMS uint16 // RemainingMS: milliseconds until the client gives up
-	Tag                uint32 // identifies the request between the two gateways
-	AskChance          byte   // probability with which it was asked for, 250: always
-	BucketFill         byte   // fill of the bucket as last known, 250: full; unknownStore: not known
-	Flags              byte
+	Customer                   uint64
+	FirstGateway, GatewayCount uint16
+	Plan, Class                byte
+	Units, RemainingMS         uint16 // RemainingMS: milliseconds until the client gives up
+	Tag                        uint32 // identifies the request between the two gateways
+	AskChance                  byte   // probability with which it was asked for, 250: always
+	BucketFill                 byte   // fill of the bucket as last known, 250: full; unknownStore: not known
+	Flags                      byte
 }
 
 const (
-	flagRepeat     byte = 1 << iota // a client's retry
+	flagRetry      byte = 1 << iota // a client's retry
 	flagOwnCeiling                  // its ceiling units are taken from the sender's part
 )
 
@@ -179,11 +179,11 @@
 // askFor returns the ask for a request.
 func (g *Gateway) askFor(r *request) askMessage {
 	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
-	m := askMessage{Customer: c.key, First: uint16(c.firstGateway), Spread: uint16(c.gatewayCount), Plan: c.plan.index,
+	m := askMessage{Customer: c.key, FirstGateway: uint16(c.firstGateway), GatewayCount: uint16(c.gatewayCount), Plan: c.plan.index,
 		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
 		Tag: r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
 	if r.isRetry {
-		m.Flags |= flagRepeat
+		m.Flags |= flagRetry
 	}
 	if r.ownCeiling {
 		m.Flags |= flagOwnCeiling
@@ -197,7 +197,7 @@
 // requestFrom returns the request that another gateway asks for.
 func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
 	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
-		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRepeat != 0,
+		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRetry != 0,
 		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
 
--- a/policy/store.go
+++ b/policy/store.go
@@ -44,7 +44,7 @@
 	// The ceiling's own part starts empty at the gateway's start: after a
 	// restart it must not be granted a second time.
 	c.ceiling = min(plan.HardBurst, plan.HardInitial+plan.HardRate*(g.now-g.startedAt).Seconds()) / c.parts
-	g.addCustomer(c)
+	g.registerCustomer(c)
 	return c
 }
 
