--- a/policy/admit.go
+++ b/policy/admit.go
@@ -14,8 +14,8 @@
 	c := r.customer
 	c.addDemand(r, 1)
 	// A customer far above its quota or cap would flood its root with asks: only the share that fits is asked
-	// for. If the customer's demand falls, too many requests are refused for up to thinSpan.
-	r.askChance = min(1, c.fittingShare+(g.now-c.fittingShareAt).Seconds()/thinSpan.Seconds())
+	// for. If the customer's demand falls, too many requests are refused for up to askShareSpan.
+	r.askChance = min(1, c.fittingShare+(g.now-c.fittingShareAt).Seconds()/askShareSpan.Seconds())
 	switch {
 	case c.plan.HardRate > 0 && c.ceiling < r.units && g.mayBorrow(r):
 		g.borrow(r)
@@ -26,29 +26,29 @@
 	case g.rng.Float64() > r.askChance:
 		g.refuse(r)
 	default:
-		g.ask(r)
+		g.askRoot(r)
 	}
 }
 
 // admit sends a request, holds it in its customer's queue or refuses it.
 func (g *Gateway) admit(r *request) {
 	c := r.customer
-	c.reportsLeft = repeatTicks
+	c.reportsLeft = reportsPerChange
 	// Retries are often late: they yield to first tries while requests wait for servers or the bucket is low.
 	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
 	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
-	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < pressedFor
+	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < serverShortageSpan
 	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayWait(r) ||
 		r.isRetry && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
 	}
-	if g.first(r) && !r.overQuota && g.underCap(c, true) && g.trySend(r) {
+	if g.mayBypassQueue(r) && !r.overQuota && g.underCap(c, true) && g.trySend(r) {
 		return
 	}
 	g.hold(r)
 	if r.remote && !r.done {
-		g.answer(r, heldAtRoot)
+		g.replyToAsk(r, heldAtRoot)
 	}
 }
 
@@ -66,18 +66,18 @@
 
 // mayWait reports whether a request may wait for its customer's units: no more than refill in time.
 func (g *Gateway) mayWait(r *request) bool {
-	if g.cfg.MultiService == nil || g.borrows || g.demand(r.customer) > r.customer.plan.Rate {
+	if g.cfg.MultiService == nil || g.borrows || g.totalDemand(r.customer) > r.customer.plan.Rate {
 		return false // demand exceeds the quota: waiting would only delay later requests
 	}
-	holdSeconds := holdAim * r.class.LatencyTarget.Seconds()
-	return float64(len(r.customer.held)) < max(1, r.customer.plan.Rate*holdSeconds*g.share(r.customer))
+	holdSeconds := holdShare * r.class.LatencyTarget.Seconds()
+	return float64(len(r.customer.held)) < max(1, r.customer.plan.Rate*holdSeconds*g.demandShare(r.customer))
 }
 
 // peerCounts sums what peers have in flight and held; a silent peer counts as its part of the cap by demand.
 func (g *Gateway) peerCounts(c *customer) (inFlight, held float64) {
 	for _, v := range c.views {
-		if g.silent(v.peer) {
-			inFlight += float64(c.plan.MaxInFlight) * g.weight(c, v) / g.demand(c)
+		if g.isSilent(v.peer) {
+			inFlight += float64(c.plan.MaxInFlight) * g.peerDemand(c, v) / g.totalDemand(c)
 			continue
 		}
 		inFlight += v.inFlight
@@ -96,9 +96,9 @@
 	free := float64(c.plan.MaxInFlight) - others
 	next := float64(c.inFlight + 1)
 	if arrival {
-		return next <= max(free*g.share(c), min(1, free+arriveSlack))
+		return next <= max(free*g.demandShare(c), min(1, free+arrivalSlack))
 	}
-	return next <= free+freeSlack
+	return next <= free+releaseSlack
 }
 
 // trySend sends the request to a server, or grants it if another gateway asked; false: no server has room.
@@ -107,7 +107,7 @@
 		g.grant(r)
 		return true
 	}
-	s := g.pick(r)
+	s := g.pickServer(r)
 	if s == nil {
 		g.noServerAt = g.now
 		return false
@@ -118,9 +118,9 @@
 		c.chargeUnits(r, g.now)
 		g.earnRetryBudget(r.service)
 	}
-	c.reportsLeft = repeatTicks
+	c.reportsLeft = reportsPerChange
 	g.startAttempt(r, s)
-	if g.coldness(s) < 1 || g.now < s.ColdUntil {
+	if g.minCapacityShare(s) < 1 || g.now < s.ColdUntil {
 		s.sends = append(s.sends, g.now)
 	} else {
 		g.recentSends++
@@ -153,12 +153,12 @@
 
 // maxHold returns how long a request may be held.
 func (g *Gateway) maxHold(r *request) time.Duration {
-	limit := time.Duration(holdAim * float64(r.class.LatencyTarget))
+	limit := time.Duration(holdShare * float64(r.class.LatencyTarget))
 	if r.remote {
 		limit -= 2 * g.meanReplyTime
 	}
 	if g.cfg.MultiService != nil {
-		limit -= holdEarly // its client counts the network time too
+		limit -= holdMargin // its client counts the network time too
 	}
 	return limit
 }
@@ -199,7 +199,7 @@
 // then those of other customers that wait for a server, the longest wait first.
 func (g *Gateway) releaseHeld(c *customer) {
 	if g.cfg.MultiService != nil {
-		g.serve()
+		g.serveWaiting()
 		return
 	}
 	if !g.sendHeld(c, 1<<30) || len(g.waiting) == 0 {
@@ -219,7 +219,7 @@
 // refuse gives the final answer: Refuse if a retry is harmless, else Fail.
 func (g *Gateway) refuse(r *request) {
 	if r.remote {
-		g.answer(r, refused)
+		g.replyToAsk(r, refused)
 	} else if r.mayHaveRun && r.effect != Safe && !(r.effect == Keyed && r.class.DedupScope == DedupAll) {
 		g.emit(Fail{ID: r.id})
 	} else {
@@ -231,12 +231,12 @@
 // adaptAdmission lowers the share of requests admitted while latencies are near their targets: an overload
 // may show in no report (silent peers, slow servers). It does harm where targets are near idle latencies.
 func (g *Gateway) adaptAdmission(dt time.Duration) {
-	if g.cfg.MultiService == nil && g.lateness > gateAim || g.usesRoots && g.lateness > blindAim {
-		g.admitShare = max(gateLeast, g.admitShare*math.Exp(-dt.Seconds()/gateShut.Seconds()))
+	if g.cfg.MultiService == nil && g.lateness > admissionCutLateness || g.usesRoots && g.lateness > admissionCutLatenessWithRoots {
+		g.admitShare = max(minAdmission, g.admitShare*math.Exp(-dt.Seconds()/admissionCutTime.Seconds()))
 	} else {
-		g.admitShare = min(1, g.admitShare+dt.Seconds()/gateOpen.Seconds())
+		g.admitShare = min(1, g.admitShare+dt.Seconds()/admissionRecoveryTime.Seconds())
 	}
-	g.lateness *= math.Exp(-dt.Seconds() / strainLife.Seconds())
+	g.lateness *= math.Exp(-dt.Seconds() / latenessDecayTime.Seconds())
 }
 
 func (g *Gateway) onTick() {
@@ -245,25 +245,25 @@
 	g.emit(SetTimer{Token: "tick", After: g.tickInterval})
 	if g.tickCount%uint32(max(1, time.Second/g.tickInterval)) == 0 {
 		g.watchServers()
-		g.forget()
+		g.dropExpired()
 	}
 	g.recentSends *= math.Exp(-float64(dt) / float64(g.cfg.FailTime)) // unused with MultiService (FailTime 0)
-	g.sumLoads()
+	g.sumPeerLoads()
 	g.adaptAdmission(dt)
-	g.recentMessages *= math.Exp(-dt.Seconds() / demandSpan.Seconds())
+	g.recentMessages *= math.Exp(-dt.Seconds() / demandTimeConstant.Seconds())
 	for _, s := range g.serverList {
 		// A server that gets no requests yields no new data: old measurements decay.
-		s.decay(min(1, dt.Seconds()/slowSpan.Seconds()))
-		g.silence(s)
+		s.decay(min(1, dt.Seconds()/healthDecayTime.Seconds()))
+		g.checkOverdue(s)
 		if slices.Contains(s.watchers[:], g.cfg.Me) {
-			g.tell(s)
+			g.publishVerdict(s)
 		}
 	}
 	g.measureInFlight(dt)
 	g.refuseOverdue()
 	for _, c := range slices.Clone(g.waiting) {
 		if g.cfg.MultiService != nil {
-			g.serve()
+			g.serveWaiting()
 			break
 		}
 		n := 1 << 30
@@ -275,8 +275,8 @@
 		}
 		g.sendHeld(c, n)
 	}
-	if g.cfg.CanMessagePeers && (!g.usesRoots || g.tickCount%rootTicks == 0) &&
+	if g.cfg.CanMessagePeers && (!g.usesRoots || g.tickCount%rootReportTicks == 0) &&
 		g.tickCount%g.reportTicks == 0 && !g.borrows {
-		g.report()
+		g.sendReports()
 	}
 }
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -8,14 +8,14 @@
 // An ask that arrives again counts once but is answered each time: an earlier reply may have been lost.
 func TestRepeatedAskCountsOnce(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
-	roots, _ := w.gs[0].roots(c)
-	m := encode(askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["rate"], 0, 50)
+	roots, _ := w.gateways[0].roots(c)
+	m := encode(askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownFill})
 	for range 3 {
 		w.do(roots[0], PeerMessage{From: 99, Data: m})
 	}
-	if got := w.gs[roots[0]].customers[keyOf("k")].passedUnits; got != 4 || w.told != 3 {
-		t.Errorf("%d units counted, %d answers", got, w.told)
+	if got := w.gateways[roots[0]].customers[keyOf("k")].passedUnits; got != 4 || w.messageCount != 3 {
+		t.Errorf("%d units counted, %d answers", got, w.messageCount)
 	}
 }
 
@@ -25,8 +25,8 @@
 	for i := range 20 {
 		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, GatewayCount: 100})
 	}
-	if w.final != 20 || len(w.sends) > 0 {
-		t.Errorf("%d refused, %d sent", w.final, len(w.sends))
+	if w.finalAnswers != 20 || len(w.sends) > 0 {
+		t.Errorf("%d refused, %d sent", w.finalAnswers, len(w.sends))
 	}
 }
 
@@ -34,19 +34,19 @@
 // ever answer it.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
-	roots, deputy := w.gs[0].roots(c)
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["rate"], 0, 50)
+	roots, deputy := w.gateways[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
 	}
-	acts := w.gs[i].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
+	acts := w.gateways[i].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
 		Remaining: time.Second, GatewayCount: 50}, nil)
 	timers := actionsOf[SetTimer](acts)
 	if len(timers) != 1 {
 		t.Fatalf("got %v", acts)
 	}
-	acts = w.gs[i].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
+	acts = w.gateways[i].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
 	if len(actionsOf[SendPeer](acts)) != 1 || len(actionsOf[SetTimer](acts)) != 1 {
 		t.Errorf("not asked again: %v", acts)
 	}
@@ -56,19 +56,19 @@
 // expires, since the message is sent twice.
 func TestLostEndFreesItsPlace(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
-	roots, deputy := w.gs[0].roots(c)
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["open"], 0, 50)
+	roots, deputy := w.gateways[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
 	}
 	w.request(i, 1, "k", "open", "safe", 50)
 	w.pass(60*ms, nil)
-	if len(w.sends) != 1 || w.gs[roots[0]].customers[keyOf("k")].inFlight != 1 {
+	if len(w.sends) != 1 || w.gateways[roots[0]].customers[keyOf("k")].inFlight != 1 {
 		t.Fatalf("%d sent", len(w.sends))
 	}
 	lost := false
-	w.lose = func(from, to int) bool {
+	w.dropMessage = func(from, to int) bool {
 		if from == i && to == roots[0] && !lost {
 			lost = true
 			return true
@@ -76,7 +76,7 @@
 		return false
 	}
 	w.pass(120*ms, nil)
-	if out := w.gs[roots[0]].customers[keyOf("k")].inFlight; !lost || out != 0 {
+	if out := w.gateways[roots[0]].customers[keyOf("k")].inFlight; !lost || out != 0 {
 		t.Errorf("%d places taken after the end, lost %v", out, lost)
 	}
 }
@@ -87,13 +87,13 @@
 	w := newManyGateways(t, 100, testServers(10))
 	_, root, _ := w.member("open")
 	for tag, want := range []int{1, 2, 3, 3} { // two places are granted, the third request is held
-		m := askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 1, RemainingMS: 2000, Tag: uint32(min(tag, 2)), AskChance: 250, BucketFill: unknownStore}
+		m := askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 1, RemainingMS: 2000, Tag: uint32(min(tag, 2)), AskChance: 250, BucketFill: unknownFill}
 		w.do(root, PeerMessage{From: 99, Data: encode(m)})
-		if c := w.gs[root].customers[keyOf("k")]; c.inFlight+len(c.held) != want || w.told != tag+1 {
-			t.Fatalf("ask %d: %d granted, %d held, %d answers", tag, c.inFlight, len(c.held), w.told)
+		if c := w.gateways[root].customers[keyOf("k")]; c.inFlight+len(c.held) != want || w.messageCount != tag+1 {
+			t.Fatalf("ask %d: %d granted, %d held, %d answers", tag, c.inFlight, len(c.held), w.messageCount)
 		}
 	}
-	if a := decode(w.mail[3].data).(askReply); a.Verdict != heldAtRoot {
+	if a := decode(w.inTransit[3].data).(askReply); a.Verdict != heldAtRoot {
 		t.Errorf("answered %d", a.Verdict)
 	}
 }
@@ -107,19 +107,19 @@
 	}{{"held at the root", true}, {"the grant was lost", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newManyGateways(t, 100, testServers(10))
-			w.takes = time.Hour
+			w.attemptTime = time.Hour
 			i, root, _ := w.member("open")
 			for id := range 3 {
 				w.request(i, RequestID(id+1), "k", "open", "safe", 50)
 			}
 			w.pass(100*ms, nil)
-			k := w.gs[root].customers[keyOf("k")]
+			k := w.gateways[root].customers[keyOf("k")]
 			if k.inFlight != 2 || len(k.held) != 1 {
 				t.Fatalf("%d granted, %d held", k.inFlight, len(k.held))
 			}
 			want := 2
 			if !c.held { // a place becomes free, and the root's grant is lost
-				w.lose = func(from, _ int) bool { return from == root }
+				w.dropMessage = func(from, _ int) bool { return from == root }
 				s := w.sends[0]
 				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Final: true})
 				w.pass(40*ms, nil)
@@ -140,17 +140,17 @@
 // An attempt that outlasts its lease keeps its place: its gateway renews the lease.
 func TestLeaseIsRenewed(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	w.takes = 4 * time.Second
+	w.attemptTime = 4 * time.Second
 	i, root, _ := w.member("open")
 	w.request(i, 1, "k", "open", "safe", 50)
 	for at := range 38 {
 		w.pass(100*ms, nil)
-		if out := w.gs[root].customers[keyOf("k")].inFlight; out != 1 {
+		if out := w.gateways[root].customers[keyOf("k")].inFlight; out != 1 {
 			t.Fatalf("%d places taken after %d00 ms", out, at+1)
 		}
 	}
 	w.pass(400*ms, nil)
-	if out := w.gs[root].customers[keyOf("k")].inFlight; out != 0 {
+	if out := w.gateways[root].customers[keyOf("k")].inFlight; out != 0 {
 		t.Errorf("%d places taken after the end", out)
 	}
 }
@@ -160,22 +160,22 @@
 func TestSilentRootIsNotAsked(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	i, root, deputy := w.member("open")
-	w.lose = func(from, _ int) bool { return from == root }
+	w.dropMessage = func(from, _ int) bool { return from == root }
 	w.request(i, 1, "k", "open", "safe", 50)
 	w.pass(600*ms, nil)
-	if len(w.sends) != 1 || w.gs[root].customers[keyOf("k")].inFlight != 0 {
-		t.Fatalf("%d sent, %d places taken at the silent root", len(w.sends), w.gs[root].customers[keyOf("k")].inFlight)
+	if len(w.sends) != 1 || w.gateways[root].customers[keyOf("k")].inFlight != 0 {
+		t.Fatalf("%d sent, %d places taken at the silent root", len(w.sends), w.gateways[root].customers[keyOf("k")].inFlight)
 	}
-	w.mail = nil
+	w.inTransit = nil
 	w.request(i, 2, "k", "open", "safe", 50)
-	if len(w.mail) != 1 || w.mail[0].to != deputy {
-		t.Errorf("asked %v, want the deputy %d", w.mail, deputy)
+	if len(w.inTransit) != 1 || w.inTransit[0].to != deputy {
+		t.Errorf("asked %v, want the deputy %d", w.inTransit, deputy)
 	}
 	w.pass(2*time.Second, nil)
-	w.mail = nil
+	w.inTransit = nil
 	w.request(i, 3, "k", "open", "safe", 50)
-	if len(w.mail) != 1 || w.mail[0].to != root {
-		t.Errorf("asked %v, want the root %d again", w.mail, root)
+	if len(w.inTransit) != 1 || w.inTransit[0].to != root {
+		t.Errorf("asked %v, want the root %d again", w.inTransit, root)
 	}
 }
 
@@ -187,8 +187,8 @@
 		most time.Duration
 	}{{"open", 120 * ms}, {"rate", 500 * ms}} {
 		w := newManyGateways(t, 100, testServers(10))
-		g := w.gs[0]
-		r := &request{customer: g.account(keyOf("k"), g.plans[c.plan], 0, 100), units: 1}
+		g := w.gateways[0]
+		r := &request{customer: g.addCustomer(keyOf("k"), g.plans[c.plan], 0, 100), units: 1}
 		if got := g.retryAfter(r); got > c.most || got <= 0 {
 			t.Errorf("plan %s: advised after %v, want %v at most", c.plan, got, c.most)
 		}
@@ -199,11 +199,11 @@
 // mean latency of servers, not on the target.
 func TestLeaseOutlastsASlowAttempt(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
-	roots, _ := w.gs[0].roots(c)
-	root := w.gs[roots[0]]
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["open"], 0, 50)
+	roots, _ := w.gateways[0].roots(c)
+	root := w.gateways[roots[0]]
 	root.classes["safe"].mean = 0.5 // seconds, with a latency target of 800 ms
-	m := encode(askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 1, RemainingMS: 3000, Tag: 9, AskChance: 250, BucketFill: unknownStore})
+	m := encode(askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 1, RemainingMS: 3000, Tag: 9, AskChance: 250, BucketFill: unknownFill})
 	w.do(roots[0], PeerMessage{From: 99, Data: m})
 	w.pass(1200*ms, nil)
 	if out := root.customers[keyOf("k")].inFlight; out != 1 {
@@ -218,10 +218,10 @@
 // A root counts the requests of its own clients towards a cap like those of other gateways.
 func TestOwnRequestsCountLikeAsks(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
-	roots, _ := w.gs[0].roots(c)
-	root := w.gs[roots[0]]
-	m := askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownStore}
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["open"], 0, 50)
+	roots, _ := w.gateways[0].roots(c)
+	root := w.gateways[roots[0]]
+	m := askMessage{Customer: keyOf("k"), GatewayCount: 50, Plan: 2, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, BucketFill: unknownFill}
 	w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
 	other := root.customers[keyOf("k")].slotDemand
 	w.do(roots[0], Request{ID: 1, Customer: "k", Plan: "open", Class: "safe", Units: 4, Remaining: 2 * time.Second, GatewayCount: 50})
--- a/policy/asks.go
+++ b/policy/asks.go
@@ -14,9 +14,9 @@
 		case r.heldAtRoot:
 			g.refuse(r)
 		case g.cfg.MultiService != nil: // the set of gateways may have shrunk since the ask
-			g.unanswered(r)
+			g.onLoanTimeout(r)
 		default:
-			g.ask(r)
+			g.askRoot(r)
 		}
 	}
 }
@@ -52,15 +52,15 @@
 	}
 	c := r.customer
 	if !r.heldAtRoot {
-		g.meanReplyTime += time.Duration(learn * float64(g.now-r.askedAt-g.meanReplyTime))
+		g.meanReplyTime += time.Duration(learningRate * float64(g.now-r.askedAt-g.meanReplyTime))
 	}
 	g.advance(c)
-	g.answeredShare += learn * (1 - g.answeredShare)
-	g.lateness += strainOwn * (float64(m.Lateness)/100 - g.lateness)
+	g.answeredShare += learningRate * (1 - g.answeredShare)
+	g.lateness += latenessWeight * (float64(m.Lateness)/100 - g.lateness)
 	c.fittingShare, c.fittingShareAt = float64(m.FittingShare)/250, g.now
 	c.bucket, c.reportedTick = float64(m.BucketFill)/250*c.plan.Burst, g.tickCount+1
 	if r.heldAtRoot = m.Verdict == heldAtRoot; r.heldAtRoot {
-		r.askUntil = min(r.arrivedAt+time.Duration(holdAim*float64(r.class.LatencyTarget)), r.deadline-g.tickInterval)
+		r.askUntil = min(r.arrivedAt+time.Duration(holdShare*float64(r.class.LatencyTarget)), r.deadline-g.tickInterval)
 		g.emit(SetTimer{Token: "ask", After: max(g.cfg.Resolution, r.askUntil-g.now)})
 		return
 	}
@@ -79,12 +79,12 @@
 	g.addLease(r)
 	c.addInFlight(g.now, 1)
 	r.unitsTaken, r.done = true, true
-	g.answer(r, granted)
+	g.replyToAsk(r, granted)
 }
 
 // addLease counts a granted request as in flight until its gateway reports its end or the lease expires.
 func (g *Gateway) addLease(r *request) {
-	until := g.now + time.Duration(leaseMeans*r.class.mean*float64(time.Second))
+	until := g.now + time.Duration(leaseMeanLatencies*r.class.mean*float64(time.Second))
 	r.customer.leases[leaseKey{r.root, r.tag}] = leaseEntry{until, r}
 }
 
@@ -93,17 +93,17 @@
 	c := g.customers[m.Customer]
 	isNew := c == nil
 	if isNew {
-		c = g.account(m.Customer, g.plans[g.cfg.Plans[m.Plan].Name], int(m.FirstGateway), int(m.GatewayCount))
+		c = g.addCustomer(m.Customer, g.plans[g.cfg.Plans[m.Plan].Name], int(m.FirstGateway), int(m.GatewayCount))
 	}
 	// A deputy that stands in for an unreachable root uses the bucket fill that the root last reported.
-	if m.BucketFill != unknownStore && (isNew || len(c.askRoots) > 0) {
+	if m.BucketFill != unknownFill && (isNew || len(c.askRoots) > 0) {
 		c.bucket = min(c.bucket, float64(m.BucketFill)/250*c.plan.Burst)
 	}
 	if r, v := c.pendingAsk(from, m.Tag); r != nil { // the reply was lost, or the attempt is still in flight
 		if v == granted {
 			g.addLease(r)
 		}
-		g.answer(r, v)
+		g.replyToAsk(r, v)
 		return
 	}
 	g.advance(c)
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -19,7 +19,7 @@
 	if len(c.views) != 1 || c.ceiling < 9.9 {
 		t.Fatalf("%d peers, a part of %.1f: want 1 and 10", len(c.views), c.ceiling)
 	}
-	c.views[0].demand = 400 // units that the peer requests, over demandSpan
+	c.views[0].demand = 400 // units that the peer requests, over demandTimeConstant
 	w.g.lend(c, 50*ms)
 	lent := c.onLoan
 	if lent < 2 {
@@ -45,11 +45,11 @@
 // A root that has just started assumes less than a full bucket: it can't know what it granted before a restart.
 func TestRestartedRootGrantsLessThanABucket(t *testing.T) {
 	w := newManyGateways(t, 300, testServers(40))
-	g := w.gs[0]
+	g := w.gateways[0]
 	if !g.usesRoots {
 		t.Fatal("300 gateways report each to each")
 	}
-	roots, _ := g.roots(g.account(keyOf("k"), g.plans["rate"], 0, 200))
+	roots, _ := g.roots(g.addCustomer(keyOf("k"), g.plans["rate"], 0, 200))
 	root := roots[0]
 	for i := range 60 {
 		w.request(root, RequestID(i+1), "k", "rate", "safe", 200)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -36,7 +36,7 @@
 	ceiling        float64       // units in this gateway's part of the hard ceiling's bucket
 	onLoan         float64       // units lent and in transit: the part is not refilled in their place until they have arrived
 	passedUnits    uint16        // running total of units passed, reported to peers
-	demand         float64       // units requested here, decayed over demandSpan
+	demand         float64       // units requested here, decayed over demandTimeConstant
 	slotDemand     float64       // the same in seconds in flight that the requests need
 	reportsLeft    int           // number of reports in which a change is still repeated
 	reportedTick   uint32        // tick of the last report on it
@@ -48,8 +48,8 @@
 type planState struct {
 	Plan
 	index         byte        // index in Settings.Plans
-	passedGranted decayingSum // units passed here that a root granted, decayed over thinSpan
-	passedAlone   decayingSum // units passed here while no root answered, decayed over demandSpan
+	passedGranted decayingSum // units passed here that a root granted, decayed over askShareSpan
+	passedAlone   decayingSum // units passed here while no root answered, decayed over demandTimeConstant
 }
 
 // decayingSum is a sum that falls to 1/e of its value in each span.
@@ -80,10 +80,10 @@
 // chargeUnits takes a request's units from the buckets, and records whether a root granted them.
 func (c *customer) chargeUnits(r *request, now time.Duration) {
 	if !r.granted && len(c.askRoots) > 0 && !r.remote {
-		c.plan.passedAlone.add(now, demandSpan, r.units)
+		c.plan.passedAlone.add(now, demandTimeConstant, r.units)
 	}
 	if r.granted {
-		c.plan.passedGranted.add(now, thinSpan, r.units)
+		c.plan.passedGranted.add(now, askShareSpan, r.units)
 	}
 	c.bucket = max(0, c.bucket-r.units)
 	if c.plan.HardRate > 0 && r.usesOwnCeiling() {
@@ -147,7 +147,7 @@
 // addViews creates the entries for what the given gateways report about a customer.
 func (g *Gateway) addViews(c *customer, others []int) {
 	for _, num := range others {
-		if num != g.cfg.Me && !(g.cfg.MultiService != nil && g.gone(g.peerAt(num))) {
+		if num != g.cfg.Me && !(g.cfg.MultiService != nil && g.isNotPeer(g.peerAt(num))) {
 			v := &peerView{peer: g.peerAt(num)}
 			c.views, v.peer.views = append(c.views, v), append(v.peer.views, v)
 		}
--- a/policy/events.go
+++ b/policy/events.go
@@ -41,13 +41,13 @@
 	case ServerList:
 		g.onServerList(ev)
 	case ConfigUpdate:
-		g.onTerms(ev)
+		g.onConfigUpdate(ev)
 	case GatewaySet:
-		g.onPeers(ev)
+		g.onGatewaySet(ev)
 	case Relinquish:
-		g.onYield()
+		g.onRelinquish()
 	case UnitsReceived:
-		g.onGiven(ev)
+		g.onUnitsReceived(ev)
 	case TrustUpdate:
 		for _, s := range g.serverList {
 			s.trust = ev.Servers[s.ID]
@@ -72,7 +72,7 @@
 		s := g.servers[m.ID]
 		if s == nil {
 			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverBits)
-			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictKeep, verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
+			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictBurst, verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
 				planFull: map[*planState]time.Duration{}, watchers: g.watchersOf(h)}
 			g.servers[m.ID] = s
 			g.serverList = append(g.serverList, s)
@@ -81,7 +81,7 @@
 			clear(s.classes)
 		}
 		if m.ColdUntil > s.ColdUntil || m.ColdSendRate != s.ColdSendRate {
-			s.coldSendQuota = g.coldSends(m)
+			s.coldSendQuota = g.coldSendBudget(m)
 		}
 		if s.Server = m; m.State == Removed {
 			s.markRemoved(g.now)
@@ -91,7 +91,7 @@
 	}
 	g.countServers()
 	for _, s := range g.serverList {
-		g.prefer(s)
+		g.setAffinity(s)
 	}
 	slices.SortFunc(g.serverList, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
@@ -109,7 +109,7 @@
 			g.onAsk(ev.From, m)
 		}
 	case loanRequest:
-		g.onWant(ev.From, m)
+		g.onLoanRequest(ev.From, m)
 	case loanReply:
 		g.onLoanReply(m)
 	case askReply:
@@ -119,7 +119,7 @@
 	case outcomeReport:
 		s := g.servers[ServerID(m.Server)]
 		if s != nil && slices.Contains(s.watchers[:], g.cfg.Me) && int(m.Class) < len(s.classes) {
-			g.gather(s, int(m.Class), Code(m.Code), time.Duration(m.LatencyMS)*time.Millisecond)
+			g.recordOutcome(s, int(m.Class), Code(m.Code), time.Duration(m.LatencyMS)*time.Millisecond)
 		}
 	case serverVerdict:
 		g.onServerVerdict(m)
@@ -160,7 +160,7 @@
 		plan = &planState{Plan: Plan{Name: r.Plan}}
 		g.plans[r.Plan] = plan // a later ConfigUpdate may define it
 	}
-	return g.account(key, plan, r.FirstGateway, r.GatewayCount)
+	return g.addCustomer(key, plan, r.FirstGateway, r.GatewayCount)
 }
 
 // newRequest records a client's request. A class that the settings do not have is treated as Unsafe.
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -14,27 +14,27 @@
 // What is drawn is the same in every run, and less than usual; -rapid.seed and -rapid.checks say otherwise.
 func init() { _, _ = flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "40") }
 
-// fieldSet are the settings of a gateway of many services before it is told anything.
-func fieldSet() Settings {
+// multiServiceSettings are the settings of a gateway of many services before it is told anything.
+func multiServiceSettings() Settings {
 	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanMessagePeers: true, MessagesPerSecond: 40,
 		MaxRequestUnits: 1, MaxRetryAfter: time.Second,
 		MultiService: &MultiService{RetryBudgetPerAttempt: 0.14, MaxRetryBudget: func(string) float64 { return 3 }, ColdShare: 0.5, ColdWindow: 1150 * ms, ReportInterval: 250 * ms}}
 }
 
-func fieldTerms(plans ...Plan) ConfigUpdate {
+func multiServiceConfig(plans ...Plan) ConfigUpdate {
 	return ConfigUpdate{Plans: plans, Classes: []Class{{Name: "safe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second},
 		{Name: "once", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
 }
 
-func fieldServers(n int, service string) (l []Server) {
+func makeServers(n int, service string) (l []Server) {
 	for i := range n {
 		l = append(l, Server{ID: ServerID(len(service)*100 + i), Zone: "a", Region: "r", Service: service, Slots: 1000})
 	}
 	return l
 }
 
-// limited is a tenant's plan with the ceiling that its rule allows: a tenth and 20 more.
-func limited(rate, burst float64) Plan {
+// limitedPlan is a tenant's plan with the ceiling that its rule allows: a tenth and 20 more.
+func limitedPlan(rate, burst float64) Plan {
 	return Plan{Name: "t", Rate: rate, Burst: burst, HardRate: 1.1 * rate, HardBurst: 0.9 * (1.1*burst + 20)}
 }
 
@@ -45,45 +45,45 @@
 	const late = 300 * ms
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Plan {
-			return limited(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
+			return limitedPlan(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
 		}
 		type term struct {
 			Plan
 			from, to time.Duration
 		}
 		terms := []term{{draw(), 0, time.Hour}}
-		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), fieldServers(4, "s"), terms[0].Plan)
+		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), makeServers(4, "s"), terms[0].Plan)
 		m.now += time.Minute // all stores are full
 		for range rapid.IntRange(2, 6).Draw(t, "phases") {
-			m.lost = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
-			at := rapid.IntRange(0, len(m.gs)).Draw(t, "at") // the last: at all alike
+			m.lossRate = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
+			at := rapid.IntRange(0, len(m.gateways)).Draw(t, "at") // the last: at all alike
 			times := rapid.SampledFrom([]float64{20, 3, 0.5}).Draw(t, "times the rate")
 			switch rapid.IntRange(0, 3).Draw(t, "what comes") {
 			case 1:
-				for range rapid.IntRange(1, len(m.gs)).Draw(t, "started anew") {
-					m.start(m.rnd.IntN(len(m.gs)), late)
+				for range rapid.IntRange(1, len(m.gateways)).Draw(t, "started anew") {
+					m.start(m.rng.IntN(len(m.gateways)), late)
 				}
 			case 2:
 				p := draw()
 				terms[len(terms)-1].to = m.now + late
 				terms = append(terms, term{p, m.now, time.Hour})
 				m.plans = []Plan{p}
-				for i := range m.gs {
-					m.tell(i, fieldTerms(p), late)
+				for i := range m.gateways {
+					m.deliverLater(i, multiServiceConfig(p), late)
 				}
 			case 3:
-				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
-				for i := range m.gs[:len(m.gs)-1] {
-					m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, 0)
+				m.gateways, m.knownGateways = append(m.gateways, nil), append(m.knownGateways, 0)
+				for i := range m.gateways[:len(m.gateways)-1] {
+					m.deliverLater(i, GatewaySet{Me: i, Gateways: len(m.gateways)}, 0)
 				}
-				m.start(len(m.gs)-1, 0)
+				m.start(len(m.gateways)-1, 0)
 			}
 			owed := 0.0
 			m.pass(time.Duration(rapid.SampledFrom([]int{300, 1000, 4000}).Draw(t, "lasts"))*ms, func() {
 				for owed += times * terms[len(terms)-1].Rate / 100; owed >= 1; owed-- {
 					i := at
-					if at >= len(m.gs) {
-						i = m.rnd.IntN(len(m.gs))
+					if at >= len(m.gateways) {
+						i = m.rng.IntN(len(m.gateways))
 					}
 					m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
@@ -110,11 +110,11 @@
 // A tenant that asks for more than its rate gets most of it, whether gateways hear each other or not.
 func TestQuotaIsUsed(t *testing.T) {
 	for lost, least := range map[float64]int{0: 900, 1: 600} { // of 1000
-		m := newServiceGateways(5, 3, fieldServers(4, "s"), limited(100, 100))
-		m.lost = lost
+		m := newServiceGateways(5, 3, makeServers(4, "s"), limitedPlan(100, 100))
+		m.lossRate = lost
 		m.pass(10*time.Second, func() {
 			for range 3 {
-				m.ask(m.rnd.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
+				m.ask(m.rng.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 			}
 		})
 		assert.Assert(t, len(m.sends) >= least, "%d passed with %v of the mail lost", len(m.sends), lost)
@@ -123,16 +123,16 @@
 
 // A gateway that has just come, and is asked for about its part of a small tenant's rate, borrows for the bursts of it:
 // the tenant as a whole asks for less than half of its rate.
-func TestPartIsLentBeforeItIsUsedUp(t *testing.T) {
+func TestPeersLendToNewGateway(t *testing.T) {
 	asked, passed := 0, 0
 	for seed := range uint64(6) {
-		m := newServiceGateways(6, seed, fieldServers(4, "s"), limited(30, 30))
+		m := newServiceGateways(6, seed, makeServers(4, "s"), limitedPlan(30, 30))
 		m.now += time.Minute
 		m.start(0, 0)
 		m.pass(time.Second, nil)
 		m.pass(10*time.Second, func() {
 			for i, perS := range []float64{7, 1.5, 1.5, 1.5, 1.5, 1.5} {
-				if m.rnd.Float64() < perS/100 {
+				if m.rng.Float64() < perS/100 {
 					asked++
 					m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
@@ -145,19 +145,19 @@
 
 // A limit holds for tenants that were there before it.
 func TestLimitComesIntoForce(t *testing.T) {
-	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limited(1000, 1000)}} {
+	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limitedPlan(1000, 1000)}} {
 		t.Run(name, func(t *testing.T) {
-			m := newServiceGateways(2, 1, fieldServers(4, "s"), before...)
+			m := newServiceGateways(2, 1, makeServers(4, "s"), before...)
 			flood := func() {
 				for range 10 {
-					m.ask(m.rnd.IntN(2), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
+					m.ask(m.rng.IntN(2), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
 			}
 			m.pass(3*time.Second, flood)
 			was := len(m.sends)
 			assert.Assert(t, was > 1500, "%d passed", was)
-			for i := range m.gs {
-				m.do(i, fieldTerms(limited(50, 50)))
+			for i := range m.gateways {
+				m.do(i, multiServiceConfig(limitedPlan(50, 50)))
 			}
 			m.pass(6*time.Second, flood)
 			n := len(m.sends) - was
@@ -167,7 +167,7 @@
 }
 
 // A request goes only to servers of its service, inside its homes, that run, however the servers fare.
-func TestOnlyToItsServiceAndHomes(t *testing.T) {
+func TestRequestStaysInItsServiceAndRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []Server
 		by := map[ServerID]Server{}
@@ -178,19 +178,19 @@
 			servers, by[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
-		m.code = func(Send) Code { return Code(m.rnd.IntN(int(NoRetry))) }
+		m.code = func(Send) Code { return Code(m.rng.IntN(int(NoRetry))) }
 		asked := map[RequestID]Request{}
 		m.pass(4*time.Second, func() {
-			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rnd.IntN(2)], Service: []string{"s", "t"}[m.rnd.IntN(2)],
-				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rnd.IntN(3)], MaxAttempts: 1 + m.rnd.IntN(3)}
-			asked[m.ids+1] = r
-			m.ask(m.rnd.IntN(2), r)
+			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rng.IntN(2)], Service: []string{"s", "t"}[m.rng.IntN(2)],
+				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rng.IntN(3)], MaxAttempts: 1 + m.rng.IntN(3)}
+			asked[m.lastID+1] = r
+			m.ask(m.rng.IntN(2), r)
 		})
 		for _, s := range m.sends {
 			r, at := asked[s.ID], by[s.Server]
 			if at.Service != r.Service || len(r.Regions) > 0 && !slices.Contains(r.Regions, at.Region) || at.State != Running ||
-				m.tries[s.ID] > r.MaxAttempts {
-				t.Fatalf("%+v was sent %d times, to %+v", r, m.tries[s.ID], at)
+				m.attempts[s.ID] > r.MaxAttempts {
+				t.Fatalf("%+v was sent %d times, to %+v", r, m.attempts[s.ID], at)
 			}
 		}
 	})
@@ -201,17 +201,17 @@
 func TestColdServerBearsAllGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "gateways")
-		cold := fieldServers(1, "s")
+		cold := makeServers(1, "s")
 		m := newServiceGateways(n, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
 		for k := range 3 {
 			cold[0].ColdSendRate = rapid.Float64Range(0, 60).Draw(t, "bears")
 			if k == 2 {
 				n++
-				m.gs, m.told = append(m.gs, nil), append(m.told, 0)
+				m.gateways, m.knownGateways = append(m.gateways, nil), append(m.knownGateways, 0)
 				m.start(n-1, 0)
 			}
-			for i := range m.gs {
+			for i := range m.gateways {
 				m.do(i, ServerList{Kind: CompleteList, Servers: cold})
 				if k == 2 {
 					m.do(i, GatewaySet{Me: i, Gateways: n})
@@ -221,10 +221,10 @@
 			m.sends = nil
 			m.pass(2*time.Second, func() {
 				for range 2 + n/10 {
-					m.ask(m.rnd.IntN(n), Request{Customer: "t", Class: "safe", Service: "s"})
+					m.ask(m.rng.IntN(n), Request{Customer: "t", Class: "safe", Service: "s"})
 				}
 			})
-			most := m.most(time.Second, func(sending) bool { return true })
+			most := m.maxSendsIn(time.Second, func(sentAttempt) bool { return true })
 			if float64(most) > cold[0].ColdSendRate || most == 0 && cold[0].ColdSendRate >= 2 {
 				t.Fatalf("%d sent in a second by %d gateways to a server that bears %.1f", most, n, cold[0].ColdSendRate)
 			}
@@ -233,8 +233,8 @@
 }
 
 // Further tries of a service are a part of its own requests, and come back once it is well again.
-func TestRetryBudgetIsTheServices(t *testing.T) {
-	m := newServiceGateways(1, 1, append(fieldServers(4, "s"), fieldServers(4, "tt")...))
+func TestRetryBudgetPerService(t *testing.T) {
+	m := newServiceGateways(1, 1, append(makeServers(4, "s"), makeServers(4, "tt")...))
 	ill := true
 	m.code = func(s Send) Code {
 		if s.Server >= 200 || !ill {
@@ -244,7 +244,7 @@
 	}
 	again := func() (n int) {
 		for _, s := range m.sends {
-			if s.again {
+			if s.isRetry {
 				n++
 			}
 		}
@@ -271,8 +271,8 @@
 }
 
 // A server that fails is left, whatever number its requests' class has.
-func TestLateClassesAreJudged(t *testing.T) {
-	m := newServiceGateways(1, 1, fieldServers(4, "s"))
+func TestClassesAddedLaterAreTracked(t *testing.T) {
+	m := newServiceGateways(1, 1, makeServers(4, "s"))
 	var many ConfigUpdate
 	for i := range 12 {
 		many.Classes = append(many.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
@@ -296,25 +296,25 @@
 
 // An answer that is lost at a server that answers all others is not waited for to the end, if its request may run again;
 // one that may not, is.
-func TestLostAnswerIsAskedAgain(t *testing.T) {
-	m := newServiceGateways(1, 1, fieldServers(2, "s"))
-	m.do(0, fieldTerms())
+func TestLostAnswerIsRetried(t *testing.T) {
+	m := newServiceGateways(1, 1, makeServers(2, "s"))
+	m.do(0, multiServiceConfig())
 	lost := map[RequestID]string{}
 	n := 0
 	m.code = func(s Send) Code {
-		if n++; n > 400 && n%100 < 2 && m.tries[s.ID] == 1 { // one of each class
+		if n++; n > 400 && n%100 < 2 && m.attempts[s.ID] == 1 { // one of each class
 			lost[s.ID] = []string{"safe", "once"}[int(s.ID)%2]
-			return lostOnTheWay
+			return answerLost
 		}
 		return OK
 	}
 	m.pass(10*time.Second, func() {
-		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.ids+1)%2], Service: "s", MaxAttempts: 2})
+		m.ask(0, Request{Customer: "t", Class: []string{"safe", "once"}[int(m.lastID+1)%2], Service: "s", MaxAttempts: 2})
 	})
 	assert.Assert(t, len(lost) >= 8, "%d lost", len(lost))
 	recalled := map[string]int{}
 	for _, s := range m.sends {
-		if at, is := m.recalls[s.ID]; is && !s.again {
+		if at, is := m.cancelledAt[s.ID]; is && !s.isRetry {
 			recalled[lost[s.ID]]++
 			assert.Assert(t, at-s.at < time.Second, "%v", at-s.at)
 		}
@@ -324,11 +324,11 @@
 
 // One that is given another number is no peer of its own, one that has gone is none either, and a request that was
 // read before it heard of more gateways gets no larger part.
-func TestAnotherNumber(t *testing.T) {
-	m := newServiceGateways(3, 1, fieldServers(4, "s"), limited(10, 10))
-	m.told[0] = 1
+func TestGatewayNumberChanges(t *testing.T) {
+	m := newServiceGateways(3, 1, makeServers(4, "s"), limitedPlan(10, 10))
+	m.knownGateways[0] = 1
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
-	g := m.gs[0]
+	g := m.gateways[0]
 	c := g.customers[keyOf("t")]
 	assert.Equal(t, c.parts, 3.0)
 	for _, x := range []struct {
--- a/policy/hold_test.go
+++ b/policy/hold_test.go
@@ -44,7 +44,7 @@
 	w := newTestGateway(t, testSettings(), testServers(8))
 	s := w.send("safe", "open")
 	w.finish(s, 0, OK)
-	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, store: unknownStore})
+	w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 6, bucketFill: unknownFill})
 	if _, acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
 		t.Fatalf("the peer has 2 in flight under a cap of 2, yet got %v", acts)
 	}
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -20,7 +20,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newManyGateways(t, 300, testServers(40))
 			n := 0
-			w.lose = func(int, int) bool { n++; return n%c.lost == 0 }
+			w.dropMessage = func(int, int) bool { n++; return n%c.lost == 0 }
 			asked := 0
 			w.pass(10*time.Second, func(at time.Duration) {
 				if int(at/ms/10)%c.every == 0 && at < 19*time.Second {
@@ -32,11 +32,11 @@
 			if most := 10 + 10*10; passed > most*23/20 || passed < min(c.least, asked) {
 				t.Errorf("%d of %d passed, the quota holds %d", passed, asked, most)
 			}
-			if passed+w.final != asked {
-				t.Errorf("%d passed and %d refused of %d", passed, w.final, asked)
+			if passed+w.finalAnswers != asked {
+				t.Errorf("%d passed and %d refused of %d", passed, w.finalAnswers, asked)
 			}
-			if w.told > 6*asked {
-				t.Errorf("%d messages for %d requests", w.told, asked)
+			if w.messageCount > 6*asked {
+				t.Errorf("%d messages for %d requests", w.messageCount, asked)
 			}
 		})
 	}
@@ -44,11 +44,11 @@
 
 // A root that answers nothing must not stop its customers: the deputy counts
 // for it.
-func TestDeputyStepsIn(t *testing.T) {
+func TestDeputyReplacesLostRoot(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(20))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
-	roots, deputy := w.gs[0].roots(c)
-	w.lose = func(from, to int) bool { return to == roots[0] || from == roots[0] }
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["rate"], 0, 50)
+	roots, deputy := w.gateways[0].roots(c)
+	w.dropMessage = func(from, to int) bool { return to == roots[0] || from == roots[0] }
 	asked := 0
 	w.pass(8*time.Second, func(at time.Duration) {
 		if i := asked * 7 % 50; int(at/ms/10)%5 == 0 && at < 17*time.Second && i != roots[0] {
@@ -67,14 +67,14 @@
 	servers := testServers(20)
 	servers[0].HasStartTime, servers[0].StartTime = true, 10*time.Second
 	w := newManyGateways(t, 300, servers)
-	for _, g := range w.gs { // the warm ones are all slow
+	for _, g := range w.gateways { // the warm ones are all slow
 		for _, s := range g.serverList[1:] {
-			s.slowdown = mostPace
+			s.slowdown = maxSlowdown
 		}
 	}
 	id := 0
 	for range 4 {
-		for i := range w.gs {
+		for i := range w.gateways {
 			id++
 			w.request(i, RequestID(id), "k", "free", "safe", 300)
 		}
@@ -94,7 +94,7 @@
 
 // With most of a fleet replaced at once its cold servers carry what they surely
 // can: were they left idle, the few warm ones would be crushed.
-func TestColdServersCarryTheirPart(t *testing.T) {
+func TestColdServersCarryTheirShare(t *testing.T) {
 	servers := testServers(60)
 	for i := range 36 {
 		servers[i].HasStartTime, servers[i].StartTime = true, 10*time.Second
@@ -120,8 +120,8 @@
 	}
 }
 
-// replaced is a fleet of 60 servers after 36 of them were replaced by cold ones.
-func replaced() []Server {
+// fleetWithReplacements is a fleet of 60 servers after 36 of them were replaced by cold ones.
+func fleetWithReplacements() []Server {
 	l := testServers(60)
 	for i := range 36 {
 		l[i].ID += 1000
@@ -132,8 +132,8 @@
 
 // Bad servers among the new ones are left alone by all gateways, though each sees a
 // few attempts a second only, while the good new ones are used.
-func TestBadServersAmongTheNewAreLeft(t *testing.T) {
-	w := newManyGateways(t, 100, replaced())
+func TestFailingNewServersAreEjected(t *testing.T) {
+	w := newManyGateways(t, 100, fleetWithReplacements())
 	bad := func(id ServerID) bool { return id > 1000 && id <= 1006 }
 	w.code = func(i int) Code {
 		if bad(w.sends[i].Server) {
@@ -183,25 +183,25 @@
 		}
 	})
 	refused := 0
-	for _, n := range w.attempts {
+	for _, n := range w.endedAttempts {
 		if n > 1 {
 			refused++
 		}
 	}
-	if refused < id/20 || w.final > id/100 {
-		t.Errorf("of %d requests %d had a connection refused, %d were turned away", id, refused, w.final)
+	if refused < id/20 || w.finalAnswers > id/100 {
+		t.Errorf("of %d requests %d had a connection refused, %d were turned away", id, refused, w.finalAnswers)
 	}
 }
 
 // Each gateway of a large fleet goes mostly to a few servers, so that connections
 // are used again; all together go to each server alike, and when those few are gone
 // the others serve.
-func TestGatewaysGoToFewServersEach(t *testing.T) {
+func TestGatewaysPreferFewServers(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(60))
 	id := 0
 	ask := func(rounds int) {
 		for range rounds {
-			for i := range w.gs {
+			for i := range w.gateways {
 				id++
 				w.request(i, RequestID(id), "k", "free", "safe", 100)
 			}
@@ -211,11 +211,11 @@
 	ask(40)
 	met, at := map[[2]int]int{}, map[ServerID]int{}
 	for i, s := range w.sends {
-		met[[2]int{w.from[i], int(s.Server)}]++
+		met[[2]int{w.sentFrom[i], int(s.Server)}]++
 		at[s.Server]++
 	}
 	// Drawn alike from all, 40 attempts meet 29 of 60 servers.
-	if each := len(met) / len(w.gs); each > 22 {
+	if each := len(met) / len(w.gateways); each > 22 {
 		t.Errorf("a gateway meets %d of 60 servers with 40 attempts", each)
 	}
 	for s, n := range at {
@@ -224,7 +224,7 @@
 		}
 	}
 	var gone []Server
-	for _, s := range w.gs[0].serverList {
+	for _, s := range w.gateways[0].serverList {
 		if s.share > 1 {
 			l := s.Server
 			l.State = Removed
@@ -241,15 +241,15 @@
 
 // A watcher hears of one class failing on a server and tells all; the other
 // classes still go there.
-func TestWatcherTellsOfOneClass(t *testing.T) {
+func TestWatcherReportsOneClass(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	s := w.gs[0].servers[3]
+	s := w.gateways[0].servers[3]
 	id := 0
 	for range 6 {
 		for i := range 12 {
 			from := (s.watchers[0] + 1 + i) % 100
 			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{messageVersion}}) // foreign: nothing
-			g := w.gs[from]
+			g := w.gateways[from]
 			w.do(s.watchers[0], PeerMessage{From: from,
 				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
 			w.do(s.watchers[0], PeerMessage{From: from,
@@ -260,7 +260,7 @@
 	hits := map[string]int{}
 	for _, class := range []string{"safe", "once"} {
 		before := len(w.sends)
-		for i := range w.gs {
+		for i := range w.gateways {
 			if i != s.watchers[0] {
 				for range 4 {
 					id++
@@ -281,15 +281,15 @@
 
 // The watcher may be lost with the server: one that can't be reached is told
 // to a second.
-func TestSecondWatcherTellsOfUnreachable(t *testing.T) {
+func TestSecondWatcherReportsUnreachable(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
-	s := w.gs[0].servers[3]
-	w.lose = func(from, to int) bool { return from == s.watchers[0] || to == s.watchers[0] }
-	cl := w.gs[70].classes["safe"]
+	s := w.gateways[0].servers[3]
+	w.dropMessage = func(from, to int) bool { return from == s.watchers[0] || to == s.watchers[0] }
+	cl := w.gateways[70].classes["safe"]
 	for range 6 {
-		w.gs[70].now, w.gs[70].actions = w.now, nil
-		w.gs[70].sight(w.gs[70].servers[3], cl, ConnectFailed, 250*ms)
-		acts := w.gs[70].actions
+		w.gateways[70].now, w.gateways[70].actions = w.now, nil
+		w.gateways[70].reportOutcome(w.gateways[70].servers[3], cl, ConnectFailed, 250*ms)
+		acts := w.gateways[70].actions
 		for _, a := range actionsOf[SendPeer](acts) {
 			if a.To == s.watchers[1] {
 				w.do(a.To, PeerMessage{From: 70, Data: a.Data})
@@ -297,18 +297,18 @@
 		}
 	}
 	w.pass(100*ms, nil)
-	if v := w.gs[20].healthOf(w.gs[20].servers[3], cl); !v.ejected {
+	if v := w.gateways[20].healthOf(w.gateways[20].servers[3], cl); !v.ejected {
 		t.Error("a gateway far off has not heard of it")
 	}
 }
 
 // A customer that has a cap alone and asks far more than fits must not drown its
 // root: each gateway takes in what its mail bears, and most of the cap is used.
-func TestCapAloneDoesNotDrownItsRoot(t *testing.T) {
+func TestCapWithoutRateDoesNotOverloadRoot(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(40))
 	second, got := time.Duration(0), map[int]int{}
 	lost := 0
-	w.lose = func(_, to int) bool {
+	w.dropMessage = func(_, to int) bool {
 		if w.now/time.Second != second {
 			second = w.now / time.Second
 			clear(got)
@@ -331,10 +331,10 @@
 		}
 	})
 	if passed := len(w.sends); passed < 300 {
-		t.Errorf("%d of %d passed, with %d of %d messages lost", passed, asked, lost, w.told)
+		t.Errorf("%d of %d passed, with %d of %d messages lost", passed, asked, lost, w.messageCount)
 	}
-	if lost > w.told/4 {
-		t.Errorf("%d of %d messages lost", lost, w.told)
+	if lost > w.messageCount/4 {
+		t.Errorf("%d of %d messages lost", lost, w.messageCount)
 	}
 }
 
@@ -343,18 +343,18 @@
 // twice a second could not hold five places between them.
 func TestCapWithARateIsHeldByOneRoot(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(40))
-	w.takes = 300 * ms
+	w.attemptTime = 300 * ms
 	asked, beyond := 0, 0
 	w.pass(20*time.Second, func(at time.Duration) {
 		for n := len(w.sends); asked < int((at-10*time.Second)/(15*ms)) && at < 29*time.Second; n = len(w.sends) {
 			asked++
-			out := n - w.over
+			out := n - w.endedSends
 			w.request(asked*37%100, RequestID(asked), "k", "wide", "safe", 100)
 			if len(w.sends) > n && out >= 5 {
 				beyond++
 			}
 		}
-		if len(w.sends)-w.over > 5 {
+		if len(w.sends)-w.endedSends > 5 {
 			beyond++
 		}
 	})
@@ -363,7 +363,7 @@
 		t.Errorf("%d of %d passed, at %d moments more than the cap was out", passed, asked, beyond)
 	}
 	// An ask, an answer and two ends for each that passes, and few for the others.
-	if w.told > 2*asked {
-		t.Errorf("%d messages for %d asked", w.told, asked)
+	if w.messageCount > 2*asked {
+		t.Errorf("%d messages for %d asked", w.messageCount, asked)
 	}
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -67,15 +67,15 @@
 }
 
 func FuzzPeerMessage(f *testing.F) {
-	f.Add((&report{inc: 1, seq: 2, complete: true, servers: []serverOut{{1, 2}},
-		customers: []entry{{hash: 3}, {hash: 5}}}).encode())
+	f.Add((&report{incarnation: 1, seq: 2, complete: true, servers: []serverLoad{{1, 2}},
+		customers: []customerEntry{{hash: 3}, {hash: 5}}}).encode())
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		w := newTestGateway(t, testSettings(), testServers(2))
 		w.request("safe", "hard", "c", 1)
 		w.do(PeerMessage{From: 1, Data: b})
 		if m, ok := decodeReport(b); ok {
-			if len(b) > maxMessage {
+			if len(b) > maxMessageBytes {
 				t.Fatal("a report above the maximum size was decoded")
 			}
 			if m2, ok := decodeReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
--- a/policy/line.go
+++ b/policy/line.go
@@ -8,15 +8,15 @@
 	"slices"
 )
 
-// late tells whether a request can't be answered within its aim any more, by a server of usual pace.
-func (g *Gateway) late(r *request) bool {
+// willMissTarget tells whether a request can't be answered within its aim any more, by a server of usual pace.
+func (g *Gateway) willMissTarget(r *request) bool {
 	return (g.now-r.arrivedAt+r.waitedBefore).Seconds()+r.class.mean > r.class.LatencyTarget.Seconds()
 }
 
-// rank orders those who wait for the same servers: who can still meet the aim, then by the operator's
+// compareWaiting orders those who wait for the same servers: who can still meet the aim, then by the operator's
 // ranks, then by arrival.
-func (g *Gateway) rank(a, b *request) int {
-	if late := g.late(a); late != g.late(b) {
+func (g *Gateway) compareWaiting(a, b *request) int {
+	if late := g.willMissTarget(a); late != g.willMissTarget(b) {
 		if late {
 			return 1
 		}
@@ -25,16 +25,16 @@
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.arrivedAt, b.arrivedAt))
 }
 
-// first tells whether a request that has just come may be tried ahead of all that wait: none of its
+// mayBypassQueue tells whether a request that has just come may be tried ahead of all that wait: none of its
 // customer waits for units, and none that goes before it for the same servers.
-func (g *Gateway) first(r *request) bool {
+func (g *Gateway) mayBypassQueue(r *request) bool {
 	if g.cfg.MultiService == nil {
 		return len(r.customer.held) == 0
 	}
 	for _, c := range g.waiting {
 		for _, o := range c.held {
 			same := o.serverGroup == r.serverGroup && o.attempts == 0 && !o.overQuota
-			if o.overQuota && c == r.customer || same && g.rank(o, r) <= 0 {
+			if o.overQuota && c == r.customer || same && g.compareWaiting(o, r) <= 0 {
 				return false
 			}
 		}
@@ -42,18 +42,18 @@
 	return true
 }
 
-// serve sends those who wait to servers with room, by rank.
-func (g *Gateway) serve() {
+// serveWaiting sends those who wait to servers with room, by rank.
+func (g *Gateway) serveWaiting() {
 	var line []*request
 	for _, c := range g.waiting {
 		g.advance(c)
 		line = append(line, c.held...)
 	}
-	slices.SortStableFunc(line, g.rank)
+	slices.SortStableFunc(line, g.compareWaiting)
 	full, short := map[string]bool{}, map[*customer]bool{}
 	for _, r := range line {
 		needs := r.serverGroup
-		if g.late(r) {
+		if g.willMissTarget(r) {
 			needs += "|late"
 		}
 		if full[needs] || full[r.serverGroup] || short[r.customer] && !r.unitsTaken {
--- a/policy/line_test.go
+++ b/policy/line_test.go
@@ -8,25 +8,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// booth is one gateway of many services whose attempts last until the test ends them, and whose timers run.
-type booth struct {
-	t       *testing.T
-	g       *Gateway
-	now     time.Duration
-	sent    []Send
-	refused map[RequestID]time.Duration
-	tries   map[RequestID]int
-	due     []Timer
-	at      []time.Duration
-	ids     RequestID
+// manualGateway is one gateway of many services whose attempts last until the test ends them, and whose timers run.
+type manualGateway struct {
+	t          *testing.T
+	g          *Gateway
+	now        time.Duration
+	sent       []Send
+	refused    map[RequestID]time.Duration
+	attempts   map[RequestID]int
+	timers     []Timer
+	timerTimes []time.Duration
+	lastID     RequestID
 }
 
-func newBooth(t *testing.T, servers ...Server) *booth {
-	g, err := New(fieldSet(), 7)
+func newManualGateway(t *testing.T, servers ...Server) *manualGateway {
+	g, err := New(multiServiceSettings(), 7)
 	assert.NilError(t, err)
-	b := &booth{t: t, g: g, now: time.Second, refused: map[RequestID]time.Duration{}, tries: map[RequestID]int{}}
+	b := &manualGateway{t: t, g: g, now: time.Second, refused: map[RequestID]time.Duration{}, attempts: map[RequestID]int{}}
 	b.do(ServerList{Kind: CompleteList, Servers: servers})
-	b.do(fieldTerms(Plan{Name: "t"}, Plan{Name: "u"}))
+	b.do(multiServiceConfig(Plan{Name: "t"}, Plan{Name: "u"}))
 	b.do(GatewaySet{Gateways: 1})
 	for range 40 { // it learns that an answer takes 100 ms
 		id := b.ask(Request{Service: servers[0].Service})
@@ -37,7 +37,7 @@
 	return b
 }
 
-func (b *booth) do(ev Event) {
+func (b *manualGateway) do(ev Event) {
 	for _, a := range b.g.Handle(b.now, ev, nil) {
 		switch a := a.(type) {
 		case Send:
@@ -45,14 +45,14 @@
 		case Refuse:
 			b.refused[a.ID] = b.now
 		case SetTimer:
-			b.due, b.at = append(b.due, Timer{a.Token}), append(b.at, b.now+a.After)
+			b.timers, b.timerTimes = append(b.timers, Timer{a.Token}), append(b.timerTimes, b.now+a.After)
 		}
 	}
 }
 
-func (b *booth) ask(r Request) RequestID {
-	b.ids++
-	r.ID, r.Units, r.GatewayCount, r.Remaining = b.ids, 1, 1, 2*time.Second
+func (b *manualGateway) ask(r Request) RequestID {
+	b.lastID++
+	r.ID, r.Units, r.GatewayCount, r.Remaining = b.lastID, 1, 1, 2*time.Second
 	if r.Customer == "" {
 		r.Customer = "t"
 	}
@@ -61,21 +61,21 @@
 	return r.ID
 }
 
-func (b *booth) end(id RequestID) {
+func (b *manualGateway) end(id RequestID) {
 	for _, s := range b.sent {
 		if s.ID == id {
-			b.do(Outcome{ID: id, Attempt: b.tries[id], Server: s.Server, Latency: 100 * ms, Final: true})
+			b.do(Outcome{ID: id, Attempt: b.attempts[id], Server: s.Server, Latency: 100 * ms, Final: true})
 			return
 		}
 	}
 	b.t.Fatalf("%d was not sent", id)
 }
 
-func (b *booth) pass(d time.Duration) {
+func (b *manualGateway) pass(d time.Duration) {
 	for end := b.now + d; ; {
 		i := -1
-		for k, at := range b.at {
-			if at <= end && (i < 0 || at < b.at[i]) {
+		for k, at := range b.timerTimes {
+			if at <= end && (i < 0 || at < b.timerTimes[i]) {
 				i = k
 			}
 		}
@@ -83,15 +83,15 @@
 			b.now = end
 			return
 		}
-		ev := b.due[i]
-		b.now = max(b.now, b.at[i])
-		b.due, b.at = slices.Delete(b.due, i, i+1), slices.Delete(b.at, i, i+1)
+		ev := b.timers[i]
+		b.now = max(b.now, b.timerTimes[i])
+		b.timers, b.timerTimes = slices.Delete(b.timers, i, i+1), slices.Delete(b.timerTimes, i, i+1)
 		b.do(ev)
 	}
 }
 
 // fill sends a service's servers all they take, and returns what is out.
-func (b *booth) fill(service string, homes ...string) (out []RequestID) {
+func (b *manualGateway) fill(service string, homes ...string) (out []RequestID) {
 	for {
 		n := len(b.sent)
 		id := b.ask(Request{Customer: "u", Service: service, Regions: homes})
@@ -103,25 +103,25 @@
 	}
 }
 
-func (b *booth) order() (ids []RequestID) {
+func (b *manualGateway) sentIDs() (ids []RequestID) {
 	for _, s := range b.sent {
 		ids = append(ids, s.ID)
 	}
 	return ids
 }
 
-func oneSlot(id ServerID, service, region string) Server {
+func oneSlotServer(id ServerID, service, region string) Server {
 	return Server{ID: id, Zone: "a", Region: region, Service: service, Slots: 1}
 }
 
 // Who waits for the servers of one service does not hold up who needs another's, of whatever tenant.
-func TestLinesOfServicesStandApart(t *testing.T) {
-	b := newBooth(t, oneSlot(1, "s", "r"), oneSlot(2, "t", "r"))
+func TestWaitingForOneServiceDoesNotBlockAnother(t *testing.T) {
+	b := newManualGateway(t, oneSlotServer(1, "s", "r"), oneSlotServer(2, "t", "r"))
 	b.fill("s")
 	waits := b.ask(Request{Service: "s"})
 	n := len(b.sent)
 	other := b.ask(Request{Service: "t"})
-	assert.DeepEqual(t, b.order()[n:], []RequestID{other})
+	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{other})
 	out := b.fill("t")
 	held := b.ask(Request{Service: "t"})
 	n = len(b.sent)
@@ -129,15 +129,15 @@
 	for _, id := range out {
 		b.end(id)
 	}
-	assert.DeepEqual(t, b.order()[n:], []RequestID{held}) // though the tenant's first still waits
+	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{held}) // though the tenant's first still waits
 	_, refused := b.refused[waits]
 	assert.Assert(t, !refused)
 }
 
 // Of those who wait for the same servers go first who can still meet the aim, then the operator's first rank, then
 // who came first; one that has just come does not pass them.
-func TestWhoWaitsGoesByAimRankAndArrival(t *testing.T) {
-	b := newBooth(t, oneSlot(1, "s", "r"))
+func TestWaitingOrderTargetPriorityArrival(t *testing.T) {
+	b := newManualGateway(t, oneSlotServer(1, "s", "r"))
 	out := b.fill("s")
 	late := b.ask(Request{Service: "s", WaitedBefore: 480 * ms})
 	third := b.ask(Request{Service: "s", Priority: 2})
@@ -151,29 +151,29 @@
 	for _, id := range []RequestID{first, second, third, fresh} {
 		b.end(id)
 	}
-	assert.DeepEqual(t, b.order()[n:], []RequestID{first, second, third, fresh, late})
+	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{first, second, third, fresh, late})
 }
 
 // Who will be late whatever is done gets room that others would not have to wait for, and after them.
-func TestWhoIsLateGivesWay(t *testing.T) {
-	b := newBooth(t, oneSlot(1, "s", "r"))
+func TestLateRequestYields(t *testing.T) {
+	b := newManualGateway(t, oneSlotServer(1, "s", "r"))
 	out := b.fill("s")
 	b.end(out[0])
 	n := len(b.sent)
 	late := b.ask(Request{Service: "s", WaitedBefore: 450 * ms})
 	fresh := b.ask(Request{Service: "s"})
-	assert.DeepEqual(t, b.order()[n:], []RequestID{fresh})
+	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{fresh})
 	second := b.ask(Request{Service: "s"})
-	b.do(ServerList{Kind: CompleteList, Servers: []Server{oneSlot(1, "s", "r"), oneSlot(2, "s", "r")}})
+	b.do(ServerList{Kind: CompleteList, Servers: []Server{oneSlotServer(1, "s", "r"), oneSlotServer(2, "s", "r")}})
 	b.pass(50 * ms)
-	assert.DeepEqual(t, b.order()[n:], []RequestID{fresh, second, late})
+	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{fresh, second, late})
 }
 
 // A request that finds no server is refused within a quarter of its aim after its client sent it, whenever the next
 // tick is.
-func TestHeldNoLongerThanItsClientWaits(t *testing.T) {
+func TestHoldTimeIsBounded(t *testing.T) {
 	for i := range 10 {
-		b := newBooth(t, oneSlot(1, "s", "r"))
+		b := newManualGateway(t, oneSlotServer(1, "s", "r"))
 		b.pass(time.Duration(7*i) * ms)
 		b.fill("s")
 		id, came := b.ask(Request{Service: "s"}), b.now
@@ -184,10 +184,10 @@
 }
 
 // Where requests bound to a region find no room, those with a choice go to the other regions.
-func TestWhoHasAChoiceLeavesRoomToWhoHasNone(t *testing.T) {
-	far := oneSlot(2, "s", "q")
+func TestRegionBoundRequestsComeFirst(t *testing.T) {
+	far := oneSlotServer(2, "s", "q")
 	far.ExtraLatency = 250 * ms
-	b := newBooth(t, oneSlot(1, "s", "r"), far)
+	b := newManualGateway(t, oneSlotServer(1, "s", "r"), far)
 	near := func() (n int) {
 		for _, s := range b.sent {
 			if s.Server == 1 {
--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -25,7 +25,7 @@
 		i, _ := slices.BinarySearchFunc(events, at, func(x scheduledEvent, at time.Duration) int { return cmp.Compare(x.at, at) })
 		events = slices.Insert(events, i, scheduledEvent{at, do})
 	}
-	list := fieldServers(servers, "s")
+	list := makeServers(servers, "s")
 	for i := range list {
 		list[i].Slots = slots
 	}
@@ -73,9 +73,9 @@
 		regions[i] = "r"
 	}
 	for i := range gateways {
-		g, err := New(fieldSet(), uint64(i))
+		g, err := New(multiServiceSettings(), uint64(i))
 		assert.NilError(t, err)
-		terms := fieldTerms()
+		terms := multiServiceConfig()
 		terms.Classes[0].LatencyTarget, terms.Classes[0].Deadline = 5*time.Second, 20*time.Second // so long that no request is held
 		for _, ev := range []Event{terms, GatewaySet{Me: i, Gateways: gateways, CeilingParts: gateways, Regions: regions}, ServerList{Kind: CompleteList, Servers: list}} {
 			handle(g, ev)
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -7,24 +7,24 @@
 
 // manyGateways drives hundreds of gateways step by step, a message taking 20 ms.
 type manyGateways struct {
-	t    *testing.T
-	now  time.Duration
-	gs   []*Gateway
-	mail []letter
-	lose func(from, to int) bool
+	t           *testing.T
+	now         time.Duration
+	gateways    []*Gateway
+	inTransit   []transitMessage
+	dropMessage func(from, to int) bool
 
-	told     int // messages, by receiver
-	sends    []Send
-	from     []int
-	sentAt   []time.Duration
-	takes    time.Duration     // how long an attempt is out
-	code     func(i int) Code  // how the i-th send ends; nil: well
-	over     int               // sends that have ended
-	attempts map[RequestID]int // that have ended
-	final    int
+	messageCount  int // messages, by receiver
+	sends         []Send
+	sentFrom      []int
+	sentAt        []time.Duration
+	attemptTime   time.Duration     // how long an attempt is out
+	code          func(i int) Code  // how the i-th send ends; nil: well
+	endedSends    int               // sends that have ended
+	endedAttempts map[RequestID]int // that have ended
+	finalAnswers  int
 }
 
-type letter struct {
+type transitMessage struct {
 	at       time.Duration
 	from, to int
 	data     []byte
@@ -32,7 +32,7 @@
 
 func newManyGateways(t *testing.T, n int, servers []Server) *manyGateways {
 	t.Helper()
-	c := &manyGateways{t: t, now: 10 * time.Second, takes: 50 * ms, attempts: map[RequestID]int{}, lose: func(int, int) bool { return false }}
+	c := &manyGateways{t: t, now: 10 * time.Second, attemptTime: 50 * ms, endedAttempts: map[RequestID]int{}, dropMessage: func(int, int) bool { return false }}
 	for i := range n {
 		s := testSettings()
 		s.Me, s.Gateways = i, n
@@ -40,31 +40,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.gs = append(c.gs, g)
+		c.gateways = append(c.gateways, g)
 		c.do(i, ServerList{Kind: CachedList, Servers: servers})
 	}
 	return c
 }
 
 func (c *manyGateways) do(i int, ev Event) {
-	for _, a := range c.gs[i].Handle(c.now, ev, nil) {
+	for _, a := range c.gateways[i].Handle(c.now, ev, nil) {
 		switch a := a.(type) {
 		case SendPeer:
-			if len(a.Data) > 256 || a.To >= len(c.gs) || a.To == i {
+			if len(a.Data) > 256 || a.To >= len(c.gateways) || a.To == i {
 				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
 			}
-			for to := range c.gs {
+			for to := range c.gateways {
 				if to == a.To || a.To < 0 && to != i {
-					c.told++
-					if !c.lose(i, to) {
-						c.mail = append(c.mail, letter{c.now + 20*ms, i, to, a.Data})
+					c.messageCount++
+					if !c.dropMessage(i, to) {
+						c.inTransit = append(c.inTransit, transitMessage{c.now + 20*ms, i, to, a.Data})
 					}
 				}
 			}
 		case Send:
-			c.sends, c.from, c.sentAt = append(c.sends, a), append(c.from, i), append(c.sentAt, c.now)
+			c.sends, c.sentFrom, c.sentAt = append(c.sends, a), append(c.sentFrom, i), append(c.sentAt, c.now)
 		case Refuse, Fail:
-			c.final++
+			c.finalAnswers++
 		}
 	}
 }
@@ -73,26 +73,26 @@
 func (c *manyGateways) pass(d time.Duration, step func(at time.Duration)) {
 	for end := c.now + d; c.now < end; {
 		c.now += 10 * ms
-		var due []letter
-		for len(c.mail) > 0 && c.mail[0].at <= c.now {
-			due, c.mail = append(due, c.mail[0]), c.mail[1:]
+		var due []transitMessage
+		for len(c.inTransit) > 0 && c.inTransit[0].at <= c.now {
+			due, c.inTransit = append(due, c.inTransit[0]), c.inTransit[1:]
 		}
 		for _, l := range due {
 			c.do(l.to, PeerMessage{From: l.from, Data: l.data})
 		}
-		for i := range c.gs {
+		for i := range c.gateways {
 			c.do(i, Timer{Token: "ask"})
 			if (c.now/ms/10+time.Duration(i))%25 == 0 {
 				c.do(i, Timer{Token: "tick"})
 			}
 		}
-		for ; c.over < len(c.sends) && c.sentAt[c.over]+c.takes <= c.now; c.over++ {
-			s, code := c.sends[c.over], OK
+		for ; c.endedSends < len(c.sends) && c.sentAt[c.endedSends]+c.attemptTime <= c.now; c.endedSends++ {
+			s, code := c.sends[c.endedSends], OK
 			if c.code != nil {
-				code = c.code(c.over)
+				code = c.code(c.endedSends)
 			}
-			c.attempts[s.ID]++
-			c.do(c.from[c.over], Outcome{ID: s.ID, Attempt: c.attempts[s.ID] - 1, Server: s.Server, Code: code, Latency: c.takes, Final: code == OK})
+			c.endedAttempts[s.ID]++
+			c.do(c.sentFrom[c.endedSends], Outcome{ID: s.ID, Attempt: c.endedAttempts[s.ID] - 1, Server: s.Server, Code: code, Latency: c.attemptTime, Final: code == OK})
 		}
 		if step != nil {
 			step(c.now)
@@ -108,8 +108,8 @@
 // member is a gateway of 50 that is neither the root nor the deputy of customer k
 // on a plan, with both.
 func (c *manyGateways) member(plan string) (i, root, deputy int) {
-	k := c.gs[0].account(keyOf("k"), c.gs[0].plans[plan], 0, 50)
-	roots, deputy := c.gs[0].roots(k)
+	k := c.gateways[0].addCustomer(keyOf("k"), c.gateways[0].plans[plan], 0, 50)
+	roots, deputy := c.gateways[0].roots(k)
 	for i == 0 || i == roots[0] || i == deputy {
 		i++
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -17,7 +17,7 @@
 	Units, RemainingMS         uint16 // RemainingMS: milliseconds until the client gives up
 	Tag                        uint32 // identifies the request between the two gateways
 	AskChance                  byte   // probability with which it was asked for, 250: always
-	BucketFill                 byte   // fill of the bucket as last known, 250: full; unknownStore: not known
+	BucketFill                 byte   // fill of the bucket as last known, 250: full; unknownFill: not known
 	Flags                      byte
 }
 
@@ -181,7 +181,7 @@
 	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
 	m := askMessage{Customer: c.key, FirstGateway: uint16(c.firstGateway), GatewayCount: uint16(c.gatewayCount), Plan: c.plan.index,
 		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
-		Tag: r.tag, BucketFill: unknownStore, AskChance: toByte(250 * r.askChance)}
+		Tag: r.tag, BucketFill: unknownFill, AskChance: toByte(250 * r.askChance)}
 	if r.isRetry {
 		m.Flags |= flagRetry
 	}
--- a/policy/partition_test.go
+++ b/policy/partition_test.go
@@ -36,7 +36,7 @@
 			before = len(w.sends)
 			w.pass(6*time.Second, ask)
 			before, during = len(w.sends)-before, len(w.sends)
-			w.lose, perStep = func(int, int) bool { return true }, 2*c.surge
+			w.dropMessage, perStep = func(int, int) bool { return true }, 2*c.surge
 			w.pass(time.Second, ask) // until all gateways have detected it
 			during = len(w.sends)
 			w.pass(6*time.Second, ask)
@@ -44,9 +44,9 @@
 			if share := float64(during) / float64(before); share < c.minShare || share > c.maxShare {
 				t.Errorf("%d passed in 6 s of a partition, %d in the 6 s before", during, before)
 			}
-			w.lose = func(int, int) bool { return false }
+			w.dropMessage = func(int, int) bool { return false }
 			w.pass(3*time.Second, ask)
-			if n := slices.IndexFunc(w.gs, func(g *Gateway) bool { return g.unansweredAsks >= deafAsks }); n >= 0 {
+			if n := slices.IndexFunc(w.gateways, func(g *Gateway) bool { return g.unansweredAsks >= isolatedAfterAsks }); n >= 0 {
 				t.Errorf("gateway %d still assumes that it is partitioned 3 s after the partition ended", n)
 			}
 		})
@@ -62,31 +62,31 @@
 		w.request(i, RequestID(id+1), "k", "rate", "safe", 50)
 		w.pass(500*ms, nil)
 	}
-	w.lose = func(int, int) bool { return true }
+	w.dropMessage = func(int, int) bool { return true }
 	for id := range 2 {
 		w.request(i, RequestID(100+id), "k", "rate", "safe", 50)
 		w.pass(time.Second, nil)
 	}
-	told, done := w.told, len(w.sends)+w.final
+	told, done := w.messageCount, len(w.sends)+w.finalAnswers
 	w.request(i, 200, "k", "rate", "safe", 50)
 	w.pass(200*ms, nil)
-	if asks := w.told - told; asks > 3 || len(w.sends)+w.final == done {
-		t.Errorf("%d messages sent, answered %v within 200 ms", asks, len(w.sends)+w.final > done)
+	if asks := w.messageCount - told; asks > 3 || len(w.sends)+w.finalAnswers == done {
+		t.Errorf("%d messages sent, answered %v within 200 ms", asks, len(w.sends)+w.finalAnswers > done)
 	}
 }
 
 // The parts of a hard ceiling add up to at most one ceiling, for each plan and number of gateways.
 func TestPartsAddUpToTheCeiling(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(1))
-	for _, g := range w.gs {
+	for _, g := range w.gateways {
 		g.plans["ceil"] = &planState{Plan: Plan{Name: "ceil", Rate: 10, Burst: 20, HardRate: 20, HardBurst: 40}}
 	}
 	for _, plan := range []string{"ceil", "hard"} {
 		for _, spread := range []int{1, 2, 3, 7, 50, 60} {
 			sum := 0.0
-			for i := range w.gs { // also gateways that the customer should not use but may
+			for i := range w.gateways { // also gateways that the customer should not use but may
 				name := fmt.Sprint(plan, spread)
-				c := w.gs[i].account(keyOf(name), w.gs[i].plans[plan], 5, spread)
+				c := w.gateways[i].addCustomer(keyOf(name), w.gateways[i].plans[plan], 5, spread)
 				if member := (i-5+60)%60 < spread; member {
 					sum += 1 / c.parts
 				}
@@ -116,7 +116,7 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			w.gs[i] = g
+			w.gateways[i] = g
 			w.do(i, ServerList{Kind: CachedList, Servers: testServers(20)})
 		}
 		for i := range 60 {
@@ -124,14 +124,14 @@
 		}
 		bucket, at, n, counted := burst, w.now, 0, 0
 		var lost, duplicated int
-		w.lose = func(from, to int) bool {
+		w.dropMessage = func(from, to int) bool {
 			if rapid.IntRange(0, 99).Draw(rt, "lost") < lost {
 				return true
 			}
-			if rapid.IntRange(0, 99).Draw(rt, "twice") < duplicated && len(w.mail) > 0 {
-				duplicate := w.mail[len(w.mail)-1]
+			if rapid.IntRange(0, 99).Draw(rt, "twice") < duplicated && len(w.inTransit) > 0 {
+				duplicate := w.inTransit[len(w.inTransit)-1]
 				duplicate.at = w.now + 20*ms
-				w.mail = append(w.mail, duplicate)
+				w.inTransit = append(w.inTransit, duplicate)
 			}
 			return false
 		}
@@ -164,21 +164,21 @@
 // A gateway with units left in its own part of a ceiling uses them before its root's.
 func TestOwnPartOfACeilingIsUsedFirst(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(20))
-	for _, g := range w.gs {
+	for _, g := range w.gateways {
 		g.plans["rate"].HardRate, g.plans["rate"].HardBurst = 20, 40
 	}
 	i, root, _ := w.member("rate")
 	w.pass(10*time.Second, nil)
-	left := func(at int) float64 { return w.gs[at].customers[keyOf("k")].ceiling }
+	left := func(at int) float64 { return w.gateways[at].customers[keyOf("k")].ceiling }
 	w.do(i, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 0.25, Remaining: 2 * time.Second, GatewayCount: 50})
 	own := left(i)
 	w.pass(100*ms, nil)
-	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gs[root].customers[keyOf("k")].parts-1e-9 {
+	if len(w.sends) != 1 || left(i) >= own || left(root) < 40/w.gateways[root].customers[keyOf("k")].parts-1e-9 {
 		t.Errorf("%d sent, %.2f of %.2f left here, %.2f at the root", len(w.sends), left(i), own, left(root))
 	}
 	w.request(i, 2, "k", "rate", "safe", 50) // needs more units than are left here
 	w.pass(100*ms, nil)
-	if len(w.sends) != 2 || left(root) > 40/w.gs[root].customers[keyOf("k")].parts-0.5 {
+	if len(w.sends) != 2 || left(root) > 40/w.gateways[root].customers[keyOf("k")].parts-0.5 {
 		t.Errorf("%d sent, %.2f left at the root", len(w.sends), left(root))
 	}
 }
@@ -186,11 +186,11 @@
 // A partitioned gateway serves a customer under a hard ceiling from its own part, which the roots do not hold.
 func TestPartitionServesUnderACeiling(t *testing.T) {
 	w := newManyGateways(t, 60, testServers(20))
-	for _, g := range w.gs {
+	for _, g := range w.gateways {
 		g.plans["rate"].HardRate, g.plans["rate"].HardBurst = 20, 40
 	}
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 6)
-	roots, deputy := w.gs[0].roots(c)
+	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["rate"], 0, 6)
+	roots, deputy := w.gateways[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
@@ -205,7 +205,7 @@
 		}
 	}
 	w.pass(10*time.Second, ask(50))
-	w.lose = func(int, int) bool { return true }
+	w.dropMessage = func(int, int) bool { return true }
 	before := len(w.sends)
 	w.pass(6*time.Second, ask(50))
 	if n := len(w.sends) - before; n < 7 { // it may take the first few for asks lost at overloaded roots
--- a/policy/relinquish_test.go
+++ b/policy/relinquish_test.go
@@ -21,7 +21,7 @@
 
 // sumCeilings returns the ceiling units that all gateways hold together.
 func sumCeilings(m *serviceGateways) (sum float64) {
-	for _, g := range m.gs {
+	for _, g := range m.gateways {
 		if c := g.customers[keyOf("t")]; c != nil {
 			g.advance(c)
 			sum += c.ceiling
@@ -34,19 +34,19 @@
 // requests, and all parts together stay within the ceiling.
 func TestRelinquishedUnitsAreNotHeldTwice(t *testing.T) {
 	for _, n := range []int{4, 30} {
-		m := newServiceGateways(n, 1, fieldServers(3, "a"), limited(40, 40))
-		m.spread(twoRegions(n))
-		m.demand(25, 20*time.Second)
+		m := newServiceGateways(n, 1, makeServers(3, "a"), limitedPlan(40, 40))
+		m.setRegions(twoRegions(n))
+		m.passedShare(25, 20*time.Second)
 		before, leaver := sumCeilings(m), 0
-		if n > wideBeyond {
-			leaver = m.gs[0].customers[keyOf("t")].owners[0]
+		if n > borrowBeyondGateways {
+			leaver = m.gateways[0].customers[keyOf("t")].owners[0]
 		}
-		g := m.gs[leaver]
+		g := m.gateways[leaver]
 		list := relinquish(g, m.now)
 		assert.Assert(t, len(list) == 1 && list[0].Units > 0 && len(list[0].Candidates) > 0, "%d gateways: %v", n, list)
 		assert.Assert(t, sumCeilings(m) <= before-float64(list[0].Units)+1e-6)
 		sent := len(m.sends)
-		m.gs[list[0].Candidates[0]].Handle(m.now, UnitsReceived{list[0].Customer, list[0].Units}, nil)
+		m.gateways[list[0].Candidates[0]].Handle(m.now, UnitsReceived{list[0].Customer, list[0].Units}, nil)
 		assert.Assert(t, sumCeilings(m) <= before+1e-6)
 		for range 20 {
 			m.ask(leaver, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
@@ -64,10 +64,10 @@
 
 // A gateway that relinquishes its units keeps those that its held requests need.
 func TestHeldRequestsKeepTheirUnits(t *testing.T) {
-	m := newServiceGateways(2, 1, fieldServers(1, "a"), limited(40, 40))
-	m.spread([]string{"r", "r"})
+	m := newServiceGateways(2, 1, makeServers(1, "a"), limitedPlan(40, 40))
+	m.setRegions([]string{"r", "r"})
 	m.pass(10*time.Second, nil)
-	g := m.gs[0]
+	g := m.gateways[0]
 	for _, s := range g.serverList {
 		s.Slots = 1
 	}
@@ -89,21 +89,21 @@
 
 // A leaving gateway sends nothing to cold servers; one that joins while others are silent uses less than its part.
 func TestUnusedShare(t *testing.T) {
-	cold := fieldServers(1, "a")
+	cold := makeServers(1, "a")
 	cold[0].ColdUntil, cold[0].ColdSendRate = time.Hour, 20
-	m := newServiceGateways(3, 1, cold, limited(40, 40))
+	m := newServiceGateways(3, 1, cold, limitedPlan(40, 40))
 	regions := []string{"r", "r", "r"}
-	m.spread(regions)
+	m.setRegions(regions)
 	all := 0
-	for _, g := range m.gs {
+	for _, g := range m.gateways {
 		all += g.serverList[0].coldSendQuota
 	}
 	assert.Assert(t, all > 0 && all <= 20)
 	m.ask(0, Request{Customer: "t", Plan: "t", Class: "safe", Service: "a"})
-	for i := range m.gs {
+	for i := range m.gateways {
 		m.do(i, GatewaySet{Me: i, Gateways: 3, CeilingParts: 3, Regions: regions, UnusedShare: 0.5, NoColdSends: true})
 	}
-	g := m.gs[0]
+	g := m.gateways[0]
 	assert.Equal(t, g.serverList[0].coldSendQuota, 0)
 	assert.Equal(t, g.customers[keyOf("t")].parts, 6.0)
 }
@@ -112,17 +112,17 @@
 // allows: the joiners use only a little at first and nothing after that.
 func TestUnknownJoinersKeepTheLimit(t *testing.T) {
 	const rate, burst = 400.0, 100.0
-	m := newServiceGateways(8, 3, fieldServers(4, "s"), limited(rate, burst))
-	m.lost = 1
+	m := newServiceGateways(8, 3, makeServers(4, "s"), limitedPlan(rate, burst))
+	m.lossRate = 1
 	for i := range 6 {
 		m.do(i, GatewaySet{Me: i, Gateways: 8, CeilingParts: 6})
-		m.told[i] = 8
+		m.knownGateways[i] = 8
 	}
 	for i := 6; i < 8; i++ {
 		m.do(i, GatewaySet{Me: i, Gateways: 8, CeilingParts: 8, UnusedShare: 1})
 	}
 	flood := func() {
-		for i := range m.gs {
+		for i := range m.gateways {
 			for range 3 {
 				m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 			}
@@ -145,6 +145,6 @@
 	}
 	assert.Assert(t, joinerSends(1-handover.Early(8, 2), handover.EarlyFor) > 0)
 	assert.Assert(t, joinerSends(handover.Less(8, 2, 6), 10*time.Second) <= 30) // the units that they had left
-	busiest := m.most(5*time.Second, func(sending) bool { return true })
+	busiest := m.maxSendsIn(5*time.Second, func(sentAttempt) bool { return true })
 	assert.Assert(t, float64(busiest) <= (5*rate+burst)*1.1+20, "%d", busiest)
 }
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// message makes the report for one peer: the servers this gateway has attempts
+// buildReport makes the report for one peer: the servers this gateway has attempts
 // out at, then the customers that come in through both, busiest first.
-func (g *Gateway) message(p *peer, list []*customer) *report {
-	m := &report{inc: g.incarnation, seq: g.reportSeq, complete: true}
+func (g *Gateway) buildReport(p *peer, list []*customer) *report {
+	m := &report{incarnation: g.incarnation, seq: g.reportSeq, complete: true}
 	for _, s := range g.serverList {
-		if s.inFlight > 0 && len(m.servers) < maxServers && !g.usesRoots {
-			m.servers = append(m.servers, serverOut{s.hash, byte(min(s.inFlight, maxOut))})
+		if s.inFlight > 0 && len(m.servers) < maxReportServers && !g.usesRoots {
+			m.servers = append(m.servers, serverLoad{s.hash, byte(min(s.inFlight, maxReportedInFlight))})
 		}
 	}
 	for _, c := range list {
@@ -20,17 +20,17 @@
 		if v == nil {
 			continue
 		}
-		if !m.fits() {
+		if !m.hasRoom() {
 			m.complete = false
 			break
 		}
 		g.advance(c)
-		e := entry{hash: c.hash, held: byte(min(len(c.held), maxHeld)),
-			out:    byte(min(math.Round(outScale*math.Sqrt(c.meanInFlight)), 15)),
-			passed: byte(c.passedUnits), given: v.lentTotal, store: unknownStore, anew: g.now-c.createdAt < anewFor,
-			rate: min(maxRate, toByte(rateScale*math.Log2(1+c.demand/demandSpan.Seconds())))}
+		e := customerEntry{hash: c.hash, held: byte(min(len(c.held), maxReportedHeld)),
+			inFlight: byte(min(math.Round(inFlightScale*math.Sqrt(c.meanInFlight)), 15)),
+			passed:   byte(c.passedUnits), lent: v.lentTotal, bucketFill: unknownFill, newTotal: g.now-c.createdAt < newTotalSpan,
+			rate: min(maxRateCode, toByte(rateScale*math.Log2(1+c.demand/demandTimeConstant.Seconds())))}
 		if c.bucketKnown && c.plan.Burst > 0 {
-			e.store = toByte(250 * max(c.bucket, 0) / c.plan.Burst)
+			e.bucketFill = toByte(250 * max(c.bucket, 0) / c.plan.Burst)
 		}
 		m.customers = append(m.customers, e)
 		c.reportedTick = g.tickCount
@@ -39,34 +39,34 @@
 }
 
 func (g *Gateway) onReport(p *peer, m report) {
-	if p.reported && p.incarnation == m.inc && int32(m.seq-p.reportSeq) <= 0 {
+	if p.reported && p.incarnation == m.incarnation && int32(m.seq-p.reportSeq) <= 0 {
 		return // old or repeated: the later report holds all it said
 	}
-	if m.complete || p.incarnation != m.inc {
+	if m.complete || p.incarnation != m.incarnation {
 		for _, v := range p.views {
 			v.inFlight, v.held = 0, 0
 		}
 	}
-	p.reported, p.incarnation, p.reportSeq, p.reportedAt, p.complete = true, m.inc, m.seq, g.now, m.complete
+	p.reported, p.incarnation, p.reportSeq, p.reportedAt, p.complete = true, m.incarnation, m.seq, g.now, m.complete
 	p.inFlight = map[uint16]float64{}
 	for _, o := range m.servers {
-		p.inFlight[o.hash] = float64(o.out)
+		p.inFlight[o.hash] = float64(o.inFlight)
 	}
-	g.sumLoads()
+	g.sumPeerLoads()
 	for _, e := range m.customers {
 		if c := g.customersByHash[e.hash]; c != nil {
-			g.hear(c, p, e)
+			g.applyReportEntry(c, p, e)
 		}
 	}
 }
 
-// report tells each peer what has changed.
-func (g *Gateway) report() {
+// sendReports tells each peer what has changed.
+func (g *Gateway) sendReports() {
 	g.reportSeq++
 	var list []*customer
 	for _, c := range g.customerList {
-		if c.news() {
-			c.reportPriority = g.urgent(c)
+		if c.hasNews() {
+			c.reportPriority = g.reportUrgency(c)
 			list = append(list, c)
 		}
 	}
@@ -75,7 +75,7 @@
 		if p == nil || p.index == g.cfg.Me || g.usesRoots && len(p.views) == 0 {
 			continue
 		}
-		if m := g.message(p, list); !g.usesRoots || len(m.customers) > 0 {
+		if m := g.buildReport(p, list); !g.usesRoots || len(m.customers) > 0 {
 			g.emit(SendPeer{To: p.index, Data: m.encode()})
 		}
 	}
@@ -86,26 +86,26 @@
 	}
 }
 
-// hear takes in what a peer says of a customer. Running totals heal lost
+// applyReportEntry takes in what a peer says of a customer. Running totals heal lost
 // reports; a total that jumps oddly (the peer started anew) is a new base.
-func (g *Gateway) hear(c *customer, p *peer, e entry) {
+func (g *Gateway) applyReportEntry(c *customer, p *peer, e customerEntry) {
 	v := c.viewOf(p)
 	if v == nil {
 		return
 	}
 	g.advance(c)
-	passed, lent, met := v.read(e, p.incarnation, g.now)
+	passed, lent, met := v.applyEntry(e, p.incarnation, g.now)
 	c.bucket = min(c.plan.Burst, max(0, c.bucket-passed))
 	c.ceiling = min(c.plan.HardBurst/c.parts, c.ceiling+lent)
 	// One just met has used it, or knows who has: it is told once what the store
 	// is here. Guards against a store that is full at one gateway only.
-	if (met || !c.bucketKnown) && e.store != unknownStore {
+	if (met || !c.bucketKnown) && e.bucketFill != unknownFill {
 		c.bucketKnown, c.reportsLeft = true, max(c.reportsLeft, 1)
-		c.bucket = min(c.bucket, float64(e.store)/250*c.plan.Burst)
+		c.bucket = min(c.bucket, float64(e.bucketFill)/250*c.plan.Burst)
 	}
 }
 
-// news tells whether peers must hear of a customer.
-func (c *customer) news() bool {
+// hasNews tells whether peers must hear of a customer.
+func (c *customer) hasNews() bool {
 	return len(c.views) > 0 && (c.inFlight > 0 || c.meanInFlight > 0 || len(c.held) > 0 || c.reportsLeft > 0)
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -61,7 +61,7 @@
 // startAttempt records that an attempt of a request goes to a server.
 func (g *Gateway) startAttempt(r *request, s *server) {
 	r.customer.addInFlight(g.now, 1)
-	r.server, r.lastServer, r.sentAt, r.loadAtSend, r.cancelled = s, s, g.now, g.load(s), false
+	r.server, r.lastServer, r.sentAt, r.loadAtSend, r.cancelled = s, s, g.now, g.inFlightAt(s), false
 	r.attempts++
 	s.inFlight, g.inFlight = s.inFlight+1, g.inFlight+1
 	s.attempts = append(s.attempts, r)
@@ -106,7 +106,7 @@
 // dequeue removes the i-th request from its customer's queue.
 func (g *Gateway) dequeue(c *customer, i int) {
 	c.held = slices.Delete(c.held, i, i+1)
-	c.reportsLeft = repeatTicks
+	c.reportsLeft = reportsPerChange
 	if len(c.held) == 0 {
 		g.waiting = slices.DeleteFunc(g.waiting, func(w *customer) bool { return w == c })
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -23,7 +23,7 @@
 
 // earnRetryBudget adds to a service's retry budget what a first attempt earns.
 func (g *Gateway) earnRetryBudget(service string) {
-	perAttempt, maxBudget := retryEarn, retryCap
+	perAttempt, maxBudget := retryBudgetEarned, maxRetryBudget
 	if f := g.cfg.MultiService; f != nil {
 		perAttempt, maxBudget = f.RetryBudgetPerAttempt, f.MaxRetryBudget(service)
 	}
@@ -39,9 +39,9 @@
 func (g *Gateway) retryAfter(r *request) time.Duration {
 	c, wait := r.customer, 2*g.tickInterval.Seconds()
 	if g.cfg.MultiService != nil && !r.overQuota {
-		return shortAdvice
+		return noServerAdvice
 	} else if g.borrows {
-		return wideAdvice
+		return beyondQuotaAdvice
 	}
 	if c.plan.Rate == 0 {
 		wait = min(wait, g.meanLatency)
--- a/policy/roles.go
+++ b/policy/roles.go
@@ -9,8 +9,8 @@
 func (g *Gateway) roots(c *customer) (nums []int, deputy int) {
 	count := c.gatewayCount
 	if g.usesRoots {
-		peakAsks := rootPeak * c.plan.Rate * 2 / (1 + g.cfg.MaxRequestUnits)
-		count = min(max(1, int(math.Ceil(peakAsks/max(1, g.cfg.MessagesPerSecond*rootMail)))), c.gatewayCount)
+		peakAsks := rootAskPeakFactor * c.plan.Rate * 2 / (1 + g.cfg.MaxRequestUnits)
+		count = min(max(1, int(math.Ceil(peakAsks/max(1, g.cfg.MessagesPerSecond*rootIntakeShare)))), c.gatewayCount)
 	}
 	base, step := int(c.key>>33)%c.gatewayCount, max(1, c.gatewayCount/(count+1))
 	for i := range count + 1 {
--- a/policy/server.go
+++ b/policy/server.go
@@ -108,11 +108,11 @@
 	g.meanWeight = sum / float64(max(1, listed))
 }
 
-// applyVerdict ejects a server from the classes for which eject holds, for verdictLife, and sets its
+// applyVerdict ejects a server from the classes for which eject holds, for verdictTTL, and sets its
 // slowdown from the encoded value of a verdict message.
 func (g *Gateway) applyVerdict(s *server, slowdown byte, eject func(class int, v *classHealth) bool) {
 	for i := range s.classes {
-		s.classes[i].ejected, s.classes[i].ejectedUntil = eject(i, &s.classes[i]), g.now+verdictLife
+		s.classes[i].ejected, s.classes[i].ejectedUntil = eject(i, &s.classes[i]), g.now+verdictTTL
 	}
 	s.slowdown = math.Exp2(float64(slowdown)/16 - 4)
 }
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestNothingNewToDrainingOrGone(t *testing.T) {
+func TestNothingSentToDrainingOrRemoved(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		ev   ServerList
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestHungServerIsLeft(t *testing.T) {
+func TestHungServerIsAvoided(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(6))
 	called, late := 0, 0
 	for i := range 300 {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestAsksForTheListWhereItMust(t *testing.T) {
+func TestRequestsServerListWhenRequired(t *testing.T) {
 	s := testSettings()
 	s.MustWatch = true
 	g, _ := New(s, 1)
@@ -139,14 +139,14 @@
 
 // App servers that are gone leave nothing behind, and those there are share the
 // budget of a cold one.
-func TestGoneServersAreForgotten(t *testing.T) {
+func TestRemovedServersAreDropped(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 200 {
 		w.now += 20 * ms
 		w.do(ServerList{Kind: ChangedServers, Servers: []Server{
 			{ID: ServerID(i + 3), Zone: "a", Weight: 1}, {ID: ServerID(i + 2), State: Removed}}})
 	}
-	w.advance(forgetAfter + 2*time.Second)
+	w.advance(idleExpiry + 2*time.Second)
 	if len(w.g.serverList) != 2 || len(w.g.servers) != 2 || w.g.runningServers != 2 || w.g.meanWeight != 1 {
 		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.serverList), len(w.g.servers), w.g.runningServers, w.g.meanWeight)
 	}
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -8,41 +8,41 @@
 
 // serviceGateways drives gateways of many services: what they are told comes late, and their mail may be lost.
 type serviceGateways struct {
-	now     time.Duration
-	rnd     *rand.Rand
-	gs      []*Gateway // nil: it does not run
-	told    []int      // how many gateways each knows of; 0: it is not told yet, and serves nothing
-	servers []Server
-	plans   []Plan
-	way     []arrival
-	lost    float64 // part of the mail
-	takes   time.Duration
-	code    func(s Send) Code
-	ids     RequestID
-	tries   map[RequestID]int
-	sends   []sending
-	recalls map[RequestID]time.Duration // when attempts were called back
+	now           time.Duration
+	rng           *rand.Rand
+	gateways      []*Gateway // nil: it does not run
+	knownGateways []int      // how many gateways each knows of; 0: it is not told yet, and serves nothing
+	servers       []Server
+	plans         []Plan
+	inTransit     []delayedEvent
+	lossRate      float64 // part of the mail
+	attemptTime   time.Duration
+	code          func(s Send) Code
+	lastID        RequestID
+	attempts      map[RequestID]int
+	sends         []sentAttempt
+	cancelledAt   map[RequestID]time.Duration // when attempts were called back
 }
 
-type arrival struct {
+type delayedEvent struct {
 	at time.Duration
 	to *Gateway
 	ev Event
 }
 
-type sending struct {
+type sentAttempt struct {
 	at time.Duration
 	by int
 	Send
-	again bool
+	isRetry bool
 }
 
-const lostOnTheWay Code = -1 // for the code of serviceGateways: no answer comes
+const answerLost Code = -1 // for the code of serviceGateways: no answer comes
 
 func newServiceGateways(n int, seed uint64, servers []Server, plans ...Plan) *serviceGateways {
-	m := &serviceGateways{now: time.Second, rnd: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, takes: 30 * ms,
-		tries: map[RequestID]int{}, recalls: map[RequestID]time.Duration{}, code: func(Send) Code { return OK }}
-	m.gs, m.told = make([]*Gateway, n), make([]int, n)
+	m := &serviceGateways{now: time.Second, rng: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, attemptTime: 30 * ms,
+		attempts: map[RequestID]int{}, cancelledAt: map[RequestID]time.Duration{}, code: func(Send) Code { return OK }}
+	m.gateways, m.knownGateways = make([]*Gateway, n), make([]int, n)
 	for i := range n {
 		m.start(i, 0)
 	}
@@ -50,57 +50,57 @@
 	return m
 }
 
-func (m *serviceGateways) upTo(d time.Duration) time.Duration {
-	return m.now + time.Duration(m.rnd.Int64N(int64(d)+1))
+func (m *serviceGateways) randomTimeWithin(d time.Duration) time.Duration {
+	return m.now + time.Duration(m.rng.Int64N(int64(d)+1))
 }
 
 func (m *serviceGateways) start(i int, late time.Duration) {
-	g, err := New(fieldSet(), m.rnd.Uint64())
+	g, err := New(multiServiceSettings(), m.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	m.gs[i], m.told[i] = g, 0
+	m.gateways[i], m.knownGateways[i] = g, 0
 	m.do(i, ServerList{Kind: CompleteList, Servers: m.servers})
-	m.do(i, fieldTerms(m.plans...))
-	m.tell(i, GatewaySet{Me: i, Gateways: len(m.gs)}, late)
+	m.do(i, multiServiceConfig(m.plans...))
+	m.deliverLater(i, GatewaySet{Me: i, Gateways: len(m.gateways)}, late)
 }
 
-func (m *serviceGateways) tell(i int, ev Event, late time.Duration) {
-	m.way = append(m.way, arrival{m.upTo(late), m.gs[i], ev})
+func (m *serviceGateways) deliverLater(i int, ev Event, late time.Duration) {
+	m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(late), m.gateways[i], ev})
 }
 
 func (m *serviceGateways) do(i int, ev Event) {
 	if p, ok := ev.(GatewaySet); ok {
-		m.told[i] = p.Gateways
+		m.knownGateways[i] = p.Gateways
 	}
-	for _, a := range m.gs[i].Handle(m.now, ev, nil) {
+	for _, a := range m.gateways[i].Handle(m.now, ev, nil) {
 		switch a := a.(type) {
 		case SendPeer:
-			if m.gs[a.To] != nil && m.rnd.Float64() >= m.lost {
-				m.way = append(m.way, arrival{m.upTo(40 * ms), m.gs[a.To], PeerMessage{From: i, Data: a.Data}})
+			if m.gateways[a.To] != nil && m.rng.Float64() >= m.lossRate {
+				m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(40 * ms), m.gateways[a.To], PeerMessage{From: i, Data: a.Data}})
 			}
 		case Send:
-			k := m.tries[a.ID]
-			m.tries[a.ID]++
-			m.sends = append(m.sends, sending{m.now, i, a, k > 0})
+			k := m.attempts[a.ID]
+			m.attempts[a.ID]++
+			m.sends = append(m.sends, sentAttempt{m.now, i, a, k > 0})
 			code := m.code(a)
-			if code == lostOnTheWay {
+			if code == answerLost {
 				continue
 			}
-			m.way = append(m.way, arrival{m.now + m.takes, m.gs[i], Outcome{ID: a.ID, Attempt: k, Server: a.Server,
-				Code: code, Latency: m.takes, Final: code == OK}})
+			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i], Outcome{ID: a.ID, Attempt: k, Server: a.Server,
+				Code: code, Latency: m.attemptTime, Final: code == OK}})
 		case Cancel:
-			m.recalls[a.ID] = m.now
+			m.cancelledAt[a.ID] = m.now
 		}
 	}
 }
 
 func (m *serviceGateways) ask(i int, r Request) {
-	if m.gs[i] == nil || m.told[i] == 0 {
+	if m.gateways[i] == nil || m.knownGateways[i] == 0 {
 		return
 	}
-	m.ids++
-	r.ID, r.Units, r.Remaining, r.GatewayCount = m.ids, 1, 2*time.Second, m.told[i]
+	m.lastID++
+	r.ID, r.Units, r.Remaining, r.GatewayCount = m.lastID, 1, 2*time.Second, m.knownGateways[i]
 	m.do(i, r)
 }
 
@@ -108,16 +108,16 @@
 func (m *serviceGateways) pass(d time.Duration, step func()) {
 	for end := m.now + d; m.now < end; {
 		m.now += 10 * ms
-		due := m.way
-		m.way = nil
+		due := m.inTransit
+		m.inTransit = nil
 		for _, a := range due {
-			if i := slices.Index(m.gs, a.to); a.at > m.now {
-				m.way = append(m.way, a)
+			if i := slices.Index(m.gateways, a.to); a.at > m.now {
+				m.inTransit = append(m.inTransit, a)
 			} else if i >= 0 { // else it was for one that is gone
 				m.do(i, a.ev)
 			}
 		}
-		for i, g := range m.gs {
+		for i, g := range m.gateways {
 			if g != nil && (int(m.now/ms/10)+i)%5 == 0 {
 				m.do(i, Timer{Token: "tick"})
 			}
@@ -128,8 +128,8 @@
 	}
 }
 
-// most is the most sends of a kind in any span of such a length.
-func (m *serviceGateways) most(span time.Duration, kind func(s sending) bool) (n int) {
+// maxSendsIn is the most sends of a kind in any span of such a length.
+func (m *serviceGateways) maxSendsIn(span time.Duration, kind func(s sentAttempt) bool) (n int) {
 	var in []time.Duration
 	for _, s := range m.sends {
 		if !kind(s) {
--- a/policy/store.go
+++ b/policy/store.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// account starts a customer's counts. Those who sum them come first: in a
+// addCustomer starts a customer's counts. Those who sum them come first: in a
 // small fleet all its gateways, in a large one its roots. The others ask.
-func (g *Gateway) account(key uint64, plan *planState, first, spread int) *customer {
+func (g *Gateway) addCustomer(key uint64, plan *planState, first, spread int) *customer {
 	if spread = max(1, min(spread, g.cfg.Gateways)); g.cfg.MultiService != nil {
 		spread = g.cfg.Gateways // which may have come while the request was on its way here
 	}
-	c := &customer{key: key, hash: shortOf(key), plan: plan, parts: float64(spread), bucket: plan.Burst,
+	c := &customer{key: key, hash: shortHash(key), plan: plan, parts: float64(spread), bucket: plan.Burst,
 		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: first, gatewayCount: spread, refilledAt: g.now,
 		inFlightAt: g.now, createdAt: g.now}
 	if g.ceilingParts > 0 {
-		c.parts = g.ownOf(float64(g.ceilingParts))
+		c.parts = g.ceilingDivisor(float64(g.ceilingParts))
 	}
 	roots, deputy := g.roots(c)
 	if g.borrows {
-		g.deal(c)
+		g.assignCeilingPart(c)
 	} else if slices.Contains(roots, g.cfg.Me) || !g.usesRoots {
 		g.addViews(c, roots)
 	} else if plan.Rate > 0 || plan.MaxInFlight > 0 {
 		c.askRoots = []int{roots[g.cfg.Me%len(roots)], deputy}
 	}
 	if g.usesRoots { // each has a part of the ceiling, those who grant have more: all parts make one whole
-		part := memberPart / float64(spread)
+		part := dealtCeilingShare / float64(spread)
 		if slices.Contains(roots, g.cfg.Me) {
-			part += (1 - memberPart - deputyPart) / float64(len(roots))
+			part += (1 - dealtCeilingShare - deputyCeilingShare) / float64(len(roots))
 		} else if deputy == g.cfg.Me {
-			part += deputyPart
+			part += deputyCeilingShare
 		}
 		c.parts = 1 / part
 	}
 	// A restarted root knows nothing: it must not grant a whole store again.
 	if g.usesRoots && plan.Rate > 0 && (g.now-g.startedAt).Seconds() < plan.Burst/plan.Rate {
-		c.bucket *= freshFill
+		c.bucket *= restartedBucketFill
 	}
 	// The ceiling's own part starts empty at the gateway's start: after a
 	// restart it must not be granted a second time.
@@ -58,17 +58,17 @@
 	c.refilledAt = g.now
 	unheard := 0.0
 	for _, v := range c.views {
-		if g.silent(v.peer) {
-			unheard += g.weight(c, v)
+		if g.isSilent(v.peer) {
+			unheard += g.peerDemand(c, v)
 		}
 	}
-	share := 1 - unheard/g.demand(c)
+	share := 1 - unheard/g.totalDemand(c)
 	if len(c.askRoots) > 0 && !c.countsForOthers {
 		share = 1 / float64(c.gatewayCount) // what others pass is the root's to know
 	}
 	c.bucket = min(c.plan.Burst, c.bucket+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+c.plan.HardRate/c.parts*dt))
-	k := math.Exp(-dt / demandSpan.Seconds())
+	k := math.Exp(-dt / demandTimeConstant.Seconds())
 	c.demand, c.slotDemand = c.demand*k, c.slotDemand*k
 	for _, v := range c.views {
 		v.demand *= k
@@ -78,51 +78,53 @@
 	}
 }
 
-// silent tells whether a peer's counts are too old to be used.
-func (g *Gateway) silent(p *peer) bool {
-	return !p.reported || g.now-p.reportedAt > staleTicks*g.span()
+// isSilent tells whether a peer's counts are too old to be used.
+func (g *Gateway) isSilent(p *peer) bool {
+	return !p.reported || g.now-p.reportedAt > staleAfterReports*g.reportInterval()
 }
 
-// even is the demand taken for granted: a fresh customer's split is even.
-func (g *Gateway) even(c *customer) float64 { return evenRate*c.plan.Rate + evenLeast }
+// assumedDemand is the demand taken for granted: a fresh customer's split is even.
+func (g *Gateway) assumedDemand(c *customer) float64 {
+	return assumedDemandShare*c.plan.Rate + minAssumedDemand
+}
 
-// weight is a peer's demand in the demand split. One not heard for long counts as much as this
+// peerDemand is a peer's demand in the demand split. One not heard for long counts as much as this
 // gateway, then less, but never nothing: it may be cut off and passing its part, or dead for good.
-func (g *Gateway) weight(c *customer, v *peerView) float64 {
+func (g *Gateway) peerDemand(c *customer, v *peerView) float64 {
 	w := v.demand
-	if g.silent(v.peer) {
-		fade := math.Exp(-(g.now - max(v.peer.reportedAt, g.startedAt)).Seconds() / forgetAfter.Seconds())
-		w = max(w, c.demand) * (leastWeight + (1-leastWeight)*fade)
+	if g.isSilent(v.peer) {
+		fade := math.Exp(-(g.now - max(v.peer.reportedAt, g.startedAt)).Seconds() / idleExpiry.Seconds())
+		w = max(w, c.demand) * (minSilentWeight + (1-minSilentWeight)*fade)
 	}
-	return w/demandSpan.Seconds() + g.even(c)
+	return w/demandTimeConstant.Seconds() + g.assumedDemand(c)
 }
 
-// demand is all gateways' demand in units a second, this one's included.
-func (g *Gateway) demand(c *customer) float64 {
-	sum := c.demand/demandSpan.Seconds() + g.even(c)
+// totalDemand is all gateways' demand in units a second, this one's included.
+func (g *Gateway) totalDemand(c *customer) float64 {
+	sum := c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)
 	for _, v := range c.views {
-		sum += g.weight(c, v)
+		sum += g.peerDemand(c, v)
 	}
 	return sum
 }
 
-func (g *Gateway) share(c *customer) float64 {
-	return (c.demand/demandSpan.Seconds() + g.even(c)) / g.demand(c)
+func (g *Gateway) demandShare(c *customer) float64 {
+	return (c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
 }
 
 // allowance is what this gateway may pass of the customer's store now: its demand-split part, or what is left
 // once the peers have passed all they may be asked for before they are heard again, whichever is more.
 func (g *Gateway) allowance(c *customer) float64 {
-	blind := (g.span() + blindExtra).Seconds()
+	blind := (g.reportInterval() + reportTransitTime).Seconds()
 	unseen := 0.0
 	for _, v := range c.views {
 		wait := blind
 		if !v.peer.complete {
-			wait += min(g.now-v.reportedAt, staleTicks*g.span()).Seconds()
+			wait += min(g.now-v.reportedAt, staleAfterReports*g.reportInterval()).Seconds()
 		}
-		unseen += g.weight(c, v) * wait
+		unseen += g.peerDemand(c, v) * wait
 	}
-	return max(c.bucket*g.share(c), c.bucket-unseen)
+	return max(c.bucket*g.demandShare(c), c.bucket-unseen)
 }
 
 // lend gives peers of the ceiling's part here what this gateway does not need and they ask for
@@ -133,25 +135,25 @@
 		return
 	}
 	g.advance(c)
-	if c.onLoan *= math.Exp(-dt.Seconds() / lendSpan.Seconds()); c.onLoan < 1/lendScale/16 {
+	if c.onLoan *= math.Exp(-dt.Seconds() / loanTransitTime.Seconds()); c.onLoan < 1/lendPartsPerUnit/16 {
 		c.onLoan = 0
 	}
 	part, want := c.plan.HardRate/c.parts, 0.0
 	if g.cfg.MultiService != nil {
-		part *= lendFrom
+		part *= lendThresholdShare
 	}
 	for _, v := range c.views {
 		v.wantedUnits = 0
-		if !g.silent(v.peer) {
-			v.wantedUnits = max(0, v.demand/demandSpan.Seconds()-part) * dt.Seconds() * lendMost
+		if !g.isSilent(v.peer) {
+			v.wantedUnits = max(0, v.demand/demandTimeConstant.Seconds()-part) * dt.Seconds() * maxLoanFactor
 		}
 		want += v.wantedUnits
 	}
-	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandSpan.Seconds()*lendAhead.Seconds()
+	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandTimeConstant.Seconds()*unlentDemandSpan.Seconds()
 	for _, v := range c.views {
-		n := min(lendScale*30, math.Floor(lendScale*v.wantedUnits*min(1, max(0, spare)/max(want, 1e-9))))
+		n := min(lendPartsPerUnit*30, math.Floor(lendPartsPerUnit*v.wantedUnits*min(1, max(0, spare)/max(want, 1e-9))))
 		v.lentTotal += byte(n)
-		c.ceiling, c.onLoan = c.ceiling-n/lendScale, c.onLoan+n/lendScale
+		c.ceiling, c.onLoan = c.ceiling-n/lendPartsPerUnit, c.onLoan+n/lendPartsPerUnit
 		if n > 0 {
 			c.reportsLeft = max(c.reportsLeft, 1)
 		}
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -14,33 +14,33 @@
 	}
 }
 
-func TestHeardUnitsAreTakenOff(t *testing.T) {
+func TestReportedUnitsAreDeducted(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tell func(w *testGateway)
 		most int
 	}{
 		{"told", func(w *testGateway) {
-			w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+			w.report(1, 1, 2, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 		}, 2},
 		{"repeated", func(w *testGateway) {
 			for range 3 {
-				w.report(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+				w.report(1, 1, 2, true, customerEntry{hash: hashOf("c"), passed: 4, bucketFill: unknownFill})
 			}
 		}, 6},
 		{"lost, then told", func(w *testGateway) {
-			w.report(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
-			w.report(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+			w.report(1, 1, 9, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
+			w.report(1, 1, 3, true, customerEntry{hash: hashOf("c"), passed: 4, bucketFill: unknownFill})
 		}, 2},
 		{"restarted", func(w *testGateway) {
-			w.report(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+			w.report(1, 2, 1, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newTestGateway(t, testSettings(), testServers(8))
 			w.requestMany(1, "rate")
 			w.advance(600 * ms)
-			w.report(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
+			w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), bucketFill: unknownFill})
 			c.tell(w)
 			if n := w.requestMany(30, "rate"); n > c.most || n == 0 && c.most > 3 {
 				t.Fatalf("%d units passed, at most %d are left", n, c.most)
@@ -49,10 +49,10 @@
 	}
 }
 
-func TestRestartAdoptsPeersStore(t *testing.T) {
+func TestRestartAdoptsPeerBucket(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "rate")
-	w.report(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
+	w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), passed: 100, bucketFill: 25})
 	if n := w.requestMany(20, "rate"); n > 1 {
 		t.Fatalf("%d units passed though a peer knows of one", n)
 	}
@@ -61,7 +61,7 @@
 func TestSilentPeerNeitherFreesNorBlocks(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "open")
-	w.report(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
+	w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 6, held: 3, bucketFill: unknownFill})
 	w.advance(3 * time.Second)
 	if n := w.requestMany(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
@@ -76,7 +76,7 @@
 
 // A client refused for its quota is told when the store will have what it asks
 // for: told to wait for longer it would come back too late to be served.
-func TestAdviceFollowsTheStore(t *testing.T) {
+func TestRetryAfterFollowsBucket(t *testing.T) {
 	set := testSettings()
 	set.MaxRetryAfter = 5 * time.Second
 	w := newTestGateway(t, set, testServers(3))
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestSettledUnitsComeOff(t *testing.T) {
+func TestSettledUnitsAreDeducted(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.report(1, 1, 1, true)
 	s := w.send("safe", "rate")
@@ -101,7 +101,7 @@
 }
 
 // A peer cut off or never heard leaves this gateway its part, not the whole.
-func TestUnheardPeerKeepsItsPart(t *testing.T) {
+func TestSilentPeerKeepsItsShare(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "rate")
 	w.advance(60 * time.Second)
@@ -118,7 +118,7 @@
 
 // A customer is forgotten once a fresh start comes to the same; the store must
 // be full by then, and what others do with it must not be lost sight of.
-func TestIdleCustomersAreForgotten(t *testing.T) {
+func TestIdleCustomersAreDropped(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 50 {
 		_, acts := w.request("safe", "rate", fmt.Sprint(i), 1)
@@ -127,7 +127,7 @@
 	}
 	c := w.g.customers[keyOf("7")]
 	c.bucket = -500 // settled: not full for long
-	w.advance(forgetAfter + 3*time.Second)
+	w.advance(idleExpiry + 3*time.Second)
 	w.requestMany(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
 		t.Fatalf("%d customers known, want 2", n)
@@ -139,14 +139,14 @@
 
 // A gateway that forgot a customer begins its total anew: peers must take the
 // new units off, and give none of the old ones back.
-func TestTotalThatBeginsAnewGrantsNothing(t *testing.T) {
+func TestRestartedTotalGrantsNothing(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
 	seq := uint32(0)
 	say := func(passed byte, anew bool) float64 {
 		seq++
-		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: anew, store: unknownStore}}}
+		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: anew, bucketFill: unknownFill}}}
 		w.g.advance(c)
 		before := c.bucket
 		w.do(PeerMessage{From: 1, Data: m.encode()})
@@ -158,19 +158,19 @@
 	if d := say(5, true); d != 2 {
 		t.Errorf("%v units taken off when the total goes from 3 to 5", d)
 	}
-	w.advance(anewFor + time.Second)
+	w.advance(newTotalSpan + time.Second)
 	if d := say(1, true); d != 1 {
 		t.Errorf("%v units taken off when a total begins anew with 1", d)
 	}
 }
 
 // What a peer just met says of the store is heeded: it may be full here only.
-func TestPeerJustMetTellsOfItsStore(t *testing.T) {
+func TestNewPeerReportsItsBucket(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	w.advance(5 * time.Second)
 	w.requestMany(1, "rate")
 	c := w.g.customers[keyOf("c")]
-	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, store: 50}}}
+	m := report{incarnation: 9, seq: 1, complete: true, customers: []customerEntry{{hash: c.hash, passed: 144, bucketFill: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
 	if c.bucket > 2 {
 		t.Errorf("%v units in the store that a peer holds to have 2", c.bucket)
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -7,38 +7,38 @@
 	"slices"
 )
 
-// forget drops the servers that are gone for good and the customers for whom a
+// dropExpired drops the servers that are gone for good and the customers for whom a
 // fresh start would come to the same.
-func (g *Gateway) forget() {
+func (g *Gateway) dropExpired() {
 	g.serverList = slices.DeleteFunc(g.serverList, func(s *server) bool {
-		if s.State != Removed || s.inFlight > 0 || g.now-s.removedAt < forgetAfter {
+		if s.State != Removed || s.inFlight > 0 || g.now-s.removedAt < idleExpiry {
 			return false
 		}
 		delete(g.servers, s.ID)
 		return true
 	})
 	g.customerList = slices.DeleteFunc(g.customerList, func(c *customer) bool {
-		if !g.spent(c) {
+		if !g.canExpire(c) {
 			return false
 		}
 		delete(g.customers, c.key)
 		for _, v := range c.views {
 			v.peer.views = slices.DeleteFunc(v.peer.views, func(o *peerView) bool { return o == v })
 		}
-		g.unname(c)
+		g.removeHash(c)
 		return true
 	})
 }
 
-// spent tells whether nothing is left of a customer: its store and its ceiling
+// canExpire tells whether nothing is left of a customer: its store and its ceiling
 // are full again, nobody has anything out or held, and nothing is left to tell.
-func (g *Gateway) spent(c *customer) bool {
-	if c.inFlight > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.news() || c.inFlightSeconds > 0 ||
-		g.now-c.lastRequestAt < forgetAfter {
+func (g *Gateway) canExpire(c *customer) bool {
+	if c.inFlight > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.hasNews() || c.inFlightSeconds > 0 ||
+		g.now-c.lastRequestAt < idleExpiry {
 		return false
 	}
 	for _, v := range c.views {
-		if v.inFlight > 0 || v.held > 0 || v.reported && g.now-v.reportedAt < forgetAfter {
+		if v.inFlight > 0 || v.held > 0 || v.reported && g.now-v.reportedAt < idleExpiry {
 			return false
 		}
 	}
@@ -46,9 +46,9 @@
 	return (c.plan.Rate == 0 || c.bucket >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.parts)
 }
 
-// unname takes a customer's short hash out; another of the same hash has it for
+// removeHash takes a customer's short hash out; another of the same hash has it for
 // itself then.
-func (g *Gateway) unname(c *customer) {
+func (g *Gateway) removeHash(c *customer) {
 	if g.customersByHash[c.hash] == c {
 		delete(g.customersByHash, c.hash)
 		return
@@ -86,7 +86,7 @@
 	return g
 }
 
-func (g *Gateway) allPeers() {
+func (g *Gateway) createAllPeers() {
 	for i := range g.peers {
 		g.peerAt(i)
 	}
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// onTerms takes over classes and plans. What was learned of them stays.
-func (g *Gateway) onTerms(ev ConfigUpdate) {
+// onConfigUpdate takes over classes and plans. What was learned of them stays.
+func (g *Gateway) onConfigUpdate(ev ConfigUpdate) {
 	for _, p := range ev.Plans {
 		if q := g.plans[p.Name]; q != nil {
 			q.Plan = p
@@ -24,50 +24,50 @@
 			c.Class = cl
 			continue
 		}
-		g.classes[cl.Name] = &class{Class: cl, index: len(g.cfg.Classes), mean: cl.LatencyTarget.Seconds() / firstGuess}
+		g.classes[cl.Name] = &class{Class: cl, index: len(g.cfg.Classes), mean: cl.LatencyTarget.Seconds() / initialLatencyDivisor}
 		g.cfg.Classes = append(g.cfg.Classes, cl)
 		g.minTarget = min(g.minTarget, cl.LatencyTarget.Seconds())
 	}
 	for _, c := range g.customerList {
-		g.cap(c, c.plan.HardBurst/c.parts)
+		g.capCeiling(c, c.plan.HardBurst/c.parts)
 	}
 }
 
-// cap lets go of what a customer's ceiling holds beyond its part. Where all was given up, what is left is for those
+// capCeiling lets go of what a customer's ceiling holds beyond its part. Where all was given up, what is left is for those
 // that are held.
-func (g *Gateway) cap(c *customer, most float64) {
+func (g *Gateway) capCeiling(c *customer, most float64) {
 	if g.unusedShare < 1 {
 		c.ceiling = min(c.ceiling, most)
 	}
 }
 
-// onPeers takes over another number of gateways.
-func (g *Gateway) onPeers(ev GatewaySet) {
+// onGatewaySet takes over another number of gateways.
+func (g *Gateway) onGatewaySet(ev GatewaySet) {
 	g.cfg.Me, g.cfg.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
 	g.gatewayRegions = ev.Regions
 	g.ceilingParts, g.unusedShare, g.noColdSends = ev.CeilingParts, ev.UnusedShare, ev.NoColdSends || ev.UnusedShare > 0
 	g.regions = slices.Compact(slices.Sorted(slices.Values(ev.Regions)))
 	g.regions = slices.DeleteFunc(g.regions, func(r string) bool { return r == "" })
-	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > wideBeyond && len(g.regions) > 0
+	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > borrowBeyondGateways && len(g.regions) > 0
 	for len(g.peers) < g.cfg.Gateways {
 		g.peers = append(g.peers, nil)
 	}
-	g.allPeers()
+	g.createAllPeers()
 	for _, p := range g.peers {
-		if g.gone(p) {
+		if g.isNotPeer(p) {
 			p.views = nil
 		}
 	}
 	for _, c := range g.customerList {
-		g.remake(c)
+		g.updateGatewayCount(c)
 	}
 	for _, s := range g.serverList {
-		s.watchers, s.coldSendQuota = [2]int{ev.Me, ev.Me}, g.coldSends(s.Server)
+		s.watchers, s.coldSendQuota = [2]int{ev.Me, ev.Me}, g.coldSendBudget(s.Server)
 	}
 }
 
-// planOf finds the plan of a customer by its key, where each has its own.
-func (g *Gateway) planOf(key uint64) *planState {
+// planForKey finds the plan of a customer by its key, where each has its own.
+func (g *Gateway) planForKey(key uint64) *planState {
 	for name, q := range g.plans {
 		if keyOf(name) == key {
 			return q
@@ -76,63 +76,65 @@
 	return nil
 }
 
-// remake gives a customer's counts another number of gateways.
-func (g *Gateway) remake(c *customer) {
-	c.gatewayCount, c.parts = g.cfg.Gateways, g.ownOf(float64(g.shares()))
+// updateGatewayCount gives a customer's counts another number of gateways.
+func (g *Gateway) updateGatewayCount(c *customer) {
+	c.gatewayCount, c.parts = g.cfg.Gateways, g.ceilingDivisor(float64(g.ceilingPartCount()))
 	if g.borrows {
-		g.deal(c)
+		g.assignCeilingPart(c)
 		c.views = nil
-		g.cap(c, max(1, c.plan.HardBurst/c.parts))
+		g.capCeiling(c, max(1, c.plan.HardBurst/c.parts))
 		return
 	}
-	g.cap(c, c.plan.HardBurst/c.parts)
-	c.views = slices.DeleteFunc(c.views, func(v *peerView) bool { return g.gone(v.peer) })
+	g.capCeiling(c, c.plan.HardBurst/c.parts)
+	c.views = slices.DeleteFunc(c.views, func(v *peerView) bool { return g.isNotPeer(v.peer) })
 	var missing []int
 	for i := range g.cfg.Gateways {
-		if p := g.peerAt(i); !g.gone(p) && c.viewOf(p) == nil {
+		if p := g.peerAt(i); !g.isNotPeer(p) && c.viewOf(p) == nil {
 			missing = append(missing, i)
 		}
 	}
 	g.addViews(c, missing)
 }
 
-// ownOf is the number of parts of which one is this gateway's, where so many were without what it leaves unused.
-func (g *Gateway) ownOf(n float64) float64 { return n / max(leastPart, 1-g.unusedShare) }
+// ceilingDivisor is the number of parts of which one is this gateway's, where so many were without what it leaves unused.
+func (g *Gateway) ceilingDivisor(n float64) float64 { return n / max(minCeilingShare, 1-g.unusedShare) }
 
-// onYield gives up what is held here of ceilings.
-func (g *Gateway) onYield() {
+// onRelinquish gives up what is held here of ceilings.
+func (g *Gateway) onRelinquish() {
 	g.unusedShare, g.noColdSends = 1, true
 	clear(g.retryBudgets)
 	for _, c := range g.customerList {
 		if g.advance(c); c.plan.HardRate > 0 {
 			n := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.cfg.MaxRequestUnits))
 			c.ceiling -= n
-			if to := g.heirs(c); n > 0 && len(to) > 0 {
+			if to := g.unitRecipients(c); n > 0 && len(to) > 0 {
 				g.emit(OfferUnits{Customer: c.key, Units: uint16(min(n, math.MaxUint16)), Candidates: to})
 			}
 		}
-		c.parts = g.ownOf(float64(g.shares()))
+		c.parts = g.ceilingDivisor(float64(g.ceilingPartCount()))
 	}
 	for _, s := range g.serverList {
 		s.coldSendQuota = 0
 	}
 }
 
-// heirs are the gateways that may take over what a customer has here: of this region, by rendezvous, as owners are.
-func (g *Gateway) heirs(c *customer) (list []int) {
+// unitRecipients are the gateways that may take over what a customer has here: of this region, by rendezvous, as owners are.
+func (g *Gateway) unitRecipients(c *customer) (list []int) {
 	for i, r := range g.gatewayRegions {
 		if i != g.cfg.Me && g.cfg.Me < len(g.gatewayRegions) && r == g.gatewayRegions[g.cfg.Me] {
 			list = append(list, i)
 		}
 	}
-	slices.SortFunc(list, func(a, b int) int { return cmp.Compare(mixed(c.hash, uint32(b)), mixed(c.hash, uint32(a))) })
-	return list[:min(len(list), heirsMost)]
+	slices.SortFunc(list, func(a, b int) int {
+		return cmp.Compare(hashFraction(c.hash, uint32(b)), hashFraction(c.hash, uint32(a)))
+	})
+	return list[:min(len(list), maxRecipients)]
 }
 
 // lenders are the gateways to ask, where reports go from all to all, for the units that a request lacks here though its
 // customer as a whole has some: those of this region first, then those that are asked for least.
 func (g *Gateway) lenders(r *request) (list []int) {
-	dry := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < dryFor
+	dry := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < borrowPause
 	if g.cfg.MultiService == nil || g.unusedShare >= 1 || dry || g.allowance(r.customer) < r.units {
 		return nil
 	}
@@ -144,43 +146,43 @@
 	}
 	slices.SortFunc(r.customer.views, func(a, b *peerView) int { return cmp.Or(far(a)-far(b), cmp.Compare(a.demand, b.demand)) })
 	for _, v := range r.customer.views {
-		if !g.silent(v.peer) && len(list) < lendersMost {
+		if !g.isSilent(v.peer) && len(list) < maxLenders {
 			list = append(list, v.peer.index)
 		}
 	}
 	return list
 }
 
-// tired tells whether a request has been waiting for so long that no further lender is asked for it.
-func (g *Gateway) tired(r *request) bool { return g.now-r.arrivedAt > g.maxHold(r)/2 }
+// pastLoanDeadline tells whether a request has been waiting for so long that no further lender is asked for it.
+func (g *Gateway) pastLoanDeadline(r *request) bool { return g.now-r.arrivedAt > g.maxHold(r)/2 }
 
 const (
-	heirsMost   = 3 // that are asked whether they take over
-	lendersMost = 4 // that are asked for the units of a request
+	maxRecipients = 3 // that are asked whether they take over
+	maxLenders    = 4 // that are asked for the units of a request
 )
 
-// onGiven takes units over, as far as there is room: all parts together stay one whole.
-func (g *Gateway) onGiven(ev UnitsReceived) {
+// onUnitsReceived takes units over, as far as there is room: all parts together stay one whole.
+func (g *Gateway) onUnitsReceived(ev UnitsReceived) {
 	c := g.customers[ev.Customer]
 	if c == nil {
-		plan := g.planOf(ev.Customer)
+		plan := g.planForKey(ev.Customer)
 		if plan == nil {
 			return
 		}
-		c = g.account(ev.Customer, plan, 0, g.cfg.Gateways)
+		c = g.addCustomer(ev.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
 	c.lastRequestAt = g.now
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+float64(ev.Units)))
 }
 
-// gone tells whether a peer's number is no peer's any more: it is this gateway's, or none's.
-func (g *Gateway) gone(p *peer) bool {
+// isNotPeer tells whether a peer's number is no peer's any more: it is this gateway's, or none's.
+func (g *Gateway) isNotPeer(p *peer) bool {
 	return p.index == g.cfg.Me || p.index >= g.cfg.Gateways || len(g.gatewayRegions) > p.index && g.gatewayRegions[p.index] == ""
 }
 
-// shares is in how many parts ceilings are divided.
-func (g *Gateway) shares() int {
+// ceilingPartCount is in how many parts ceilings are divided.
+func (g *Gateway) ceilingPartCount() int {
 	if g.ceilingParts > 0 {
 		return g.ceilingParts
 	}
@@ -196,26 +198,26 @@
 	g := newGateway(s, seed)
 	g.minTarget = math.Inf(1)
 	for _, c := range g.classes {
-		c.mean = c.LatencyTarget.Seconds() / firstGuess
+		c.mean = c.LatencyTarget.Seconds() / initialLatencyDivisor
 		g.meanLatency, g.minTarget = max(g.meanLatency, c.mean), min(g.minTarget, c.LatencyTarget.Seconds())
 	}
-	mail := max(s.MessagesPerSecond*mailShare, 1)
+	mail := max(s.MessagesPerSecond*reportIntakeShare, 1)
 	g.tickInterval = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
-	g.ownOutcomeWeight, g.admitShare, g.answeredShare = learn, 1, 1
-	g.nextTag, g.meanReplyTime = g.rng.Uint32(), leastReply
-	if g.usesRoots = g.tickInterval > treeBeyond*maxTick && s.CanMessagePeers && s.MultiService == nil; g.usesRoots {
+	g.ownOutcomeWeight, g.admitShare, g.answeredShare = learningRate, 1, 1
+	g.nextTag, g.meanReplyTime = g.rng.Uint32(), minReplyWait
+	if g.usesRoots = g.tickInterval > useRootsTickFactor*maxTick && s.CanMessagePeers && s.MultiService == nil; g.usesRoots {
 		g.ownOutcomeWeight = 0 // what the watchers tell is more than what this gateway sees
 	} else {
-		g.allPeers()
+		g.createAllPeers()
 	}
 	g.tickInterval = max(min(max(g.tickInterval, minTick), maxTick), s.Resolution)
-	g.setField()
+	g.applyMultiService()
 	return g, nil
 }
 
-// setField starts what many services need: short ticks, on which only some reports go.
-func (g *Gateway) setField() {
+// applyMultiService starts what many services need: short ticks, on which only some reports go.
+func (g *Gateway) applyMultiService() {
 	if f := g.cfg.MultiService; f != nil {
-		g.reportTicks, g.tickInterval = uint32(max(1, f.ReportInterval/fieldTick)), fieldTick
+		g.reportTicks, g.tickInterval = uint32(max(1, f.ReportInterval/multiServiceTick)), multiServiceTick
 	}
 }
--- a/policy/testgateway_test.go
+++ b/policy/testgateway_test.go
@@ -103,13 +103,13 @@
 }
 
 // report gives the gateway a peer's report.
-func (w *testGateway) report(from int, inc, seq uint32, complete bool, entries ...entry) {
-	m := report{inc: inc, seq: seq, complete: complete, customers: entries}
+func (w *testGateway) report(from int, inc, seq uint32, complete bool, entries ...customerEntry) {
+	m := report{incarnation: inc, seq: seq, complete: complete, customers: entries}
 	w.do(PeerMessage{From: from, Data: m.encode()})
 }
 
 func hashOf(name string) uint32 {
-	return shortOf(keyOf(name))
+	return shortHash(keyOf(name))
 }
 
 // requestMany makes n requests of one unit and returns how many were sent to a server.
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -2,14 +2,14 @@
 
 // How far servers are trusted, by what all gateways saw together; who sums that up tells it with Trusts.
 
-// trusted tells whether a request may go to a server, if only as a trial.
-func (s *server) trusted(r *request) bool {
+// allowedByTrust tells whether a request may go to a server, if only as a trial.
+func (s *server) allowedByTrust(r *request) bool {
 	l := s.trust.Level
-	return l <= Suspect || l == SafeOnly && r.effect == Safe || s.tries(r)
+	return l <= Suspect || l == SafeOnly && r.effect == Safe || s.mayTakeTrial(r)
 }
 
-// tries tells whether a request may go to a server as a trial: the first attempt of one that shows what is
+// mayTakeTrial tells whether a request may go to a server as a trial: the first attempt of one that shows what is
 // to be shown next. Of a server that is trusted with nothing these are requests that may run again, at first.
-func (s *server) tries(r *request) bool {
+func (s *server) mayTakeTrial(r *request) bool {
 	return s.trust.Trial && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == TrialsOnly)
 }
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -12,7 +12,7 @@
 // have room, and the rest goes on wherever it may.
 func TestTrust(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, err := New(fieldSet(), rapid.Uint64().Draw(t, "seed"))
+		g, err := New(multiServiceSettings(), rapid.Uint64().Draw(t, "seed"))
 		assert.NilError(t, err)
 		now, id := time.Second, RequestID(0)
 		tell := func(ev Event) (sent []Send) {
@@ -24,11 +24,11 @@
 			}
 			return sent
 		}
-		list := fieldServers(4, "desk")
+		list := makeServers(4, "desk")
 		for i := range list {
 			list[i].Slots = 2
 		}
-		tell(fieldTerms(Plan{Name: "p"}))
+		tell(multiServiceConfig(Plan{Name: "p"}))
 		tell(GatewaySet{Gateways: 1})
 		tell(ServerList{Kind: CompleteList, Servers: list})
 		trust := TrustUpdate{Servers: map[ServerID]Trust{list[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, list[1].ID: {Level: Suspect}}}
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -9,9 +9,9 @@
 	"slices"
 )
 
-// deal finds a customer's owners and sets its part of the ceiling here. All parts together make one
+// assignCeilingPart finds a customer's owners and sets its part of the ceiling here. All parts together make one
 // whole, whoever is heard: an owner takes off what it lends before the borrower has it.
-func (g *Gateway) deal(c *customer) {
+func (g *Gateway) assignCeilingPart(c *customer) {
 	all, mine := 0, false
 	c.owners = nil // those of the own region first
 	for _, region := range g.regions {
@@ -22,24 +22,24 @@
 			}
 		}
 		slices.SortFunc(list, func(a, b int) int {
-			return cmp.Compare(mixed(c.hash, uint32(b)), mixed(c.hash, uint32(a)))
+			return cmp.Compare(hashFraction(c.hash, uint32(b)), hashFraction(c.hash, uint32(a)))
 		})
-		list = list[:min(len(list), ownersEach)]
+		list = list[:min(len(list), ownersPerRegion)]
 		all, mine = all+len(list), mine || slices.Contains(list, g.cfg.Me)
 		if g.cfg.Me < len(g.gatewayRegions) && region == g.gatewayRegions[g.cfg.Me] {
 			list, c.owners = append(list, c.owners...), nil
 		}
 		c.owners = append(c.owners, list...)
 	}
-	dealt := memberPart
-	if c.plan.HardBurst*dealt/float64(g.shares()) < leastDealt {
+	dealt := dealtCeilingShare
+	if c.plan.HardBurst*dealt/float64(g.ceilingPartCount()) < minDealtUnits {
 		dealt = 0
 	}
-	part := dealt / float64(g.shares())
+	part := dealt / float64(g.ceilingPartCount())
 	if mine {
 		part += (1 - dealt) / float64(all)
 	}
-	c.parts = g.ownOf(1 / max(part, leastPart))
+	c.parts = g.ceilingDivisor(1 / max(part, minCeilingShare))
 }
 
 // mayBorrow tells whether there is somebody to ask for the units that a request's customer lacks here.
@@ -56,14 +56,14 @@
 		to := r.customer.owners[r.askCount]
 		r.askCount++
 		p := g.peerAt(to)
-		if to == g.cfg.Me || p.missed >= rootAsks && g.now-p.missedAt < rootRest || !g.borrows && g.tired(r) {
+		if to == g.cfg.Me || p.missed >= maxRootAsks && g.now-p.missedAt < unresponsivePause || !g.borrows && g.pastLoanDeadline(r) {
 			continue
 		}
 		g.nextTag++
-		r.tag, r.root, r.askedAt, r.askUntil = g.nextTag, to, g.now, g.now+borrowWait
+		r.tag, r.root, r.askedAt, r.askUntil = g.nextTag, to, g.now, g.now+loanTimeout
 		g.pendingAsks[r.tag], g.askTimeouts = r, append(g.askTimeouts, r)
 		g.emit(SendPeer{To: to, Data: encode(loanRequest{r.customer.key, r.tag, uint16(math.Ceil(r.units))})})
-		g.emit(SetTimer{Token: "ask", After: borrowWait})
+		g.emit(SetTimer{Token: "ask", After: loanTimeout})
 		return
 	}
 	if r.overQuota = g.borrows; r.overQuota {
@@ -74,15 +74,15 @@
 	}
 }
 
-// onWant lends what a peer asks for, if it is here.
-func (g *Gateway) onWant(from int, m loanRequest) {
+// onLoanRequest lends what a peer asks for, if it is here.
+func (g *Gateway) onLoanRequest(from int, m loanRequest) {
 	c := g.customers[m.Customer]
 	if c == nil {
-		plan := g.planOf(m.Customer)
+		plan := g.planForKey(m.Customer)
 		if plan == nil {
 			return // its configuration is not here yet; the asker goes on to another
 		}
-		c = g.account(m.Customer, plan, 0, g.cfg.Gateways)
+		c = g.addCustomer(m.Customer, plan, 0, g.cfg.Gateways)
 	}
 	g.advance(c)
 	c.lastRequestAt = g.now
@@ -97,8 +97,8 @@
 	g.emit(SendPeer{To: from, Data: encode(answer)})
 }
 
-// unanswered notes that an owner did not answer, and asks another.
-func (g *Gateway) unanswered(r *request) {
+// onLoanTimeout notes that an owner did not answer, and asks another.
+func (g *Gateway) onLoanTimeout(r *request) {
 	p := g.peerAt(r.root)
 	p.missed, p.missedAt = p.missed+1, g.now
 	g.borrow(r)
