--- a/policy/choose.go
+++ b/policy/choose.go
@@ -1,6 +1,6 @@
 package policy
 
-// Which server an attempt goes to.
+// Server selection: which server an attempt is sent to.
 
 import (
 	"math"
@@ -61,8 +61,8 @@
 	return s.Service == r.service && (len(r.regions) == 0 || slices.Contains(r.regions, s.Region))
 }
 
-// usable tells whether a request may go to a server at all: running, not ejected (but for a trial),
-// inside its group and window once it may have run, and inside the budget of a cold server.
+// usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
+// budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
 	if s.State != Running || !s.canServe(r) || !g.hasColdBudget(s) ||
 		g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
@@ -100,7 +100,7 @@
 	if rank >= owners || g.noColdSends {
 		return 0
 	}
-	return int(most) / owners
+	return int(budget) / owners
 }
 
 // hasColdBudget tells whether a cold server's budget here has room for one more send.
@@ -108,8 +108,7 @@
 	if g.now >= s.ColdUntil {
 		return true
 	}
-	s.sends = slices.DeleteFunc(s.sends,
-		func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
+	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
 	return len(s.sends) < s.coldSendQuota
 }
 
@@ -133,10 +132,10 @@
 				v.nextTrial = g.now + v.trialBackoff
 				return s
 			}
-			doubted = append(doubted, s)
+			ejected = append(ejected, s)
 			continue
 		}
-		ok = append(ok, s)
+		candidates = append(candidates, s)
 	}
 	if float64(len(doubted)) > maxEjectedShare*float64(len(ok)+len(doubted)) {
 		ok = append(ok, doubted...)
@@ -160,8 +159,8 @@
 		if s.Zone != g.cfg.Zone {
 			p += r.class.mean * g.cfg.CrossZoneCost * serviceTimesPerZoneCharge
 		}
-		if p < low {
-			best, low = s, p
+		if predicted < lowest {
+			best, lowest = s, predicted
 		}
 	}
 	return best
@@ -182,11 +181,11 @@
 		if len(r.regions) == 0 && g.now < s.scarceUntil {
 			p += regionBoundPenaltyShare * r.class.LatencyTarget.Seconds() // others can go nowhere else
 		}
-		if p < low {
-			best, low = s, p
+		if predicted < lowest {
+			best, lowest = s, predicted
 		}
 	}
-	for _, s := range ok {
+	for _, s := range candidates {
 		if best == nil && len(r.regions) > 0 {
 			s.scarceUntil = g.now + serverLoadDecayTime
 		}
@@ -204,7 +203,7 @@
 		if s.Zone != g.cfg.Zone {
 			s.weight *= otherZoneWeight
 		}
-		all, parts = all+s.weight, parts+s.share
+		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
 	for _, s := range ok {
 		if cold := g.minCapacityShare(s); cold < 1 {
@@ -212,7 +211,7 @@
 			least = max(least, s.weight*parts/(s.share*cold*coldBudgetShare*max(1, g.cfg.FailFactor)))
 		}
 	}
-	return g.drawByWeight(ok, least)
+	return g.drawByWeight(candidates, minTotal)
 }
 
 // setAffinity sets a server's part in this gateway's draws. A large fleet's gateways go mostly to a few
@@ -225,7 +224,7 @@
 		}
 	}
 	switch {
-	case by == 0 || by == n:
+	case preferring == 0 || preferring == gateways:
 		s.share = 1
 	case mine:
 		s.share = (1 - otherServersShare) * n / by
--- a/policy/events.go
+++ b/policy/events.go
@@ -170,8 +170,10 @@
 		cl = &class{Class: Class{LatencyTarget: ev.Remaining, Effect: Unsafe}, mean: g.meanLatency}
 	}
 	g.advance(c)
-	r := &request{id: ev.ID, customer: c, class: cl, service: ev.Service, regions: ev.Regions, serverGroup: ev.Service, priority: ev.Priority, waitedBefore: ev.WaitedBefore, maxAttempts: ev.MaxAttempts, effect: max(cl.Effect, ev.Effect), units: ev.Units, arrivedAt: g.now, isRetry: ev.Retry,
-		deadline: g.now + ev.Remaining}
+	r := &request{id: ev.ID, customer: c, class: cl, service: ev.Service, regions: ev.Regions,
+		serverGroup: ev.Service, priority: ev.Priority, waitedBefore: ev.WaitedBefore,
+		maxAttempts: ev.MaxAttempts, effect: max(cl.Effect, ev.Effect), units: ev.Units,
+		arrivedAt: g.now, isRetry: ev.Retry, deadline: g.now + ev.Remaining}
 	if len(ev.Regions) > 0 {
 		r.serverGroup += "|" + strings.Join(ev.Regions, ",")
 	}
--- a/policy/line.go
+++ b/policy/line.go
@@ -1,7 +1,7 @@
 package policy
 
-// Where gateways serve many services: in which order requests that wait get servers. Who waits for
-// the servers of one service stands in nobody's way who needs another's.
+// The order in which waiting requests get servers, where gateways serve many services. Requests that wait
+// for the servers of one service do not block those that need another's.
 
 import (
 	"cmp"
@@ -47,7 +47,7 @@
 	var line []*request
 	for _, c := range g.waiting {
 		g.advance(c)
-		line = append(line, c.held...)
+		waiting = append(waiting, c.held...)
 	}
 	slices.SortStableFunc(line, g.compareWaiting)
 	full, short := map[string]bool{}, map[*customer]bool{}
@@ -56,13 +56,13 @@
 		if g.willMissTarget(r) {
 			needs += "|late"
 		}
-		if full[needs] || full[r.serverGroup] || short[r.customer] && !r.unitsTaken {
+		if fullServers[serverKey] || fullServers[r.serverGroup] || outOfUnits[r.customer] && !r.unitsTaken {
 			continue
 		}
 		if r.overQuota = !g.hasUnits(r); r.overQuota {
-			short[r.customer] = true // its units come to it in arrival order
+			outOfUnits[r.customer] = true // a customer's requests get units in arrival order
 		} else if !g.underCap(r.customer, false) || !g.trySend(r) {
-			full[needs] = r.attempts == 0
+			fullServers[serverKey] = r.attempts == 0
 		} else {
 			g.dequeue(r.customer, slices.Index(r.customer.held, r))
 		}
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// manyGateways drives hundreds of gateways step by step, a message taking 20 ms.
+// manyGateways runs hundreds of gateways step by step; a message takes 20 ms.
 type manyGateways struct {
 	t           *testing.T
 	now         time.Duration
@@ -69,7 +69,7 @@
 	}
 }
 
-// pass lets time go by in steps of 10 ms, each attempt ending well after its time.
+// pass advances the clock in steps of 10 ms, and ends each attempt after attemptTime.
 func (c *manyGateways) pass(d time.Duration, step func(at time.Duration)) {
 	for end := c.now + d; c.now < end; {
 		c.now += 10 * ms
@@ -77,8 +77,8 @@
 		for len(c.inTransit) > 0 && c.inTransit[0].at <= c.now {
 			due, c.inTransit = append(due, c.inTransit[0]), c.inTransit[1:]
 		}
-		for _, l := range due {
-			c.do(l.to, PeerMessage{From: l.from, Data: l.data})
+		for _, message := range due {
+			c.do(message.to, PeerMessage{From: message.from, Data: message.data})
 		}
 		for i := range c.gateways {
 			c.do(i, Timer{Token: "ask"})
@@ -105,8 +105,8 @@
 		Remaining: 2 * time.Second, GatewayCount: spread})
 }
 
-// member is a gateway of 50 that is neither the root nor the deputy of customer k
-// on a plan, with both.
+// member returns one of customer k's 50 gateways that is neither its root nor its
+// deputy, with the numbers of both.
 func (c *manyGateways) member(plan string) (i, root, deputy int) {
 	k := c.gateways[0].addCustomer(keyOf("k"), c.gateways[0].plans[plan], 0, 50)
 	roots, deputy := c.gateways[0].roots(k)
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -203,7 +203,9 @@
 
 // ejectionBits returns a bit for each class to eject the server from, whether this differs from the current
 // state of any class, whether any class is to be ejected, and when the current ejection ends.
-func (s *server) ejectionBits(shouldEject func(class int, v *classHealth) bool) (bits byte, changed, anyEjected bool, until time.Duration) {
+func (s *server) ejectionBits(shouldEject func(class int, v *classHealth) bool) (
+	bits byte, changed, anyEjected bool, until time.Duration,
+) {
 	for i := range s.classes {
 		v := &s.classes[i]
 		eject := shouldEject(i, v)
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -42,14 +42,14 @@
 		}
 	}
 	if each := float64(warm) / 3; float64(cold) > 0.2*2*each {
-		t.Fatalf("%d to the cold server, %d to the others", cold, warm)
+		t.Fatalf("%d sent to the cold server, %d to the others", cold, warm)
 	}
 }
 
 func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
 	for _, code := range []Code{Error, ConnectFailed, Reset} {
 		w := newTestGateway(t, testSettings(), testServers(6))
-		to := func(bad bool, n int) (hits int) {
+		sendsTo := func(failing bool, n int) (hits int) {
 			for range n {
 				w.advance(25 * ms)
 				s := w.send("safe", "free")
@@ -58,68 +58,68 @@
 					if hit {
 						hits++
 					}
-					if !hit || !bad {
+					if !hit || !failing {
 						w.finish(s, k, OK)
 						break
 					}
-					again := actionsOf[Send](w.finish(s, k, code))
-					if len(again) == 0 {
+					retries := actionsOf[Send](w.finish(s, k, code))
+					if len(retries) == 0 {
 						break
 					}
-					s = again[0]
+					s = retries[0]
 				}
 			}
 			return hits
 		}
-		to(true, 100)
-		if n := to(true, 400); n > 20 {
-			t.Fatalf("%v: %d of 400 to a failing server", code, n)
+		sendsTo(true, 100)
+		if n := sendsTo(true, 400); n > 20 {
+			t.Fatalf("%v: %d of 400 sent to a failing server", code, n)
 		}
-		to(false, 800)
-		if n := to(false, 400); n < 20 {
-			t.Fatalf("%v: only %d of 400 to a server that is well again", code, n)
+		sendsTo(false, 800)
+		if n := sendsTo(false, 400); n < 20 {
+			t.Fatalf("%v: only %d of 400 sent to a server that has recovered", code, n)
 		}
 	}
 }
 
-// When all servers fail alike, verdicts against them are not heeded.
+// When all servers fail alike, ejections are ignored.
 func TestSharedFailureDoesNotEmptyTheFleet(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(9))
-	late := map[ServerID]int{}
+	used := map[ServerID]int{}
 	for i := range 300 {
 		w.now += 25 * ms
 		s := w.send("once", "free") // fails the test when there is none
 		w.finish(s, 0, Error)
 		if i >= 200 {
-			late[s.Server]++
+			used[s.Server]++
 		}
 	}
-	if len(late) < 7 {
-		t.Fatalf("only %d of 9 servers used", len(late))
+	if len(used) < 7 {
+		t.Fatalf("only %d of 9 servers used", len(used))
 	}
 }
 
 func TestHungServerIsAvoided(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(6))
-	called, late := 0, 0
+	cancelled, lateSends := 0, 0
 	for i := range 300 {
 		s := w.send("safe", "free")
 		if s.Server != 1 {
 			w.finish(s, 0, OK)
 		} else if i > 150 {
-			late++
+			lateSends++
 		}
 		for _, a := range w.advance(25 * ms) {
 			if c, ok := a.(Cancel); ok {
-				called++
+				cancelled++
 				for _, s := range actionsOf[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
 					w.finish(s, c.Attempt+1, OK)
 				}
 			}
 		}
 	}
-	if called == 0 || late > 6 {
-		t.Fatalf("%d called back, %d sent later on", called, late)
+	if cancelled == 0 || lateSends > 6 {
+		t.Fatalf("%d cancelled, %d sent later on", cancelled, lateSends)
 	}
 }
 
@@ -129,11 +129,11 @@
 	g, _ := New(s, 1)
 	w := &testGateway{t: t, g: g, now: time.Second}
 	if n := len(actionsOf[Watch](w.do(ServerList{Kind: CachedList}))); n != 1 {
-		t.Fatalf("%d asks at the start", n)
+		t.Fatalf("%d requests for the server list at the start", n)
 	}
 	w.do(ServerList{Kind: WatchFailed})
 	if n := len(actionsOf[Watch](w.advance(3 * time.Second))); n != 1 {
-		t.Fatalf("%d asks after a failed one", n)
+		t.Fatalf("%d requests for the server list after a failed one", n)
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// With the warm servers full, the cold one still gets no more than its budget.
+// When the warm servers are full, the cold one still gets no more than its budget.
 func TestColdBudgetHoldsUnderLoad(t *testing.T) {
 	servers := testServers(4)
 	servers[0].HasStartTime, servers[0].StartTime = true, time.Second
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -1,6 +1,6 @@
 package policy
 
-// Classes, plans and gateways that change while a gateway runs.
+// Changes of classes, plans and the set of gateways while a gateway runs.
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 // onConfigUpdate takes over classes and plans. What was learned of them stays.
 func (g *Gateway) onConfigUpdate(ev ConfigUpdate) {
 	for _, p := range ev.Plans {
-		if q := g.plans[p.Name]; q != nil {
-			q.Plan = p
+		if state := g.plans[p.Name]; state != nil {
+			state.Plan = p
 		} else {
 			g.plans[p.Name] = &planState{Plan: p, index: byte(len(g.cfg.Plans))}
 			g.cfg.Plans = append(g.cfg.Plans, p)
@@ -37,7 +37,7 @@
 // that are held.
 func (g *Gateway) capCeiling(c *customer, most float64) {
 	if g.unusedShare < 1 {
-		c.ceiling = min(c.ceiling, most)
+		c.ceiling = min(c.ceiling, maxUnits)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (g *Gateway) planForKey(key uint64) *planState {
 	for name, q := range g.plans {
 		if keyOf(name) == key {
-			return q
+			return plan
 		}
 	}
 	return nil
@@ -131,20 +131,20 @@
 	return list[:min(len(list), maxRecipients)]
 }
 
-// lenders are the gateways to ask, where reports go from all to all, for the units that a request lacks here though its
-// customer as a whole has some: those of this region first, then those that are asked for least.
+// lenders returns the gateways to borrow from when a request lacks units here though its customer as a whole has some,
+// where reports go from all to all: this region's gateways first, then those with the least demand.
 func (g *Gateway) lenders(r *request) (list []int) {
 	dry := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < borrowPause
 	if g.cfg.MultiService == nil || g.unusedShare >= 1 || dry || g.allowance(r.customer) < r.units {
 		return nil
 	}
-	far := func(v *peerView) int {
+	distance := func(v *peerView) int {
 		if v.peer.index < len(g.gatewayRegions) && g.gatewayRegions[v.peer.index] == g.gatewayRegions[g.cfg.Me] {
 			return 0
 		}
 		return 1
 	}
-	slices.SortFunc(r.customer.views, func(a, b *peerView) int { return cmp.Or(far(a)-far(b), cmp.Compare(a.demand, b.demand)) })
+	slices.SortFunc(r.customer.views, func(a, b *peerView) int { return cmp.Or(distance(a)-distance(b), cmp.Compare(a.demand, b.demand)) })
 	for _, v := range r.customer.views {
 		if !g.isSilent(v.peer) && len(list) < maxLenders {
 			list = append(list, v.peer.index)
@@ -189,8 +189,8 @@
 	return g.cfg.Gateways
 }
 
-// New returns a gateway that has seen nothing yet. The seed feeds its random
-// choices; equal settings, seeds and events give equal actions.
+// New returns a gateway without any state, or an error if the settings are invalid. The seed
+// determines its random choices: equal settings, seeds and events give equal actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
