--- a/internal/control/mesh.go
+++ b/internal/control/mesh.go
@@ -166,8 +166,8 @@
 	b.links[h.Name] = append(b.links[h.Name], l)
 	b.noteReplica(*h)
 	l.sentList = b.currentList()
-	duty := b.duty.Greeting()
-	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.listWithAge(l.sentList), Lately: b.healthJudge.verdictsInForce()}, &duty)
+	leaseState := b.listLease.Greeting()
+	l.sendChange(&peerlink.Change{Census: b.knownMembers(), Servers: b.listWithAge(l.sentList), Lately: b.healthJudge.verdictsInForce()}, &leaseState)
 	b.sendDecided(l)
 	if target := b.dialTargets[h.Inner]; target != nil && target.stopDialling != nil && b.isDialledBy(h.Inner) {
 		target.stopDialling()
@@ -204,7 +204,7 @@
 	}
 }
 
-// sendChange numbers a change and sends it, with the state of the duty unless that is nil.
+// sendChange numbers a change and sends it, with the state of the list lease unless that is nil.
 func (l *link) sendChange(c *peerlink.Change, d *peerlink.Duty) {
 	l.lastChangeNumber++
 	c.No = l.lastChangeNumber
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -24,19 +24,19 @@
 // Replica is one process of control. It takes part in deciding the operators' configuration, and keeps the connected
 // agents up to date.
 type Replica struct {
-	world         world.World
-	log           logr.Logger
-	settings      *settings.Settings                // as read at the start
-	liveSettings  atomic.Pointer[settings.Settings] // the latest settings; they differ from settings only in what may change without a restart
-	self          peerlink.Hello
-	store         *statestore.Store
-	startedAt     time.Time // zero of the replica's monotonic clock
-	cloudClient   *http.Client
-	roundWanted   chan struct{} // signals that a round of reports is wanted now
-	censusChanged chan struct{} // signals that the census may have changed
-	dutyWakeup    chan struct{} // signals that the holder of the duty may have changed
-	jobs          sync.WaitGroup
-	ctx           context.Context // parent of every background job's context
+	world           world.World
+	log             logr.Logger
+	settings        *settings.Settings                // as read at the start
+	liveSettings    atomic.Pointer[settings.Settings] // the latest; only what may change without a restart differs
+	self            peerlink.Hello
+	store           *statestore.Store
+	startedAt       time.Time // zero of the replica's monotonic clock
+	cloudClient     *http.Client
+	roundWanted     chan struct{} // signals that a round of reports is wanted now
+	censusChanged   chan struct{} // signals that the census may have changed
+	listLeaseWakeup chan struct{} // signals that the list lease may have changed hands
+	jobs            sync.WaitGroup
+	ctx             context.Context // parent of every background job's context
 
 	mu             sync.Mutex
 	leaving        bool
@@ -52,9 +52,9 @@
 	sentCensus     *peerlink.Census // the census last sent to the agents that use this replica as upstream
 	censusSentAt   time.Duration
 
-	contents            statestore.Contents         // this replica's record and the configurations that it refers to, as they are written to disk
+	contents            statestore.Contents         // this replica's record and its configurations, as written to disk
 	highestRound        uint64                      // round of the highest ballot that was used or seen
-	lastOnePhaseVersion uint64                      // the newest version that this process proposed in one phase, without promises
+	lastOnePhaseVersion uint64                      // the newest version that this process proposed in one phase
 	pendingChanges      []*stateChange              // changes that no proposal contains yet
 	versionLearned      chan struct{}               // signals that a newer decided version was learned
 	promisedAt          time.Duration               // when this replica last granted a promise or an acceptance
@@ -69,21 +69,21 @@
 	configuration        *peerlink.Configuration    // the decided one
 	parsedConfiguration  *routeconfig.Configuration // configuration, parsed; an earlier one, or nil, until parsing ends
 	ordersInForce        map[string]peerlink.Zone   // decided orders by subject: a zone, a proxy or a server
-	decidedConfirmed     delivery.Confirmation      // start of the last round in which a majority confirmed the decided state as the latest
-	majorityContact      delivery.Confirmation      // start of the last round in which a majority answered and this replica was not behind
+	decidedConfirmed     delivery.Confirmation      // start of the last round that confirmed the decided state as the latest
+	majorityContact      delivery.Confirmation      // start of the last round that a majority answered with this replica not behind
 	newestReported       uint64                     // highest version that another replica reported in the previous round
 	configurationHistory delivery.History           // configurations that have been in force at this replica
 	contactAlarmedAt     time.Duration              // when the loss of contact with a majority was last logged
 	observedLock         lockObservation
 
-	serverList      *peerlink.Servers // the newest known list
-	listStamp       int64             // stamp of the newest reading, which may have found the list unchanged
-	newestReading   latestListRead    // age and period of the newest reading
-	othersReadingAt time.Duration     // when the newest reading by another replica began
-	drainedServers  map[string]bool   // by ID: server instances that were seen draining
+	serverList       *peerlink.Servers // the newest known list
+	listStamp        int64             // stamp of the latest read of the list, which may have found it unchanged
+	latestListRead   latestListRead    // age and period of the latest read of the list
+	othersListReadAt time.Duration     // when the latest read by another replica began
+	drainedServers   map[string]bool   // by ID: server instances that were seen draining
 
-	duty       *lease.Lease // the lease on the duty to read the server list
-	ownReading ownListReads
+	listLease    *lease.Lease // the lease on reading the server list
+	ownListReads ownListReads
 
 	healthJudge *serverJudge // health verdicts on servers, from the evidence of all proxies
 
@@ -92,8 +92,11 @@
 
 // New returns a replica with the state that it finds on disk; disk is nil for a replica without one.
 func New(initial *settings.Settings, w world.World, disk world.Disk, log logr.Logger) *Replica {
-	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(), roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), dutyWakeup: make(chan struct{}, 1),
-		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1), lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{}, dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
+	b := &Replica{world: w, log: log, settings: initial, startedAt: w.Now(),
+		roundWanted: make(chan struct{}, 1), censusChanged: make(chan struct{}, 1), listLeaseWakeup: make(chan struct{}, 1),
+		proposerWakeup: make(chan struct{}, 1), versionLearned: make(chan struct{}, 1),
+		lastReports: map[string]lastReport{}, firstSeen: map[string]time.Duration{}, replicas: map[string]peerlink.Hello{},
+		dialTargets: map[string]*dialTarget{}, links: map[string][]*link{}, agents: map[*agentConn]bool{},
 		ordersInForce: map[string]peerlink.Zone{}, drainedServers: map[string]bool{}}
 	b.liveSettings.Store(initial)
 	s := initial.Self
@@ -105,7 +108,7 @@
 	b.applyRestoredState()
 	b.cloudClient = newCloudClient(w)
 	b.healthJudge = newServerJudge()
-	b.duty = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
+	b.listLease = lease.New(listLeaseName, peerlink.Seat{Name: s.Name, Life: b.self.Life}, s.Zone)
 	return b
 }
 
@@ -153,14 +156,14 @@
 	return nil
 }
 
-// announceLeaving tells all connected replicas and agents that this replica shuts down, and hands its duty over.
+// announceLeaving tells all connected replicas and agents that this replica shuts down, and hands the list lease over.
 func (b *Replica) announceLeaving() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leaving = true
 	why := "told to end"
 	var duty *peerlink.Duty
-	for _, message := range b.duty.Leave() {
+	for _, message := range b.listLease.Leave() {
 		duty = &message.Duty
 	}
 	for _, all := range b.links {
--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -13,22 +13,22 @@
 	for i := 0; i < len(l.queue); i++ {
 		l.acts = l.gateway.Handle(l.clock.now(), l.queue[i], l.acts[:0])
 		for _, a := range l.acts {
-			l.act(a)
+			l.execute(a)
 		}
 	}
 }
 
-func (l *loop) act(a policy.Action) {
+func (l *loop) execute(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
 		l.send(a)
 	case policy.Cancel:
-		if c := l.calls[a.ID]; c != nil && c.out != nil && c.out.num == a.Attempt {
-			c.out.recall()
+		if c := l.calls[a.ID]; c != nil && c.inFlight != nil && c.inFlight.num == a.Attempt {
+			c.inFlight.recall()
 		}
 	case policy.Refuse:
 		if c := l.calls[a.ID]; c != nil {
-			l.finish(c, command{refuse: true, retryAfter: a.RetryAfter, over: a.OverQuota})
+			l.finish(c, command{refused: true, retryAfter: a.RetryAfter, overQuota: a.OverQuota})
 		}
 	case policy.Fail:
 		if c := l.calls[a.ID]; c != nil {
@@ -58,18 +58,18 @@
 		moot.Attempt = c.attempts
 		c.attempts++
 	}
-	if c == nil || c.out != nil || c.final != nil || now >= c.due {
+	if c == nil || c.inFlight != nil || c.pendingAnswer != nil || now >= c.answerBy {
 		l.queue = append(l.queue, moot)
 		return
 	}
-	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, sent: now, deadline: c.due}
+	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, sent: now, deadline: c.answerBy}
 	if s.Timeout > 0 {
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
 	a.writeBy, a.once = a.deadline, c.effect == policy.Unsafe
-	if c.ranAt > 0 && c.effect == policy.Keyed {
-		a.writeBy = min(a.writeBy, c.ranAt+c.class.DedupWindow)
+	if c.mayHaveRunSince > 0 && c.effect == policy.Keyed {
+		a.writeBy = min(a.writeBy, c.mayHaveRunSince+c.class.DedupWindow)
 	}
-	c.out = a
-	c.cmd <- command{attempt: a}
+	c.inFlight = a
+	c.commands <- command{attempt: a}
 }
--- a/internal/dataplane/node/answers_fault_test.go
+++ b/internal/dataplane/node/answers_fault_test.go
@@ -16,7 +16,7 @@
 )
 
 // Each planted fault breaks the property that is for it.
-func TestAnswersFindPlantedFaults(t *testing.T) {
+func TestAnswersDetectInjectedFaults(t *testing.T) {
 	pair := [][]clientStep{{stepRead, stepAwait, stepWrite, stepAwait}, {stepWrite, stepAwait, stepRead, stepAwait}}
 	many := [][]clientStep{slices.Repeat([]clientStep{stepWrite, stepAwait}, 9)}
 	leaves := [][]clientStep{{stepRead, stepPause, stepClose}}
@@ -24,22 +24,22 @@
 		script
 		property string
 	}{
-		faultForeignBody:   {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultForeignID:     {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultNoID:          {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultAnswerTwice:   {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultFailureAsGood: {script{clients: pair, acts: []serverAct{actFail}}, "own: "},
-		faultSendTwice:     {script{clients: pair, acts: []serverAct{actServe}}, "once: "},
-		faultRefuseRun:     {script{clients: pair, acts: []serverAct{actReset}}, "promise: "},
-		faultAnswerLost:    {script{clients: pair, acts: []serverAct{actServe}}, "answer: "},
-		faultCloseEarly:    {script{clients: pair, acts: []serverAct{actServe}}, "answer: "},
-		faultHideSurplus:   {script{clients: many, acts: []serverAct{actTwice}}, "spoilt: "},
-		faultHideStray:     {script{clients: many, acts: []serverAct{actStrayBefore}}, "spoilt: "},
-		faultHideLeaving:   {script{clients: leaves, acts: []serverAct{actWork}}, "left: "},
+		faultForeignBody:       {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
+		faultForeignID:         {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
+		faultNoID:              {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
+		faultAnswerTwice:       {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
+		faultFailureAsSuccess:  {script{clients: pair, acts: []serverAct{actFail}}, "own: "},
+		faultSendTwice:         {script{clients: pair, acts: []serverAct{actServe}}, "once: "},
+		faultFailureAsRefusal:  {script{clients: pair, acts: []serverAct{actReset}}, "promise: "},
+		faultAnswerLost:        {script{clients: pair, acts: []serverAct{actServe}}, "answer: "},
+		faultCloseEarly:        {script{clients: pair, acts: []serverAct{actServe}}, "answer: "},
+		faultHideTrailingBytes: {script{clients: many, acts: []serverAct{actTwice}}, "spoilt: "},
+		faultHideLeadingBytes:  {script{clients: many, acts: []serverAct{actStrayBefore}}, "spoilt: "},
+		faultHideDisconnect:    {script{clients: leaves, acts: []serverAct{actWork}}, "left: "},
 	} {
 		t.Run(fault, func(t *testing.T) {
-			assert.Equal(t, (&answersPlay{script: x.script}).play(t, ""), "")
-			broken := (&answersPlay{script: x.script}).play(t, fault)
+			assert.Equal(t, (&answersScenario{script: x.script}).run(t, ""), "")
+			broken := (&answersScenario{script: x.script}).run(t, fault)
 			assert.Assert(t, strings.HasPrefix(broken, x.property), "%q", broken)
 		})
 	}
@@ -47,18 +47,18 @@
 
 // Faults that a test plants between the node and its network.
 const (
-	faultForeignBody   = "another's body to the client"
-	faultForeignID     = "another's id to the client"
-	faultNoID          = "no id to the client"
-	faultAnswerTwice   = "an answer twice to the client"
-	faultFailureAsGood = "a failure as a success to the client"
-	faultRefuseRun     = "a failure as a refusal to the client"
-	faultAnswerLost    = "an answer lost before the client"
-	faultCloseEarly    = "the client's connection closed in place of an answer"
-	faultHideLeaving   = "a client's end not seen"
-	faultSendTwice     = "a request sent to two servers"
-	faultHideSurplus   = "bytes behind an answer not seen"
-	faultHideStray     = "bytes before an answer not seen"
+	faultForeignBody       = "another's body to the client"
+	faultForeignID         = "another's id to the client"
+	faultNoID              = "no id to the client"
+	faultAnswerTwice       = "an answer twice to the client"
+	faultFailureAsSuccess  = "a failure as a success to the client"
+	faultFailureAsRefusal  = "a failure as a refusal to the client"
+	faultAnswerLost        = "an answer lost before the client"
+	faultCloseEarly        = "the client's connection closed in place of an answer"
+	faultHideDisconnect    = "a client's end not seen"
+	faultSendTwice         = "a request sent to two servers"
+	faultHideTrailingBytes = "bytes behind an answer not seen"
+	faultHideLeadingBytes  = "bytes before an answer not seen"
 )
 
 // faultyWorld is a network that plants a fault in the node's connections.
@@ -125,9 +125,9 @@
 		text = strings.Replace(text, "Attempt-Id: ", "X-Other: ", 1)
 	case faultAnswerTwice:
 		text += text
-	case faultFailureAsGood:
+	case faultFailureAsSuccess:
 		text = strings.Replace(text, "HTTP/1.1 500", "HTTP/1.1 200", 1)
-	case faultRefuseRun:
+	case faultFailureAsRefusal:
 		text = strings.Replace(text, "HTTP/1.1 502", "HTTP/1.1 503", 1)
 	case faultAnswerLost:
 		return len(b), nil
@@ -141,14 +141,14 @@
 
 func (c *faultyClientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if err == io.EOF && c.w.fault == faultHideLeaving {
+	if err == io.EOF && c.w.fault == faultHideDisconnect {
 		time.Sleep(2 * time.Second)
 	}
 	return n, err
 }
 
 func (c *faultyClientConn) Peek() world.Peeked {
-	if c.w.fault == faultHideLeaving {
+	if c.w.fault == faultHideDisconnect {
 		return world.PeekQuiet
 	}
 	return world.Peek(c.Conn)
@@ -174,11 +174,11 @@
 	n, err := c.Conn.Read(b)
 	text := string(b[:n])
 	switch c.w.fault {
-	case faultHideSurplus:
+	case faultHideTrailingBytes:
 		if i := strings.LastIndex(text, "HTTP/1.1 "); i > 0 {
 			text = text[:i]
 		}
-	case faultHideStray:
+	case faultHideLeadingBytes:
 		text = strings.TrimPrefix(text, otherBody)
 	}
 	return copy(b, text), err
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -34,15 +34,17 @@
 	actCutBody
 	actReset
 	actNotRun
-	actMisled
-	acts
+	actMisdirected
+	serverActCount
 )
 
-// ran tells whether a request may have run at a server that acts so.
-func (a serverAct) ran() bool { return a != actNotRun && a != actMisled }
+// mayRun tells whether a request may have run at a server that acts so.
+func (a serverAct) mayRun() bool { return a != actNotRun && a != actMisdirected }
 
-// surplus tells whether the connection carries bytes that belong to no request.
-func (a serverAct) surplus() bool { return a == actStrayBefore || a == actStrayAfter || a == actTwice }
+// sendsExtraBytes tells whether the connection carries bytes that belong to no request.
+func (a serverAct) sendsExtraBytes() bool {
+	return a == actStrayBefore || a == actStrayAfter || a == actTwice
+}
 
 // clientStep is one step of a client on its connection.
 type clientStep int
@@ -55,7 +57,7 @@
 	stepReset
 	stepClose
 	stepHalfClose
-	clientSteps
+	clientStepCount
 )
 
 // script is one play: what clients and servers do, and when the node reloads and stops.
@@ -67,8 +69,10 @@
 }
 
 func drawScript(t *rapid.T) script {
-	step := rapid.Custom(func(t *rapid.T) clientStep { return clientStep(rapid.IntRange(0, int(clientSteps)-1).Draw(t, "step")) })
-	act := rapid.Custom(func(t *rapid.T) serverAct { return serverAct(rapid.IntRange(0, int(acts)-1).Draw(t, "act")) })
+	step := rapid.Custom(func(t *rapid.T) clientStep {
+		return clientStep(rapid.IntRange(0, int(clientStepCount)-1).Draw(t, "step"))
+	})
+	act := rapid.Custom(func(t *rapid.T) serverAct { return serverAct(rapid.IntRange(0, int(serverActCount)-1).Draw(t, "act")) })
 	when := rapid.SampledFrom([]time.Duration{0, 0, 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond})
 	return script{
 		clients: rapid.SliceOfN(rapid.SliceOfN(step, 1, 7), 1, 3).Draw(t, "clients"),
@@ -85,43 +89,43 @@
 	at     time.Time
 }
 
-// attemptSeen is an attempt as its server knows it.
-type attemptSeen struct {
+// observedAttempt is an attempt as its server knows it.
+type observedAttempt struct {
 	id        string
 	act       serverAct
 	conn      net.Conn
 	at, ended time.Time
 }
 
-// clientSeen is what one client did and got.
-type clientSeen struct {
-	sent    []sentRequest
-	answers []*answered
-	left    time.Time // zero: it stayed
-	owed    int       // answers that had not come then
+// observedClient is what one client did and got.
+type observedClient struct {
+	sent           []sentRequest
+	answers        []*answered
+	left           time.Time // zero: it stayed
+	pendingAnswers int       // answers that had not come then
 }
 
-// answersPlay plays a script and keeps what both sides saw.
-type answersPlay struct {
+// answersScenario plays a script and keeps what both sides saw.
+type answersScenario struct {
 	script
 	r        *rig
 	mu       sync.Mutex
-	attempts []*attemptSeen
-	clients  []*clientSeen
+	attempts []*observedAttempt
+	clients  []*observedClient
 }
 
 const (
-	workFor  = 1200 * time.Millisecond
-	lateFor  = 200 * time.Millisecond
-	pauseFor = 40 * time.Millisecond
-	endsIn   = 500 * time.Millisecond // work for one who has left
+	workDuration  = 1200 * time.Millisecond
+	lateDelay     = 200 * time.Millisecond
+	pauseDuration = 40 * time.Millisecond
+	maxEndDelay   = 500 * time.Millisecond // work for one who has left
 )
 
 // serve is one attempt at a server.
-func (p *answersPlay) serve(c net.Conn, q *standin.Request) bool {
+func (p *answersScenario) serve(c net.Conn, q *standin.Request) bool {
 	id := q.Header.Get("Attempt-Id")
 	p.mu.Lock()
-	a := &attemptSeen{id: id, act: p.acts[len(p.attempts)%len(p.acts)], conn: c, at: time.Now()}
+	a := &observedAttempt{id: id, act: p.acts[len(p.attempts)%len(p.acts)], conn: c, at: time.Now()}
 	p.attempts = append(p.attempts, a)
 	p.mu.Unlock()
 	goesOn := p.act(c, a)
@@ -131,7 +135,7 @@
 	return goesOn
 }
 
-func (p *answersPlay) act(c net.Conn, a *attemptSeen) bool {
+func (p *answersScenario) act(c net.Conn, a *observedAttempt) bool {
 	own := "HTTP/1.1 200 OK\r\nAttempt-Id: " + a.id + "\r\nServer-Seal: s\r\n"
 	body := "yes " + a.id
 	whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", own, len(body), body)
@@ -139,9 +143,9 @@
 	text, goesOn := whole, true
 	switch a.act {
 	case actServeLate:
-		time.Sleep(lateFor)
+		time.Sleep(lateDelay)
 	case actWork:
-		for time.Since(a.at) < workFor {
+		for time.Since(a.at) < workDuration {
 			time.Sleep(10 * time.Millisecond)
 			if world.Peek(c) == world.PeekEnd {
 				return false
@@ -167,7 +171,7 @@
 		return reset(c, nil)
 	case actNotRun:
 		text = "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + refusal + "\r\n"
-	case actMisled:
+	case actMisdirected:
 		text = "HTTP/1.1 421 Misdirected\r\n" + refusal + "\r\n"
 	}
 	_, err := io.WriteString(c, text)
@@ -175,7 +179,7 @@
 }
 
 // client plays one client.
-func (p *answersPlay) client(seen *clientSeen, steps []clientStep) {
+func (p *answersScenario) client(seen *observedClient, steps []clientStep) {
 	c := p.r.dial()
 	defer c.Close()
 	read := make(chan struct{})
@@ -196,12 +200,12 @@
 		case stepAwait:
 			p.await(seen)
 		case stepPause:
-			time.Sleep(pauseFor)
+			time.Sleep(pauseDuration)
 		default:
 			p.mu.Lock()
-			seen.left, seen.owed = time.Now(), len(seen.sent)-len(seen.answers)
+			seen.left, seen.pendingAnswers = time.Now(), len(seen.sent)-len(seen.answers)
 			p.mu.Unlock()
-			ends[map[clientStep]string{stepReset: "reset", stepClose: "close", stepHalfClose: "half"}[step]](c)
+			disconnects[map[clientStep]string{stepReset: "reset", stepClose: "close", stepHalfClose: "half"}[step]](c)
 			if step != stepHalfClose {
 				return
 			}
@@ -213,7 +217,7 @@
 }
 
 // await waits until all that was sent is answered, or no answer can come any more: each request has 1.5 s.
-func (p *answersPlay) await(seen *clientSeen) {
+func (p *answersScenario) await(seen *observedClient) {
 	for range 200 * len(seen.sent) {
 		p.mu.Lock()
 		over := len(seen.answers) >= len(seen.sent)
@@ -225,7 +229,7 @@
 	}
 }
 
-func (p *answersPlay) readAnswers(c net.Conn, seen *clientSeen) {
+func (p *answersScenario) readAnswers(c net.Conn, seen *observedClient) {
 	in := bufio.NewReader(c)
 	for {
 		resp, err := http.ReadResponse(in, nil)
@@ -242,15 +246,15 @@
 	}
 }
 
-// play carries the script out, and says which property is broken first; empty: none.
-func (p *answersPlay) play(t *testing.T, fault string) (broken string) {
+// run carries the script out, and says which property is broken first; empty: none.
+func (p *answersScenario) run(t *testing.T, fault string) (broken string) {
 	world := func(n *sim.Net) world.World { return &faultyWorld{Net: n, fault: fault} }
 	playIn(t, false, world, func(r *rig) {
 		p.r, r.acts = r, []act{p.serve}
 		r.tell()
 		var all sync.WaitGroup
 		for _, steps := range p.script.clients {
-			seen := &clientSeen{}
+			seen := &observedClient{}
 			p.clients = append(p.clients, seen)
 			all.Go(func() { p.client(seen, steps) })
 		}
@@ -267,10 +271,10 @@
 	return broken
 }
 
-func (p *answersPlay) check() string {
+func (p *answersScenario) check() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, property := range []func() string{p.ownAnswers, p.runsOnce, p.keepsPromises, p.answersAll, p.dropsSpoiltConnections, p.stopsForThoseWhoLeft} {
+	for _, property := range []func() string{p.ownAnswers, p.runsOnce, p.refusesOnlyUnexecuted, p.answersAll, p.dropsDamagedConnections, p.stopsWorkForDisconnectedClients} {
 		if broken := property(); broken != "" {
 			return broken
 		}
@@ -279,7 +283,7 @@
 }
 
 // ownAnswers: each client gets the answers to its requests in their order, and a success only as its server gave it.
-func (p *answersPlay) ownAnswers() string {
+func (p *answersScenario) ownAnswers() string {
 	for _, c := range p.clients {
 		if len(c.answers) > len(c.sent) {
 			return fmt.Sprintf("own: %d answers to %d requests", len(c.answers), len(c.sent))
@@ -297,9 +301,9 @@
 	return ""
 }
 
-func (p *answersPlay) runs(id string) (n int) {
+func (p *answersScenario) runs(id string) (n int) {
 	for _, a := range p.attempts {
-		if a.id == id && a.act.ran() {
+		if a.id == id && a.act.mayRun() {
 			n++
 		}
 	}
@@ -307,7 +311,7 @@
 }
 
 // runsOnce: what may run once is at one server at most, unless it is proven not to have run.
-func (p *answersPlay) runsOnce() string {
+func (p *answersScenario) runsOnce() string {
 	for _, c := range p.clients {
 		for _, s := range c.sent {
 			if n := p.runs(s.id); !s.repeat && n > 1 {
@@ -318,8 +322,8 @@
 	return ""
 }
 
-// keepsPromises: a refusal of the node's own is given only where nothing has run.
-func (p *answersPlay) keepsPromises() string {
+// refusesOnlyUnexecuted: a refusal of the node's own is given only where nothing has run.
+func (p *answersScenario) refusesOnlyUnexecuted() string {
 	for _, c := range p.clients {
 		for i, a := range c.answers {
 			switch a.StatusCode {
@@ -335,7 +339,7 @@
 
 // answersAll: who stays gets a final answer to each request, up to one that ends the connection; what follows that one
 // has not run. While the node stops, a request that crosses the end of its connection has not run either.
-func (p *answersPlay) answersAll() string {
+func (p *answersScenario) answersAll() string {
 	for _, c := range p.clients {
 		if !c.left.IsZero() {
 			continue
@@ -354,30 +358,30 @@
 	return ""
 }
 
-// dropsSpoiltConnections: no connection that has carried a byte too many gets another request.
-func (p *answersPlay) dropsSpoiltConnections() string {
+// dropsDamagedConnections: no connection that has carried a byte too many gets another request.
+func (p *answersScenario) dropsDamagedConnections() string {
 	spoilt := map[net.Conn]string{}
 	for _, a := range p.attempts {
 		if by := spoilt[a.conn]; by != "" {
 			return fmt.Sprintf("spoilt: %s goes to a connection that %s left bytes on", a.id, by)
 		}
-		if a.act.surplus() {
+		if a.act.sendsExtraBytes() {
 			spoilt[a.conn] = a.id
 		}
 	}
 	return ""
 }
 
-// stopsForThoseWhoLeft: repeatable work of a client that closed its connection ends soon. A client's end behind bytes that
+// stopsWorkForDisconnectedClients: repeatable work of a client that closed its connection ends soon. A client's end behind bytes that
 // it sent ahead is not seen yet (docs/ROADMAP.md), so only clients that were owed one answer are looked at.
-func (p *answersPlay) stopsForThoseWhoLeft() string {
+func (p *answersScenario) stopsWorkForDisconnectedClients() string {
 	for _, c := range p.clients {
-		if c.left.IsZero() || c.owed != 1 {
+		if c.left.IsZero() || c.pendingAnswers != 1 {
 			continue
 		}
 		for _, s := range c.sent[len(c.sent)-1:] {
 			for _, a := range p.attempts {
-				if a.id == s.id && s.repeat && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.left) > endsIn) {
+				if a.id == s.id && s.repeat && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.left) > maxEndDelay) {
 					return fmt.Sprintf("left: %s is worked on %v after its client left", s.id, a.ended.Sub(c.left))
 				}
 			}
@@ -390,7 +394,7 @@
 func TestAnswersProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScript(rt)
-		if broken := (&answersPlay{script: s}).play(t, ""); broken != "" {
+		if broken := (&answersScenario{script: s}).run(t, ""); broken != "" {
 			rt.Fatalf("%s\n%+v", broken, s)
 		}
 	})
--- a/internal/dataplane/node/bench_test.go
+++ b/internal/dataplane/node/bench_test.go
@@ -22,51 +22,51 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// tallied is the machine's network, on which calls are counted.
-type tallied struct {
+// countingNetwork is the machine's network, on which calls are counted.
+type countingNetwork struct {
 	world.Real
 	writes, reads atomic.Int64
 }
 
-type talliedConn struct {
+type countingConn struct {
 	*net.TCPConn
-	of *tallied
+	network *countingNetwork
 }
 
-func (c talliedConn) Write(b []byte) (int, error) {
-	c.of.writes.Add(1)
+func (c countingConn) Write(b []byte) (int, error) {
+	c.network.writes.Add(1)
 	return c.TCPConn.Write(b)
 }
 
-func (c talliedConn) Read(b []byte) (int, error) {
-	c.of.reads.Add(1)
+func (c countingConn) Read(b []byte) (int, error) {
+	c.network.reads.Add(1)
 	return c.TCPConn.Read(b)
 }
 
-type talliedListener struct {
+type countingListener struct {
 	net.Listener
-	of *tallied
+	network *countingNetwork
 }
 
-func (l talliedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return talliedConn{c.(*net.TCPConn), l.of}, nil
+	return countingConn{c.(*net.TCPConn), l.network}, nil
 }
 
-func (w *tallied) Listen(ctx context.Context, network, address string) (net.Listener, error) {
+func (w *countingNetwork) Listen(ctx context.Context, network, address string) (net.Listener, error) {
 	ln, err := w.Real.Listen(ctx, network, address)
-	return talliedListener{ln, w}, err
+	return countingListener{ln, w}, err
 }
 
-func (w *tallied) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (w *countingNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := w.Real.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return talliedConn{c.(*net.TCPConn), w}, nil
+	return countingConn{c.(*net.TCPConn), w}, nil
 }
 
 // What a request with a short body costs at an edge node, client and server included.
@@ -77,7 +77,7 @@
 }
 
 func benchBody(b *testing.B, n int) {
-	w := &tallied{}
+	w := &countingNetwork{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	defer ln.Close()
@@ -98,7 +98,7 @@
 						return
 					}
 					if i := bytes.Index(buf[:got], []byte("\r\n\r\n")); i >= 0 && got-i-4 == n {
-						if got = 0; write(c, answer) != nil {
+						if got = 0; writeAll(c, answer) != nil {
 							return
 						}
 					}
@@ -106,7 +106,7 @@
 			}()
 		}
 	}()
-	e, end := benched(b, w, ln.Addr().String())
+	e, end := startBenchmarkProxy(b, w, ln.Addr().String())
 	defer end()
 	c, err := net.Dial("tcp", e.Addr().String())
 	assert.NilError(b, err)
@@ -114,7 +114,7 @@
 	ask := fmt.Appendf(nil, "POST /act/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: one\r\nX-Api-Key: k1\r\nContent-Length: %d\r\n\r\n%s", n, body)
 	head := make([]byte, len(answer))
 	once := func() {
-		if err = write(c, ask); err == nil {
+		if err = writeAll(c, ask); err == nil {
 			_, err = io.ReadFull(c, head)
 		}
 		if err != nil || !bytes.HasPrefix(head, []byte("HTTP/1.1 200")) {
@@ -166,7 +166,7 @@
 						}()
 					}
 				}()
-				e, end := benched(b, &tallied{}, ln.Addr().String())
+				e, end := startBenchmarkProxy(b, &countingNetwork{}, ln.Addr().String())
 				var before runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
@@ -187,7 +187,7 @@
 				runtime.ReadMemStats(&held)
 				used := held.HeapAlloc + held.StackInuse - before.HeapAlloc - before.StackInuse
 				b.ReportMetric(float64(used)/open/1024, "KB/body")
-				b.ReportMetric(float64(e.node.up.open), "out")
+				b.ReportMetric(float64(e.node.upstream.open), "out")
 				for _, c := range all {
 					c.Close()
 				}
@@ -198,8 +198,8 @@
 	}
 }
 
-// benched is an edge node before one server.
-func benched(b *testing.B, w world.World, server string) (e *Estate, end func()) {
+// startBenchmarkProxy is an edge node before one server.
+func startBenchmarkProxy(b *testing.B, w world.World, server string) (e *Estate, end func()) {
 	e, err := NewEstate(EstateConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 4100,
 		World: w, Regions: map[string]string{"a": "r"}, Grace: time.Second, RetryRatio: 1, RetrySlack: 100})
 	assert.NilError(b, err)
@@ -217,7 +217,7 @@
 	}
 }
 
-func write(c net.Conn, b []byte) error {
+func writeAll(c net.Conn, b []byte) error {
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/dataplane/node/booked.go
+++ b/internal/dataplane/node/booked.go
@@ -11,66 +11,66 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// mostKeys bounds the keys of which it is remembered how careful their tries
+// maxTrackedKeys bounds the keys of which it is remembered how careful their tries
 // were.
-const mostKeys = 32 << 10
+const maxTrackedKeys = 32 << 10
 
-// booked is what the clients' side keeps for reading requests under a book. All
+// bookReader is what the clients' side keeps for reading requests under a book. All
 // of it is made with the first such request.
-type booked struct {
-	mu      sync.Mutex
-	careful *routing.Careful
-	random  io.Reader
+type bookReader struct {
+	mu               sync.Mutex
+	strictestEffects *routing.Careful
+	random           io.Reader
 }
 
-// unusable is the answer to a request that can't be used.
-type unusable struct {
-	status int
-	fields string
-	text   string
+// rejection is the answer to a request that can't be used.
+type rejection struct {
+	status       int
+	headerFields string
+	text         string
 }
 
-// read checks a request: under the book in force, or as the platform has it.
-func (s *server) read(r *clientRequest) (*call, *unusable) {
+// readRequest checks a request: under the book in force, or as the platform has it.
+func (s *server) readRequest(r *clientRequest) (*openRequest, *rejection) {
 	r.ticket, r.id = nil, ""
 	table := s.tune.Load().Routes
 	if table == nil {
 		c, err := s.parse(r)
 		if err != nil {
-			return nil, &unusable{status: 400, text: err.Error()}
+			return nil, &rejection{status: 400, text: err.Error()}
 		}
 		return c, nil
 	}
 	k, turned := table.Read(routing.Request{Method: string(r.method), Target: string(r.target), Fields: r, Body: len(r.body)})
 	if turned != nil {
-		u := &unusable{status: turned.Status, text: turned.Why}
+		u := &rejection{status: turned.Status, text: turned.Why}
 		switch turned.Status {
 		case 401:
-			u.fields = "WWW-Authenticate: ApiKey\r\n" // RFC 9110, 11.6.1
+			u.headerFields = "WWW-Authenticate: ApiKey\r\n" // RFC 9110, 11.6.1
 		case 405:
-			u.fields = "Allow: " + turned.Allow + "\r\n"
+			u.headerFields = "Allow: " + turned.Allow + "\r\n"
 		}
 		return nil, u
 	}
-	c := &call{arrived: s.clock.now(), cmd: make(chan command, 1), class: k.Class, budget: k.Deadline}
+	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1), class: k.Class, budget: k.Deadline}
 	r.ticket = k
 	var err error
-	if c.name, c.effect, err = s.booked.take(c, k); err != nil {
-		return nil, &unusable{status: 503, text: "no id could be made for the request"}
+	if c.clientID, c.effect, err = s.booked.identify(c, k); err != nil {
+		return nil, &rejection{status: 503, text: "no id could be made for the request"}
 	}
-	r.id = c.name
+	r.id = c.clientID
 	c.Customer, c.Plan, c.Class, c.Units, c.FirstGateway, c.GatewayCount = k.Number, k.Plan, k.Class.Name, k.Units, k.First, k.Spread
 	c.Retry, c.Effect = k.Retry, c.effect
 	return c, nil
 }
 
-// take gives a request an id, where its client sent none, and finds how careful
+// identify gives a request an id, where its client sent none, and finds how careful
 // it has to be.
-func (b *booked) take(c *call, k *routing.Ticket) (id string, e policy.Effect, err error) {
+func (b *bookReader) identify(c *openRequest, k *routing.Ticket) (id string, e policy.Effect, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.careful == nil {
-		b.careful = routing.NewCareful(mostKeys)
+	if b.strictestEffects == nil {
+		b.strictestEffects = routing.NewCareful(maxTrackedKeys)
 	}
 	if id = k.ID; id == "" {
 		var raw [16]byte
@@ -79,22 +79,22 @@
 		}
 		id = hex.EncodeToString(raw[:])
 	}
-	return id, b.careful.Hold(c.arrived, k), nil
+	return id, b.strictestEffects.Hold(c.arrived, k), nil
 }
 
-// told are the fields that tell an answer's client what its request was read
+// bookFields are the fields that tell an answer's client what its request was read
 // as, where the operator lets it.
-func (r *clientRequest) told() string {
+func (r *clientRequest) bookFields() string {
 	if r.ticket == nil || !r.ticket.Table.Tell {
 		return ""
 	}
 	return routing.BookField + ": " + r.ticket.Table.Book.Generation + "\r\n" +
-		routing.OperationField + ": " + plainField(r.ticket.Route.Operation) + "\r\n" +
+		routing.OperationField + ": " + printableField(r.ticket.Route.Operation) + "\r\n" +
 		routing.UnitsField + ": " + strconv.FormatFloat(r.ticket.Units, 'f', -1, 64) + "\r\n"
 }
 
-// plainField writes what stood in a description so that it can stand in a field.
-func plainField(s string) string {
+// printableField writes what stood in a description so that it can stand in a field.
+func printableField(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c > '~' {
 			return '_'
@@ -103,8 +103,8 @@
 	}, s)
 }
 
-// appendFields writes the fields with which a request read under a book goes on.
-func (r *clientRequest) appendFields(b []byte) []byte {
+// appendForwardedFields writes the fields with which a request read under a book goes on.
+func (r *clientRequest) appendForwardedFields(b []byte) []byte {
 	k := r.ticket
 	field := func(name, value string) {
 		b = append(append(append(append(b, "\r\n"...), name...), ": "...), value...)
@@ -138,7 +138,7 @@
 	}
 	if k.Table.Tell {
 		b = append(b, "\r\n"...)
-		b = append(b, strings.TrimSuffix(r.told(), "\r\n")...)
+		b = append(b, strings.TrimSuffix(r.bookFields(), "\r\n")...)
 	}
 	return b
 }
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// tableOf compiles a book for the test settings; change may shape routes and
+// newTestTable compiles a book for the test settings; change may shape routes and
 // options.
-func tableOf(t testing.TB, cfg *Config, revision string, change func(list []routebook.Route, o *routing.Options) []routebook.Route) *routing.Table {
+func newTestTable(t testing.TB, cfg *Config, revision string, change func(list []routebook.Route, o *routing.Options) []routebook.Route) *routing.Table {
 	t.Helper()
 	list, o := bookRoutes(), routing.Options{Tell: true}
 	if change != nil {
@@ -53,8 +53,8 @@
 	return tab
 }
 
-// says writes an answer as a loan server does; HEAD gets none of the body.
-func says(c net.Conn, r *standin.Request, status, fields, body string) bool {
+// writeAnswer writes an answer as a loan server does; HEAD gets none of the body.
+func writeAnswer(c net.Conn, r *standin.Request, status, fields, body string) bool {
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n", status, fields, len(body))
 	if r.Method != "HEAD" {
 		text += body
@@ -63,15 +63,15 @@
 	return err == nil
 }
 
-// put brings a table in force.
-func (r *running) put(tab *routing.Table) {
+// setRoutes brings a table in force.
+func (r *running) setRoutes(tab *routing.Table) {
 	t := r.Tuning()
 	t.Routes = tab
 	r.Tune(t)
 }
 
-// ordinary makes a request as ordinary clients do.
-func ordinary(method, url, body string, fields ...string) *http.Request {
+// newClientRequest makes a request as ordinary clients do.
+func newClientRequest(method, url, body string, fields ...string) *http.Request {
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -92,10 +92,10 @@
 		mu.Lock()
 		seen = append(seen, r)
 		mu.Unlock()
-		return says(c, r, "200 OK", "Content-Type: text/plain\r\n", "answer")
+		return writeAnswer(c, r, "200 OK", "Content-Type: text/plain\r\n", "answer")
 	})
 	n := nodeWith(t, app.Addr())
-	n.put(tableOf(t, n.cfg, "rev1", func(l []routebook.Route, o *routing.Options) []routebook.Route {
+	n.setRoutes(newTestTable(t, n.cfg, "rev1", func(l []routebook.Route, o *routing.Options) []routebook.Route {
 		o.Pass = []string{"Accept-Language"}
 		return l
 	}))
@@ -104,7 +104,7 @@
 		defer mu.Unlock()
 		return seen[len(seen)-1]
 	}
-	resp, body := ask(t, ordinary("GET", n.url+"/v1/holdings?api_key="+townKey+"&q=x", "", "Cookie", "session="+townKey+"; a=b", "Accept-Language", "ro", "Authorization", "Bearer x"))
+	resp, body := ask(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey+"&q=x", "", "Cookie", "session="+townKey+"; a=b", "Accept-Language", "ro", "Authorization", "Bearer x"))
 	if resp.StatusCode != 200 || body != "answer" || resp.Header.Get(routing.BookField) != "rev1" || resp.Header.Get(routing.UnitsField) != "1" {
 		t.Fatalf("%d %q %v", resp.StatusCode, body, resp.Header)
 	}
@@ -117,30 +117,30 @@
 		t.Errorf("fields that went on: %v", r.Header)
 	}
 	first := r.Header.Get("X-Request-Id")
-	ask(t, ordinary("GET", n.url+"/v1/holdings", ""))
+	ask(t, newClientRequest("GET", n.url+"/v1/holdings", ""))
 	if again := last().Header.Get("X-Request-Id"); again == first || len(again) != 32 {
 		t.Errorf("ids %q, %q", first, again)
 	}
-	ask(t, ordinary("POST", n.url+"/v1/loans", "book=7", "X-Request-Id", "mine", "Idempotency-Key", "k1"))
+	ask(t, newClientRequest("POST", n.url+"/v1/loans", "book=7", "X-Request-Id", "mine", "Idempotency-Key", "k1"))
 	if r := last(); r.Header.Get("X-Request-Id") != "mine" || r.Header.Get("Idempotency-Key") != "k1" || r.Content != "book=7" {
 		t.Errorf("%v %q", r.Header, r.Content)
 	}
-	ask(t, ordinary("DELETE", n.url+"/v1/loans/7", ""))
+	ask(t, newClientRequest("DELETE", n.url+"/v1/loans/7", ""))
 	if r := last(); r.Method != "DELETE" || r.URL.Path != "/v1/loans/7" {
 		t.Errorf("%s %s", r.Method, r.URL)
 	}
 	// HEAD: a length and no body, on either side; the connections go on.
 	for range 3 {
-		resp, body = ask(t, ordinary("HEAD", n.url+"/v1/holdings", ""))
+		resp, body = ask(t, newClientRequest("HEAD", n.url+"/v1/holdings", ""))
 		if resp.StatusCode != 200 || body != "" {
 			t.Errorf("HEAD: %d %q", resp.StatusCode, body)
 		}
 	}
-	n.put(tableOf(t, n.cfg, "rev2", func(l []routebook.Route, o *routing.Options) []routebook.Route {
+	n.setRoutes(newTestTable(t, n.cfg, "rev2", func(l []routebook.Route, o *routing.Options) []routebook.Route {
 		o.PassKey, o.Tell = true, false
 		return l
 	}))
-	resp, _ = ask(t, ordinary("GET", n.url+"/v1/holdings?api_key="+townKey, "", "Cookie", "session="+townKey+"; a=b"))
+	resp, _ = ask(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey, "", "Cookie", "session="+townKey+"; a=b"))
 	if r := last(); r.Header.Get("X-Api-Key") != townKey || r.URL.RawQuery != "api_key="+townKey || r.Header.Get("Cookie") != "session="+townKey {
 		t.Errorf("with keys passed on: %s %v", r.URL, r.Header)
 	}
@@ -151,22 +151,22 @@
 
 // What can't be served is answered at once, without an attempt and without
 // touching a quota.
-func TestTurnedAway(t *testing.T) {
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool { return says(c, r, "200 OK", "", "x") })
+func TestRejectedRequests(t *testing.T) {
+	app := newApp(t, func(c net.Conn, r *standin.Request) bool { return writeAnswer(c, r, "200 OK", "", "x") })
 	n := nodeWith(t, app.Addr())
-	n.put(tableOf(t, n.cfg, "rev1", nil))
+	n.setRoutes(newTestTable(t, n.cfg, "rev1", nil))
 	for _, c := range []struct {
 		r      *http.Request
 		status int
 		field  string
 		value  string
 	}{
-		{ordinary("GET", n.url+"/v1/holdings", "", "X-Api-Key", "wrong"), 401, "WWW-Authenticate", "ApiKey"},
-		{ordinary("GET", n.url+"/v1/holdings?api_key="+tinyKey, ""), 400, "", ""}, // and the town's in the header
-		{ordinary("GET", n.url+"/nothing", ""), 404, "", ""},
-		{ordinary("PUT", n.url+"/v1/loans/4", ""), 405, "Allow", "DELETE"},
-		{ordinary("GET", n.url+"/v1/holdings", "", "X-Class", "loan"), 400, "", ""},
-		{ordinary("GET", n.url+"/v1/holdings", "body"), 400, "", ""},
+		{newClientRequest("GET", n.url+"/v1/holdings", "", "X-Api-Key", "wrong"), 401, "WWW-Authenticate", "ApiKey"},
+		{newClientRequest("GET", n.url+"/v1/holdings?api_key="+tinyKey, ""), 400, "", ""}, // and the town's in the header
+		{newClientRequest("GET", n.url+"/nothing", ""), 404, "", ""},
+		{newClientRequest("PUT", n.url+"/v1/loans/4", ""), 405, "Allow", "DELETE"},
+		{newClientRequest("GET", n.url+"/v1/holdings", "", "X-Class", "loan"), 400, "", ""},
+		{newClientRequest("GET", n.url+"/v1/holdings", "body"), 400, "", ""},
 	} {
 		c.r.Close = true // of its own connection: floods on one are paced
 		resp, body := ask(t, c.r)
@@ -177,7 +177,7 @@
 	if app.Seen.Load() != 0 {
 		t.Errorf("%d attempts", app.Seen.Load())
 	}
-	n.put(nil)
+	n.setRoutes(nil)
 	if resp, _ := ask(t, request(n.url, "lookup", time.Second)); resp.StatusCode != 200 {
 		t.Errorf("without a book again: %d", resp.StatusCode)
 	}
@@ -192,12 +192,12 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if count[r.Header.Get("X-Request-Id")]++; count[r.Header.Get("X-Request-Id")] == 1 {
-			return says(c, r, "500 Internal Server Error", "", "")
+			return writeAnswer(c, r, "500 Internal Server Error", "", "")
 		}
-		return says(c, r, "200 OK", "", "x")
+		return writeAnswer(c, r, "200 OK", "", "x")
 	})
 	n := nodeWith(t, app.Addr(), app.Addr())
-	n.put(tableOf(t, n.cfg, "rev1", nil))
+	n.setRoutes(newTestTable(t, n.cfg, "rev1", nil))
 	for _, c := range []struct {
 		id, method, path string
 		fields           []string
@@ -208,7 +208,7 @@
 		{"c", "POST", "/v1/loans", nil, 502, 1}, // without a key no rack can drop a repeat
 		{"d", "DELETE", "/v1/loans/4", []string{"Idempotency-Key", "k2"}, 502, 1},
 	} {
-		resp, _ := ask(t, ordinary(c.method, n.url+c.path, "", append(c.fields, "X-Request-Id", c.id)...))
+		resp, _ := ask(t, newClientRequest(c.method, n.url+c.path, "", append(c.fields, "X-Request-Id", c.id)...))
 		mu.Lock()
 		if resp.StatusCode != c.status || count[c.id] != c.sent {
 			t.Errorf("%s %s: %d after %d attempts, want %d after %d", c.method, c.path, resp.StatusCode, count[c.id], c.status, c.sent)
@@ -226,18 +226,18 @@
 		mu.Lock()
 		count++
 		mu.Unlock()
-		return says(c, r, "500 Internal Server Error", "", "")
+		return writeAnswer(c, r, "500 Internal Server Error", "", "")
 	})
 	n := nodeWith(t, app.Addr(), app.Addr())
 	tryAs := func(class string, repeat routebook.Repeat, key string) int {
-		n.put(tableOf(t, n.cfg, fmt.Sprint("rev", class, repeat), func(l []routebook.Route, _ *routing.Options) []routebook.Route {
+		n.setRoutes(newTestTable(t, n.cfg, fmt.Sprint("rev", class, repeat), func(l []routebook.Route, _ *routing.Options) []routebook.Route {
 			l[2].Class, l[2].Repeat = class, repeat
 			return l
 		}))
 		mu.Lock()
 		count = 0
 		mu.Unlock()
-		ask(t, ordinary("POST", n.url+"/v1/loans", "", "Idempotency-Key", key))
+		ask(t, newClientRequest("POST", n.url+"/v1/loans", "", "Idempotency-Key", key))
 		mu.Lock()
 		defer mu.Unlock()
 		return count
@@ -263,21 +263,21 @@
 
 // A request that is held keeps its operation, key and costs though its
 // operation and its library's key are gone meanwhile.
-func TestHeldThroughASwap(t *testing.T) {
+func TestHeldRequestKeepsItsRoute(t *testing.T) {
 	gate := make(chan struct{})
 	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		if r.Header.Get("X-Request-Id") == "first" {
 			<-gate
 		}
-		return says(c, r, "200 OK", "", "x")
+		return writeAnswer(c, r, "200 OK", "", "x")
 	})
 	cfg := testConfig(t, newRegistry(t, serving("s-00000001", app.Addr())).Addr())
 	cfg.Settings.Plans[0].MaxInFlight = 1 // the second waits for the first
 	n := start(t, cfg)
-	n.put(tableOf(t, cfg, "rev1", nil))
+	n.setRoutes(newTestTable(t, cfg, "rev1", nil))
 	answers := make(chan *http.Response, 2)
 	for i, id := range []string{"first", "second"} {
-		r := ordinary("POST", n.url+"/v1/loans", "x", "X-Request-Id", id, "Idempotency-Key", id)
+		r := newClientRequest("POST", n.url+"/v1/loans", "x", "X-Request-Id", id, "Idempotency-Key", id)
 		go func() {
 			resp, err := http.DefaultClient.Do(r)
 			if err != nil {
@@ -288,20 +288,20 @@
 			resp.Body.Close()
 			answers <- resp
 		}()
-		eventually(t, "the first is out, the second held", func() bool { return n.open() == i+1 && app.Seen.Load() == 1 })
+		eventually(t, "the first is out, the second held", func() bool { return n.openRequests() == i+1 && app.Seen.Load() == 1 })
 	}
-	without := tableOf(t, cfg, "rev2", func(l []routebook.Route, _ *routing.Options) []routebook.Route { return l[:2] })
+	without := newTestTable(t, cfg, "rev2", func(l []routebook.Route, _ *routing.Options) []routebook.Route { return l[:2] })
 	withdrawn, err := routing.NewTable(&cfg.Settings, without.Book, nil, nil, without.Options) // no key is known any more
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.put(withdrawn)
-	stranger := ordinary("GET", n.url+"/v1/holdings", "")
+	n.setRoutes(withdrawn)
+	stranger := newClientRequest("GET", n.url+"/v1/holdings", "")
 	stranger.Close = true
 	if resp, _ := ask(t, stranger); resp.StatusCode != 401 {
 		t.Errorf("a new request with the withdrawn key: %d", resp.StatusCode)
 	}
-	gone := ordinary("POST", n.url+"/v1/loans", "x")
+	gone := newClientRequest("POST", n.url+"/v1/loans", "x")
 	gone.Close = true
 	if resp, _ := ask(t, gone); resp.StatusCode != 404 {
 		t.Errorf("a new request for the operation that is gone: %d", resp.StatusCode)
@@ -314,8 +314,8 @@
 	}
 }
 
-// open counts the connections with a request that was taken.
-func (r *running) open() (n int) {
+// openRequests counts the connections with a request that was taken.
+func (r *running) openRequests() (n int) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	for cc := range r.server.conns {
@@ -326,8 +326,8 @@
 	return n
 }
 
-// holds tells whether the request with a client's id is open.
-func (r *running) holds(id string) (open bool) {
+// hasOpenRequest tells whether the request with a client's id is open.
+func (r *running) hasOpenRequest(id string) (open bool) {
 	done := make(chan struct{})
 	r.loop.events <- func() {
 		open = r.loop.names[id] != nil
@@ -339,17 +339,17 @@
 
 // An id that a client sends while a request of that id is open is a conflict;
 // once that is answered it may be used again.
-func TestRequestIDTwice(t *testing.T) {
+func TestDuplicateRequestID(t *testing.T) {
 	gate := make(chan struct{})
 	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		<-gate
-		return says(c, r, "200 OK", "", "x")
+		return writeAnswer(c, r, "200 OK", "", "x")
 	})
 	n := nodeWith(t, app.Addr())
-	n.put(tableOf(t, n.cfg, "rev1", nil))
+	n.setRoutes(newTestTable(t, n.cfg, "rev1", nil))
 	done := make(chan int, 1)
 	go func() {
-		resp, err := http.DefaultClient.Do(ordinary("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same"))
+		resp, err := http.DefaultClient.Do(newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same"))
 		if err != nil {
 			done <- 0
 			return
@@ -358,14 +358,14 @@
 		done <- resp.StatusCode
 	}()
 	eventually(t, "the first is out", func() bool { return app.Seen.Load() == 1 })
-	if resp, _ := ask(t, ordinary("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 409 {
+	if resp, _ := ask(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 409 {
 		t.Errorf("the same id at once: %d", resp.StatusCode)
 	}
 	close(gate)
 	if status := <-done; status != 200 {
 		t.Errorf("the first: %d", status)
 	}
-	if resp, _ := ask(t, ordinary("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 200 {
+	if resp, _ := ask(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 200 {
 		t.Errorf("the same id afterwards: %d", resp.StatusCode)
 	}
 }
--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -15,18 +15,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// ends are the ways in which a side leaves.
-var ends = map[string]func(c net.Conn){
+// disconnects are the ways in which a side leaves.
+var disconnects = map[string]func(c net.Conn){
 	"close": func(c net.Conn) { c.Close() },
 	"reset": func(c net.Conn) { reset(c, nil); c.Close() },
 	"half":  func(c net.Conn) { _ = c.(interface{ CloseWrite() error }).CloseWrite() },
 	"stall": func(net.Conn) {},
 }
 
-// places are where in a message it breaks off: bytes from its beginning, from its end where they are below 0.
-var places = map[string]int{"window": 5000, "window's end": bodyWindow, "beyond": bodyWindow + 4000, "middle": large / 2, "last": -1}
+// cutPoints are where in a message it breaks off: bytes from its beginning, from its end where they are below 0.
+var cutPoints = map[string]int{"window": 5000, "window's end": bodyWindow, "beyond": bodyWindow + 4000, "middle": large / 2, "last": -1}
 
-func at(b []byte, place int) []byte {
+func cutAt(b []byte, place int) []byte {
 	if place < 0 {
 		place += len(b)
 	}
@@ -35,14 +35,14 @@
 
 // Wherever a client leaves or stops in its body, no server sees a whole request, and a client that is still there is
 // promised so.
-func TestUploadBreaksOff(t *testing.T) {
+func TestInterruptedUpload(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		play(t, false, func(r *rig) {
 			h := r.open(nil, nil)
-			for place, n := range places {
-				for how, end := range ends {
+			for place, n := range cutPoints {
+				for how, end := range disconnects {
 					c := r.dial()
-					_, err := c.Write(at(upload("/act/", content(large), chunked), n))
+					_, err := c.Write(cutAt(upload("/act/", content(large), chunked), n))
 					assert.NilError(t, err)
 					end(c)
 					if how == "stall" {
@@ -56,15 +56,15 @@
 				}
 			}
 			assert.Equal(t, r.ask("/act/", "").StatusCode, 200)
-			open, _ := r.Estate.node.server.state()
-			assert.Assert(t, open <= 1 && r.Estate.node.up.open <= 1)
+			open, _ := r.Estate.node.server.connectionActivity()
+			assert.Assert(t, open <= 1 && r.Estate.node.upstream.open <= 1)
 		})
 	})
 }
 
 // Where a server leaves in the middle of a body it has not run, and its client is told so at once; once all of it was
 // written it may have run. Nothing of it is sent a second time.
-func TestServerLeavesUpload(t *testing.T) {
+func TestServerDisconnectsDuringUpload(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		for _, path := range []string{"/act/", "/get/"} {
 			for name, status := range map[string]int{"window": 503, "middle": 503, "last": 502} {
@@ -72,14 +72,14 @@
 					t.Run(name+how+path, func(t *testing.T) {
 						play(t, false, func(r *rig) {
 							h := r.open(func(c net.Conn, q *http.Request) bool {
-								n := places[name]
+								n := cutPoints[name]
 								if n < 0 {
 									n += large
 								}
 								_, err := io.CopyN(io.Discard, q.Body, int64(n))
 								assert.Check(t, err)
 								time.Sleep(100 * time.Millisecond)
-								ends[how](c)
+								disconnects[how](c)
 								return false
 							}, nil)
 							c := r.send(upload(path, content(large), chunked))
@@ -98,16 +98,16 @@
 }
 
 // Wherever a server's answer breaks off, its client gets one answer that is not complete, or another that is.
-func TestAnswerBreaksOff(t *testing.T) {
+func TestInterruptedAnswer(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
-		for place, n := range places {
-			for how, end := range ends {
+		for place, n := range cutPoints {
+			for how, end := range disconnects {
 				t.Run(place+how, func(t *testing.T) {
 					play(t, false, func(r *rig) {
 						stays := make(chan bool)
 						defer close(stays)
 						h := r.open(nil, func(c net.Conn, q *http.Request) bool {
-							_, err := c.Write(at(told(q, "200 OK", content(large), chunked), n))
+							_, err := c.Write(cutAt(told(q, "200 OK", content(large), chunked), n))
 							assert.Check(t, err)
 							if how == "reset" {
 								time.Sleep(20 * time.Millisecond)
@@ -117,7 +117,7 @@
 							}
 							return false
 						})
-						path, within := "/get/", n == places["window"] || n == places["window's end"]
+						path, within := "/get/", n == cutPoints["window"] || n == cutPoints["window's end"]
 						if within {
 							path = "/act/"
 						}
@@ -140,7 +140,7 @@
 						}
 						assert.NilError(t, err)
 						assert.Equal(t, text, "HTTP/1.1 200")
-						assert.Assert(t, len(b) < len(at(told(h.seen()[0].Request, "200 OK", content(large), chunked), n))+200)
+						assert.Assert(t, len(b) < len(cutAt(told(h.seen()[0].Request, "200 OK", content(large), chunked), n))+200)
 						_, err = read(bytes.NewReader(b))
 						assert.Equal(t, err, io.ErrUnexpectedEOF)
 						assert.Equal(t, how == "stall", took > 1500*time.Millisecond, "%v", took)
@@ -152,7 +152,7 @@
 }
 
 // What is turned away is so at once, though its body has not come whole: what follows is passed over.
-func TestLargeOnesAreTurnedAway(t *testing.T) {
+func TestLargeBodiesAreRejected(t *testing.T) {
 	over := func(c net.Conn, q *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 503 Busy\r\nAttempt-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", q.Header.Get(fieldID))
 		time.Sleep(time.Second)
@@ -202,7 +202,7 @@
 }
 
 // What a server says ahead of its answer, while the body is on its way, changes nothing; an early answer ends it.
-func TestEarlyWords(t *testing.T) {
+func TestEarlyServerResponses(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		for name, c := range map[string]struct {
 			text   string
@@ -238,7 +238,7 @@
 
 // A long request goes to another server as long as nothing of it was let go; a long answer is asked for again as long
 // as none of it was passed on.
-func TestLongOnesGoElsewhere(t *testing.T) {
+func TestLargeBodiesRetryElsewhere(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		for name, spoilt := range map[string]func(q *http.Request) []byte{
 			"cut":    func(q *http.Request) []byte { return told(q, "200 OK", content(large), chunked)[:bodyWindow] },
@@ -275,7 +275,7 @@
 
 // A long failure of a repeatable request waits for what another server says, and is its client's, unchanged, where that
 // is nothing better.
-func TestLongFailuresComeBack(t *testing.T) {
+func TestLargeFailuresAreReturned(t *testing.T) {
 	long := func(c net.Conn, q *http.Request) bool {
 		_, err := c.Write(told(q, "500 No", content(large), true))
 		return err == nil
@@ -332,7 +332,7 @@
 
 // An answer that is on its way to its client is not called back for another, however long it takes, and its server is
 // not held for one that is silent; nor is a request that can't be sent again.
-func TestLongOnesAreNotCalledBack(t *testing.T) {
+func TestLargeTransfersAreNotCancelled(t *testing.T) {
 	play(t, false, func(r *rig) {
 		slow := func(c net.Conn, b []byte) bool {
 			for ; len(b) > 0; b = b[min(len(b), 25_000):] {
--- a/internal/dataplane/node/clientrequest.go
+++ b/internal/dataplane/node/clientrequest.go
@@ -13,7 +13,7 @@
 	head
 	method, target []byte
 	body           []byte
-	estate         *passing        // what it is under a system's configuration
+	managed        *passing        // what it is under a system's configuration
 	ticket         *routing.Ticket // what it was read as under a book; nil: it is the platform's
 	id             string          // with a ticket: the client's, or one made here
 }
@@ -21,8 +21,8 @@
 // One finds a field for the book's reading.
 func (r *clientRequest) One(name string) ([]byte, int) { return r.one(name) }
 
-// read reads a whole request.
-func (cc *clientConn) read() error {
+// readRequest reads a whole request.
+func (cc *clientConn) readRequest() error {
 	r := &cc.req
 	if err := cc.in.readHead(&r.head, ""); err != nil {
 		return err
@@ -40,8 +40,8 @@
 	return err
 }
 
-// statusOf is the answer to a request that can't be read; 0: none is owed.
-func statusOf(err error) int {
+// statusForReadError is the answer to a request that can't be read; 0: none is owed.
+func statusForReadError(err error) int {
 	switch {
 	case errors.Is(err, errLongBody):
 		return 413
--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -22,21 +22,21 @@
 
 // Config is what an edge node is told at its start.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Seed       uint64
-	MemoryMB   int
-	Sockets    int
-	PeerListen string
-	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // zero: none
-	Known      *serverList    // the list as last held; nil: none
-	Settings   policy.Settings
-	Reread     func() (*Config, error) // reads a new file; nil: there is none
-	World      world.World             // time and sockets; nil: the machine's
-	Members    *members.Timing         // of the view of the fleet; nil: none is kept
-	Random     io.Reader               // for the ids of requests that bring none; nil: the machine's
+	Name          string
+	Listen        string
+	Discovery     string
+	Seed          uint64
+	MemoryMB      int
+	Sockets       int
+	PeerListen    string
+	Peers         []netip.AddrPort
+	PeerBroadcast netip.AddrPort // zero: none
+	CachedList    *serverList    // the list as last held; nil: none
+	Settings      policy.Settings
+	Reload        func() (*Config, error) // reads a new file; nil: there is none
+	World         world.World             // time and sockets; nil: the machine's
+	Membership    *members.Timing         // of the view of the fleet; nil: none is kept
+	Random        io.Reader               // for the ids of requests that bring none; nil: the machine's
 
 	DialTimeout time.Duration // an app server that has not accepted by then is out of reach
 	ConnIdle    time.Duration // app servers close idle connections after this
@@ -44,10 +44,10 @@
 }
 
 const (
-	defaultDial    = 250 * time.Millisecond
-	defaultIdle    = 15 * time.Second
-	defaultSockets = 1024
-	leastSockets   = 64
+	defaultDialTimeout = 250 * time.Millisecond
+	defaultConnIdle    = 15 * time.Second
+	defaultSockets     = 1024
+	minSockets         = 64
 )
 
 // LoadConfig reads the file that GW_CONFIG names; the other GW_ variables,
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Reread = func() (*Config, error) {
+	c.Reload = func() (*Config, error) {
 		return loadFile(func(key string) string {
 			if key == "GW_DISCOVERY" {
 				return "" // told at the start: a new file is newer
@@ -109,19 +109,19 @@
 	env("GW_LISTEN", &raw.Listen)
 	env("GW_DISCOVERY", &raw.Discovery)
 	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, MemoryMB: int(raw.Limits.MemoryMB),
-		Sockets: raw.Limits.Sockets, PeerListen: raw.PeerListen, Known: raw.Known}
+		Sockets: raw.Limits.Sockets, PeerListen: raw.PeerListen, CachedList: raw.Known}
 	if c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
-	if c.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is below %d", c.Sockets, leastSockets)
+	if c.Sockets < minSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is below %d", c.Sockets, minSockets)
 	}
 	for key, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	c.Seed = seedOf(raw.Seed)
+	c.Seed = parseSeed(raw.Seed)
 	facts, err := wire.FactsFromJSON(raw.Settings)
 	if err != nil {
 		return nil, err
@@ -134,8 +134,8 @@
 		to  *time.Duration
 		def time.Duration
 	}{
-		{"caps.dial_timeout_ms", &c.DialTimeout, defaultDial},
-		{"caps.conn_idle_ms", &c.ConnIdle, defaultIdle},
+		{"caps.dial_timeout_ms", &c.DialTimeout, defaultDialTimeout},
+		{"caps.conn_idle_ms", &c.ConnIdle, defaultConnIdle},
 		{"rules.drain_grace_ms", &c.DrainGrace, 0},
 	} {
 		if *d.to, err = facts.Duration(d.key); err != nil {
@@ -148,11 +148,11 @@
 			*d.to = d.def
 		}
 	}
-	return c, c.peers(raw.Peers, raw.PeersAll)
+	return c, c.parsePeers(raw.Peers, raw.PeersAll)
 }
 
-// peers checks the addresses of the other edge nodes.
-func (c *Config) peers(list []string, all string) error {
+// parsePeers checks the addresses of the other edge nodes.
+func (c *Config) parsePeers(list []string, all string) error {
 	if !c.Settings.CanMessagePeers {
 		return nil
 	}
@@ -171,7 +171,7 @@
 		if err != nil {
 			return fmt.Errorf("peers_all: %w", err)
 		}
-		c.PeersAll = a
+		c.PeerBroadcast = a
 	}
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// seedOf turns the seed's text into a number: it is hexadecimal as a rule.
-func seedOf(s string) uint64 {
+// parseSeed turns the seed's text into a number: it is hexadecimal as a rule.
+func parseSeed(s string) uint64 {
 	if v, err := strconv.ParseUint(s, 16, 64); err == nil {
 		return v
 	}
--- a/internal/dataplane/node/configured_test.go
+++ b/internal/dataplane/node/configured_test.go
@@ -63,8 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reads, reread := atomic.Int32{}, cfg.Reread
-	cfg.Reread = func() (*Config, error) {
+	reads, reread := atomic.Int32{}, cfg.Reload
+	cfg.Reload = func() (*Config, error) {
 		reads.Add(1)
 		return reread()
 	}
@@ -91,10 +91,10 @@
 }
 
 // While discovery is silent at the start, the known list has to do.
-func TestKnownListHasToDo(t *testing.T) {
+func TestCachedListServesWhileDiscoveryFails(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	cfg := testConfig(t, refusing(t))
-	cfg.Known = &serverList{Rev: 4, All: true, Targets: []target{serving("s-00000001", a.Addr())}}
+	cfg.CachedList = &serverList{Rev: 4, All: true, Targets: []target{serving("s-00000001", a.Addr())}}
 	n := start(t, cfg)
 	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
@@ -122,7 +122,7 @@
 		t.Errorf("%v", back)
 	}
 	booted := target{UID: "x", State: "SERVING", BootMS: float64(c.anchor.UnixMilli())}
-	if s := booted.server(); !s.HasStartTime || now-s.StartTime < 0 || now-s.StartTime > time.Minute {
+	if s := booted.policyServer(); !s.HasStartTime || now-s.StartTime < 0 || now-s.StartTime > time.Minute {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -38,9 +38,9 @@
 	}
 	defer conn.Close()
 	l := newLoop(newClock(world.Real{}), g, pool(refusing(t)))
-	held, out := &call{conn: conn, cmd: make(chan command, 1)}, &call{conn: conn, cmd: make(chan command, 1)}
-	held.ID, out.ID, out.out = 1, 2, &attempt{id: 2}
-	held.due, out.due = l.clock.now()+time.Hour, l.clock.now()+time.Hour
+	held, out := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
+	held.ID, out.ID, out.inFlight = 1, 2, &attempt{id: 2}
+	held.answerBy, out.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
 	l.calls[1], l.calls[2] = held, out
 	l.look()
 	if len(l.calls) != 2 {
@@ -48,12 +48,12 @@
 	}
 	client.Close()
 	eventually(t, "notice of the close", func() bool { l.look(); return len(l.calls) == 0 })
-	if len(held.cmd) != 1 || len(out.cmd) != 0 || out.out.cancelled {
-		t.Errorf("held let go %d, out told %d, called back %v", len(held.cmd), len(out.cmd), out.out.cancelled)
+	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
+		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
 	}
 	l.send(policy.Send{ID: 2, Server: 1})
-	l.end(outcome{out, out.out, ended(verdict.Failed, nil)})
-	if cmd := <-out.cmd; cmd.attempt != nil || len(out.cmd) != 0 {
+	l.end(outcome{out, out.inFlight, ended(verdict.Failed, nil)})
+	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
 }
@@ -82,7 +82,7 @@
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
-	eventually(t, "no connection", func() bool { open, _ := n.server.state(); return open == 0 })
+	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
 	n.server.most = 4
 	n.server.mu.Unlock()
@@ -92,7 +92,7 @@
 		dial(t, n)
 	}
 	silent := dial(t, n)
-	eventually(t, "room made", func() bool { open, _ := n.server.state(); return open <= 4 })
+	eventually(t, "room made", func() bool { open, _ := n.server.connectionActivity(); return open <= 4 })
 	if resp := send(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
@@ -160,7 +160,7 @@
 	})
 	n := nodeWith(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
-	eventually(t, "no connection", func() bool { open, _ := n.server.state(); return open == 0 })
+	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
 	n.server.most = 2
 	n.server.mu.Unlock()
@@ -168,7 +168,7 @@
 	held := send(t, busy, request(n.url, "loan", patience))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 1 })
 	idle := dial(t, n)
-	eventually(t, "two connections", func() bool { open, _ := n.server.state(); return open == 2 })
+	eventually(t, "two connections", func() bool { open, _ := n.server.connectionActivity(); return open == 2 })
 	dial(t, n)
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("idle connection over the bound: %v", err)
@@ -185,19 +185,19 @@
 	n := nodeWith(t, refusing(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
-	c := n.server.enter(pipe)
-	n.server.shutIdle(0)
-	if n.server.take(c) {
+	c := n.server.addConnection(pipe)
+	n.server.closeIdle(0)
+	if n.server.beginRequest(c) {
 		t.Error("a shut connection counts as open")
 	}
-	c = n.server.enter(pipe)
-	if !n.server.take(c) {
+	c = n.server.addConnection(pipe)
+	if !n.server.beginRequest(c) {
 		t.Error("an open connection counts as shut")
 	}
-	n.server.shutIdle(0)
+	n.server.closeIdle(0)
 	n.server.mu.Lock()
 	defer n.server.mu.Unlock()
-	if c.shut {
+	if c.closedByProxy {
 		t.Error("a busy connection was shut")
 	}
 }
--- a/internal/dataplane/node/discovery.go
+++ b/internal/dataplane/node/discovery.go
@@ -36,7 +36,7 @@
 	Weight   float64 `json:"capacity_hint"`
 	BootMS   float64 `json:"boot_ms"`
 
-	mostIdle int // connections to it that may stand idle here; 0: any number
+	maxIdleConns int // connections to it that may stand idle here; 0: any number
 }
 
 var targetStates = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining,
@@ -55,8 +55,8 @@
 	return policy.ServerID(h.Sum32())
 }
 
-// check refuses a list that can't be meant.
-func (l *serverList) check() error {
+// validate refuses a list that can't be meant.
+func (l *serverList) validate() error {
 	for _, t := range l.Targets {
 		if _, ok := targetStates[t.State]; !ok {
 			return fmt.Errorf("server %q: unknown state %q", t.UID, t.State)
@@ -73,38 +73,38 @@
 	return nil
 }
 
-// server turns a line into the module's form. The loop's clock counts from the
+// policyServer turns a line into the module's form. The loop's clock counts from the
 // Unix epoch, so a start time needs no shift.
-func (t *target) server() policy.Server {
+func (t *target) policyServer() policy.Server {
 	return policy.Server{ID: serverID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: targetStates[t.State],
 		HasStartTime: t.BootMS > 0, StartTime: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
 }
 
 const (
-	watchWait        = 3 * time.Second // a watch is answered by then, with or without news
-	watchSlack       = time.Second
-	watchPause       = 50 * time.Millisecond // a watch goes on if the next call comes within 200 ms
-	mostListBytes    = 4 << 20
-	discoveryTimeout = 2 * time.Second
+	watchTimeout      = 3 * time.Second // a watch is answered by then, with or without news
+	watchTimeoutSlack = time.Second
+	minWatchInterval  = 50 * time.Millisecond // a watch goes on if the next call comes within 200 ms
+	maxListBytes      = 4 << 20
+	discoveryTimeout  = 2 * time.Second
 )
 
 // discovery follows the list of app servers.
 type discovery struct {
-	clock world.Clock
-	tell  func(*serverList, policy.ServerListKind)
-	http  http.Client
-	known *serverList // the list held at the start; nil: none is
-	pace  pace        // run's
-
-	mu    sync.Mutex
-	addr  string
-	moved context.CancelFunc // ends the watch at the address before
+	clock      world.Clock
+	onList     func(*serverList, policy.ServerListKind)
+	http       http.Client
+	cachedList *serverList // the list held at the start; nil: none is
+	pacing     callPacing  // run's
+
+	mu          sync.Mutex
+	addr        string
+	cancelWatch context.CancelFunc // ends the watch at the address before
 }
 
 // newDiscovery returns what follows the list at the address, from a known list on.
 func newDiscovery(w world.World, addr string, known *serverList, tell func(*serverList, policy.ServerListKind)) *discovery {
-	return &discovery{clock: w, addr: addr, known: known, tell: tell, moved: func() {}, http: http.Client{
-		Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: watchWait, DialContext: w.Dial},
+	return &discovery{clock: w, addr: addr, cachedList: known, onList: tell, cancelWatch: func() {}, http: http.Client{
+		Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: watchTimeout, DialContext: w.Dial},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -115,20 +115,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.addr = addr
-	d.moved()
+	d.cancelWatch()
 }
 
 // run follows the list, at whatever address is in force, until ctx ends.
 func (d *discovery) run(ctx context.Context) {
 	held := false // from an address before
-	for known := d.known; ctx.Err() == nil; known = nil {
+	for known := d.cachedList; ctx.Err() == nil; known = nil {
 		at, moved := context.WithCancel(ctx)
 		d.mu.Lock()
 		addr := d.addr
-		d.moved = moved
+		d.cancelWatch = moved
 		d.mu.Unlock()
 		if held {
-			world.Sleep(at, d.clock, d.pace.moved()) // all are moved at once
+			world.Sleep(at, d.clock, d.pacing.moveDelay()) // all are moved at once
 		}
 		held = d.follow(at, addr, known) || held
 		moved()
@@ -141,18 +141,18 @@
 // asked for again; the list held stays in force meanwhile.
 func (d *discovery) follow(ctx context.Context, addr string, known *serverList) (have bool) {
 	rev, down := int64(0), false
-	if known != nil && d.pace.pause > 0 {
+	if known != nil && d.pacing.spread > 0 {
 		// Many edge nodes may start at once, each with a list that does for now.
 		rev, have = known.Rev, true
-		world.Sleep(ctx, d.clock, d.pace.first())
+		world.Sleep(ctx, d.clock, d.pacing.firstDelay())
 	}
 	for ctx.Err() == nil {
 		query, limit := "", discoveryTimeout
 		if have {
-			query = fmt.Sprintf("?since=%d&timeout_ms=%d", rev, watchWait.Milliseconds())
-			limit = watchWait + watchSlack
+			query = fmt.Sprintf("?since=%d&timeout_ms=%d", rev, watchTimeout.Milliseconds())
+			limit = watchTimeout + watchTimeoutSlack
 		}
-		if d.pace.pause > 0 {
+		if d.pacing.spread > 0 {
 			limit += discoveryTimeout // the call waits in turn first
 		}
 		began := d.clock.Now()
@@ -165,24 +165,24 @@
 				slog.Warn("discovery does not answer; the list held stays in force", "err", err)
 			}
 			down = true
-			d.tell(nil, policy.WatchFailed)
-			world.Sleep(ctx, d.clock, d.pace.failed())
+			d.onList(nil, policy.WatchFailed)
+			world.Sleep(ctx, d.clock, d.pacing.retryDelay())
 			continue
 		}
 		if down {
 			slog.Info("discovery answers again", "rev", l.Rev)
 		}
 		down = false
-		d.pace.answered()
-		if have && l.Rev == rev && d.clock.Now().Sub(began) < watchPause {
-			world.Sleep(ctx, d.clock, watchPause) // it does not wait as it should: don't ask without pause
+		d.pacing.resetBackoff()
+		if have && l.Rev == rev && d.clock.Now().Sub(began) < minWatchInterval {
+			world.Sleep(ctx, d.clock, minWatchInterval) // it does not wait as it should: don't ask without pause
 		}
 		rev = l.Rev
 		switch {
 		case l.All || !have:
-			d.tell(l, policy.CompleteList)
+			d.onList(l, policy.CompleteList)
 		case len(l.Targets) > 0:
-			d.tell(l, policy.ChangedServers)
+			d.onList(l, policy.ChangedServers)
 		}
 		have = true
 	}
@@ -204,16 +204,16 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostListBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > mostListBytes {
-		return nil, fmt.Errorf("a list of over %d bytes", mostListBytes)
+	if len(body) > maxListBytes {
+		return nil, fmt.Errorf("a list of over %d bytes", maxListBytes)
 	}
 	var l serverList
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, err
 	}
-	return &l, l.check()
+	return &l, l.validate()
 }
--- a/internal/dataplane/node/estate.go
+++ b/internal/dataplane/node/estate.go
@@ -74,7 +74,7 @@
 	estate *estate
 	ready  atomic.Bool
 	yields yields // the loop's
-	minute minute
+	minute requestCounter
 	fit    fit // the loop's
 }
 
@@ -90,10 +90,10 @@
 	w := cfg.World
 	clk := newClock(w)
 	up := &upstream{clock: clk, network: w, limit: estateDial, idleFor: estateIdle, grace: estateGrace, rest: restFor,
-		most: int(serverPart * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, estate: true}
-	n := &Node{world: w, up: up, loop: newLoop(clk, g, up)}
+		most: int(serverSocketShare * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, estate: true}
+	n := &Node{world: w, upstream: up, loop: newLoop(clk, g, up)}
 	n.loop.lookEvery = estateLook
-	n.server = newServer(clk, set, up, n.loop.events, int(clientPart*float64(cfg.Sockets)))
+	n.server = newServer(clk, set, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
 	e := &Estate{node: n, cfg: cfg, field: field, serverList: &serverlist.ServerList{Terms: serverListTerms(&cfg)}}
 	field.MaxRetryBudget = e.retryCap
 	e.estate = &estate{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
@@ -263,7 +263,7 @@
 	for _, s := range e.serverList.Lives() {
 		t := target{UID: s.ID, Endpoint: s.Address, State: "SERVING"}
 		if s.MostOut > 0 {
-			t.mostIdle = max(1, int(idleConns*float64(s.MostOut)/float64(max(1, e.estate.shares.Load()))))
+			t.maxIdleConns = max(1, int(idleConns*float64(s.MostOut)/float64(max(1, e.estate.shares.Load()))))
 		}
 		m := policy.Server{ID: serverID(s.ID), Zone: s.Zone, Region: s.Region, Service: s.Service, Slots: max(1, s.Slots),
 			ColdUntil: s.ColdUntil, ColdSendRate: s.ColdSends}
--- a/internal/dataplane/node/fit.go
+++ b/internal/dataplane/node/fit.go
@@ -79,18 +79,18 @@
 // note notes how an attempt ended, where that says anything of its server.
 func (e *Estate) note(o outcome) {
 	out, says := outcomeOf(&o, e.node.loop.clock.now())
-	if id := e.node.up.uid(o.a.server); says && id != "" {
+	if id := e.node.upstream.uid(o.attempt.server); says && id != "" {
 		kind := serverhealth.Record
-		if o.c.effect == policy.Safe {
+		if o.request.effect == policy.Safe {
 			kind = serverhealth.Search
 		}
-		e.fit.recorder.Add(e.steady(), id, kind, serverhealth.Group(o.c.estate.tenant), out)
+		e.fit.recorder.Add(e.steady(), id, kind, serverhealth.Group(o.request.managed.tenant), out)
 	}
 }
 
 // outcomeOf is what the end of an attempt says of its server; false: nothing.
 func outcomeOf(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
-	aim := o.c.class.LatencyTarget
+	aim := o.request.class.LatencyTarget
 	switch {
 	case o.fault != nil || o.End == verdict.Unfit: // the client's fault
 		return 0, false
@@ -99,7 +99,7 @@
 	}
 	switch o.Code() {
 	case policy.OK:
-		if took := max(o.latency, 0); took > lateAims*aim || took == 0 && now-o.a.sent > lateAims*aim {
+		if took := max(o.latency, 0); took > lateAims*aim || took == 0 && now-o.attempt.sent > lateAims*aim {
 			return serverhealth.Late, true
 		}
 		return serverhealth.Confirmed, true
@@ -110,10 +110,10 @@
 			return serverhealth.WrongID, true
 		}
 		// Who was given less time than is usual may find any server silent.
-		return serverhealth.Unclear, o.End != verdict.Silent || o.a.deadline-o.a.sent >= aim
+		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.sent >= aim
 	case policy.Cancelled:
 		// It was called back since it was overdue, unless its client had gone.
-		return serverhealth.Late, o.c.final == nil && !o.begun && !o.spent
+		return serverhealth.Late, o.request.pendingAnswer == nil && !o.begun && !o.spent
 	}
 	return 0, false
 }
--- a/internal/dataplane/node/forgot_test.go
+++ b/internal/dataplane/node/forgot_test.go
@@ -68,7 +68,7 @@
 				time.Sleep(400 * time.Millisecond)
 			}
 			assert.Equal(t, len(h.seen()), n)
-			assert.Assert(t, r.Estate.node.up.open <= 3)
+			assert.Assert(t, r.Estate.node.upstream.open <= 3)
 		})
 	}
 }
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -57,18 +57,18 @@
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	b = append(b, "\r\n"+fieldTarget+": "...)
 	b = append(b, server...)
-	if req.estate.tenant != "" {
+	if req.managed.tenant != "" {
 		b = append(b, "\r\n"+fieldTenant+": "...)
-		b = append(b, req.estate.tenant...)
+		b = append(b, req.managed.tenant...)
 	}
-	if req.estate.front.unread() {
+	if req.managed.front.unread() {
 		b = appendFrame(b, &req.head)
 	} else if m := string(req.method); m != "GET" && m != "HEAD" || len(req.body) > 0 {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	if req.estate.front.unread() {
+	if req.managed.front.unread() {
 		return appendPiece(b, &req.head, req.body)
 	}
 	return append(b, req.body...)
@@ -118,7 +118,7 @@
 		return ended(verdict.Unsent, errNoWay), false
 	}
 	msg := buffers.Get().(*[]byte)
-	b := appendForward((*msg)[:0], req, server, req.estate.front.s.estate.workFor(left, u.clock.now()))
+	b := appendForward((*msg)[:0], req, server, req.managed.front.s.estate.workFor(left, u.clock.now()))
 	n, err := c.Write(b[c.ahead:])
 	whole := c.ahead+n == len(b)
 	c.ahead = 0
@@ -130,7 +130,7 @@
 	}
 	bare, written := string(req.method) == "HEAD", u.clock.now()
 	stray := false
-	status, body, framed, unsent := 0, []byte(nil), false, req.estate.front.unread()
+	status, body, framed, unsent := 0, []byte(nil), false, req.managed.front.unread()
 	for range mostSurplus {
 		if err != nil {
 			break
@@ -142,7 +142,7 @@
 			}
 			written = u.clock.now()
 		}
-		if status, body, framed, err = c.answer(bare, unsent); err != nil || string(c.head.get(fieldID)) == req.estate.id {
+		if status, body, framed, err = c.answer(bare, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
 			break
 		}
 		if !framed {
@@ -154,10 +154,10 @@
 		c.in.begin() // it answers another request
 		status, stray = 0, true
 	}
-	spent := req.estate.front.spent()
+	spent := req.managed.front.spent()
 	if err != nil || status == 0 {
 		r := u.unanswered(a, err)
-		if unsent && !req.estate.front.ending() { // and never will be sent
+		if unsent && !req.managed.front.ending() { // and never will be sent
 			r = ended(verdict.Unsent, err)
 		}
 		r.spent, r.stray = spent, stray
--- a/internal/dataplane/node/gone_test.go
+++ b/internal/dataplane/node/gone_test.go
@@ -38,7 +38,7 @@
 // it may run once.
 func TestServersStopForClientsThatLeft(t *testing.T) {
 	const work, after = 1200 * time.Millisecond, 200 * time.Millisecond
-	for how, end := range ends {
+	for how, end := range disconnects {
 		if how == "stall" {
 			continue
 		}
--- a/internal/dataplane/node/hard_test.go
+++ b/internal/dataplane/node/hard_test.go
@@ -97,7 +97,7 @@
 				mu.Lock()
 				out := count[id] == 1
 				mu.Unlock()
-				return out || k > 0 && in.nodes[n].holds(id)
+				return out || k > 0 && in.nodes[n].hasOpenRequest(id)
 			})
 		}
 		// The id of one that is open is a conflict.
--- a/internal/dataplane/node/idle_test.go
+++ b/internal/dataplane/node/idle_test.go
@@ -14,7 +14,7 @@
 func TestIdleConnectionsOfAServerAreBounded(t *testing.T) {
 	id := serverID("i-1")
 	u := &upstream{clock: newClock(world.Real{}), servers: map[policy.ServerID]*appServer{}, open: 3}
-	u.update(&serverList{All: true, Targets: []target{{UID: "i-1", Endpoint: "pipe", State: "SERVING", mostIdle: 2}}}, true)
+	u.update(&serverList{All: true, Targets: []target{{UID: "i-1", Endpoint: "pipe", State: "SERVING", maxIdleConns: 2}}}, true)
 	for range 3 {
 		c, other := net.Pipe()
 		defer other.Close()
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -43,15 +43,15 @@
 	})
 	handed := false
 	for {
-		world.Pause(n.world, stopPoll)
+		world.Pause(n.world, drainPollInterval)
 		past := n.world.Now().Sub(began)
 		if past >= l.Grace/2 {
-			s.shutIdle(stopQuiet)
+			s.closeIdle(drainQuietTime)
 		}
 		if l.Stage() == handover.Shut && !handed {
 			handed = e.hand()
 		}
-		open, quiet := s.state()
+		open, quiet := s.connectionActivity()
 		stage, isNew := l.Step(past, handover.Facts{Open: open, Quiet: quiet, Handed: handed})
 		if !isNew {
 			continue
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -46,8 +46,8 @@
 	events chan any
 	over   chan struct{} // closed when the loop has ended: nothing is answered any more
 	nextID policy.RequestID
-	calls  map[policy.RequestID]*call
-	names  map[string]*call // the same by the clients' ids
+	calls  map[policy.RequestID]*openRequest
+	names  map[string]*openRequest // the same by the clients' ids
 	timers timerHeap
 	timer  world.Timer
 	wake   time.Duration // when the timer is set for; 0: it is not
@@ -57,7 +57,7 @@
 
 func newLoop(c clock, g *policy.Gateway, up *upstream) *loop {
 	return &loop{clock: c, gateway: g, up: up, events: make(chan any, eventQueue), over: make(chan struct{}),
-		calls: map[policy.RequestID]*call{}, names: map[string]*call{}, timer: c.NewTimer(time.Hour), lookEvery: lookEvery}
+		calls: map[policy.RequestID]*openRequest{}, names: map[string]*openRequest{}, timer: c.NewTimer(time.Hour), lookEvery: lookEvery}
 }
 
 // run handles events until done is closed.
@@ -81,12 +81,12 @@
 
 func (l *loop) handle(ev any) {
 	switch ev := ev.(type) {
-	case *call:
+	case *openRequest:
 		l.arrive(ev)
 	case outcome:
 		l.end(ev)
 	case started:
-		l.decide(policy.Started{ID: ev.a.id, Attempt: ev.a.num, Server: ev.a.server})
+		l.decide(policy.Started{ID: ev.attempt.id, Attempt: ev.attempt.num, Server: ev.attempt.server})
 	case policy.PeerMessage:
 		l.decide(ev)
 	case listed:
@@ -96,46 +96,46 @@
 	}
 }
 
-func (l *loop) arrive(c *call) {
-	if l.names[c.name] != nil {
-		c.cmd <- command{bad: statusConflict} // the one that is open goes on
+func (l *loop) arrive(c *openRequest) {
+	if l.names[c.clientID] != nil {
+		c.commands <- command{clientErrorStatus: statusConflict} // the one that is open goes on
 		return
 	}
 	l.nextID++
 	c.ID = l.nextID
-	c.due = c.arrived + max(0, c.budget-answerMargin)
-	if c.estate != nil {
-		c.due = c.arrived + c.budget
-	}
-	c.Remaining = max(0, c.due-l.clock.now())
-	l.calls[c.ID], l.names[c.name] = c, c
-	c.backstop = &timer{at: c.due + backstop, call: c}
-	heap.Push(&l.timers, c.backstop)
+	c.answerBy = c.arrived + max(0, c.budget-answerMargin)
+	if c.managed != nil {
+		c.answerBy = c.arrived + c.budget
+	}
+	c.Remaining = max(0, c.answerBy-l.clock.now())
+	l.calls[c.ID], l.names[c.clientID] = c, c
+	c.deadlineTimer = &timer{at: c.answerBy + backstop, call: c}
+	heap.Push(&l.timers, c.deadlineTimer)
 	l.decide(c.Request)
 }
 
 // end takes in an attempt's end. A whole answer is on its way to the client
 // already.
 func (l *loop) end(o outcome) {
-	c, ev := o.c, policy.Outcome{ID: o.a.id, Attempt: o.a.num, Server: o.a.server, Code: o.Code(),
-		Latency: l.clock.now() - o.a.sent, Load: o.load}
-	c.out = nil
+	c, ev := o.request, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.num, Server: o.attempt.server, Code: o.Code(),
+		Latency: l.clock.now() - o.attempt.sent, Load: o.load}
+	c.inFlight = nil
 	if l.note != nil {
 		l.note(o)
 	}
 	if o.latency > 0 {
 		ev.Latency = o.latency
 	}
-	if c.ranAt == 0 && !o.Run().Never() {
-		c.ranAt = o.a.sent
+	if c.mayHaveRunSince == 0 && !o.Run().Never() {
+		c.mayHaveRunSince = o.attempt.sent
 	}
 	switch {
 	case o.End == verdict.Served || o.begun || o.fault != nil:
 		l.forget(c)
-	case o.End == verdict.Unfit && c.final == nil:
-		l.answer(c, command{bad: statusBadRequest})
-	case c.final != nil:
-		l.answer(c, *c.final)
+	case o.End == verdict.Unfit && c.pendingAnswer == nil:
+		l.answer(c, command{clientErrorStatus: statusBadRequest})
+	case c.pendingAnswer != nil:
+		l.answer(c, *c.pendingAnswer)
 	case o.spent: // there is nothing to send again
 		l.answer(c, command{retryAfter: refusedWait})
 	}
@@ -144,11 +144,11 @@
 }
 
 // overdue fails what the module has left open until the client's deadline.
-func (l *loop) overdue(c *call) {
+func (l *loop) overdue(c *openRequest) {
 	if l.calls[c.ID] == nil {
 		return
 	}
-	l.finish(c, command{late: true})
+	l.finish(c, command{timedOut: true})
 	l.decide(policy.ClientGone{ID: c.ID})
 }
 
@@ -168,12 +168,12 @@
 		if c.conn == nil || world.Peek(c.conn) != world.PeekEnd {
 			continue
 		}
-		if c.out == nil {
+		if c.inFlight == nil {
 			l.answer(c, command{})
 		} else {
 			l.forget(c)
-			c.final = &command{}
-			c.abandon()
+			c.pendingAnswer = &command{}
+			c.abandonAttempt()
 		}
 		l.left.Add(1)
 		l.decide(policy.ClientGone{ID: id})
@@ -183,34 +183,34 @@
 
 // finish gives a request its final answer, after calling back an attempt that
 // is still out.
-func (l *loop) finish(c *call, cmd command) {
-	if c.out == nil {
+func (l *loop) finish(c *openRequest, cmd command) {
+	if c.inFlight == nil {
 		l.answer(c, cmd)
 		return
 	}
-	if c.final == nil {
+	if c.pendingAnswer == nil {
 		// What is out may run: that rules a refusal out.
-		c.final = &command{late: cmd.late}
-		c.out.cancel()
+		c.pendingAnswer = &command{timedOut: cmd.timedOut}
+		c.inFlight.cancel()
 	}
 }
 
-func (l *loop) answer(c *call, cmd command) {
+func (l *loop) answer(c *openRequest, cmd command) {
 	l.forget(c)
-	if c.estate != nil {
-		cmd.late = cmd.late || l.clock.now() >= c.due
+	if c.managed != nil {
+		cmd.timedOut = cmd.timedOut || l.clock.now() >= c.answerBy
 	}
-	c.cmd <- cmd
+	c.commands <- cmd
 }
 
 // forget drops what is kept of a request once its answer is decided.
-func (l *loop) forget(c *call) {
+func (l *loop) forget(c *openRequest) {
 	delete(l.calls, c.ID)
-	if l.names[c.name] == c {
-		delete(l.names, c.name)
+	if l.names[c.clientID] == c {
+		delete(l.names, c.clientID)
 	}
-	if c.backstop != nil && c.backstop.place >= 0 {
-		heap.Remove(&l.timers, c.backstop.place)
+	if c.deadlineTimer != nil && c.deadlineTimer.place >= 0 {
+		heap.Remove(&l.timers, c.deadlineTimer.place)
 	}
 }
 
@@ -224,7 +224,7 @@
 	l.up.update(m.list, m.kind != policy.ChangedServers)
 	ev := policy.ServerList{Kind: m.kind}
 	for i := range m.list.Targets {
-		ev.Servers = append(ev.Servers, m.list.Targets[i].server())
+		ev.Servers = append(ev.Servers, m.list.Targets[i].policyServer())
 	}
 	l.decide(ev)
 	if l.onList != nil {
--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -24,9 +24,9 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := clientConn{in: stream{src: bytes.NewReader(data)}}
-		err := c.read()
+		err := c.readRequest()
 		slow := clientConn{in: stream{src: iotest.OneByteReader(bytes.NewReader(data))}}
-		if slowErr := slow.read(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.req.body, slow.req.body) {
+		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.req.body, slow.req.body) {
 			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.req.body, slowErr, slow.req.body)
 		}
 		if err != nil {
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -17,39 +17,39 @@
 // Parts of the file descriptors: a request needs one for its client and one
 // for its app server; the rest is for the listeners, discovery and files.
 const (
-	clientPart, serverPart = 0.5, 0.35
-	sweepEvery             = time.Second
-	knownWait              = time.Second // discovery is given so long before the known list has to do
+	clientSocketShare, serverSocketShare = 0.5, 0.35
+	sweepInterval                        = time.Second
+	cachedListDelay                      = time.Second // discovery is given so long before the known list has to do
 )
 
 // The steps of a planned stop. Clients go on coming for up to 0.4 s after the
 // signal.
 const (
-	stopShutIdle = 250 * time.Millisecond // idle connections are closed while new ones still find an open door
-	stopAccept   = 550 * time.Millisecond
-	stopQuiet    = 100 * time.Millisecond
-	stopReading  = 2 * time.Second // a request that has begun to come by then is given so long
-	stopMost     = 65 * time.Second
-	stopPoll     = 10 * time.Millisecond
+	drainCloseIdleAfter  = 250 * time.Millisecond // idle connections are closed while new ones still find an open door
+	drainStopAcceptAfter = 550 * time.Millisecond
+	drainQuietTime       = 100 * time.Millisecond
+	drainReadTimeout     = 2 * time.Second // a request that has begun to come by then is given so long
+	drainTimeout         = 65 * time.Second
+	drainPollInterval    = 10 * time.Millisecond
 )
 
-// stopping is when a planned stop takes its steps.
-type stopping struct{ shutIdle, accept, most time.Duration }
+// drainSchedule is when a planned stop takes its steps.
+type drainSchedule struct{ closeIdle, stopAccept, timeout time.Duration }
 
 // Node is an edge node whose sockets are open.
 type Node struct {
-	cfg      *Config
-	world    world.World
-	loop     *loop
-	server   *server
-	up       *upstream
-	peers    *peers
-	disc     *discovery
-	listener net.Listener
-	stop     stopping
+	cfg           *Config
+	world         world.World
+	loop          *loop
+	server        *server
+	upstream      *upstream
+	peers         *peers
+	discovery     *discovery
+	listener      net.Listener
+	drainSchedule drainSchedule
 
-	tuning            sync.Mutex // one change at a time
-	platformDiscovery string     // where the platform's configuration says that it is
+	tuningMu            sync.Mutex // one change at a time
+	configuredDiscovery string     // where the platform's configuration says that it is
 }
 
 // New opens the sockets of an edge node.
@@ -65,11 +65,11 @@
 	clk := newClock(w)
 	up := &upstream{clock: clk, network: w, limit: cfg.DialTimeout,
 		idleFor: time.Duration(idlePart * float64(cfg.ConnIdle)), grace: cfg.DrainGrace,
-		most: int(serverPart * float64(cfg.Sockets)), fields: cfg.Settings.LoadReportNames,
+		most: int(serverSocketShare * float64(cfg.Sockets)), fields: cfg.Settings.LoadReportNames,
 		servers: map[policy.ServerID]*appServer{}}
-	n := &Node{cfg: cfg, world: w, up: up, loop: newLoop(clk, g, up), platformDiscovery: cfg.Discovery,
-		stop: stopping{stopShutIdle, stopAccept, stopMost}}
-	n.server = newServer(clk, cfg.Settings, up, n.loop.events, int(clientPart*float64(cfg.Sockets)))
+	n := &Node{cfg: cfg, world: w, upstream: up, loop: newLoop(clk, g, up), configuredDiscovery: cfg.Discovery,
+		drainSchedule: drainSchedule{drainCloseIdleAfter, drainStopAcceptAfter, drainTimeout}}
+	n.server = newServer(clk, cfg.Settings, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
 	n.server.booked.random = cfg.Random
 	if cfg.Random == nil {
 		n.server.booked.random = rand.Reader
@@ -85,13 +85,13 @@
 				break // its answer is not to be had at once
 			}
 			go func() {
-				world.Pause(w, knownWait)
+				world.Pause(w, cachedListDelay)
 				n.server.ready.Store(true)
 			}()
 		}
 	}
 	if cfg.Settings.CanMessagePeers {
-		n.peers, err = listenPeers(w, cfg.PeerListen, cfg.Peers, cfg.PeersAll, func(from int, data []byte) {
+		n.peers, err = listenPeers(w, cfg.PeerListen, cfg.Peers, cfg.PeerBroadcast, func(from int, data []byte) {
 			select {
 			case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
 			default: // lost, like one on the way
@@ -101,7 +101,7 @@
 			return nil, err
 		}
 		n.loop.tell = n.peers.tell
-		if t := cfg.Members; t != nil {
+		if t := cfg.Membership; t != nil {
 			if n.peers.watch, err = newWatch(cfg, *t, clk, n.peers, cfg.Seed); err != nil {
 				n.closePeers()
 				return nil, err
@@ -114,19 +114,19 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	up.tune(DefaultTuning())
-	if k := cfg.Known; k != nil {
+	if k := cfg.CachedList; k != nil {
 		if len(k.Targets) == 0 {
-			cfg.Known = nil
-		} else if err := k.check(); err != nil {
+			cfg.CachedList = nil
+		} else if err := k.validate(); err != nil {
 			slog.Warn("known list passed over", "err", err)
-			cfg.Known = nil
+			cfg.CachedList = nil
 		}
 	}
-	n.disc = newDiscovery(w, cfg.Discovery, cfg.Known, func(l *serverList, kind policy.ServerListKind) {
+	n.discovery = newDiscovery(w, cfg.Discovery, cfg.CachedList, func(l *serverList, kind policy.ServerListKind) {
 		n.loop.events <- listed{l, kind}
 	})
 	if cfg.Settings.MustWatch {
-		n.disc.pace = sharedPace(cfg.Settings.Gateways, cfg.Seed)
+		n.discovery.pacing = newSharedPacing(cfg.Settings.Gateways, cfg.Seed)
 	}
 	return n, nil
 }
@@ -146,11 +146,11 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	defer n.closePeers()
-	if k := n.cfg.Known; k != nil {
+	if k := n.cfg.CachedList; k != nil {
 		n.loop.events <- listed{k, policy.CachedList}
 	}
 	go n.loop.run(ctx.Done())
-	go n.disc.run(ctx)
+	go n.discovery.run(ctx)
 	go n.reload(ctx, hup)
 	go n.sweep(ctx)
 	if n.peers != nil {
@@ -179,25 +179,25 @@
 	began := n.world.Now()
 	n.server.draining.Store(true)
 	accepting := true
-	for n.world.Now().Sub(began) < n.stop.most {
-		world.Pause(n.world, stopPoll)
+	for n.world.Now().Sub(began) < n.drainSchedule.timeout {
+		world.Pause(n.world, drainPollInterval)
 		past := n.world.Now().Sub(began)
-		if past >= n.stop.shutIdle {
-			n.server.shutIdle(stopQuiet)
+		if past >= n.drainSchedule.closeIdle {
+			n.server.closeIdle(drainQuietTime)
 		}
-		open, quiet := n.server.state()
-		if accepting && past >= n.stop.accept && quiet >= stopQuiet {
+		open, quiet := n.server.connectionActivity()
+		if accepting && past >= n.drainSchedule.stopAccept && quiet >= drainQuietTime {
 			n.listener.Close()
 			accepting = false
 		}
-		if !accepting && open == 0 && quiet >= stopQuiet {
+		if !accepting && open == 0 && quiet >= drainQuietTime {
 			return
 		}
 	}
 }
 
 func (n *Node) sweep(ctx context.Context) {
-	for world.Sleep(ctx, n.world, sweepEvery) {
-		n.up.sweep()
+	for world.Sleep(ctx, n.world, sweepInterval) {
+		n.upstream.sweep()
 	}
 }
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -41,7 +41,7 @@
 }
 
 // An attempt that never ran goes elsewhere; the client sees one answer.
-func TestGoesElsewhere(t *testing.T) {
+func TestRetriesOnAnotherServer(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, refusing(t), a.Addr())
 	for range 20 {
@@ -98,24 +98,24 @@
 	c := newClock(world.Real{})
 	l := newLoop(c, nil, nil)
 	out := &attempt{id: 1, cancelled: false}
-	k := &call{cmd: make(chan command, 1), out: out}
+	k := &openRequest{commands: make(chan command, 1), inFlight: out}
 	k.ID = 1
 	l.calls[1] = k
-	l.finish(k, command{refuse: true})
-	if !out.cancelled || len(k.cmd) != 0 {
-		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.cmd))
+	l.finish(k, command{refused: true})
+	if !out.cancelled || len(k.commands) != 0 {
+		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.commands))
 	}
 	l.finish(k, command{}) // a second end changes nothing
-	k.out = nil
-	l.answer(k, *k.final)
-	if cmd := <-k.cmd; cmd.refuse || cmd.attempt != nil || len(l.calls) != 0 {
+	k.inFlight = nil
+	l.answer(k, *k.pendingAnswer)
+	if cmd := <-k.commands; cmd.refused || cmd.attempt != nil || len(l.calls) != 0 {
 		t.Errorf("%+v, %d open", cmd, len(l.calls))
 	}
 }
 
 // What an app server calls unfit is the client's fault: it is neither tried
 // elsewhere nor held against the server.
-func TestUnfitRequestIsNotTriedAgain(t *testing.T) {
+func TestBadRequestIsNotRetried(t *testing.T) {
 	a := newApp(t, standin.Answer("400 No", "", ""))
 	n := nodeWith(t, a.Addr())
 	for i := range 5 {
@@ -248,7 +248,7 @@
 }
 
 // Those who look at healthz often don't keep an edge node from stopping.
-func TestLooksDoNotHoldAStop(t *testing.T) {
+func TestHealthChecksDoNotDelayStop(t *testing.T) {
 	r := nodeWith(t)
 	stop := make(chan struct{})
 	var looks sync.WaitGroup
--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -12,38 +12,38 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// overbooked is one discovery for many edge nodes. It serves calls in turn, takes
+// overloadedDiscovery is one discovery for many edge nodes. It serves calls in turn, takes
 // more than it can answer before they run out, and works on all that it took.
-type overbooked struct {
-	each, patience, most time.Duration
-	free                 time.Duration // when it has done all that it took
+type overloadedDiscovery struct {
+	perCall, patience, maxQueue time.Duration
+	freeAt                      time.Duration // when it has done all that it took
 }
 
 // call tells when a call is over, and whether it brought an answer.
-func (o *overbooked) call(at time.Duration) (end time.Duration, ok bool) {
-	o.free = max(o.free, at)
-	if o.free-at > o.most {
+func (o *overloadedDiscovery) call(at time.Duration) (end time.Duration, ok bool) {
+	o.freeAt = max(o.freeAt, at)
+	if o.freeAt-at > o.maxQueue {
 		return at, false
 	}
-	o.free += o.each
-	if o.free-at > o.patience {
+	o.freeAt += o.perCall
+	if o.freeAt-at > o.patience {
 		return at + o.patience, false
 	}
-	return o.free, true
+	return o.freeAt, true
 }
 
-// play lets edge nodes start at a time and call until each has an answer or the
+// run lets edge nodes start at a time and call until each has an answer or the
 // end has come; it returns how many have one and how many calls failed.
-func (o *overbooked) play(paces []pace, start, end time.Duration) (answered, failed int) {
+func (o *overloadedDiscovery) run(paces []callPacing, start, end time.Duration) (answered, failed int) {
 	next := make([]time.Duration, len(paces))
 	for i := range paces {
-		next[i] = start + paces[i].first()
+		next[i] = start + paces[i].firstDelay()
 	}
-	return o.calls(paces, next, end)
+	return o.runFrom(paces, next, end)
 }
 
-// calls goes on from the times of the edge nodes' next calls.
-func (o *overbooked) calls(paces []pace, next []time.Duration, end time.Duration) (answered, failed int) {
+// runFrom goes on from the times of the edge nodes' next calls.
+func (o *overloadedDiscovery) runFrom(paces []callPacing, next []time.Duration, end time.Duration) (answered, failed int) {
 	for {
 		i := 0
 		for j := range next {
@@ -61,19 +61,19 @@
 			continue
 		}
 		failed++
-		next[i] = over + paces[i].failed()
+		next[i] = over + paces[i].retryDelay()
 	}
 }
 
 // Eighty edge nodes start at one moment, each with its last list, and most are
 // killed at once later: all come to follow an overbooked discovery soon. Without
 // the spread none of the later ones does, and hardly one of the first.
-func TestManyStartAtAnOverbookedDiscovery(t *testing.T) {
-	paces := func(n int, life uint64, spread bool) (list []pace) {
+func TestManyProxiesStartWithOverloadedDiscovery(t *testing.T) {
+	paces := func(n int, life uint64, spread bool) (list []callPacing) {
 		for i := range n {
-			p := pace{}
+			p := callPacing{}
 			if spread {
-				p = sharedPace(80, life*1000+uint64(i))
+				p = newSharedPacing(80, life*1000+uint64(i))
 			}
 			list = append(list, p)
 		}
@@ -81,29 +81,29 @@
 	}
 	for life := uint64(1); life <= 200; life++ {
 		// It can take a whole list's call from each in 8 s, a change's in half of it.
-		o := &overbooked{each: 50 * time.Millisecond, patience: 2 * time.Second, most: 6 * time.Second}
-		first, _ := o.play(paces(80, life, true), 0, 8*time.Second)
-		second, failed := o.play(paces(56, life+1000, true), 10*time.Second, 18*time.Second)
+		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		first, _ := o.run(paces(80, life, true), 0, 8*time.Second)
+		second, failed := o.run(paces(56, life+1000, true), 10*time.Second, 18*time.Second)
 		if first != 80 || second != 56 || failed > 0 {
 			t.Fatalf("seeds %d: %d of 80 and %d of 56 have an answer, %d calls failed", life, first, second, failed)
 		}
 	}
-	o := &overbooked{each: 50 * time.Millisecond, patience: 2 * time.Second, most: 6 * time.Second}
-	if n, _ := o.play(paces(80, 1, false), 0, 8*time.Second); n > 45 {
+	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+	if n, _ := o.run(paces(80, 1, false), 0, 8*time.Second); n > 45 {
 		t.Errorf("%d of 80 have an answer though all call in step: the stand-in is too kind", n)
 	}
 }
 
 // However many edge nodes there are, the service can take a call from each within 8 s:
 // the bound of the pause holds for fleets of any size.
-func TestAnyNumberStarts(t *testing.T) {
+func TestStartSpreadHoldsForAnyFleetSize(t *testing.T) {
 	for _, n := range []int{81, 300, 1000} {
-		o := &overbooked{each: 4 * time.Second / time.Duration(n), patience: 2 * time.Second, most: 6 * time.Second}
-		var paces []pace
+		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		var paces []callPacing
 		for i := range n {
-			paces = append(paces, sharedPace(n, uint64(i)))
+			paces = append(paces, newSharedPacing(n, uint64(i)))
 		}
-		if got, failed := o.play(paces, 0, 8*time.Second); got != n || failed > 0 {
+		if got, failed := o.run(paces, 0, 8*time.Second); got != n || failed > 0 {
 			t.Errorf("%d of %d have an answer, %d calls failed", got, n, failed)
 		}
 	}
@@ -111,22 +111,22 @@
 
 // A reload moves all edge nodes to another address at one moment, where each asks for
 // the whole list. Within 7 s two thirds have it; all at once, four tenths at most.
-func TestAllAreMovedAtOnce(t *testing.T) {
+func TestAddressChangeSpreadsCalls(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		play := func(spread bool) (answered, failed int) {
-			o := &overbooked{each: 8 * time.Second / time.Duration(n), patience: 2 * time.Second, most: 6 * time.Second}
-			var paces []pace
+			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+			var paces []callPacing
 			next := make([]time.Duration, n)
 			for i := range n {
-				paces = append(paces, sharedPace(n, uint64(i)))
+				paces = append(paces, newSharedPacing(n, uint64(i)))
 				if spread {
-					next[i] = paces[i].moved()
+					next[i] = paces[i].moveDelay()
 				}
 				if next[i] >= 6*time.Second {
 					t.Errorf("waits %v, counts as told by then", next[i])
 				}
 			}
-			return o.calls(paces, next, 7*time.Second)
+			return o.runFrom(paces, next, 7*time.Second)
 		}
 		got, failed := play(true)
 		if once, in := play(false); got < n*2/3 || failed > n/3 || once > n*4/10 || in < n/2 {
@@ -137,36 +137,36 @@
 
 // A discovery that is too small for a while, and has a long line then, is left
 // alone long enough to get rid of it.
-func TestLineOfCallsDrains(t *testing.T) {
-	o := &overbooked{each: 100 * time.Millisecond, patience: 2 * time.Second, most: 8 * time.Second, free: 8 * time.Second}
-	var paces []pace
+func TestDiscoveryBacklogDrains(t *testing.T) {
+	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, patience: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
+	var paces []callPacing
 	for i := range 80 {
-		paces = append(paces, sharedPace(80, uint64(i)))
+		paces = append(paces, newSharedPacing(80, uint64(i)))
 	}
-	if n, failed := o.play(paces, 0, 60*time.Second); n != 80 {
+	if n, failed := o.run(paces, 0, 60*time.Second); n != 80 {
 		t.Errorf("%d of 80 have an answer after a minute, %d calls failed", n, failed)
 	}
 }
 
 // A few edge nodes with an agent of their own ask again as soon as ever.
-func TestOwnAgentIsAskedSoon(t *testing.T) {
-	p := pace{}
-	if p.first() != 0 || p.moved() != 0 {
+func TestLocalAgentIsRetriedSoon(t *testing.T) {
+	p := callPacing{}
+	if p.firstDelay() != 0 || p.moveDelay() != 0 {
 		t.Error("the first call waits")
 	}
 	for _, want := range []int{25, 50, 100, 200, 400, 400} {
-		if got := p.failed(); got != time.Duration(want)*time.Millisecond {
+		if got := p.retryDelay(); got != time.Duration(want)*time.Millisecond {
 			t.Errorf("waits %v, want %d ms", got, want)
 		}
 	}
-	if p.answered(); p.failed() != leastBackoff {
+	if p.resetBackoff(); p.retryDelay() != minBackoff {
 		t.Error("an answer is forgotten")
 	}
 }
 
 // Where lists must be asked for, an edge node with a known list serves by it,
 // and asks for what is new since then, not for all of it.
-func TestStartsFromItsKnownList(t *testing.T) {
+func TestStartsFromCachedList(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
@@ -177,7 +177,7 @@
 	t.Cleanup(app.Close)
 	cfg := testConfig(t, strings.TrimPrefix(agent.URL, "http://"))
 	cfg.Settings.MustWatch, cfg.Settings.Gateways = true, 1
-	cfg.Known = &serverList{Rev: 41, All: true, Targets: []target{serving("s-00000001", strings.TrimPrefix(app.URL, "http://"))}}
+	cfg.CachedList = &serverList{Rev: 41, All: true, Targets: []target{serving("s-00000001", strings.TrimPrefix(app.URL, "http://"))}}
 	n := start(t, cfg)
 	if resp, body := ask(t, request(n.url, "lookup", time.Second)); resp.StatusCode != http.StatusOK || body != "a" {
 		t.Errorf("got %d %q", resp.StatusCode, body)
@@ -188,7 +188,7 @@
 }
 
 // Moved to another address, an edge node that holds a list waits its turn there, and asks for all.
-func TestWaitsItsTurnAtAnotherAddress(t *testing.T) {
+func TestDelaysCallAfterAddressChange(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.Host + "?" + r.URL.RawQuery
@@ -197,19 +197,19 @@
 	t.Cleanup(agent.Close)
 	clock := &stoppedClock{slept: make(chan time.Duration, 100)}
 	d := newDiscovery(clock, strings.TrimPrefix(agent.URL, "http://"), nil, func(*serverList, policy.ServerListKind) {})
-	d.pace = sharedPace(300, 1)
-	want := sharedPace(300, 1)
+	d.pacing = newSharedPacing(300, 1)
+	want := newSharedPacing(300, 1)
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { d.run(ctx); close(done) }()
 	if q := <-asked; !strings.HasSuffix(q, "?") {
 		t.Errorf("asked %q first, with no list", q)
 	}
-	for slept := time.Duration(0); slept != watchPause; { // it has the list, and watches
+	for slept := time.Duration(0); slept != minWatchInterval; { // it has the list, and watches
 		slept = <-clock.slept
 	}
 	d.moveTo(strings.TrimPrefix(agent.URL, "http://"))
-	turn, never := want.moved(), time.After(20*time.Second)
+	turn, never := want.moveDelay(), time.After(20*time.Second)
 	for slept := time.Duration(0); slept != turn; {
 		select {
 		case slept = <-clock.slept:
--- a/internal/dataplane/node/passing.go
+++ b/internal/dataplane/node/passing.go
@@ -50,14 +50,14 @@
 type tilled struct {
 	configuration *routeconfig.Configuration
 	classes       map[string]*policy.Class
-	routes        map[*routeconfig.Route]*seen
+	routes        map[*routeconfig.Route]*routeStats
 	boundHosts    map[*routeconfig.Route]uint32 // hosts of which some routes are bound to regions
 }
 
 // spent is how long a client has waited before this try: its others told it, so it waits that much less than
 // clients of its route do at their first try. What none has said lately any more is forgotten.
 func (t *tilled) spent(r *routeconfig.Route, ms int64) time.Duration {
-	longest := &t.routes[r].longest
+	longest := &t.routes[r].longestDeadlineMS
 	most := longest.Load()
 	longest.Store(max(ms, most-(most-ms+longestSpan-1)/longestSpan))
 	return time.Duration(max(0, most-ms)) * time.Millisecond
@@ -84,10 +84,10 @@
 
 // till puts a configuration in force, and returns its classes.
 func (e *estate) till(p *routeconfig.Configuration) map[string]*policy.Class {
-	t := &tilled{configuration: p, classes: map[string]*policy.Class{}, routes: map[*routeconfig.Route]*seen{}, boundHosts: map[*routeconfig.Route]uint32{}}
+	t := &tilled{configuration: p, classes: map[string]*policy.Class{}, routes: map[*routeconfig.Route]*routeStats{}, boundHosts: map[*routeconfig.Route]uint32{}}
 	for i := range p.Routes {
 		r := &p.Routes[i]
-		t.routes[r] = &seen{}
+		t.routes[r] = &routeStats{}
 		if _, bound, free := p.HomesOf(r.Host); bound > 0 && free > 0 && !r.Public {
 			t.boundHosts[r] = homing.Host(routeconfig.Bare(r.Host))
 		}
@@ -116,7 +116,7 @@
 	return int(min(l.MaxHeaderBytes, mostSetHead)), int(min(l.MaxBodyBytes, math.MaxInt))
 }
 
-// workFor is how long a server is told that it may work on a request that has so long left.
+// workDuration is how long a server is told that it may work on a request that has so long left.
 func (e *estate) workFor(left, now time.Duration) time.Duration {
 	if ends := time.Duration(e.workEnds.Load()); ends > 0 {
 		return min(left, ends-now)
@@ -134,7 +134,7 @@
 }
 
 // read finds what a request is: its route, its tenant, its service, its time.
-func (e *estate) read(r *clientRequest) (*call, *verdict.Own) {
+func (e *estate) read(r *clientRequest) (*openRequest, *verdict.Own) {
 	now := e.clock.now()
 	t := e.tilled.Load()
 	if t == nil || e.shares.Load() == 0 {
@@ -149,7 +149,7 @@
 	if route == nil {
 		return nil, unsent(404, 0, "no route")
 	}
-	c := &call{arrived: now, cmd: make(chan command, 1), estate: &passing{}}
+	c := &openRequest{arrived: now, commands: make(chan command, 1), managed: &passing{}}
 	c.Units, c.GatewayCount, c.Priority = 1, int(e.shares.Load()), route.Prio
 	if t.configuration.Keyed() {
 		tenant := t.configuration.Tenant(string(r.get(fieldKey)))
@@ -162,7 +162,7 @@
 		case tenant != nil && !e.isFresh(now):
 			return nil, unready("control is out of reach")
 		case tenant != nil:
-			c.estate.tenant, c.Customer, c.Plan = tenant.Name, tenant.Name, tenant.Name
+			c.managed.tenant, c.Customer, c.Plan = tenant.Name, tenant.Name, tenant.Name
 			c.Regions, c.Priority = tenant.Homes, tenant.Rank(route)
 		}
 	}
@@ -176,7 +176,7 @@
 	if len(id) == 0 || len(id) > mostName || !visible(id) {
 		return nil, unsent(400, 0, fieldID+": missing, too long or not plain")
 	}
-	c.name, c.estate.id = string(id), string(id)
+	c.clientID, c.managed.id = string(id), string(id)
 	c.budget = route.Timeout
 	if v, n := r.one(fieldDeadline); n == 1 {
 		ms, digits := decimal(v)
@@ -186,7 +186,7 @@
 		c.budget = min(c.budget, max(0, time.Duration(ms)*time.Millisecond-clientWay))
 		c.WaitedBefore = t.spent(route, int64(ms))
 	}
-	t.routes[route].asked.Add(1)
+	t.routes[route].requests.Add(1)
 	c.Service = e.draw(route)
 	c.class = t.classes[className(route, c.Service)]
 	c.Class, c.effect, c.Effect, c.MaxAttempts = c.class.Name, c.class.Effect, c.class.Effect, route.Tries
@@ -246,8 +246,8 @@
 	if on && !unread {
 		return true
 	}
-	if unread || cc.last && !cc.req.over() {
-		s.become(cc, connLinger)
+	if unread || cc.finalAnswerSent && !cc.req.over() {
+		s.setState(cc, connLinger)
 		s.passOver(cc)
 	}
 	return false
@@ -257,17 +257,17 @@
 	r := &cc.req
 	c, turned := s.estate.read(r)
 	if turned != nil {
-		cc.bad = 0
-		if !s.take(cc) {
+		cc.badRequests = 0
+		if !s.beginRequest(cc) {
 			return false
 		}
 		return s.own(cc, *turned)
 	}
-	if !s.take(cc) {
+	if !s.beginRequest(cc) {
 		return false
 	}
-	c.conn, r.estate = cc.Conn, c.estate
-	c.estate.front = front{s: s, cc: cc, call: c}
+	c.conn, r.managed = cc.Conn, c.managed
+	c.managed.front = front{s: s, cc: cc, call: c}
 	s.counts.open.Add(1)
 	defer s.counts.open.Add(-1)
 	s.events <- c
@@ -277,7 +277,7 @@
 		select {
 		case <-s.over:
 			return false
-		case cmd := <-c.cmd:
+		case cmd := <-c.commands:
 			if cmd.attempt == nil {
 				return s.end(cc, cmd, &t)
 			}
@@ -316,19 +316,19 @@
 // was one.
 func (s *server) end(cc *clientConn, cmd command, t *trail) bool {
 	switch {
-	case cmd.bad != 0:
-		return s.own(cc, t.Answer(cmd.bad, 0, "this request can't be used"))
+	case cmd.clientErrorStatus != 0:
+		return s.own(cc, t.Answer(cmd.clientErrorStatus, 0, "this request can't be used"))
 	case t.Ran() && t.last != nil:
 		return s.whole(cc, t.last)
 	case t.Ran() && s.up.flows(t.held):
 		var r result
-		s.up.flow(&cc.req.estate.front, t.held, &r)
+		s.up.flow(&cc.req.managed.front, t.held, &r)
 		return cc.goesOn(r.whole)
 	}
 	if t.Ran() && s.failed != nil {
-		s.failed(cc.req.estate.id, t.Last())
+		s.failed(cc.req.managed.id, t.Last())
 	}
-	return s.own(cc, t.GivenUp(cmd.over, cmd.late, cmd.retryAfter))
+	return s.own(cc, t.GivenUp(cmd.overQuota, cmd.timedOut, cmd.retryAfter))
 }
 
 // own writes an answer of the system's own.
@@ -339,7 +339,7 @@
 
 // broken ends a request whose body the client has not sent as it should.
 func (s *server) broken(cc *clientConn, why error, t *trail) bool {
-	status := statusOf(why)
+	status := statusForReadError(why)
 	return status != 0 && s.own(cc, t.Answer(status, 0, why.Error()))
 }
 
@@ -347,14 +347,14 @@
 func (s *server) whole(cc *clientConn, answer []byte) bool {
 	answer, over := s.closing(cc, answer)
 	written := cc.write(answer, s.clock.Now().Add(s.tune.Load().ClientWrite)) == nil
-	cc.last = written && over
+	cc.finalAnswerSent = written && over
 	return written && !over
 }
 
 // goesOn tells whether the connection goes on after an answer that was passed on as it came, whole or not.
 func (cc *clientConn) goesOn(whole bool) bool {
-	over := cc.req.estate.over
-	cc.last = whole && over
+	over := cc.req.managed.over
+	cc.finalAnswerSent = whole && over
 	return whole && !over
 }
 
--- a/internal/dataplane/node/pieces_test.go
+++ b/internal/dataplane/node/pieces_test.go
@@ -72,7 +72,7 @@
 		s.tune.Store(&Tuning{BodyStall: time.Second})
 		cc := &clientConn{Conn: &breaking{}, in: stream{src: bytes.NewReader([]byte("abc\r\n0\r\n\r\n")), most: 99, window: 9, rest: remainder{left: 3, total: 12, chunks: true}}}
 		cc.req.length = -1
-		cc.req.estate = &passing{front: front{s: s, cc: cc}}
+		cc.req.managed = &passing{front: front{s: s, cc: cc}}
 		_, end := u.upload(&attempt{deadline: u.clock.now() + time.Second}, &upConn{Conn: &breaking{left: n}}, &cc.req)
 		assert.Equal(t, end.Code(), code, "%d bytes written", n)
 		assert.Assert(t, end.spent)
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -41,7 +41,7 @@
 			u.dropIdle(s) // they lead to the process before
 			s.addr, s.boot, s.reach = t.Endpoint, t.BootMS, 0
 		}
-		s.most = t.mostIdle
+		s.most = t.maxIdleConns
 		u.become(s, targetStates[t.State], now)
 	}
 	// What is gone is forgotten: an attempt that is out has its connection, and
--- a/internal/dataplane/node/reload.go
+++ b/internal/dataplane/node/reload.go
@@ -24,8 +24,8 @@
 			return
 		case <-hup:
 		}
-		for try := 1; n.cfg.Reread != nil; try++ {
-			cfg, err := n.cfg.Reread()
+		for try := 1; n.cfg.Reload != nil; try++ {
+			cfg, err := n.cfg.Reload()
 			if err == nil {
 				n.apply(cfg)
 				break
@@ -46,10 +46,10 @@
 	if !reflect.DeepEqual(cfg.Settings, n.cfg.Settings) || cfg.Listen != n.cfg.Listen || cfg.PeerListen != n.cfg.PeerListen {
 		slog.Warn("new configuration: other settings than discovery are taken over at the next start")
 	}
-	n.tuning.Lock()
-	defer n.tuning.Unlock()
-	n.platformDiscovery = cfg.Discovery
+	n.tuningMu.Lock()
+	defer n.tuningMu.Unlock()
+	n.configuredDiscovery = cfg.Discovery
 	addr := n.discoveryOf(n.Tuning())
 	slog.Info("new configuration", "discovery", addr)
-	n.disc.moveTo(addr)
+	n.discovery.moveTo(addr)
 }
--- a/internal/dataplane/node/reply.go
+++ b/internal/dataplane/node/reply.go
@@ -21,7 +21,7 @@
 // client still sends is passed over for a while: were it closed at once, the
 // answer might never reach it.
 func (s *server) turnAway(cc *clientConn, status int, fields, why string) {
-	s.become(cc, connLinger)
+	s.setState(cc, connLinger)
 	if s.answer(cc, status, fields+"Connection: close\r\n", why) == nil {
 		s.passOver(cc)
 	}
@@ -36,7 +36,7 @@
 	if half, ok := cc.Conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
 	}
-	if s.until(cc, lingerFor) == nil {
+	if s.setReadTimeout(cc, lingerFor) == nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(cc.Conn, most))
 	}
 }
@@ -79,38 +79,38 @@
 
 // reply answers a request; the connection goes on if both sides want it.
 func (s *server) reply(cc *clientConn, status int, fields, body string) bool {
-	over := s.draining.Load() || s.resting.Load() || cc.req.over() || cc.in.unread() || s.lastAnswer(cc)
+	over := s.draining.Load() || s.resting.Load() || cc.req.over() || cc.in.unread() || s.shouldCloseAfterAnswer(cc)
 	if over {
 		fields += "Connection: close\r\n"
 	}
 	written := s.answer(cc, status, fields, body) == nil
-	cc.last = written && over
+	cc.finalAnswerSent = written && over
 	return written && !over
 }
 
 // bad answers a request that can't be used, at once; the next one waits. A
 // client that sends nothing else is let go.
-func (s *server) bad(cc *clientConn, why *unusable) bool {
-	if cc.bad++; cc.bad < mostBad {
-		on := s.reply(cc, why.status, why.fields, why.text)
+func (s *server) bad(cc *clientConn, why *rejection) bool {
+	if cc.badRequests++; cc.badRequests < mostBad {
+		on := s.reply(cc, why.status, why.headerFields, why.text)
 		world.Pause(s.clock, badPause)
 		return on
 	}
-	s.turnAway(cc, why.status, why.fields, why.text)
+	s.turnAway(cc, why.status, why.headerFields, why.text)
 	return false
 }
 
 // final writes the answer to what was not served.
 func (s *server) final(cc *clientConn, cmd command) bool {
 	switch {
-	case cmd.bad != 0:
-		return s.bad(cc, &unusable{cmd.bad, cc.req.told(), "this request can't be used"})
-	case !cmd.refuse:
-		cc.bad = 0
-		return s.reply(cc, 502, cc.req.told(), "failed")
+	case cmd.clientErrorStatus != 0:
+		return s.bad(cc, &rejection{cmd.clientErrorStatus, cc.req.bookFields(), "this request can't be used"})
+	case !cmd.refused:
+		cc.badRequests = 0
+		return s.reply(cc, 502, cc.req.bookFields(), "failed")
 	}
-	cc.bad = 0
-	fields := cc.req.told()
+	cc.badRequests = 0
+	fields := cc.req.bookFields()
 	if cmd.retryAfter > 0 {
 		fields += "Retry-After: " + strconv.FormatFloat(cmd.retryAfter.Seconds(), 'f', -1, 64) + "\r\n"
 	}
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -59,8 +59,8 @@
 // parse checks a client's request: what is not as agreed is turned away before
 // the module sees it, so that it neither makes nor changes a customer's counts.
 // The errors go to the client.
-func (s *server) parse(r *clientRequest) (*call, error) {
-	c := &call{arrived: s.clock.now(), cmd: make(chan command, 1)}
+func (s *server) parse(r *clientRequest) (*openRequest, error) {
+	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1)}
 	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key",
 		"X-Call-Terms", "X-Retry", "Content-Type"} {
 		if _, n := r.one(name); n > 1 {
@@ -71,7 +71,7 @@
 	if len(id) == 0 || len(id) > mostName || !visible(id) {
 		return nil, errors.New("X-Request-Id: missing, too long or not plain")
 	}
-	c.name = string(id)
+	c.clientID = string(id)
 	if err := s.class(c, r); err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 }
 
 // class finds the request's class; method and path follow from it.
-func (s *server) class(c *call, r *clientRequest) error {
+func (s *server) class(c *openRequest, r *clientRequest) error {
 	c.Class = wire.Word(string(r.get("X-Class")))
 	for i := range s.settings.Classes {
 		if s.settings.Classes[i].Name == c.Class {
--- a/internal/dataplane/node/reuse_test.go
+++ b/internal/dataplane/node/reuse_test.go
@@ -110,7 +110,7 @@
 		defer r.server.mu.Unlock()
 		n := 0
 		for cc := range r.server.conns {
-			if cc.unused(r.server.clock.now()) {
+			if cc.isUnused(r.server.clock.now()) {
 				n++
 			}
 		}
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -10,7 +10,7 @@
 )
 
 // sending makes a loop with one open request of a class with a window.
-func sending(t *testing.T) (*loop, *call, time.Duration) {
+func sending(t *testing.T) (*loop, *openRequest, time.Duration) {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1")
 	g, err := policy.New(cfg.Settings, 1)
@@ -20,8 +20,8 @@
 	clk := newClock(world.Real{})
 	l := newLoop(clk, g, nil)
 	now := clk.now()
-	c := &call{Request: policy.Request{ID: 1}, class: &policy.Class{Name: "loan", Effect: policy.Keyed, DedupWindow: 2 * time.Second}, effect: policy.Keyed,
-		due: now + 10*time.Second, cmd: make(chan command, 1)}
+	c := &openRequest{Request: policy.Request{ID: 1}, class: &policy.Class{Name: "loan", Effect: policy.Keyed, DedupWindow: 2 * time.Second}, effect: policy.Keyed,
+		answerBy: now + 10*time.Second, commands: make(chan command, 1)}
 	l.calls[1] = c
 	return l, c, now
 }
@@ -31,17 +31,17 @@
 func TestKeyedRepeatHasToBeWrittenInTheWindow(t *testing.T) {
 	l, c, now := sending(t)
 	l.send(policy.Send{ID: 1, Server: 1})
-	if a := (<-c.cmd).attempt; a.writeBy != c.due {
-		t.Errorf("a first attempt is to be written by %v, want the deadline, %v", a.writeBy-now, c.due-now)
+	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
+		t.Errorf("a first attempt is to be written by %v, want the deadline, %v", a.writeBy-now, c.answerBy-now)
 	}
-	c.out, c.ranAt = nil, now-time.Second
+	c.inFlight, c.mayHaveRunSince = nil, now-time.Second
 	l.send(policy.Send{ID: 1, Server: 1})
-	if a := (<-c.cmd).attempt; a.writeBy != c.ranAt+2*time.Second || a.deadline != c.due {
-		t.Errorf("a repeat is to be written by %v and ends at %v, want 1s and %v", a.writeBy-now, a.deadline-now, c.due-now)
+	if a := (<-c.commands).attempt; a.writeBy != c.mayHaveRunSince+2*time.Second || a.deadline != c.answerBy {
+		t.Errorf("a repeat is to be written by %v and ends at %v, want 1s and %v", a.writeBy-now, a.deadline-now, c.answerBy-now)
 	}
-	c.out, c.class, c.effect = nil, &policy.Class{Name: "lookup"}, policy.Safe
+	c.inFlight, c.class, c.effect = nil, &policy.Class{Name: "lookup"}, policy.Safe
 	l.send(policy.Send{ID: 1, Server: 1})
-	if a := (<-c.cmd).attempt; a.writeBy != c.due {
+	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
 		t.Errorf("what may run any number of times is to be written by %v", a.writeBy-now)
 	}
 }
@@ -49,16 +49,16 @@
 // Nothing is sent once the final answer is decided, while another attempt is
 // out, or when no time is left; the module is told that it was moot.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
-	for name, spoil := range map[string]func(*call, time.Duration){
-		"the answer is decided": func(c *call, _ time.Duration) { c.final = &command{} },
-		"an attempt is out":     func(c *call, _ time.Duration) { c.out = &attempt{} },
-		"its time is over":      func(c *call, now time.Duration) { c.due = now },
+	for name, spoil := range map[string]func(*openRequest, time.Duration){
+		"the answer is decided": func(c *openRequest, _ time.Duration) { c.pendingAnswer = &command{} },
+		"an attempt is out":     func(c *openRequest, _ time.Duration) { c.inFlight = &attempt{} },
+		"its time is over":      func(c *openRequest, now time.Duration) { c.answerBy = now },
 	} {
 		l, c, now := sending(t)
 		spoil(c, now)
 		l.send(policy.Send{ID: 1, Server: 1})
 		select {
-		case cmd := <-c.cmd:
+		case cmd := <-c.commands:
 			t.Errorf("%s: sent all the same: %+v", name, cmd)
 		default:
 		}
@@ -73,26 +73,26 @@
 // attempt could come when the rack has forgotten the first.
 func TestWindowBeginsWithTheFirstThatMayHaveRun(t *testing.T) {
 	l, c, now := sending(t)
-	c.cmd = make(chan command, 8)
+	c.commands = make(chan command, 8)
 	l.attemptEnds(c, now-900*time.Millisecond, verdict.Unsent)
-	if c.ranAt != 0 {
-		t.Fatalf("an attempt that never ran began the window at %v", c.ranAt)
+	if c.mayHaveRunSince != 0 {
+		t.Fatalf("an attempt that never ran began the window at %v", c.mayHaveRunSince)
 	}
 	first := now - 800*time.Millisecond
 	l.attemptEnds(c, first, verdict.Broken)
 	l.attemptEnds(c, now-300*time.Millisecond, verdict.Broken)
-	if c.ranAt != first {
-		t.Fatalf("the window began %v after the first attempt that may have run", c.ranAt-first)
+	if c.mayHaveRunSince != first {
+		t.Fatalf("the window began %v after the first attempt that may have run", c.mayHaveRunSince-first)
 	}
 	l.send(policy.Send{ID: 1, Server: 1})
-	if a := (<-c.cmd).attempt; a.writeBy != first+2*time.Second {
+	if a := (<-c.commands).attempt; a.writeBy != first+2*time.Second {
 		t.Errorf("the third attempt is to be written by %v after the first, want 2 s", a.writeBy-first)
 	}
 }
 
 // attemptEnds has the loop take in the end of an attempt asked for at a time.
-func (l *loop) attemptEnds(c *call, sent time.Duration, end verdict.End) {
-	c.out = &attempt{id: c.ID, num: c.attempts, server: 1, sent: sent}
+func (l *loop) attemptEnds(c *openRequest, sent time.Duration, end verdict.End) {
+	c.inFlight = &attempt{id: c.ID, num: c.attempts, server: 1, sent: sent}
 	c.attempts++
-	l.end(outcome{c: c, a: c.out, result: ended(end, nil)})
+	l.end(outcome{request: c, attempt: c.inFlight, result: ended(end, nil)})
 }
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -40,7 +40,7 @@
 	active time.Duration // when a request last came
 	reuse  reuse
 
-	booked booked
+	booked bookReader
 	watch  *watch  // nil: no view of the fleet is kept
 	estate *estate // nil: the platform's wire is spoken
 	counts counts  // an estate's
@@ -62,14 +62,14 @@
 		c, err := ln.Accept()
 		switch {
 		case err == nil:
-			if cc := s.enter(c); cc != nil {
+			if cc := s.addConnection(c); cc != nil {
 				go s.talk(cc)
 			}
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case passes(err):
 			s.mu.Lock()
-			s.shutOne()
+			s.evictOne()
 			s.mu.Unlock()
 			world.Pause(s.clock, acceptPause)
 		default:
@@ -92,7 +92,7 @@
 
 // talk serves a connection, one request after another.
 func (s *server) talk(cc *clientConn) {
-	defer s.leave(cc)
+	defer s.removeConnection(cc)
 	for first := true; ; first = false {
 		cc.in.begin()
 		tune := s.tune.Load()
@@ -103,19 +103,19 @@
 			whole = tune.FirstRequest
 		}
 		if cc.in.buffered() == 0 {
-			if s.until(cc, wait) != nil || cc.in.more() != nil {
+			if s.setReadTimeout(cc, wait) != nil || cc.in.more() != nil {
 				return // idle for long, or gone
 			}
 		}
-		s.become(cc, connReading)
+		s.setState(cc, connReading)
 		if s.estate != nil {
 			cc.in.head, cc.in.most = s.estate.bounds()
 		}
-		if whole > 0 && s.until(cc, whole) != nil {
+		if whole > 0 && s.setReadTimeout(cc, whole) != nil {
 			return
 		}
-		if err := cc.read(); err != nil {
-			if status := statusOf(err); status != 0 {
+		if err := cc.readRequest(); err != nil {
+			if status := statusForReadError(err); status != 0 {
 				o := unsent(status, 0, err.Error())
 				s.turnAway(cc, o.Status(), o.Fields(), o.Text())
 			}
@@ -124,7 +124,7 @@
 		if !s.handle(cc) {
 			return
 		}
-		s.become(cc, connIdle)
+		s.setState(cc, connIdle)
 	}
 }
 
@@ -136,41 +136,41 @@
 		return s.pass(cc)
 	}
 	if path(r.target) == "/healthz" && string(r.method) == "GET" {
-		s.untouch(cc)
+		s.ignoreActivity(cc)
 		if !s.ready.Load() || s.draining.Load() {
 			return s.reply(cc, 503, s.tune.Load().health(), "not ready")
 		}
 		return s.reply(cc, 200, s.tune.Load().health(), "")
 	}
 	if s.watch != nil && path(r.target) == ViewPath && string(r.method) == "GET" {
-		s.untouch(cc)
+		s.ignoreActivity(cc)
 		if v := s.watch.status.Load(); v != nil {
 			return s.reply(cc, 200, "Content-Type: application/json\r\n", *v)
 		}
 		return s.reply(cc, 503, "", "no view yet")
 	}
-	c, err := s.read(r)
+	c, err := s.readRequest(r)
 	if err != nil {
 		return s.bad(cc, err)
 	}
-	if !s.take(cc) {
+	if !s.beginRequest(cc) {
 		return false
 	}
 	c.conn = cc.Conn
 	s.events <- c
-	for cmd := range c.cmd {
+	for cmd := range c.commands {
 		if cmd.attempt == nil {
 			return s.final(cc, cmd)
 		}
 		res := s.up.do(cmd.attempt, r)
 		s.events <- outcome{c, cmd.attempt, res}
 		if res.End == verdict.Served {
-			cc.bad = 0
+			cc.badRequests = 0
 			fields := ""
 			if len(res.contentType) > 0 {
 				fields = "Content-Type: " + res.contentType + "\r\n"
 			}
-			fields += r.told()
+			fields += r.bookFields()
 			return s.reply(cc, 200, fields, res.body)
 		}
 	}
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -31,7 +31,7 @@
 type front struct {
 	s    *server
 	cc   *clientConn
-	call *call
+	call *openRequest
 
 	pending []byte // of what goes to the server
 	last    bool   // nothing comes behind it
@@ -102,7 +102,7 @@
 // upload passes on what of a request's body is beyond the window. It comes back before the end, and tells so, when
 // the server says something sooner; with an end when the attempt is over.
 func (u *upstream) upload(a *attempt, c *upConn, req *clientRequest) (unsent bool, end *result) {
-	f := &req.estate.front
+	f := &req.managed.front
 	if !f.pin(a) {
 		return true, stopped(verdict.Unsent, errCalled, false)
 	}
@@ -200,7 +200,7 @@
 
 // download passes on an answer that is longer than its window, or holds it where another server may do better.
 func (u *upstream) download(a *attempt, c *upConn, req *clientRequest, r *result) {
-	f := &req.estate.front
+	f := &req.managed.front
 	h := &heldAnswer{a, c, r.answer}
 	r.answer = nil
 	unknown := c.head.length < 0 && strings.HasSuffix(string(req.first), "1.0") // this client would not know its end
@@ -223,7 +223,7 @@
 func (u *upstream) flow(f *front, h *heldAnswer, r *result) {
 	r.begun = true
 	answer, over := f.s.closing(f.cc, h.begin)
-	f.call.estate.over = over
+	f.call.managed.over = over
 	for {
 		by := min(u.clock.now()+f.s.tune.Load().ClientWrite, h.a.deadline)
 		if len(answer) > 0 && f.write(answer, u.clock.time(by)) != nil {
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -276,7 +276,7 @@
 				time.Sleep(2 * time.Second) // its time is over: the server is let go
 				synctest.Wait()
 				assert.Assert(t, h.complete() == 1 && let != nil)
-				open, _ := r.Estate.node.server.state()
+				open, _ := r.Estate.node.server.connectionActivity()
 				assert.Equal(t, open, 0)
 				n, err := read(c)
 				assert.Assert(t, err != nil && n < large, "%d bytes: %v", n, err)
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -161,7 +161,7 @@
 // bring puts a book in force at one edge node and tells the audit.
 func (in *installation) bring(i int, tab *routing.Table) {
 	in.ledger.Note(audit.Swapping{Node: in.addrs[i].Name, Revision: tab.Book.Generation})
-	in.nodes[i].put(tab)
+	in.nodes[i].setRoutes(tab)
 	in.ledger.Note(audit.Swapped{Node: in.addrs[i].Name, Revision: tab.Book.Generation})
 }
 
--- a/internal/dataplane/node/timers.go
+++ b/internal/dataplane/node/timers.go
@@ -34,7 +34,7 @@
 type timer struct {
 	at    time.Duration
 	token string
-	call  *call
+	call  *openRequest
 	look  bool // for clients that have gone
 	place int  // in the heap; -1: it is out
 }
--- a/internal/dataplane/node/tuning.go
+++ b/internal/dataplane/node/tuning.go
@@ -62,12 +62,12 @@
 
 // Tune takes new figures over, all at once.
 func (n *Node) Tune(t Tuning) {
-	n.tuning.Lock()
-	defer n.tuning.Unlock()
+	n.tuningMu.Lock()
+	defer n.tuningMu.Unlock()
 	old := n.server.tune.Swap(&t)
-	n.up.tune(t)
+	n.upstream.tune(t)
 	if old.Discovery != t.Discovery {
-		n.disc.moveTo(n.discoveryOf(t))
+		n.discovery.moveTo(n.discoveryOf(t))
 	}
 	if was, is := old.Routes.Name(), t.Routes.Name(); was != is {
 		slog.Info("route book in force", "was", was, "is", is)
@@ -84,7 +84,7 @@
 	if t.Discovery != "" {
 		return t.Discovery
 	}
-	return n.platformDiscovery
+	return n.configuredDiscovery
 }
 
 func (u *upstream) tune(t Tuning) {
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -330,7 +330,7 @@
 	if req.ticket != nil {
 		b = append(b, req.ticket.Target...)
 		b = append(b, " HTTP/1.1"...)
-		b = req.appendFields(b)
+		b = req.appendForwardedFields(b)
 	} else {
 		b = append(b, req.target...)
 		b = append(b, " HTTP/1.1"...)
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -29,7 +29,7 @@
 	return a, func() (result, string) {
 		in := clientConn{in: stream{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Request-Id: 9b1f03aa5c7e2d41\r\n\r\n")}}
-		if err := in.read(); err != nil {
+		if err := in.readRequest(); err != nil {
 			panic(err)
 		}
 		r := u.do(a, &in.req)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -166,11 +166,11 @@
 
 // asked tells the agent what was asked for lately, by route.
 func (g *Proxy) asked() *peerlink.Asked {
-	a := g.estate.Asked()
+	a := g.estate.RequestCounts()
 	if a == nil {
 		return nil
 	}
-	out := &peerlink.Asked{Gen: a.Gen, Span: a.Span, Rest: a.Rest}
+	out := &peerlink.Asked{Gen: a.Gen, Span: a.Span, Rest: a.OtherRequests}
 	for _, r := range a.Routes {
 		out.Routes = append(out.Routes, peerlink.RouteAsked(r))
 	}
--- a/internal/edgefleet/daemon/daemon.go
+++ b/internal/edgefleet/daemon/daemon.go
@@ -97,7 +97,7 @@
 			return ExitConfig
 		}
 		t := file.Members.Timing()
-		cfg.Members = &t
+		cfg.Membership = &t
 	}
 	n, err := node.New(cfg)
 	if err != nil {
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// minCapacityShare is the least share of its capacity a server surely has.
+// minCapacityShare returns the share of its capacity that a server has at least: 1 when it is warm.
 func (g *Gateway) minCapacityShare(s *server) float64 {
 	if g.now < s.ColdUntil {
 		return g.cfg.MultiService.ColdShare
@@ -20,17 +20,17 @@
 	return min(1, g.cfg.MinColdShare+(1-g.cfg.MinColdShare)*max(age, 0))
 }
 
-// inFlightAt is the attempts out at a server: own, and the peers' as last reported.
+// inFlightAt returns the attempts in flight at a server: this gateway's and, as last reported, the others'.
 func (g *Gateway) inFlightAt(s *server) float64 {
 	return float64(s.inFlight) + max(s.peerInFlight, g.loadFromOthers(s))
 }
 
-// predictLatency is the latency in seconds expected of a server for a class.
+// predictLatency returns the latency, in seconds, expected of a server for a class.
 func (g *Gateway) predictLatency(s *server, cl *class) float64 {
 	return cl.mean * s.slowdown * g.loadFactor(s, g.inFlightAt(s)) / g.minCapacityShare(s)
 }
 
-// loadFactor is what so many attempts out at a server make of its latency.
+// loadFactor returns the factor by which a number of attempts in flight raises a server's latency.
 func (g *Gateway) loadFactor(s *server, load float64) float64 {
 	if s.Slots == 0 {
 		return 1 + queueWeight*load/g.relativeSize(s)
@@ -39,24 +39,24 @@
 	return 1 + slotUsePenalty*min(1, load/slots) + max(0, load+1-slots)/slots
 }
 
-// queueTooLong tells whether a server has all the work it can turn round in time: the wait there would pass a share
-// of the shortest aim. Beyond that requests are held here, where they can still go elsewhere or be refused.
+// queueTooLong reports whether the predicted wait at a server exceeds a share of the shortest latency target. Beyond
+// that, requests are held at the gateway, where they can still be sent to another server or be refused.
 func (g *Gateway) queueTooLong(s *server) bool {
 	load := g.inFlightAt(s) / g.relativeSize(s)
 	return load >= minInFlightWhenFull && g.meanLatency*s.slowdown/g.minCapacityShare(s)*queueWeight*load > maxWaitShare*g.minTarget
 }
 
-// slotQueueTooLong tells whether a server with slots has all the work it can turn round in a request's time.
+// slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
 func (g *Gateway) slotQueueTooLong(s *server, r *request) bool {
-	serve, aim := r.class.mean*s.slowdown, r.class.LatencyTarget.Seconds()
-	wait := max(0, g.inFlightAt(s)+1-float64(s.Slots)) / float64(s.Slots) * serve
-	if wait+serve > aim-(g.now-r.arrivedAt+r.waitedBefore).Seconds() {
-		return wait > maxLateSlotWaitShare*aim // it will be late: others would be, too, if they had to wait for it
+	serviceTime, target := r.class.mean*s.slowdown, r.class.LatencyTarget.Seconds()
+	wait := max(0, g.inFlightAt(s)+1-float64(s.Slots)) / float64(s.Slots) * serviceTime
+	if wait+serviceTime > target-(g.now-r.arrivedAt+r.waitedBefore).Seconds() {
+		return wait > maxLateSlotWaitShare*target // this request misses its target anyway; a long queue would delay others too
 	}
-	return wait > maxSlotWaitShare*aim
+	return wait > maxSlotWaitShare*target
 }
 
-// canServe tells whether a server is one for the request: of its service, inside its homes.
+// canServe reports whether a server belongs to the request's service and is in one of its allowed regions.
 func (s *server) canServe(r *request) bool {
 	return s.Service == r.service && (len(r.regions) == 0 || slices.Contains(r.regions, s.Region))
 }
@@ -64,36 +64,35 @@
 // usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
 // budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || !s.canServe(r) || !g.hasColdBudget(s) ||
-		g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
+	if s.State != Running || !s.canServe(r) || !g.hasColdBudget(s) || g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
 		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
 	if cold := g.minCapacityShare(s); cold < 1 && g.cfg.MultiService == nil {
-		// A budget for every window, shared by all gateways: what warm servers
-		// bear, times the share of capacity the server surely has.
+		// The budget of each window, divided among all gateways: what a warm server
+		// receives, times the share of capacity that the cold server has at least.
 		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.FailTime })
-		warm := g.recentSends / max(1, float64(g.runningServers))
-		if float64(len(s.sends)) >= max(1, warm*cold*g.cfg.FailFactor*coldBudgetShare) {
+		warmRate := g.recentSends / max(1, float64(g.runningServers))
+		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldBudgetShare) {
 			return false
 		}
 	}
 	return true
 }
 
-// coldSendBudget is how many sends a second to a cold server are this gateway's. Few gateways own each, so that
-// each has whole sends; all parts together stay under what the server bears, heard or not.
+// coldSendBudget returns how many sends a second this gateway may make to a cold server. Only a few gateways may send
+// to it, so that each has whole sends; the sum stays below the server's limit even if no message arrives.
 func (g *Gateway) coldSendBudget(m Server) int {
 	if m.ColdSendRate <= 0 {
 		return 0
 	}
-	most := m.ColdSendRate * coldSendsShare
-	owners := max(1, min(g.ceilingPartCount(), int(most/minColdSendsPerOwner)))
-	rank, mine := 0, hashFraction(uint32(m.ID), uint32(g.cfg.Me))
+	budget := m.ColdSendRate * coldSendsShare
+	owners := max(1, min(g.ceilingPartCount(), int(budget/minColdSendsPerOwner)))
+	rank, ownHash := 0, hashFraction(uint32(m.ID), uint32(g.cfg.Me))
 	for i := range g.cfg.Gateways {
 		if g.isNotPeer(g.peerAt(i)) {
-			continue // this one, or none has the number
-		} else if v := hashFraction(uint32(m.ID), uint32(i)); v > mine || v == mine && i < g.cfg.Me {
+			continue // this gateway itself, or an unused number
+		} else if hash := hashFraction(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.cfg.Me {
 			rank++
 		}
 	}
@@ -103,7 +102,7 @@
 	return int(budget) / owners
 }
 
-// hasColdBudget tells whether a cold server's budget here has room for one more send.
+// hasColdBudget reports whether this gateway may send once more to a server that may be cold.
 func (g *Gateway) hasColdBudget(s *server) bool {
 	if g.now >= s.ColdUntil {
 		return true
@@ -112,24 +111,24 @@
 	return len(s.sends) < s.coldSendQuota
 }
 
-// pickServer chooses a server, or nil when none has room. Those out of use for the class are left out
-// while they are not too many; a watcher tries them now and then. A small fleet's gateway takes the
-// best of a few random ones by predicted latency and zone price.
+// pickServer chooses a server, or nil when none has room. Servers ejected for the class are skipped unless too many
+// are ejected; their watcher sends them a trial request from time to time. With few gateways, pickServer compares a
+// few random servers by predicted latency and cost of crossing zones.
 func (g *Gateway) pickServer(r *request) *server {
-	var ok, doubted []*server
+	var candidates, ejected []*server
 	for _, s := range g.serverList {
 		if s == r.lastServer || !g.usable(s, r) || !s.allowedByTrust(r) {
 			continue
 		}
 		if s.trust.Trial && s.mayTakeTrial(r) {
-			s.trust.Trial = false // one trial, wherever else there is room
+			s.trust.Trial = false // a single trial, even if other servers have room
 			return s
 		}
-		if v := g.healthOf(s, r.class); v != nil && v.ejected && g.now < v.ejectedUntil {
-			// Its watcher alone tries a server that is out of use.
-			if s.watchers[0] == g.cfg.Me && g.now >= v.nextTrial && g.mayRunTrial(r) {
-				v.trialBackoff = min(2*v.trialBackoff+trialBackoffStep, maxTrialBackoff)
-				v.nextTrial = g.now + v.trialBackoff
+		if health := g.healthOf(s, r.class); health != nil && health.ejected && g.now < health.ejectedUntil {
+			// Only the watcher of an ejected server sends it trial requests.
+			if s.watchers[0] == g.cfg.Me && g.now >= health.nextTrial && g.mayRunTrial(r) {
+				health.trialBackoff = min(2*health.trialBackoff+trialBackoffStep, maxTrialBackoff)
+				health.nextTrial = g.now + health.trialBackoff
 				return s
 			}
 			ejected = append(ejected, s)
@@ -137,27 +136,27 @@
 		}
 		candidates = append(candidates, s)
 	}
-	if float64(len(doubted)) > maxEjectedShare*float64(len(ok)+len(doubted)) {
-		ok = append(ok, doubted...)
+	if float64(len(ejected)) > maxEjectedShare*float64(len(candidates)+len(ejected)) {
+		candidates = append(candidates, ejected...)
 	}
 	if g.usesRoots {
-		return g.pickWeighted(ok)
+		return g.pickWeighted(candidates)
 	} else if g.cfg.MultiService != nil {
-		return g.pickLeastLatency(ok, r)
+		return g.pickLeastLatency(candidates, r)
 	}
 	var best *server
-	low := math.Inf(1)
-	for k := 0; k < serversCompared && len(ok) > 0; {
-		i := g.rng.IntN(len(ok))
-		s := ok[i]
-		ok = slices.Delete(ok, i, i+1)
+	lowest := math.Inf(1)
+	for compared := 0; compared < serversCompared && len(candidates) > 0; {
+		i := g.rng.IntN(len(candidates))
+		s := candidates[i]
+		candidates = slices.Delete(candidates, i, i+1)
 		if g.queueTooLong(s) {
 			continue
 		}
-		p := g.predictLatency(s, r.class) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
-		k++
+		predicted := g.predictLatency(s, r.class) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
+		compared++
 		if s.Zone != g.cfg.Zone {
-			p += r.class.mean * g.cfg.CrossZoneCost * serviceTimesPerZoneCharge
+			predicted += r.class.mean * g.cfg.CrossZoneCost * serviceTimesPerZoneCharge
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
@@ -166,20 +165,20 @@
 	return best
 }
 
-// pickLeastLatency takes the server of the least predicted latency, the way there counted.
-func (g *Gateway) pickLeastLatency(ok []*server, r *request) *server {
+// pickLeastLatency returns the server of the lowest predicted latency including the network's, or nil if all are full.
+func (g *Gateway) pickLeastLatency(candidates []*server, r *request) *server {
 	var best *server
-	low := math.Inf(1)
-	for _, s := range ok {
+	lowest := math.Inf(1)
+	for _, s := range candidates {
 		if g.slotQueueTooLong(s, r) {
 			continue
 		}
-		p := (g.predictLatency(s, r.class) + s.ExtraLatency.Seconds()) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
+		predicted := (g.predictLatency(s, r.class) + s.ExtraLatency.Seconds()) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
 		if s.trust.Level == Suspect && r.effect != Safe {
-			p += suspectCostSeconds
+			predicted += suspectCostSeconds
 		}
 		if len(r.regions) == 0 && g.now < s.scarceUntil {
-			p += regionBoundPenaltyShare * r.class.LatencyTarget.Seconds() // others can go nowhere else
+			predicted += regionBoundPenaltyShare * r.class.LatencyTarget.Seconds() // requests bound to this region have no other choice
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
@@ -193,42 +192,42 @@
 	return best
 }
 
-// pickWeighted chooses a server by its share of the fleet's capacity. A large fleet's gateways don't see the load
-// there; were each to take the best of a few, all would crowd onto the same servers. However slow the warm
-// ones are, a cold one gets the part of an even share that it surely bears; what is left over waits.
-func (g *Gateway) pickWeighted(ok []*server) *server {
-	all, parts, least := 0.0, 0.0, 0.0
-	for _, s := range ok {
+// pickWeighted draws a server at random, weighted by its share of the capacity. Many gateways don't see each other's
+// load; if each took the best of a few, all would overload the same servers. However slow the warm servers are, a cold
+// one gets at most its minimum capacity's part of an even share; the rest of the requests wait.
+func (g *Gateway) pickWeighted(candidates []*server) *server {
+	totalWeight, totalPart, minTotal := 0.0, 0.0, 0.0
+	for _, s := range candidates {
 		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.minCapacityShare(s)
 		if s.Zone != g.cfg.Zone {
 			s.weight *= otherZoneWeight
 		}
 		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
-	for _, s := range ok {
-		if cold := g.minCapacityShare(s); cold < 1 {
-			s.weight = min(s.weight, cold*s.share*all/parts)
-			least = max(least, s.weight*parts/(s.share*cold*coldBudgetShare*max(1, g.cfg.FailFactor)))
+	for _, s := range candidates {
+		if capacity := g.minCapacityShare(s); capacity < 1 {
+			s.weight = min(s.weight, capacity*s.share*totalWeight/totalPart)
+			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldBudgetShare*max(1, g.cfg.FailFactor)))
 		}
 	}
 	return g.drawByWeight(candidates, minTotal)
 }
 
-// setAffinity sets a server's part in this gateway's draws. A large fleet's gateways go mostly to a few
-// servers each, so that connections are used again; all together go to each server alike.
+// setAffinity sets a server's weight in this gateway's draws. Where there are many gateways, each prefers a few
+// servers, so that connections are reused; over all gateways, each server is drawn equally often.
 func (g *Gateway) setAffinity(s *server) {
-	n, by, mine := float64(g.cfg.Gateways), 0.0, false
+	gateways, preferring, preferredHere := float64(g.cfg.Gateways), 0.0, false
 	for i := range g.cfg.Gateways {
 		if g.usesRoots && hashFraction(uint32(s.ID), uint32(i))*float64(g.runningServers) < preferredServers {
-			by, mine = by+1, mine || i == g.cfg.Me
+			preferring, preferredHere = preferring+1, preferredHere || i == g.cfg.Me
 		}
 	}
 	switch {
 	case preferring == 0 || preferring == gateways:
 		s.share = 1
-	case mine:
-		s.share = (1 - otherServersShare) * n / by
+	case preferredHere:
+		s.share = (1 - otherServersShare) * gateways / preferring
 	default:
-		s.share = otherServersShare * n / (n - by)
+		s.share = otherServersShare * gateways / (gateways - preferring)
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -72,7 +72,8 @@
 		s := g.servers[m.ID]
 		if s == nil {
 			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverBits)
-			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictBurst, verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
+			s = &server{hash: uint16(h), slowdown: 1, sharedSlowdown: 1, verdictTokens: verdictBurst,
+				verdictTokensAt: g.now, classes: make([]classHealth, len(g.cfg.Classes)),
 				planFull: map[*planState]time.Duration{}, watchers: g.watchersOf(h)}
 			g.servers[m.ID] = s
 			g.serverList = append(g.serverList, s)
--- a/policy/field_test.go
+++ b/policy/field_test.go
@@ -14,7 +14,7 @@
 // Property tests use a fixed seed and fewer checks than the default; the flags -rapid.seed and -rapid.checks override both.
 func init() { _, _ = flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "40") }
 
-// multiServiceSettings are the settings of a gateway of many services before it is told anything.
+// multiServiceSettings returns the initial settings of a gateway that serves many services.
 func multiServiceSettings() Settings {
 	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanMessagePeers: true, MessagesPerSecond: 40,
 		MaxRequestUnits: 1, MaxRetryAfter: time.Second,
@@ -33,7 +33,7 @@
 	return l
 }
 
-// limitedPlan is a tenant's plan with the ceiling that its rule allows: a tenth and 20 more.
+// limitedPlan returns a tenant's plan with its ceiling: in any span, at most 10 % and 20 units more than the quota.
 func limitedPlan(rate, burst float64) Plan {
 	return Plan{Name: "t", Rate: rate, Burst: burst, HardRate: 1.1 * rate, HardBurst: 0.9 * (1.1*burst + 20)}
 }
@@ -50,8 +50,8 @@
 			Plan
 			from, to time.Duration
 		}
-		terms := []term{{draw(), 0, time.Hour}}
-		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), makeServers(4, "s"), terms[0].Plan)
+		limits := []limitPeriod{{draw(), 0, time.Hour}}
+		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), makeServers(4, "s"), limits[0].Plan)
 		m.now += time.Minute // all stores are full
 		for range rapid.IntRange(2, 6).Draw(t, "phases") {
 			m.lossRate = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
@@ -60,7 +60,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what comes") {
 			case 1:
 				for range rapid.IntRange(1, len(m.gateways)).Draw(t, "started anew") {
-					m.start(m.rng.IntN(len(m.gateways)), late)
+					m.start(m.rng.IntN(len(m.gateways)), maxDelay)
 				}
 			case 2:
 				p := draw()
@@ -68,7 +68,7 @@
 				limits = append(limits, limitPeriod{p, m.now, time.Hour})
 				m.plans = []Plan{p}
 				for i := range m.gateways {
-					m.deliverLater(i, multiServiceConfig(p), late)
+					m.deliverLater(i, multiServiceConfig(p), maxDelay)
 				}
 			case 3:
 				m.gateways, m.knownGateways = append(m.gateways, nil), append(m.knownGateways, 0)
@@ -108,9 +108,9 @@
 
 // A tenant that sends more than its rate gets most of it, whether the gateways' messages arrive or not.
 func TestQuotaIsUsed(t *testing.T) {
-	for lost, least := range map[float64]int{0: 900, 1: 600} { // of 1000
+	for lossRate, minPassed := range map[float64]int{0: 900, 1: 600} { // of 1000
 		m := newServiceGateways(5, 3, makeServers(4, "s"), limitedPlan(100, 100))
-		m.lossRate = lost
+		m.lossRate = lossRate
 		m.pass(10*time.Second, func() {
 			for range 3 {
 				m.ask(m.rng.IntN(5), Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
@@ -120,8 +120,8 @@
 	}
 }
 
-// A gateway that has just come, and is asked for about its part of a small tenant's rate, borrows for the bursts of it:
-// the tenant as a whole asks for less than half of its rate.
+// A new gateway whose demand is about its part of a small tenant's rate borrows units for bursts: the tenant as a whole
+// uses less than half of its rate.
 func TestPeersLendToNewGateway(t *testing.T) {
 	asked, passed := 0, 0
 	for seed := range uint64(6) {
@@ -130,8 +130,8 @@
 		m.start(0, 0)
 		m.pass(time.Second, nil)
 		m.pass(10*time.Second, func() {
-			for i, perS := range []float64{7, 1.5, 1.5, 1.5, 1.5, 1.5} {
-				if m.rng.Float64() < perS/100 {
+			for i, perSecond := range []float64{7, 1.5, 1.5, 1.5, 1.5, 1.5} {
+				if m.rng.Float64() < perSecond/100 {
 					asked++
 					m.ask(i, Request{Customer: "t", Plan: "t", Class: "safe", Service: "s"})
 				}
@@ -153,8 +153,8 @@
 				}
 			}
 			m.pass(3*time.Second, flood)
-			was := len(m.sends)
-			assert.Assert(t, was > 1500, "%d passed", was)
+			sentBefore := len(m.sends)
+			assert.Assert(t, sentBefore > 1500, "%d passed", sentBefore)
 			for i := range m.gateways {
 				m.do(i, multiServiceConfig(limitedPlan(50, 50)))
 			}
@@ -165,7 +165,7 @@
 	}
 }
 
-// A request goes only to servers of its service, inside its homes, that run, however the servers fare.
+// A request is sent only to running servers of its service in its regions, whatever codes the servers return.
 func TestRequestStaysInItsServiceAndRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []Server
@@ -199,16 +199,16 @@
 // more: when it becomes cold, as its limit changes, and when gateways are added.
 func TestColdServerBearsAllGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 24).Draw(t, "gateways")
+		gatewayCount := rapid.IntRange(1, 24).Draw(t, "gateways")
 		cold := makeServers(1, "s")
-		m := newServiceGateways(n, rapid.Uint64().Draw(t, "seed"), cold)
+		m := newServiceGateways(gatewayCount, rapid.Uint64().Draw(t, "seed"), cold)
 		cold[0].ColdUntil = time.Hour
 		for round := range 3 {
 			cold[0].ColdSendRate = rapid.Float64Range(0, 60).Draw(t, "bears")
-			if k == 2 {
-				n++
+			if round == 2 {
+				gatewayCount++
 				m.gateways, m.knownGateways = append(m.gateways, nil), append(m.knownGateways, 0)
-				m.start(n-1, 0)
+				m.start(gatewayCount-1, 0)
 			}
 			for i := range m.gateways {
 				m.do(i, ServerList{Kind: CompleteList, Servers: cold})
@@ -219,8 +219,8 @@
 			m.pass(1200*ms, nil) // earlier sends count for this long
 			m.sends = nil
 			m.pass(2*time.Second, func() {
-				for range 2 + n/10 {
-					m.ask(m.rng.IntN(n), Request{Customer: "t", Class: "safe", Service: "s"})
+				for range 2 + gatewayCount/10 {
+					m.ask(m.rng.IntN(gatewayCount), Request{Customer: "t", Class: "safe", Service: "s"})
 				}
 			})
 			most := m.maxSendsIn(time.Second, func(sentAttempt) bool { return true })
@@ -231,10 +231,10 @@
 	})
 }
 
-// Further tries of a service are a part of its own requests, and come back once it is well again.
+// Retries of a service are limited to a share of its own requests, and are possible again once it has recovered.
 func TestRetryBudgetPerService(t *testing.T) {
 	m := newServiceGateways(1, 1, append(makeServers(4, "s"), makeServers(4, "tt")...))
-	ill := true
+	failing := true
 	m.code = func(s Send) Code {
 		if s.Server >= 200 || !failing {
 			return OK
@@ -269,10 +269,10 @@
 	assert.Assert(t, retries() >= 3, "too few retries for a service after 50 successful requests")
 }
 
-// A server that fails is left, whatever number its requests' class has.
+// A failing server is avoided for classes added later too, whatever their number.
 func TestClassesAddedLaterAreTracked(t *testing.T) {
 	m := newServiceGateways(1, 1, makeServers(4, "s"))
-	var many ConfigUpdate
+	var added ConfigUpdate
 	for i := range 12 {
 		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
 	}
@@ -293,8 +293,8 @@
 	assert.Assert(t, hits <= 10, "%d of %d sent to a failing server", hits, len(m.sends)/2)
 }
 
-// An answer that is lost at a server that answers all others is not waited for to the end, if its request may run again;
-// one that may not, is.
+// If a server answers all other requests but one answer is lost, the gateway cancels that attempt early, provided the
+// request may run again; otherwise it waits.
 func TestLostAnswerIsRetried(t *testing.T) {
 	m := newServiceGateways(1, 1, makeServers(2, "s"))
 	m.do(0, multiServiceConfig())
@@ -314,15 +314,15 @@
 	cancelled := map[string]int{}
 	for _, s := range m.sends {
 		if at, is := m.cancelledAt[s.ID]; is && !s.isRetry {
-			recalled[lost[s.ID]]++
+			cancelled[lost[s.ID]]++
 			assert.Assert(t, at-s.at < time.Second, "%v", at-s.at)
 		}
 	}
 	assert.Assert(t, cancelled["safe"] >= 3 && cancelled["once"] == 0 && cancelled[""] == 0, "%v", cancelled)
 }
 
-// One that is given another number is no peer of its own, one that has gone is none either, and a request that was
-// read before it heard of more gateways gets no larger part.
+// After a change of gateway numbers, a gateway is not its own peer and removed gateways are not its peers; a request that
+// was read under a smaller gateway count gets no larger part of the ceiling.
 func TestGatewayNumberChanges(t *testing.T) {
 	m := newServiceGateways(3, 1, makeServers(4, "s"), limitedPlan(10, 10))
 	m.knownGateways[0] = 1
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -33,7 +33,7 @@
 	g.releaseHeld(c)
 }
 
-// learnFromOutcome learns from an outcome: latency, errors, load reports.
+// learnFromOutcome updates latency estimates, error averages and load figures from an outcome.
 func (g *Gateway) learnFromOutcome(s *server, r *request, ev Outcome) {
 	g.noteServerLoad(s, ev.Load)
 	if ev.Code != NoRetry && ev.Code != Cancelled {
@@ -47,22 +47,22 @@
 		if v := g.healthOf(s, r.class); v != nil {
 			v.lastOK = g.now
 		}
-		base := g.loadFactor(s, r.loadAtSend) / g.minCapacityShare(s)
-		lat := ev.Latency.Seconds() / base
-		s.slowdown += g.ownOutcomeWeight * (min(lat/r.class.mean, maxSlowdown) - s.slowdown)
+		loadEffect := g.loadFactor(s, r.loadAtSend) / g.minCapacityShare(s)
+		latency := ev.Latency.Seconds() / loadEffect
+		s.slowdown += g.ownOutcomeWeight * (min(latency/r.class.mean, maxSlowdown) - s.slowdown)
 		g.meanLatency += meanLearningRate * (r.class.mean - g.meanLatency)
-		r.class.outcomes++ // the first outcomes count for more
-		r.class.mean += max(meanLearningRate, 1/(r.class.outcomes+1)) *
-			(min(lat, maxLatencyMeans*r.class.mean) - r.class.mean)
+		r.class.outcomes++ // the first outcomes weigh more
+		r.class.mean += max(meanLearningRate, 1/(r.class.outcomes+1)) * (min(latency, maxLatencyMeans*r.class.mean) - r.class.mean)
 	case Full:
-		// It may turn away one plan only: this one goes elsewhere for a while.
+		// The server may reject this plan only: requests of this plan avoid it for a while.
 		if s.planFull[r.customer.plan] = g.now + rejectionPause; g.cfg.MultiService != nil {
-			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+queueFullPause // its queue is full, for whomever
+			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+queueFullPause // its queue is full for every plan
 		}
 		g.lateness += latenessWeight * (1 - g.lateness)
 	}
 }
 
+// reportOutcome sends an outcome to the server's watchers, or records it if this gateway is one.
 func (g *Gateway) reportOutcome(s *server, cl *class, code Code, latency time.Duration) {
 	if cl.Name == "" {
 		return // not a configured class
@@ -80,55 +80,54 @@
 	}
 }
 
-// recordOutcome adds an outcome to what the fleet knows of a server. One that turns
-// requests away is taken for very slow: it gets few more until it answers.
+// recordOutcome adds an outcome to the shared health of a watched server. A server that
+// rejects requests counts as very slow: it gets few until it answers again.
 func (g *Gateway) recordOutcome(s *server, class int, code Code, latency time.Duration) {
 	cl := g.classes[g.cfg.Classes[class].Name]
-	v, mean := g.healthOf(s, cl), cl.mean
-	seen := min(latency.Seconds()/mean/g.minCapacityShare(s), maxSlowdown)
+	health, mean := g.healthOf(s, cl), cl.mean
+	observed := min(latency.Seconds()/mean/g.minCapacityShare(s), maxSlowdown)
 	switch code {
 	case OK:
-		v.errorRate *= 1 - failureWeight
-		if v.ejected {
-			v.errorRate, v.trialBackoff = v.errorRate*failureShareAfterTrial, 0
+		health.errorRate *= 1 - failureWeight
+		if health.ejected {
+			health.errorRate, health.trialBackoff = health.errorRate*failureShareAfterTrial, 0
 		}
 	case Full:
-		seen = maxSlowdown
+		observed = maxSlowdown
 	case ConnectFailed:
 		s.recordFailure(2 * failureWeight)
 	default:
-		s.recordFailure(failureWeight / 2) // it may fail other classes too
-		v.errorRate += failureWeight / 2 * (1 - v.errorRate)
-		seen = max(seen, s.sharedSlowdown)
+		s.recordFailure(failureWeight / 2) // other classes may fail too
+		health.errorRate += failureWeight / 2 * (1 - health.errorRate)
+		observed = max(observed, s.sharedSlowdown)
 	}
-	s.sharedSlowdown += slowdownLearningRate * (seen - s.sharedSlowdown)
+	s.sharedSlowdown += slowdownLearningRate * (observed - s.sharedSlowdown)
 	g.publishVerdict(s)
 }
 
-// publishVerdict tells all gateways what has changed of a server that this one watches, and again what still keeps it
-// out of use. Each goes to every gateway, so all watchers together keep to a part of the mail.
+// publishVerdict sends all gateways what changed for a server watched here, and repeats an ejection before it expires.
+// A verdict goes to every gateway, so all watchers together use a limited share of the message rate.
 func (g *Gateway) publishVerdict(s *server) {
-	each := g.cfg.MessagesPerSecond * verdictIntakeShare / float64(max(1, len(g.serverList)))
-	s.verdictTokens = min(verdictBurst, s.verdictTokens+each*(g.now-s.verdictTokensAt).Seconds())
+	perSecond := g.cfg.MessagesPerSecond * verdictIntakeShare / float64(max(1, len(g.serverList)))
+	s.verdictTokens = min(verdictBurst, s.verdictTokens+perSecond*(g.now-s.verdictTokensAt).Seconds())
 	s.verdictTokensAt = g.now
 	if g.cfg.MultiService != nil {
-		s.verdictTokens = verdictBurst // they are told to none
+		s.verdictTokens = verdictBurst // verdicts stay local
 	}
 	isFirst := s.watchers[0] == g.cfg.Me
 	if !isFirst || !g.usesRoots {
 		s.sharedSlowdown = s.slowdown // the second watcher knows only about connection failures
 	}
 	isBad := func(_ int, v *classHealth) bool {
-		return v.errorRate > ejectionThreshold || v.ejected && (!first || v.errorRate > ejectionThreshold/2)
+		return v.errorRate > ejectionThreshold || v.ejected && (!isFirst || v.errorRate > ejectionThreshold/2)
 	}
-	bits, news, any, until := s.ejectionBits(isBad)
-	change := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > slowdownReportFactor
-	again := first && any && until-g.now < verdictTTL/4
-	if s.verdictTokens < 1 || !news && !change && !again {
+	ejectedBits, classChanged, anyEjected, until := s.ejectionBits(isBad)
+	slowdownChanged := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > slowdownReportFactor
+	repeatDue := isFirst && anyEjected && until-g.now < verdictTTL/4
+	if s.verdictTokens < 1 || !classChanged && !slowdownChanged && !repeatDue {
 		return
 	}
-	m := serverVerdict{Server: uint32(s.ID), EjectedBits: bits,
-		Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, minSlowdown))))}
+	m := serverVerdict{Server: uint32(s.ID), EjectedBits: ejectedBits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, minSlowdown))))}
 	g.applyVerdict(s, m.Slowdown, isBad)
 	if g.usesRoots {
 		s.verdictTokens--
@@ -136,21 +135,18 @@
 	}
 }
 
-// checkOverdue looks for attempts far older than predicted: they count as failed, and what can go elsewhere is
-// called back. Guards against servers that take work and answer none; harms when all slow down at once,
-// within the budget.
+// checkOverdue counts attempts far older than predicted as failed and, within the retry budget, cancels those that may
+// run elsewhere. It guards against servers that never answer; if all servers slow down at once, it adds load.
 func (g *Gateway) checkOverdue(s *server) {
 	for _, r := range slices.Clone(s.attempts) {
-		if r.granted && r.customer.plan.MaxInFlight > 0 &&
-			(g.now-r.askedAt).Seconds() > leaseMeanLatencies/2*r.class.mean {
-			r.askedAt = g.now // its place is still taken
+		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeanLatencies/2*r.class.mean {
+			r.askedAt = g.now // renews the root's lease: the attempt is still in flight
 			g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() /
-			max(g.predictLatency(s, r.class), minOverdueShare*r.class.LatencyTarget.Seconds())
-		v := g.healthOf(s, r.class)
-		patient := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswerFactor // if others were since
-		if age < overdueFactor || r.done || r.cancelled || r.streams || patient && v != nil && v.lastOK > r.sentAt {
+		age := (g.now - r.sentAt).Seconds() / max(g.predictLatency(s, r.class), minOverdueShare*r.class.LatencyTarget.Seconds())
+		health := g.healthOf(s, r.class)
+		waitLonger := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswerFactor // if the server has answered others since
+		if age < overdueFactor || r.done || r.cancelled || r.streams || waitLonger && health != nil && health.lastOK > r.sentAt {
 			continue
 		}
 		r.cancelled = true
@@ -162,7 +158,7 @@
 	}
 }
 
-// mayRunTrial tells whether a request may go to a server that is out of use, to see whether it is well again.
+// mayRunTrial reports whether a request may be sent to an ejected server to test whether it has recovered.
 func (g *Gateway) mayRunTrial(r *request) bool {
 	return r.attempts == 0 && (r.effect != Unsafe || g.cfg.MultiService != nil)
 }
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// A root that answers nothing must not stop its customers: the deputy counts
-// for it.
+// A root that does not answer must not block its customers: the deputy counts
+// their requests instead.
 func TestDeputyReplacesLostRoot(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(20))
 	c := w.gateways[0].addCustomer(keyOf("k"), w.gateways[0].plans["rate"], 0, 50)
@@ -92,8 +92,8 @@
 	}
 }
 
-// With most of a fleet replaced at once its cold servers carry what they surely
-// can: were they left idle, the few warm ones would be crushed.
+// When most servers are replaced at once, the cold ones get what their minimum capacity
+// allows: otherwise the few warm ones would be overloaded.
 func TestColdServersCarryTheirShare(t *testing.T) {
 	servers := testServers(60)
 	for i := range 36 {
@@ -120,9 +120,9 @@
 	}
 }
 
-// fleetWithReplacements is a fleet of 60 servers after 36 of them were replaced by cold ones.
+// fleetWithReplacements returns 60 servers, of which 36 have just been replaced by cold ones.
 func fleetWithReplacements() []Server {
-	l := testServers(60)
+	servers := testServers(60)
 	for i := range 36 {
 		servers[i].ID += 1000
 		servers[i].HasStartTime, servers[i].StartTime = true, 10*time.Second
@@ -130,11 +130,11 @@
 	return servers
 }
 
-// Bad servers among the new ones are left alone by all gateways, though each sees a
-// few attempts a second only, while the good new ones are used.
+// Failing servers among the new ones are ejected by all gateways, though each gateway sends
+// only a few attempts a second, while the working new ones are used.
 func TestFailingNewServersAreEjected(t *testing.T) {
 	w := newManyGateways(t, 100, fleetWithReplacements())
-	bad := func(id ServerID) bool { return id > 1000 && id <= 1006 }
+	failing := func(id ServerID) bool { return id > 1000 && id <= 1006 }
 	w.code = func(i int) Code {
 		if failing(w.sends[i].Server) {
 			return Error
@@ -189,13 +189,13 @@
 		}
 	}
 	if refused < id/20 || w.finalAnswers > id/100 {
-		t.Errorf("of %d requests %d had a connection refused, %d were turned away", id, refused, w.finalAnswers)
+		t.Errorf("of %d requests %d had a connection refused, %d failed", id, refused, w.finalAnswers)
 	}
 }
 
-// Each gateway of a large fleet goes mostly to a few servers, so that connections
-// are used again; all together go to each server alike, and when those few are gone
-// the others serve.
+// With many gateways, each sends mostly to a few servers, so that connections are reused;
+// together they use all servers evenly, and when a gateway's preferred servers are removed
+// it uses the others.
 func TestGatewaysPreferFewServers(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(60))
 	id := 0
@@ -211,19 +211,19 @@
 	ask(40)
 	used, attemptsAt := map[[2]int]int{}, map[ServerID]int{}
 	for i, s := range w.sends {
-		met[[2]int{w.sentFrom[i], int(s.Server)}]++
-		at[s.Server]++
+		used[[2]int{w.sentFrom[i], int(s.Server)}]++
+		attemptsAt[s.Server]++
 	}
-	// Drawn alike from all, 40 attempts meet 29 of 60 servers.
-	if each := len(met) / len(w.gateways); each > 22 {
-		t.Errorf("a gateway meets %d of 60 servers with 40 attempts", each)
+	// Drawn evenly from all, 40 attempts would use 29 of 60 servers.
+	if each := len(used) / len(w.gateways); each > 22 {
+		t.Errorf("a gateway uses %d of 60 servers for 40 attempts", each)
 	}
 	for s, n := range attemptsAt {
 		if mean := len(w.sends) / 60; n < mean*7/10 || n > mean*13/10 {
 			t.Errorf("%d attempts at server %d, %d in the mean", n, s, mean)
 		}
 	}
-	var gone []Server
+	var removed []Server
 	for _, s := range w.gateways[0].serverList {
 		if s.share > 1 {
 			l := s.Server
@@ -239,8 +239,8 @@
 	}
 }
 
-// A watcher hears of one class failing on a server and tells all; the other
-// classes still go there.
+// When outcomes show that one class fails on a server, its watcher ejects the server
+// for this class at all gateways; other classes are still sent there.
 func TestWatcherReportsOneClass(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	s := w.gateways[0].servers[3]
@@ -248,7 +248,7 @@
 	for range 6 {
 		for i := range 12 {
 			from := (s.watchers[0] + 1 + i) % 100
-			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{messageVersion}}) // foreign: nothing
+			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{messageVersion}}) // incomplete: ignored
 			g := w.gateways[from]
 			w.do(s.watchers[0], PeerMessage{From: from,
 				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
@@ -279,8 +279,8 @@
 	}
 }
 
-// The watcher may be lost with the server: one that can't be reached is told
-// to a second.
+// The watcher may become unreachable together with the server: connection failures are
+// also reported to a second watcher.
 func TestSecondWatcherReportsUnreachable(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(10))
 	s := w.gateways[0].servers[3]
@@ -298,12 +298,12 @@
 	}
 	w.pass(100*ms, nil)
 	if v := w.gateways[20].healthOf(w.gateways[20].servers[3], cl); !v.ejected {
-		t.Error("a gateway far off has not heard of it")
+		t.Error("the verdict did not reach another gateway")
 	}
 }
 
-// A customer that has a cap alone and asks far more than fits must not drown its
-// root: each gateway takes in what its mail bears, and most of the cap is used.
+// A customer with a limit on requests in flight but no rate, which sends far more than fits, must
+// not overload its root: no gateway exceeds its message rate by much, and most of the limit is used.
 func TestCapWithoutRateDoesNotOverloadRoot(t *testing.T) {
 	w := newManyGateways(t, 100, testServers(40))
 	second, received := time.Duration(0), map[int]int{}
@@ -362,7 +362,7 @@
 	if passed := len(w.sends); passed < 200 || beyond > 10 {
 		t.Errorf("%d of %d passed, more than the limit was in flight at %d moments", passed, asked, beyond)
 	}
-	// An ask, an answer and two ends for each that passes, and few for the others.
+	// One ask, one reply and two end messages for each that passes, and few for the others.
 	if w.messageCount > 2*asked {
 		t.Errorf("%d messages for %d asked", w.messageCount, asked)
 	}
--- a/policy/line.go
+++ b/policy/line.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// willMissTarget tells whether a request can't be answered within its aim any more, by a server of usual pace.
+// willMissTarget reports whether an idle server of average speed would answer a request after its latency target.
 func (g *Gateway) willMissTarget(r *request) bool {
 	return (g.now-r.arrivedAt+r.waitedBefore).Seconds()+r.class.mean > r.class.LatencyTarget.Seconds()
 }
 
-// compareWaiting orders those who wait for the same servers: who can still meet the aim, then by the operator's
-// ranks, then by arrival.
+// compareWaiting orders requests that wait for the same servers: first those that can still meet their
+// latency target, then by the operator's priority, then by arrival.
 func (g *Gateway) compareWaiting(a, b *request) int {
 	if late := g.willMissTarget(a); late != g.willMissTarget(b) {
 		if late {
@@ -25,16 +25,16 @@
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.arrivedAt, b.arrivedAt))
 }
 
-// mayBypassQueue tells whether a request that has just come may be tried ahead of all that wait: none of its
-// customer waits for units, and none that goes before it for the same servers.
+// mayBypassQueue reports whether a new request may be sent ahead of all waiting ones: no request of its customer
+// waits for units, and no request that precedes it waits for the same servers.
 func (g *Gateway) mayBypassQueue(r *request) bool {
 	if g.cfg.MultiService == nil {
 		return len(r.customer.held) == 0
 	}
 	for _, c := range g.waiting {
-		for _, o := range c.held {
-			same := o.serverGroup == r.serverGroup && o.attempts == 0 && !o.overQuota
-			if o.overQuota && c == r.customer || same && g.compareWaiting(o, r) <= 0 {
+		for _, other := range c.held {
+			sameServers := other.serverGroup == r.serverGroup && other.attempts == 0 && !other.overQuota
+			if other.overQuota && c == r.customer || sameServers && g.compareWaiting(other, r) <= 0 {
 				return false
 			}
 		}
@@ -42,19 +42,19 @@
 	return true
 }
 
-// serveWaiting sends those who wait to servers with room, by rank.
+// serveWaiting sends waiting requests to servers with room, in the order of compareWaiting.
 func (g *Gateway) serveWaiting() {
-	var line []*request
+	var waiting []*request
 	for _, c := range g.waiting {
 		g.advance(c)
 		waiting = append(waiting, c.held...)
 	}
-	slices.SortStableFunc(line, g.compareWaiting)
-	full, short := map[string]bool{}, map[*customer]bool{}
-	for _, r := range line {
-		needs := r.serverGroup
+	slices.SortStableFunc(waiting, g.compareWaiting)
+	fullServers, outOfUnits := map[string]bool{}, map[*customer]bool{}
+	for _, r := range waiting {
+		serverKey := r.serverGroup
 		if g.willMissTarget(r) {
-			needs += "|late"
+			serverKey += "|late"
 		}
 		if fullServers[serverKey] || fullServers[r.serverGroup] || outOfUnits[r.customer] && !r.unitsTaken {
 			continue
--- a/policy/line_test.go
+++ b/policy/line_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// manualGateway is one gateway of many services whose attempts last until the test ends them, and whose timers run.
+// manualGateway runs one gateway of many services with its timers; the test decides when attempts end.
 type manualGateway struct {
 	t          *testing.T
 	g          *Gateway
@@ -90,8 +90,8 @@
 	}
 }
 
-// fill sends a service's servers all they take, and returns what is out.
-func (b *manualGateway) fill(service string, homes ...string) (out []RequestID) {
+// fill sends requests until a service's servers take no more, and returns those in flight.
+func (b *manualGateway) fill(service string, homes ...string) (inFlight []RequestID) {
 	for {
 		n := len(b.sent)
 		id := b.ask(Request{Customer: "u", Service: service, Regions: homes})
@@ -114,7 +114,7 @@
 	return Server{ID: id, Zone: "a", Region: region, Service: service, Slots: 1}
 }
 
-// Who waits for the servers of one service does not hold up who needs another's, of whatever tenant.
+// Requests that wait for the servers of one service do not delay those for another service, whichever the tenant.
 func TestWaitingForOneServiceDoesNotBlockAnother(t *testing.T) {
 	b := newManualGateway(t, oneSlotServer(1, "s", "r"), oneSlotServer(2, "t", "r"))
 	b.fill("s")
@@ -122,23 +122,23 @@
 	n := len(b.sent)
 	other := b.ask(Request{Service: "t"})
 	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{other})
-	out := b.fill("t")
+	inFlight := b.fill("t")
 	held := b.ask(Request{Service: "t"})
 	n = len(b.sent)
 	b.end(other)
 	for _, id := range inFlight {
 		b.end(id)
 	}
-	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{held}) // though the tenant's first still waits
-	_, refused := b.refused[waits]
+	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{held}) // though the tenant's first request still waits
+	_, refused := b.refused[waiting]
 	assert.Assert(t, !refused)
 }
 
-// Of those who wait for the same servers go first who can still meet the aim, then the operator's first rank, then
-// who came first; one that has just come does not pass them.
+// Requests that wait for the same servers are sent in this order: those that can still meet their latency target, by the
+// operator's priority, by arrival. A new request does not overtake them.
 func TestWaitingOrderTargetPriorityArrival(t *testing.T) {
 	b := newManualGateway(t, oneSlotServer(1, "s", "r"))
-	out := b.fill("s")
+	inFlight := b.fill("s")
 	late := b.ask(Request{Service: "s", WaitedBefore: 480 * ms})
 	third := b.ask(Request{Service: "s", Priority: 2})
 	first := b.ask(Request{Service: "s", Priority: 0, Customer: "u"})
@@ -154,11 +154,12 @@
 	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{first, second, third, fresh, late})
 }
 
-// Who will be late whatever is done gets room that others would not have to wait for, and after them.
+// A request that will miss its target on any server is sent after the others, and only where they would not have to wait
+// for it.
 func TestLateRequestYields(t *testing.T) {
 	b := newManualGateway(t, oneSlotServer(1, "s", "r"))
-	out := b.fill("s")
-	b.end(out[0])
+	inFlight := b.fill("s")
+	b.end(inFlight[0])
 	n := len(b.sent)
 	late := b.ask(Request{Service: "s", WaitedBefore: 450 * ms})
 	fresh := b.ask(Request{Service: "s"})
@@ -169,8 +170,8 @@
 	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{fresh, second, late})
 }
 
-// A request that finds no server is refused within a quarter of its aim after its client sent it, whenever the next
-// tick is.
+// A request that finds no server is refused within a quarter of its latency target after its client sent it, whenever the
+// next tick is.
 func TestHoldTimeIsBounded(t *testing.T) {
 	for i := range 10 {
 		b := newManualGateway(t, oneSlotServer(1, "s", "r"))
@@ -183,12 +184,12 @@
 	}
 }
 
-// Where requests bound to a region find no room, those with a choice go to the other regions.
+// If requests bound to a region find no room, requests that may go to any region are sent to the others.
 func TestRegionBoundRequestsComeFirst(t *testing.T) {
-	far := oneSlotServer(2, "s", "q")
-	far.ExtraLatency = 250 * ms
-	b := newManualGateway(t, oneSlotServer(1, "s", "r"), far)
-	near := func() (n int) {
+	distant := oneSlotServer(2, "s", "q")
+	distant.ExtraLatency = 250 * ms
+	b := newManualGateway(t, oneSlotServer(1, "s", "r"), distant)
+	sentNear := func() (n int) {
 		for _, s := range b.sent {
 			if s.Server == 1 {
 				n++
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// reportInterval is the time from one report to the next.
+// reportInterval returns the time between two reports to a peer.
 func (g *Gateway) reportInterval() time.Duration {
 	return g.tickInterval * time.Duration(g.reportTicks)
 }
 
-// reportUrgency orders a report, busiest first: held, and units not told yet, against
-// what may be used at once; then those not told for longest.
+// reportUrgency orders the customers in a report: by held requests and by unreported
+// units relative to the bucket size, then by the time since they were last reported.
 func (g *Gateway) reportUrgency(c *customer) float64 {
 	units := float64(c.passedUnits-c.reportedUnits) / (c.plan.Burst + 1)
 	return float64(len(c.held)) + units + reportAgeWeight*float64(g.tickCount-c.reportedTick)
 }
 
-// askRoot sends a request to the customer's root, again if that or the answer is lost, and then to the
-// deputy. Where none answers, or nobody was heard for long, this gateway decides alone.
+// askRoot asks the customer's root to admit a request, again if the message or its reply is lost, and then the
+// deputy. If neither answers, or no peer has been heard from for long, this gateway decides without them.
 func (g *Gateway) askRoot(r *request) {
 	c := r.customer
-	deaf := g.unansweredAsks >= isolatedAfterAsks && r.askCount > 0
-	if delete(g.pendingAsks, r.tag); deaf || r.askCount > maxRootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
+	isolated := g.unansweredAsks >= isolatedAfterAsks && r.askCount > 0
+	if delete(g.pendingAsks, r.tag); isolated || r.askCount > maxRootAsks || g.now+2*g.cfg.Resolution >= r.deadline {
 		if r.heldAtRoot || g.now >= r.deadline || !g.hasUnits(r) || !g.mayAdmitWithoutRoot(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
@@ -64,32 +64,32 @@
 	g.emit(SetTimer{Token: "ask", After: r.askUntil - g.now})
 }
 
-// mayAdmitWithoutRoot tells whether a request may pass though no root answers. Where nobody is heard no more of each
-// plan passes here than the roots let pass, which holds the load and, while demand stays, the quotas.
+// mayAdmitWithoutRoot reports whether a request may pass though no root answers. If no peer answers, this gateway
+// passes no more of each plan than the roots allowed before, which keeps the load and, at the same demand, the quotas.
 func (g *Gateway) mayAdmitWithoutRoot(r *request) bool {
-	if g.unansweredAsks < isolatedAfterAsks { // others are heard: it is flooded roots that do not answer
+	if g.unansweredAsks < isolatedAfterAsks { // other peers answer: the roots are overloaded
 		return g.rng.Float64() < math.Pow(g.answeredShare, unansweredPassExponent)
 	}
-	q := r.customer.plan
-	seen := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/askShareSpan.Seconds())
-	most := q.passedGranted.add(g.now, askShareSpan, 0) / seen * demandTimeConstant.Seconds() / askShareSpan.Seconds()
-	if r.isRetry || q.MaxInFlight > 0 {
-		most *= isolatedCautionFactor
+	plan := r.customer.plan
+	observedShare := 1 - math.Exp(-(g.now-g.startedAt).Seconds()/askShareSpan.Seconds())
+	maxUnits := plan.passedGranted.add(g.now, askShareSpan, 0) / observedShare * demandTimeConstant.Seconds() / askShareSpan.Seconds()
+	if r.isRetry || plan.MaxInFlight > 0 {
+		maxUnits *= isolatedCautionFactor
 	}
-	return q.passedAlone.add(g.now, demandTimeConstant, 0)+r.units/2 <= most
+	return plan.passedAlone.add(g.now, demandTimeConstant, 0)+r.units/2 <= maxUnits
 }
 
-// replyToAsk tells the asking gateway a root's verdict, and what part of such asks fits. Under a cap
-// that follows from the places that are asked for and from what the root's mail still bears.
-func (g *Gateway) replyToAsk(r *request, v byte) {
+// replyToAsk sends a root's decision to the asking gateway, and the share of such requests it should ask for. Under a
+// limit on requests in flight, the share depends on the demand for them and on the root's remaining message rate.
+func (g *Gateway) replyToAsk(r *request, decision byte) {
 	fill := toByte(250 * max(0, r.customer.bucket) / max(1, r.customer.plan.Burst))
 	askShare := 1.0
 	if r.customer.plan.MaxInFlight > 0 {
-		left := max(minAskShare, 1-g.recentMessages/demandTimeConstant.Seconds()/max(1, g.cfg.MessagesPerSecond))
-		part = min(1, left*float64(r.customer.plan.MaxInFlight)*demandTimeConstant.Seconds()/r.customer.slotDemand)
+		intakeLeft := max(minAskShare, 1-g.recentMessages/demandTimeConstant.Seconds()/max(1, g.cfg.MessagesPerSecond))
+		askShare = min(1, intakeLeft*float64(r.customer.plan.MaxInFlight)*demandTimeConstant.Seconds()/r.customer.slotDemand)
 	}
 	if r.customer.plan.Rate > 0 && r.customer.bucket < retryReserve*r.customer.plan.Burst {
-		part = min(part, r.customer.plan.Rate*demandTimeConstant.Seconds()/max(r.customer.demand, 1))
+		askShare = min(askShare, r.customer.plan.Rate*demandTimeConstant.Seconds()/max(r.customer.demand, 1))
 	}
 	g.emit(SendPeer{To: r.root, Data: encode(askReply{r.tag, decision, fill, toByte(100 * g.lateness), toByte(250 * askShare)})})
 }
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -13,15 +13,15 @@
 	inTransit   []transitMessage
 	dropMessage func(from, to int) bool
 
-	messageCount  int // messages, by receiver
+	messageCount  int // messages sent, one for each receiver
 	sends         []Send
 	sentFrom      []int
 	sentAt        []time.Duration
-	attemptTime   time.Duration     // how long an attempt is out
-	code          func(i int) Code  // how the i-th send ends; nil: well
+	attemptTime   time.Duration     // duration of an attempt
+	code          func(i int) Code  // result of the i-th send; nil: all succeed
 	endedSends    int               // sends that have ended
-	endedAttempts map[RequestID]int // that have ended
-	finalAnswers  int
+	endedAttempts map[RequestID]int // attempts that have ended, by request
+	finalAnswers  int               // refusals and failures sent to clients
 }
 
 type transitMessage struct {
@@ -51,7 +51,7 @@
 		switch a := a.(type) {
 		case SendPeer:
 			if len(a.Data) > 256 || a.To >= len(c.gateways) || a.To == i {
-				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
+				c.t.Fatalf("gateway %d sends gateway %d a message of %d bytes", i, a.To, len(a.Data))
 			}
 			for to := range c.gateways {
 				if to == a.To || a.To < 0 && to != i {
--- a/policy/report.go
+++ b/policy/report.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// keyOf names a customer in messages, shortHash in reports.
+// keyOf returns the hash that identifies a customer in messages.
 func keyOf(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
+// shortHash returns the 24 bits of a key that identify the customer in reports.
 func shortHash(key uint64) uint32 { return uint32(key >> 40) }
 
-// hashFraction is a number from 0 to 1 that two others determine, as if drawn for them.
+// hashFraction returns a pseudo-random number in [0, 1) that depends only on a and b.
 func hashFraction(a, b uint32) float64 {
 	x := a*0x9e3779b1 ^ b*0x85ebca6b
 	x = (x ^ x>>15) * 0x2c1b3c6d
@@ -27,30 +28,30 @@
 // report is the message that a gateway sends each peer at every report interval. Encoding:
 // version, incarnation, sequence number, flags, number of servers, servers, customers.
 type report struct {
-	incarnation uint32 // drawn anew at each start of the sender
+	incarnation uint32 // random, new at each start of the sender
 	seq         uint32
-	complete    bool // customers not named have none out and none held
+	complete    bool // customers not listed have no requests in flight or held
 	servers     []serverLoad
 	customers   []customerEntry
 }
 
-// serverLoad is the sender's attempts out at a server, up to maxOut; the hash
-// has serverBits bits.
+// serverLoad holds the sender's attempts in flight at a server, up to
+// maxReportedInFlight; the hash has serverBits bits.
 type serverLoad struct {
 	hash     uint16
 	inFlight byte
 }
 
-// customerEntry is a report's part on one customer.
+// customerEntry holds a report's figures of one customer.
 type customerEntry struct {
 	hash       uint32 // 24 bits
-	inFlight   byte   // mean attempts out over the tick: inFlightScale times its root, up to 15
-	held       byte   // up to maxReportedHeld
+	inFlight   byte   // mean attempts in flight over the tick: inFlightScale times the square root, up to 15
+	held       byte   // held requests, up to maxReportedHeld
 	passed     byte   // running total of units passed, its lowest bits
-	lent       byte   // running total of what was lent to this peer of the ceiling: lendPartsPerUnit a unit
-	rate       byte   // units asked for a second: rateScale * log2(1 + rate), up to maxRateCode
-	newTotal   bool   // the total began at nothing a moment ago: the highest bit of the rate
-	bucketFill byte   // estimate of the store, 250 full
+	lent       byte   // running total of the ceiling units lent to this peer, times lendPartsPerUnit
+	rate       byte   // demand in units a second: rateScale * log2(1 + rate), up to maxRateCode
+	newTotal   bool   // the running total has just restarted from 0: the highest bit of the rate
+	bucketFill byte   // estimated fill of the quota's bucket, 250 when full
 }
 
 const (
@@ -69,10 +70,10 @@
 	serverBytes         = 2
 	entryBytes          = 8
 	rateScale           = 8
-	lendPartsPerUnit    = 4.0 // parts of a unit in which a ceiling is lent
+	lendPartsPerUnit    = 4.0 // ceiling units are lent in steps of 1/lendPartsPerUnit
 )
 
-// hasRoom tells whether one more customer fits in.
+// hasRoom reports whether one more customer fits into the message.
 func (m *report) hasRoom() bool {
 	n := headerBytes + serverBytes*len(m.servers) + entryBytes*(len(m.customers)+1)
 	return n <= maxMessageBytes
@@ -133,12 +134,11 @@
 	return m, true
 }
 
-// applyEntry takes over an entry's figures, and tells what has been passed and lent
-// since the last. It tells too whether the sender's totals were not known, or
-// began at nothing: then what was passed counts from there.
-func (v *peerView) applyEntry(e customerEntry, inc uint32, now time.Duration) (passed, lent float64, met bool) {
-	quiet := now-v.reportedAt > newTotalSpan
-	if met = !v.reported || v.incarnation != inc || e.newTotal && quiet; met {
+// applyEntry stores an entry's figures and returns the units passed and lent since the last one. isNew reports
+// whether the sender's totals were unknown or have restarted from 0; the units passed then count from there.
+func (v *peerView) applyEntry(e customerEntry, inc uint32, now time.Duration) (passed, lent float64, isNew bool) {
+	outdated := now-v.reportedAt > newTotalSpan
+	if isNew = !v.reported || v.incarnation != inc || e.newTotal && outdated; isNew {
 		v.passedUnits, v.borrowedTotal = 0, e.lent
 		if !v.reported && !e.newTotal {
 			v.passedUnits = e.passed
@@ -153,5 +153,5 @@
 	v.reported, v.incarnation, v.passedUnits, v.borrowedTotal = true, inc, e.passed, e.lent
 	v.reportedAt, v.demand = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandTimeConstant.Seconds()
 	v.inFlight, v.held = math.Pow(float64(e.inFlight)/inFlightScale, 2), float64(e.held)
-	return passed, lent, met
+	return passed, lent, isNew
 }
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// buildReport makes the report for one peer: the servers this gateway has attempts
-// out at, then the customers that come in through both, busiest first.
-func (g *Gateway) buildReport(p *peer, list []*customer) *report {
+// buildReport builds the report for one peer: the servers at which this gateway has attempts
+// in flight, then the customers that both gateways serve, most urgent first.
+func (g *Gateway) buildReport(p *peer, customers []*customer) *report {
 	m := &report{incarnation: g.incarnation, seq: g.reportSeq, complete: true}
 	for _, s := range g.serverList {
 		if s.inFlight > 0 && len(m.servers) < maxReportServers && !g.usesRoots {
@@ -41,7 +41,7 @@
 // onReport applies a peer's report.
 func (g *Gateway) onReport(p *peer, m report) {
 	if p.reported && p.incarnation == m.incarnation && int32(m.seq-p.reportSeq) <= 0 {
-		return // old or repeated: the later report holds all it said
+		return // outdated or duplicate: a later report contains all of its figures
 	}
 	if m.complete || p.incarnation != m.incarnation {
 		for _, v := range p.views {
@@ -61,14 +61,14 @@
 	}
 }
 
-// sendReports tells each peer what has changed.
+// sendReports sends each peer the figures that have changed.
 func (g *Gateway) sendReports() {
 	g.reportSeq++
 	var changed []*customer
 	for _, c := range g.customerList {
 		if c.hasNews() {
 			c.reportPriority = g.reportUrgency(c)
-			list = append(list, c)
+			changed = append(changed, c)
 		}
 	}
 	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.reportPriority, a.reportPriority) })
@@ -76,7 +76,7 @@
 		if p == nil || p.index == g.cfg.Me || g.usesRoots && len(p.views) == 0 {
 			continue
 		}
-		if m := g.buildReport(p, list); !g.usesRoots || len(m.customers) > 0 {
+		if m := g.buildReport(p, changed); !g.usesRoots || len(m.customers) > 0 {
 			g.emit(SendPeer{To: p.index, Data: m.encode()})
 		}
 	}
@@ -87,26 +87,26 @@
 	}
 }
 
-// applyReportEntry takes in what a peer says of a customer. Running totals heal lost
-// reports; a total that jumps oddly (the peer started anew) is a new base.
+// applyReportEntry takes over a peer's figures of a customer. Running totals make up for
+// lost reports; when the peer has restarted, its total is a new base.
 func (g *Gateway) applyReportEntry(c *customer, p *peer, e customerEntry) {
 	v := c.viewOf(p)
 	if v == nil {
 		return
 	}
 	g.advance(c)
-	passed, lent, met := v.applyEntry(e, p.incarnation, g.now)
+	passed, lent, isNew := v.applyEntry(e, p.incarnation, g.now)
 	c.bucket = min(c.plan.Burst, max(0, c.bucket-passed))
 	c.ceiling = min(c.plan.HardBurst/c.parts, c.ceiling+lent)
-	// One just met has used it, or knows who has: it is told once what the store
-	// is here. Guards against a store that is full at one gateway only.
-	if (met || !c.bucketKnown) && e.bucketFill != unknownFill {
+	// A new peer may know of units used that this gateway has not counted: take the lower fill, and report
+	// the result once. This guards against a bucket that is full at one gateway only.
+	if (isNew || !c.bucketKnown) && e.bucketFill != unknownFill {
 		c.bucketKnown, c.reportsLeft = true, max(c.reportsLeft, 1)
 		c.bucket = min(c.bucket, float64(e.bucketFill)/250*c.plan.Burst)
 	}
 }
 
-// hasNews tells whether peers must hear of a customer.
+// hasNews reports whether reports must include a customer.
 func (c *customer) hasNews() bool {
 	return len(c.views) > 0 && (c.inFlight > 0 || c.meanInFlight > 0 || len(c.held) > 0 || c.reportsLeft > 0)
 }
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// App servers that are gone leave nothing behind, and those there are share the
-// budget of a cold one.
+// Removed servers are dropped from all tables, and do not count in the number of
+// running servers.
 func TestRemovedServersAreDropped(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 200 {
