--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -10,18 +10,18 @@
 type serviceGateways struct {
 	now           time.Duration
 	rng           *rand.Rand
-	gateways      []*Gateway // nil: it does not run
-	knownGateways []int      // how many gateways each knows of; 0: it is not told yet, and serves nothing
+	gateways      []*Gateway // nil: not running
+	knownGateways []int      // gateway count that each knows; 0: not known yet, it serves nothing
 	servers       []Server
 	plans         []Plan
 	inTransit     []delayedEvent
-	lossRate      float64 // part of the mail
-	attemptTime   time.Duration
+	lossRate      float64       // share of the messages
+	attemptTime   time.Duration // duration of an attempt
 	code          func(s Send) Code
 	lastID        RequestID
 	attempts      map[RequestID]int
 	sends         []sentAttempt
-	cancelledAt   map[RequestID]time.Duration // when attempts were called back
+	cancelledAt   map[RequestID]time.Duration // when attempts were cancelled
 }
 
 type delayedEvent struct {
@@ -37,7 +37,7 @@
 	isRetry bool
 }
 
-const answerLost Code = -1 // for the code of serviceGateways: no answer comes
+const answerLost Code = -1 // returned by serviceGateways.code: the answer is lost
 
 func newServiceGateways(n int, seed uint64, servers []Server, plans ...Plan) *serviceGateways {
 	m := &serviceGateways{now: time.Second, rng: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, attemptTime: 30 * ms,
@@ -50,11 +50,13 @@
 	return m
 }
 
+// randomTimeWithin returns a random time at most d after now.
 func (m *serviceGateways) randomTimeWithin(d time.Duration) time.Duration {
 	return m.now + time.Duration(m.rng.Int64N(int64(d)+1))
 }
 
-func (m *serviceGateways) start(i int, late time.Duration) {
+// start replaces gateway i by a new one, which learns of the other gateways after up to maxDelay.
+func (m *serviceGateways) start(i int, maxDelay time.Duration) {
 	g, err := New(multiServiceSettings(), m.rng.Uint64())
 	if err != nil {
 		panic(err)
@@ -62,11 +64,12 @@
 	m.gateways[i], m.knownGateways[i] = g, 0
 	m.do(i, ServerList{Kind: CompleteList, Servers: m.servers})
 	m.do(i, multiServiceConfig(m.plans...))
-	m.deliverLater(i, GatewaySet{Me: i, Gateways: len(m.gateways)}, late)
+	m.deliverLater(i, GatewaySet{Me: i, Gateways: len(m.gateways)}, maxDelay)
 }
 
-func (m *serviceGateways) deliverLater(i int, ev Event, late time.Duration) {
-	m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(late), m.gateways[i], ev})
+// deliverLater delivers an event to gateway i after up to maxDelay.
+func (m *serviceGateways) deliverLater(i int, ev Event, maxDelay time.Duration) {
+	m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(maxDelay), m.gateways[i], ev})
 }
 
 func (m *serviceGateways) do(i int, ev Event) {
@@ -80,14 +83,14 @@
 				m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(40 * ms), m.gateways[a.To], PeerMessage{From: i, Data: a.Data}})
 			}
 		case Send:
-			k := m.attempts[a.ID]
+			attempt := m.attempts[a.ID]
 			m.attempts[a.ID]++
-			m.sends = append(m.sends, sentAttempt{m.now, i, a, k > 0})
+			m.sends = append(m.sends, sentAttempt{m.now, i, a, attempt > 0})
 			code := m.code(a)
 			if code == answerLost {
 				continue
 			}
-			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i], Outcome{ID: a.ID, Attempt: k, Server: a.Server,
+			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i], Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
 				Code: code, Latency: m.attemptTime, Final: code == OK}})
 		case Cancel:
 			m.cancelledAt[a.ID] = m.now
@@ -113,7 +116,7 @@
 		for _, a := range due {
 			if i := slices.Index(m.gateways, a.to); a.at > m.now {
 				m.inTransit = append(m.inTransit, a)
-			} else if i >= 0 { // else it was for one that is gone
+			} else if i >= 0 { // otherwise the gateway has been replaced
 				m.do(i, a.ev)
 			}
 		}
@@ -128,9 +131,9 @@
 	}
 }
 
-// maxSendsIn is the most sends of a kind in any span of such a length.
+// maxSendsIn returns the largest number of sends of a kind in any span of this length.
 func (m *serviceGateways) maxSendsIn(span time.Duration, kind func(s sentAttempt) bool) (n int) {
-	var in []time.Duration
+	var window []time.Duration
 	for _, s := range m.sends {
 		if !kind(s) {
 			continue
--- a/policy/store.go
+++ b/policy/store.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// addCustomer starts a customer's counts. Those who sum them come first: in a
-// small fleet all its gateways, in a large one its roots. The others ask.
-func (g *Gateway) addCustomer(key uint64, plan *planState, first, spread int) *customer {
-	if spread = max(1, min(spread, g.cfg.Gateways)); g.cfg.MultiService != nil {
-		spread = g.cfg.Gateways // which may have come while the request was on its way here
-	}
-	c := &customer{key: key, hash: shortHash(key), plan: plan, parts: float64(spread), bucket: plan.Burst,
-		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: first, gatewayCount: spread, refilledAt: g.now,
-		inFlightAt: g.now, createdAt: g.now}
+// registerCustomer creates a customer. Its counts are summed by all its gateways or, where
+// there are many gateways, by its roots, which the other gateways ask.
+func (g *Gateway) addCustomer(key uint64, plan *planState, firstGateway, gatewayCount int) *customer {
+	if gatewayCount = max(1, min(gatewayCount, g.cfg.Gateways)); g.cfg.MultiService != nil {
+		gatewayCount = g.cfg.Gateways // gateways may have been added since the request was read
+	}
+	c := &customer{key: key, hash: shortHash(key), plan: plan, parts: float64(gatewayCount), bucket: plan.Burst,
+		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: firstGateway, gatewayCount: gatewayCount, refilledAt: g.now, inFlightAt: g.now,
+		createdAt: g.now}
 	if g.ceilingParts > 0 {
 		c.parts = g.ceilingDivisor(float64(g.ceilingParts))
 	}
@@ -28,12 +28,12 @@
 	} else if plan.Rate > 0 || plan.MaxInFlight > 0 {
 		c.askRoots = []int{roots[g.cfg.Me%len(roots)], deputy}
 	}
-	if g.usesRoots { // each has a part of the ceiling, those who grant have more: all parts make one whole
-		part := dealtCeilingShare / float64(spread)
+	if g.usesRoots { // each gateway has a part of the ceiling, roots and deputy a larger one: the parts add up to it
+		ownShare := dealtCeilingShare / float64(gatewayCount)
 		if slices.Contains(roots, g.cfg.Me) {
-			part += (1 - dealtCeilingShare - deputyCeilingShare) / float64(len(roots))
+			ownShare += (1 - dealtCeilingShare - deputyCeilingShare) / float64(len(roots))
 		} else if deputy == g.cfg.Me {
-			part += deputyCeilingShare
+			ownShare += deputyCeilingShare
 		}
 		c.parts = 1 / ownShare
 	}
@@ -55,58 +55,59 @@
 		return
 	}
 	c.refilledAt = g.now
-	unheard := 0.0
-	for _, v := range c.views {
-		if g.isSilent(v.peer) {
-			unheard += g.peerDemand(c, v)
+	silentDemand := 0.0
+	for _, view := range c.views {
+		if g.isSilent(view.peer) {
+			silentDemand += g.peerDemand(c, view)
 		}
 	}
-	share := 1 - unheard/g.totalDemand(c)
+	share := 1 - silentDemand/g.totalDemand(c)
 	if len(c.askRoots) > 0 && !c.countsForOthers {
 		share = 1 / float64(c.gatewayCount) // only the root knows what the other gateways pass
 	}
 	c.bucket = min(c.plan.Burst, c.bucket+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+c.plan.HardRate/c.parts*dt))
-	k := math.Exp(-dt / demandTimeConstant.Seconds())
-	c.demand, c.slotDemand = c.demand*k, c.slotDemand*k
-	for _, v := range c.views {
-		v.demand *= k
+	decay := math.Exp(-dt / demandTimeConstant.Seconds())
+	c.demand, c.slotDemand = c.demand*decay, c.slotDemand*decay
+	for _, view := range c.views {
+		view.demand *= decay
 	}
 	if !c.bucketKnown && c.plan.Rate > 0 && (g.now-g.startedAt).Seconds() > c.plan.Burst/c.plan.Rate {
 		c.bucketKnown = true
 	}
 }
 
-// isSilent tells whether a peer's counts are too old to be used.
+// isSilent reports whether a peer's counts are too old to be used.
 func (g *Gateway) isSilent(p *peer) bool {
 	return !p.reported || g.now-p.reportedAt > staleAfterReports*g.reportInterval()
 }
 
-// assumedDemand is the demand taken for granted: a fresh customer's split is even.
+// assumedDemand is added to each gateway's demand, in units a second: a new customer's quota is split evenly.
 func (g *Gateway) assumedDemand(c *customer) float64 {
 	return assumedDemandShare*c.plan.Rate + minAssumedDemand
 }
 
-// peerDemand is a peer's demand in the demand split. One not heard for long counts as much as this
-// gateway, then less, but never nothing: it may be cut off and passing its part, or dead for good.
-func (g *Gateway) peerDemand(c *customer, v *peerView) float64 {
-	w := v.demand
-	if g.isSilent(v.peer) {
-		fade := math.Exp(-(g.now - max(v.peer.reportedAt, g.startedAt)).Seconds() / idleExpiry.Seconds())
-		w = max(w, c.demand) * (minSilentWeight + (1-minSilentWeight)*fade)
-	}
-	return w/demandTimeConstant.Seconds() + g.assumedDemand(c)
+// peerDemand returns a peer's demand, in units a second, for dividing the quota. A silent peer counts as much as this
+// gateway, then less, but never zero: it may be partitioned and still pass requests, or be gone.
+func (g *Gateway) peerDemand(c *customer, view *peerView) float64 {
+	rate := view.demand
+	if g.isSilent(view.peer) {
+		fade := math.Exp(-(g.now - max(view.peer.reportedAt, g.startedAt)).Seconds() / idleExpiry.Seconds())
+		rate = max(rate, c.demand) * (minSilentWeight + (1-minSilentWeight)*fade)
+	}
+	return rate/demandTimeConstant.Seconds() + g.assumedDemand(c)
 }
 
-// totalDemand is all gateways' demand in units a second, this one's included.
+// totalDemand returns all gateways' demand, in units a second, including this gateway's.
 func (g *Gateway) totalDemand(c *customer) float64 {
 	sum := c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)
-	for _, v := range c.views {
-		sum += g.peerDemand(c, v)
+	for _, view := range c.views {
+		sum += g.peerDemand(c, view)
 	}
 	return sum
 }
 
+// demandShare returns this gateway's share of the total demand.
 func (g *Gateway) demandShare(c *customer) float64 {
 	return (c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
 }
@@ -114,16 +115,16 @@
 // allowance returns how many units of the customer's bucket this gateway may pass now: its share by demand, or
 // what remains if the peers pass all their expected demand until their next reports arrive, whichever is more.
 func (g *Gateway) allowance(c *customer) float64 {
-	blind := (g.reportInterval() + reportTransitTime).Seconds()
-	unseen := 0.0
-	for _, v := range c.views {
-		wait := blind
-		if !v.peer.complete {
-			wait += min(g.now-v.reportedAt, staleAfterReports*g.reportInterval()).Seconds()
+	reportDelay := (g.reportInterval() + reportTransitTime).Seconds()
+	unreported := 0.0
+	for _, view := range c.views {
+		gap := reportDelay
+		if !view.peer.complete {
+			gap += min(g.now-view.reportedAt, staleAfterReports*g.reportInterval()).Seconds()
 		}
-		unseen += g.peerDemand(c, v) * wait
+		unreported += g.peerDemand(c, view) * gap
 	}
-	return max(c.bucket*g.demandShare(c), c.bucket-unseen)
+	return max(c.bucket*g.demandShare(c), c.bucket-unreported)
 }
 
 // lend gives peers what this gateway does not need of its part of the ceiling and they need beyond theirs.
@@ -139,21 +140,21 @@
 	}
 	fairRate, wanted := c.plan.HardRate/c.parts, 0.0
 	if g.cfg.MultiService != nil {
-		part *= lendThresholdShare
+		fairRate *= lendThresholdShare
 	}
-	for _, v := range c.views {
-		v.wantedUnits = 0
-		if !g.isSilent(v.peer) {
-			v.wantedUnits = max(0, v.demand/demandTimeConstant.Seconds()-part) * dt.Seconds() * maxLoanFactor
+	for _, view := range c.views {
+		view.wantedUnits = 0
+		if !g.isSilent(view.peer) {
+			view.wantedUnits = max(0, view.demand/demandTimeConstant.Seconds()-fairRate) * dt.Seconds() * maxLoanFactor
 		}
 		wanted += view.wantedUnits
 	}
 	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandTimeConstant.Seconds()*unlentDemandSpan.Seconds()
-	for _, v := range c.views {
-		n := min(lendPartsPerUnit*30, math.Floor(lendPartsPerUnit*v.wantedUnits*min(1, max(0, spare)/max(want, 1e-9))))
-		v.lentTotal += byte(n)
-		c.ceiling, c.onLoan = c.ceiling-n/lendPartsPerUnit, c.onLoan+n/lendPartsPerUnit
-		if n > 0 {
+	for _, view := range c.views {
+		loan := min(lendPartsPerUnit*30, math.Floor(lendPartsPerUnit*view.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
+		view.lentTotal += byte(loan)
+		c.ceiling, c.onLoan = c.ceiling-loan/lendPartsPerUnit, c.onLoan+loan/lendPartsPerUnit
+		if loan > 0 {
 			c.reportsLeft = max(c.reportsLeft, 1)
 		}
 	}
--- a/policy/store_test.go
+++ b/policy/store_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestReportedUnitsAreDeducted(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		tell func(w *testGateway)
 		most int
@@ -41,9 +41,9 @@
 			w.requestMany(1, "rate")
 			w.advance(600 * ms)
 			w.report(1, 1, 1, true, customerEntry{hash: hashOf("c"), bucketFill: unknownFill})
-			c.tell(w)
-			if n := w.requestMany(30, "rate"); n > c.most || n == 0 && c.most > 3 {
-				t.Fatalf("%d units passed, at most %d are left", n, c.most)
+			test.tell(w)
+			if n := w.requestMany(30, "rate"); n > test.most || n == 0 && test.most > 3 {
+				t.Fatalf("%d units passed, at most %d are left", n, test.most)
 			}
 		})
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// A client refused for its quota is told when the store will have what it asks
-// for: told to wait for longer it would come back too late to be served.
+// A client refused for its quota is advised to retry when the bucket will hold the units it
+// needs; after a longer wait it would return too late to be served.
 func TestRetryAfterFollowsBucket(t *testing.T) {
 	set := testSettings()
 	set.MaxRetryAfter = 5 * time.Second
@@ -100,7 +100,7 @@
 	}
 }
 
-// A peer cut off or never heard leaves this gateway its part, not the whole.
+// While a peer is never heard from, this gateway gets its own share of the quota, not all of it.
 func TestSilentPeerKeepsItsShare(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.requestMany(1, "rate")
@@ -116,8 +116,8 @@
 	}
 }
 
-// A customer is forgotten once a fresh start comes to the same; the store must
-// be full by then, and what others do with it must not be lost sight of.
+// A customer is dropped once its state equals that of a new one: its bucket must be full
+// again, and the peers' use of it must have ended.
 func TestIdleCustomersAreDropped(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	for i := range 50 {
@@ -126,7 +126,7 @@
 		w.now += 20 * ms
 	}
 	c := w.g.customers[keyOf("7")]
-	c.bucket = -500 // settled: not full for long
+	c.bucket = -500 // after settlement: takes long to refill
 	w.advance(idleExpiry + 3*time.Second)
 	w.requestMany(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
@@ -137,8 +137,8 @@
 	}
 }
 
-// A gateway that forgot a customer begins its total anew: peers must take the
-// new units off, and give none of the old ones back.
+// A gateway that dropped a customer restarts its running total from 0: peers must deduct the
+// new units, and must not return old ones to the bucket.
 func TestRestartedTotalGrantsNothing(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	w.requestMany(1, "rate")
@@ -146,7 +146,7 @@
 	seq := uint32(0)
 	receive := func(passed byte, newTotal bool) float64 {
 		seq++
-		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: anew, bucketFill: unknownFill}}}
+		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: newTotal, bucketFill: unknownFill}}}
 		w.g.advance(c)
 		before := c.bucket
 		w.do(PeerMessage{From: 1, Data: m.encode()})
@@ -159,12 +159,12 @@
 		t.Errorf("%v units deducted when the total goes from 3 to 5", deducted)
 	}
 	w.advance(newTotalSpan + time.Second)
-	if d := say(1, true); d != 1 {
-		t.Errorf("%v units taken off when a total begins anew with 1", d)
+	if deducted := receive(1, true); deducted != 1 {
+		t.Errorf("%v units deducted when a total restarts with 1", deducted)
 	}
 }
 
-// What a peer just met says of the store is heeded: it may be full here only.
+// A new peer's fill of the bucket is taken over: the bucket may be full at this gateway only.
 func TestNewPeerReportsItsBucket(t *testing.T) {
 	w := newTestGateway(t, testSettings(), testServers(2))
 	w.advance(5 * time.Second)
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// dropExpired drops the servers that are gone for good and the customers for whom a
-// fresh start would come to the same.
+// dropExpired drops servers that have been removed for some time, and customers whose
+// state equals that of a new customer.
 func (g *Gateway) dropExpired() {
 	g.serverList = slices.DeleteFunc(g.serverList, func(s *server) bool {
 		if s.State != Removed || s.inFlight > 0 || g.now-s.removedAt < idleExpiry {
@@ -30,8 +30,8 @@
 	})
 }
 
-// canExpire tells whether nothing is left of a customer: its store and its ceiling
-// are full again, nobody has anything out or held, and nothing is left to tell.
+// canExpire reports whether a customer's state equals that of a new one: its quota and ceiling are
+// full again, no gateway has requests in flight or held, and nothing is left to report.
 func (g *Gateway) canExpire(c *customer) bool {
 	if c.inFlight > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.hasNews() || c.inFlightSeconds > 0 ||
 		g.now-c.lastRequestAt < idleExpiry {
@@ -46,8 +46,8 @@
 	return (c.plan.Rate == 0 || c.bucket >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.parts)
 }
 
-// removeHash takes a customer's short hash out; another of the same hash has it for
-// itself then.
+// removeHash removes a customer from the table of short hashes. If exactly one other customer
+// has the same hash, the entry becomes that customer's.
 func (g *Gateway) removeHash(c *customer) {
 	if g.customersByHash[c.hash] == c {
 		delete(g.customersByHash, c.hash)
@@ -86,6 +86,7 @@
 	return g
 }
 
+// createAllPeers creates the entries of all peers.
 func (g *Gateway) createAllPeers() {
 	for i := range g.peers {
 		g.peerAt(i)
--- a/policy/terms.go
+++ b/policy/terms.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// onConfigUpdate takes over classes and plans. What was learned of them stays.
+// onConfigUpdate applies changed classes and plans. Learned figures of existing ones are kept.
 func (g *Gateway) onConfigUpdate(ev ConfigUpdate) {
 	for _, p := range ev.Plans {
 		if state := g.plans[p.Name]; state != nil {
@@ -33,15 +33,15 @@
 	}
 }
 
-// capCeiling lets go of what a customer's ceiling holds beyond its part. Where all was given up, what is left is for those
-// that are held.
-func (g *Gateway) capCeiling(c *customer, most float64) {
+// capCeiling limits a customer's ceiling here to maxUnits, unless this gateway has given up its part: the units left
+// then belong to held requests.
+func (g *Gateway) capCeiling(c *customer, maxUnits float64) {
 	if g.unusedShare < 1 {
 		c.ceiling = min(c.ceiling, maxUnits)
 	}
 }
 
-// onGatewaySet takes over another number of gateways.
+// onGatewaySet applies a change of the set of gateways.
 func (g *Gateway) onGatewaySet(ev GatewaySet) {
 	g.cfg.Me, g.cfg.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
 	g.gatewayRegions = ev.Regions
@@ -66,9 +66,9 @@
 	}
 }
 
-// planForKey finds the plan of a customer by its key, where each has its own.
+// planForKey finds a customer's plan by the customer's key, where each customer has its own plan.
 func (g *Gateway) planForKey(key uint64) *planState {
-	for name, q := range g.plans {
+	for name, plan := range g.plans {
 		if keyOf(name) == key {
 			return plan
 		}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// updateGatewayCount gives a customer's counts another number of gateways.
+// updateGatewayCount adjusts a customer's ceiling and peers to a changed number of gateways.
 func (g *Gateway) updateGatewayCount(c *customer) {
 	c.gatewayCount, c.parts = g.cfg.Gateways, g.ceilingDivisor(float64(g.ceilingPartCount()))
 	if g.borrows {
@@ -96,19 +96,20 @@
 	g.addViews(c, missing)
 }
 
-// ceilingDivisor is the number of parts of which one is this gateway's, where so many were without what it leaves unused.
+// ceilingDivisor returns the number by which ceilings are divided for this gateway's part: n, or more if this gateway
+// leaves a share of its part unused.
 func (g *Gateway) ceilingDivisor(n float64) float64 { return n / max(minCeilingShare, 1-g.unusedShare) }
 
-// onRelinquish gives up what is held here of ceilings.
+// onRelinquish offers other gateways the ceiling units held here, but for those that held requests need.
 func (g *Gateway) onRelinquish() {
 	g.unusedShare, g.noColdSends = 1, true
 	clear(g.retryBudgets)
 	for _, c := range g.customerList {
 		if g.advance(c); c.plan.HardRate > 0 {
-			n := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.cfg.MaxRequestUnits))
-			c.ceiling -= n
-			if to := g.unitRecipients(c); n > 0 && len(to) > 0 {
-				g.emit(OfferUnits{Customer: c.key, Units: uint16(min(n, math.MaxUint16)), Candidates: to})
+			units := max(0, math.Floor(c.ceiling-float64(len(c.held))*g.cfg.MaxRequestUnits))
+			c.ceiling -= units
+			if recipients := g.unitRecipients(c); units > 0 && len(recipients) > 0 {
+				g.emit(OfferUnits{Customer: c.key, Units: uint16(min(units, math.MaxUint16)), Candidates: recipients})
 			}
 		}
 		c.parts = g.ceilingDivisor(float64(g.ceilingPartCount()))
@@ -118,7 +119,8 @@
 	}
 }
 
-// unitRecipients are the gateways that may take over what a customer has here: of this region, by rendezvous, as owners are.
+// unitRecipients returns the gateways that may take over a customer's units: in this region, by rendezvous hashing as
+// for owners.
 func (g *Gateway) unitRecipients(c *customer) (list []int) {
 	for i, r := range g.gatewayRegions {
 		if i != g.cfg.Me && g.cfg.Me < len(g.gatewayRegions) && r == g.gatewayRegions[g.cfg.Me] {
@@ -134,8 +136,8 @@
 // lenders returns the gateways to borrow from when a request lacks units here though its customer as a whole has some,
 // where reports go from all to all: this region's gateways first, then those with the least demand.
 func (g *Gateway) lenders(r *request) (list []int) {
-	dry := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < borrowPause
-	if g.cfg.MultiService == nil || g.unusedShare >= 1 || dry || g.allowance(r.customer) < r.units {
+	refusedRecently := r.customer.noLenderAt > 0 && g.now-r.customer.noLenderAt < borrowPause
+	if g.cfg.MultiService == nil || g.unusedShare >= 1 || refusedRecently || g.allowance(r.customer) < r.units {
 		return nil
 	}
 	distance := func(v *peerView) int {
@@ -153,15 +155,16 @@
 	return list
 }
 
-// pastLoanDeadline tells whether a request has been waiting for so long that no further lender is asked for it.
+// pastLoanDeadline reports whether a request has waited too long to ask another lender.
 func (g *Gateway) pastLoanDeadline(r *request) bool { return g.now-r.arrivedAt > g.maxHold(r)/2 }
 
 const (
-	maxRecipients = 3 // that are asked whether they take over
-	maxLenders    = 4 // that are asked for the units of a request
+	maxRecipients = 3 // gateways offered relinquished units
+	maxLenders    = 4 // gateways asked for the units of a request
 )
 
-// onUnitsReceived takes units over, as far as there is room: all parts together stay one whole.
+// onUnitsReceived adds relinquished units to this gateway's part, as far as there is room: all parts together stay
+// within the ceiling.
 func (g *Gateway) onUnitsReceived(ev UnitsReceived) {
 	c := g.customers[ev.Customer]
 	if c == nil {
@@ -176,12 +179,12 @@
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+float64(ev.Units)))
 }
 
-// isNotPeer tells whether a peer's number is no peer's any more: it is this gateway's, or none's.
+// isNotPeer reports whether a number no longer belongs to a peer: it is this gateway's, or unused.
 func (g *Gateway) isNotPeer(p *peer) bool {
 	return p.index == g.cfg.Me || p.index >= g.cfg.Gateways || len(g.gatewayRegions) > p.index && g.gatewayRegions[p.index] == ""
 }
 
-// ceilingPartCount is in how many parts ceilings are divided.
+// ceilingPartCount returns the number of parts into which ceilings are divided.
 func (g *Gateway) ceilingPartCount() int {
 	if g.ceilingParts > 0 {
 		return g.ceilingParts
@@ -201,12 +204,12 @@
 		c.mean = c.LatencyTarget.Seconds() / initialLatencyDivisor
 		g.meanLatency, g.minTarget = max(g.meanLatency, c.mean), min(g.minTarget, c.LatencyTarget.Seconds())
 	}
-	mail := max(s.MessagesPerSecond*reportIntakeShare, 1)
-	g.tickInterval = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
+	messageRate := max(s.MessagesPerSecond*reportIntakeShare, 1)
+	g.tickInterval = time.Duration(float64(max(s.Gateways-1, 1)) / messageRate * float64(time.Second))
 	g.ownOutcomeWeight, g.admitShare, g.answeredShare = learningRate, 1, 1
 	g.nextTag, g.meanReplyTime = g.rng.Uint32(), minReplyWait
 	if g.usesRoots = g.tickInterval > useRootsTickFactor*maxTick && s.CanMessagePeers && s.MultiService == nil; g.usesRoots {
-		g.ownOutcomeWeight = 0 // what the watchers tell is more than what this gateway sees
+		g.ownOutcomeWeight = 0 // the watchers' verdicts rest on more outcomes than this gateway sees
 	} else {
 		g.createAllPeers()
 	}
@@ -215,7 +218,7 @@
 	return g, nil
 }
 
-// applyMultiService starts what many services need: short ticks, on which only some reports go.
+// applyMultiService shortens the tick for gateways that serve many services; not every tick sends reports.
 func (g *Gateway) applyMultiService() {
 	if f := g.cfg.MultiService; f != nil {
 		g.reportTicks, g.tickInterval = uint32(max(1, f.ReportInterval/multiServiceTick)), multiServiceTick
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -24,16 +24,16 @@
 			}
 			return sent
 		}
-		list := makeServers(4, "desk")
-		for i := range list {
-			list[i].Slots = 2
+		servers := makeServers(4, "desk")
+		for i := range servers {
+			servers[i].Slots = 2
 		}
-		tell(multiServiceConfig(Plan{Name: "p"}))
-		tell(GatewaySet{Gateways: 1})
-		tell(ServerList{Kind: CompleteList, Servers: list})
-		trust := TrustUpdate{Servers: map[ServerID]Trust{list[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, list[1].ID: {Level: Suspect}}}
-		tell(trust)
-		bad := trust.Servers[list[0].ID]
+		handle(multiServiceConfig(Plan{Name: "p"}))
+		handle(GatewaySet{Gateways: 1})
+		handle(ServerList{Kind: CompleteList, Servers: servers})
+		trust := TrustUpdate{Servers: map[ServerID]Trust{servers[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, servers[1].ID: {Level: Suspect}}}
+		handle(trust)
+		tested := trust.Servers[servers[0].ID]
 		trials := 0
 		for range 40 {
 			class := rapid.SampledFrom([]string{"safe", "once"}).Draw(t, "class")
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -9,11 +9,11 @@
 	"slices"
 )
 
-// assignCeilingPart finds a customer's owners and sets its part of the ceiling here. All parts together make one
-// whole, whoever is heard: an owner takes off what it lends before the borrower has it.
+// assignCeilingPart finds a customer's owners and sets this gateway's part of the ceiling. All parts add up to one
+// ceiling even if messages are lost: an owner deducts what it lends before the borrower receives it.
 func (g *Gateway) assignCeilingPart(c *customer) {
-	all, mine := 0, false
-	c.owners = nil // those of the own region first
+	owners, isOwner := 0, false
+	c.owners = nil // owners of this gateway's region come first
 	for _, region := range g.regions {
 		var regionOwners []int
 		for i, r := range g.gatewayRegions {
@@ -21,25 +21,25 @@
 				regionOwners = append(regionOwners, i)
 			}
 		}
-		slices.SortFunc(list, func(a, b int) int {
+		slices.SortFunc(regionOwners, func(a, b int) int {
 			return cmp.Compare(hashFraction(c.hash, uint32(b)), hashFraction(c.hash, uint32(a)))
 		})
-		list = list[:min(len(list), ownersPerRegion)]
-		all, mine = all+len(list), mine || slices.Contains(list, g.cfg.Me)
+		regionOwners = regionOwners[:min(len(regionOwners), ownersPerRegion)]
+		owners, isOwner = owners+len(regionOwners), isOwner || slices.Contains(regionOwners, g.cfg.Me)
 		if g.cfg.Me < len(g.gatewayRegions) && region == g.gatewayRegions[g.cfg.Me] {
 			regionOwners, c.owners = append(regionOwners, c.owners...), nil
 		}
 		c.owners = append(c.owners, regionOwners...)
 	}
-	dealt := dealtCeilingShare
-	if c.plan.HardBurst*dealt/float64(g.ceilingPartCount()) < minDealtUnits {
-		dealt = 0
+	dealtShare := dealtCeilingShare
+	if c.plan.HardBurst*dealtShare/float64(g.ceilingPartCount()) < minDealtUnits {
+		dealtShare = 0
 	}
-	part := dealt / float64(g.ceilingPartCount())
-	if mine {
-		part += (1 - dealt) / float64(all)
+	ownShare := dealtShare / float64(g.ceilingPartCount())
+	if isOwner {
+		ownShare += (1 - dealtShare) / float64(owners)
 	}
-	c.parts = g.ceilingDivisor(1 / max(part, minCeilingShare))
+	c.parts = g.ceilingDivisor(1 / max(ownShare, minCeilingShare))
 }
 
 // mayBorrow reports whether there is a gateway to borrow from for a request whose customer lacks units here.
@@ -74,7 +74,7 @@
 	}
 }
 
-// onLoanRequest lends what a peer asks for, if it is here.
+// onLoanRequest lends a peer the units it asks for, if this gateway has them.
 func (g *Gateway) onLoanRequest(from int, m loanRequest) {
 	c := g.customers[m.Customer]
 	if c == nil {
@@ -97,7 +97,7 @@
 	g.emit(SendPeer{To: from, Data: encode(reply)})
 }
 
-// onLoanTimeout notes that an owner did not answer, and asks another.
+// onLoanTimeout records that a lender did not answer, and asks the next.
 func (g *Gateway) onLoanTimeout(r *request) {
 	p := g.peerAt(r.root)
 	p.missed, p.missedAt = p.missed+1, g.now
--- a/policy/wide_test.go
+++ b/policy/wide_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// setRegions tells all gateways who is there: each number's region, "" where it is nobody's any more.
+// setRegions sends all gateways the current set of gateways: the region of each number, "" if it is unused.
 func (m *serviceGateways) setRegions(regions []string) {
-	shares := 0
+	usedNumbers := 0
 	for _, r := range regions {
 		if r != "" {
 			usedNumbers++
@@ -29,21 +29,21 @@
 	return l
 }
 
-// passedShare lets a tenant ask at all gateways alike, and returns what part of it passes.
-func (m *serviceGateways) passedShare(perS float64, d time.Duration) float64 {
-	return m.passedShareAt(1, perS, d)
+// passedShare sends a tenant's requests to all gateways evenly, and returns the share that passes.
+func (m *serviceGateways) passedShare(perSecond float64, d time.Duration) float64 {
+	return m.passedShareAt(1, perSecond, d)
 }
 
-// passedShareAt is demand at every so many of the gateways only.
-func (m *serviceGateways) passedShareAt(every int, perS float64, d time.Duration) float64 {
-	asked, sent, due := 0, len(m.sends), 0.0
+// passedShareAt is like passedShare, but sends to every n-th gateway only, where n is every.
+func (m *serviceGateways) passedShareAt(every int, perSecond float64, d time.Duration) float64 {
+	asked, sentBefore, due := 0, len(m.sends), 0.0
 	m.pass(d, func() {
 		for i, g := range m.gateways {
 			if g != nil {
 				m.do(i, Timer{Token: "ask"})
 			}
 		}
-		for due += perS / 100; due >= 1; due-- {
+		for due += perSecond / 100; due >= 1; due-- {
 			i := m.rng.IntN(len(m.gateways)) / every * every
 			if m.gateways[i] == nil {
 				continue
@@ -63,14 +63,14 @@
 		m := newServiceGateways(40, seed, makeServers(3, "a"), limitedPlan(40, 40))
 		m.setRegions(twoRegions(40))
 		m.passedShare(25, 3*time.Second)
-		part := m.passedShare(25, 10*time.Second)
-		assert.Assert(t, part > 0.97, "seed %d: %.3f passed", seed, part)
+		passed := m.passedShare(25, 10*time.Second)
+		assert.Assert(t, passed > 0.97, "seed %d: %.3f passed", seed, passed)
 
 		owner := m.gateways[0].customers[keyOf("t")].owners[0]
 		m.gateways[owner] = nil
 		m.passedShare(25, time.Second)
-		part = m.passedShare(25, 10*time.Second)
-		assert.Assert(t, part > 0.9, "seed %d: %.3f passed without an owner", seed, part)
+		passed = m.passedShare(25, 10*time.Second)
+		assert.Assert(t, passed > 0.9, "seed %d: %.3f passed without an owner", seed, passed)
 
 		m.lossRate = 0.3
 		m.start(owner, 0)
@@ -82,34 +82,34 @@
 	}
 }
 
-// What comes in by the gateways of one region finds the parts of the other's owners too.
+// Gateways of one region also borrow from the owners in the other region.
 func TestOwnersOfOtherRegionsLend(t *testing.T) {
 	m := newServiceGateways(40, 5, makeServers(3, "a"), limitedPlan(40, 40))
 	m.setRegions(twoRegions(40))
 	m.passedShareAt(2, 32, 5*time.Second)
-	part := m.passedShareAt(2, 32, 10*time.Second)
-	assert.Assert(t, part > 0.95, "%.3f passed", part)
+	passed := m.passedShareAt(2, 32, 10*time.Second)
+	assert.Assert(t, passed > 0.95, "%.3f passed", passed)
 }
 
-// Gateways that have left take no part any more: what stays within the limit passes at the others.
+// Departed gateways no longer hold a part of the ceiling: requests within the limit pass at the remaining ones.
 func TestCeilingPartsOfDepartedGateways(t *testing.T) {
 	m := newServiceGateways(9, 1, makeServers(3, "a"), limitedPlan(100, 100))
-	all := twoRegions(9)
-	m.setRegions(all)
+	regions := twoRegions(9)
+	m.setRegions(regions)
 	m.passedShare(70, 4*time.Second)
 	for _, i := range []int{0, 3, 4, 6} {
-		m.gateways[i], all[i] = nil, ""
+		m.gateways[i], regions[i] = nil, ""
 	}
-	m.setRegions(all)
-	m.passedShare(90*9/5, 4*time.Second) // a part of it comes to those who are gone
-	part := m.passedShare(90*9/5, 10*time.Second)
-	assert.Assert(t, part > 0.97, "%.3f passed", part)
+	m.setRegions(regions)
+	m.passedShare(90*9/5, 4*time.Second) // some of it is sent to departed gateways
+	passed := m.passedShare(90*9/5, 10*time.Second)
+	assert.Assert(t, passed > 0.97, "%.3f passed", passed)
 	m.passedShare(1000, 10*time.Second)
 	n := m.maxSendsIn(5*time.Second, func(sentAttempt) bool { return true })
 	assert.Assert(t, float64(n) <= (100*5+100)*1.1+20, "%d in 5 s", n)
 }
 
-// A census may tell of few gateways for a moment, as after all were killed: what was asked of owners is given up then.
+// The set of gateways may shrink for a moment, for instance after all were killed: pending loan requests are then dropped.
 func TestGatewayCountDropsDuringLoan(t *testing.T) {
 	m := newServiceGateways(30, 1, makeServers(3, "a"), limitedPlan(40, 40))
 	m.setRegions(twoRegions(30))
@@ -120,14 +120,14 @@
 	for i := range m.gateways {
 		m.do(i, GatewaySet{Me: i, Gateways: i + 1, CeilingParts: 2, Regions: twoRegions(i + 1)})
 	}
-	part := m.passedShare(4, 2*time.Second)
-	assert.Assert(t, part > 0, "nothing passes")
+	passed := m.passedShare(4, 2*time.Second)
+	assert.Assert(t, passed > 0, "nothing passes")
 	for i, g := range m.gateways {
 		assert.Equal(t, len(g.pendingAsks), 0, "gateway %d", i)
 	}
 }
 
-// heldRequests is how many requests wait at all gateways.
+// heldRequests returns how many requests wait at all gateways.
 func (m *serviceGateways) heldRequests() (n int) {
 	for _, g := range m.gateways {
 		for _, c := range g.customerList {
@@ -137,8 +137,8 @@
 	return n
 }
 
-// A tenant that asks for more than its quota gets what there is at once, and nothing of it waits: whoever waits for
-// units then only makes the next wait. One below its quota may wait for them.
+// Requests of a tenant that exceeds its quota are sent or refused at once: if some waited for units, later ones would
+// only wait in turn. Requests of a tenant below its quota may wait for units.
 func TestNoWaitingBeyondQuota(t *testing.T) {
 	m := newServiceGateways(2, 1, makeServers(3, "a"), limitedPlan(40, 40))
 	m.passedShare(400, 4*time.Second)
@@ -147,7 +147,7 @@
 		assert.Equal(t, m.heldRequests(), 0)
 	}
 
-	m = newServiceGateways(1, 1, makeServers(3, "a"), limitedPlan(40, 40)) // nobody is there to lend
+	m = newServiceGateways(1, 1, makeServers(3, "a"), limitedPlan(40, 40)) // there is no gateway to borrow from
 	m.passedShare(20, 4*time.Second)
 	for _, c := range m.gateways[0].customerList {
 		c.ceiling = 0
@@ -159,13 +159,13 @@
 	assert.Equal(t, len(m.sends)-sentBefore, 1)
 }
 
-// Where the part of a tenant's rate that a gateway holds is used up and another's is not, requests go with units of the
-// other's: none is refused, and all gateways together pass no more than the rule.
+// When a gateway's part of a tenant's rate is used up and another's is not, its requests use borrowed units: none is
+// refused, and all gateways together stay within the limit.
 func TestUsedUpPartsAreBorrowed(t *testing.T) {
 	for _, n := range []int{2, 4} {
 		m := newServiceGateways(n, 1, makeServers(3, "a"), limitedPlan(4, 40))
 		m.setRegions(twoRegions(n))
-		m.passedShare(3, 30*time.Second) // all parts fill up
+		m.passedShare(3, 30*time.Second) // refills all parts
 		m.sends = nil
 		for range 10 {
 			m.gateways[0].customerList[0].ceiling = 0
@@ -179,7 +179,7 @@
 	}
 }
 
-// Gateways that start anew have a part of what the rule leaves free at once, for what was held back meanwhile.
+// Restarted gateways have some ceiling units at once (HardInitial), for requests that piled up during the restart.
 func TestStartHasCeilingUnits(t *testing.T) {
 	plan := limitedPlan(100, 100)
 	plan.HardInitial = 40
