--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -7,7 +7,8 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// decide hands an event to the module and carries out what it wants done.
+// decide passes an event to the policy gateway and carries out the actions that it returns. Events that those actions cause
+// are handled before decide returns.
 func (l *loop) decide(ev policy.Event) {
 	l.queue = append(l.queue[:0], ev)
 	for i := 0; i < len(l.queue); i++ {
@@ -18,6 +19,7 @@
 	}
 }
 
+// execute carries out one action of the policy gateway.
 func (l *loop) execute(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
@@ -41,7 +43,7 @@
 			l.tell(a.To, a.Data)
 		}
 	case policy.Watch:
-		// The list is watched from the start, asked for or not.
+		// The server list is watched from the start, whether or not the gateway asks for it.
 	case policy.OfferUnits:
 		if l.give != nil {
 			l.give(a)
@@ -51,15 +53,17 @@
 	}
 }
 
+// send starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or is past
+// its deadline, nothing is sent and the gateway receives an outcome without a retry.
 func (l *loop) send(s policy.Send) {
 	c, now := l.calls[s.ID], l.clock.now()
-	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
+	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
 	if c != nil {
-		moot.Attempt = c.attempts
+		notSent.Attempt = c.attempts
 		c.attempts++
 	}
 	if c == nil || c.inFlight != nil || c.pendingAnswer != nil || now >= c.answerBy {
-		l.queue = append(l.queue, moot)
+		l.queue = append(l.queue, notSent)
 		return
 	}
 	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, sent: now, deadline: c.answerBy}
--- a/internal/dataplane/node/asked.go
+++ b/internal/dataplane/node/asked.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	requestCountWindow   = time.Minute     // what counts of routes go back
-	requestCountInterval = 5 * time.Second // between two that are kept for that
-	maxCountedRoutes     = 256             // that are told of, the busiest
+	requestCountWindow   = time.Minute     // period that the reported counts cover
+	requestCountInterval = 5 * time.Second // minimum interval between stored snapshots
+	maxCountedRoutes     = 256             // only the busiest routes are reported
 )
 
-// routeStats is what is noted of a route's requests.
+// routeStats holds statistics of one route's requests.
 type routeStats struct {
-	longestDeadlineMS atomic.Int64  // ms that its clients have lately said they wait
-	requests          atomic.Uint32 // requests passed on, since the configuration is in force
+	longestDeadlineMS atomic.Int64  // longest deadline that clients lately sent, in ms
+	requests          atomic.Uint32 // requests forwarded since the configuration took effect
 }
 
-// RouteRequests is how many requests a route had.
+// RouteRequests is the number of requests of one route.
 type RouteRequests struct {
-	Route    uint32 // its place among the configuration's, from 0
+	Route    uint32 // index among the configuration's routes, from 0
 	Requests uint32
 }
 
-// RequestCounts tells of the requests of the last minute, or of as much of it as the configuration has been in force.
+// RequestCounts holds the requests of the last minute by route, or of the shorter time since the configuration took effect.
 type RequestCounts struct {
-	Gen           uint64 // of the configuration that they came in by
+	Gen           uint64 // generation of the configuration that the requests came in under
 	Span          time.Duration
-	Routes        []RouteRequests // by place; those without requests left out
-	OtherRequests uint32          // requests of routes beyond the busiest
+	Routes        []RouteRequests // by index; routes without requests are left out
+	OtherRequests uint32          // requests of the routes that are not among the busiest
 }
 
-// requestCounter is the counts of routes that are kept, of one configuration.
+// requestCounter keeps snapshots of the request counts of the current configuration.
 type requestCounter struct {
 	mu        sync.Mutex
 	current   *tilled
 	snapshots []countSnapshot // oldest first
 }
 
+// countSnapshot holds the total count of each route at one time.
 type countSnapshot struct {
 	at     time.Duration
 	counts []uint32
 }
 
-// countRecent counts the last minute's requests by route; nil: no configuration is in force. It has to be called about every
-// requestCountInterval to go back a minute.
+// countRecent returns the last minute's requests by route, or nil if there is no configuration yet. The counts cover a whole
+// minute only if it is called about every requestCountInterval.
 func (m *requestCounter) countRecent(t *tilled, now time.Duration) *RequestCounts {
 	if t == nil {
 		return nil
 	}
-	is := countSnapshot{now, make([]uint32, len(t.configuration.Routes))}
+	latest := countSnapshot{now, make([]uint32, len(t.configuration.Routes))}
 	for i := range t.configuration.Routes {
-		is.counts[i] = t.routes[&t.configuration.Routes[i]].requests.Load()
+		latest.counts[i] = t.routes[&t.configuration.Routes[i]].requests.Load()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,16 +67,16 @@
 	}
 	a := &RequestCounts{Gen: t.configuration.Gen}
 	if len(m.snapshots) > 0 {
-		was := m.snapshots[0]
-		a.Span = now - was.at
-		for i, n := range is.counts {
-			if n -= was.counts[i]; n > 0 {
+		oldest := m.snapshots[0]
+		a.Span = now - oldest.at
+		for i, n := range latest.counts {
+			if n -= oldest.counts[i]; n > 0 {
 				a.Routes = append(a.Routes, RouteRequests{uint32(i), n})
 			}
 		}
 	}
 	if n := len(m.snapshots); n == 0 || now-m.snapshots[n-1].at >= requestCountInterval {
-		m.snapshots = append(m.snapshots, is)
+		m.snapshots = append(m.snapshots, latest)
 	}
 	if len(a.Routes) > maxCountedRoutes {
 		slices.SortStableFunc(a.Routes, func(x, y RouteRequests) int { return cmp.Compare(y.Requests, x.Requests) })
@@ -88,7 +89,7 @@
 	return a
 }
 
-// RequestCounts counts the last minute's requests by route; nil: there is no configuration yet.
+// RequestCounts returns the last minute's requests by route, or nil if there is no configuration yet.
 func (e *Estate) RequestCounts() *RequestCounts {
 	return e.minute.countRecent(e.estate.tilled.Load(), e.node.server.clock.now())
 }
--- a/internal/dataplane/node/booked.go
+++ b/internal/dataplane/node/booked.go
@@ -11,26 +11,25 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// maxTrackedKeys bounds the keys of which it is remembered how careful their tries
-// were.
+// maxTrackedKeys is the number of idempotency keys whose strictest effect is remembered.
 const maxTrackedKeys = 32 << 10
 
-// bookReader is what the clients' side keeps for reading requests under a book. All
-// of it is made with the first such request.
+// bookReader holds the state for reading requests under a book (the route configuration). strictestEffects is created
+// with the first such request.
 type bookReader struct {
 	mu               sync.Mutex
 	strictestEffects *routing.Careful
 	random           io.Reader
 }
 
-// rejection is the answer to a request that can't be used.
+// rejection is the answer to an invalid request.
 type rejection struct {
 	status       int
 	headerFields string
 	text         string
 }
 
-// readRequest checks a request: under the book in force, or as the platform has it.
+// readRequest validates a request by the current book, or by the standalone protocol if there is none.
 func (s *server) readRequest(r *clientRequest) (*openRequest, *rejection) {
 	r.ticket, r.id = nil, ""
 	table := s.tune.Load().Routes
@@ -41,49 +40,49 @@
 		}
 		return c, nil
 	}
-	k, turned := table.Read(routing.Request{Method: string(r.method), Target: string(r.target), Fields: r, Body: len(r.body)})
-	if turned != nil {
-		u := &rejection{status: turned.Status, text: turned.Why}
-		switch turned.Status {
+	ticket, rejected := table.Read(routing.Request{Method: string(r.method), Target: string(r.target), Fields: r, Body: len(r.body)})
+	if rejected != nil {
+		answer := &rejection{status: rejected.Status, text: rejected.Why}
+		switch rejected.Status {
 		case 401:
-			u.headerFields = "WWW-Authenticate: ApiKey\r\n" // RFC 9110, 11.6.1
+			answer.headerFields = "WWW-Authenticate: ApiKey\r\n" // RFC 9110, 11.6.1
 		case 405:
-			u.headerFields = "Allow: " + turned.Allow + "\r\n"
+			answer.headerFields = "Allow: " + rejected.Allow + "\r\n"
 		}
-		return nil, u
+		return nil, answer
 	}
-	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1), class: k.Class, budget: k.Deadline}
-	r.ticket = k
+	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1), class: ticket.Class, budget: ticket.Deadline}
+	r.ticket = ticket
 	var err error
-	if c.clientID, c.effect, err = s.booked.identify(c, k); err != nil {
+	if c.clientID, c.effect, err = s.booked.identify(c, ticket); err != nil {
 		return nil, &rejection{status: 503, text: "no id could be made for the request"}
 	}
 	r.id = c.clientID
-	c.Customer, c.Plan, c.Class, c.Units, c.FirstGateway, c.GatewayCount = k.Number, k.Plan, k.Class.Name, k.Units, k.First, k.Spread
-	c.Retry, c.Effect = k.Retry, c.effect
+	c.Customer, c.Plan, c.Class, c.Units, c.FirstGateway, c.GatewayCount = ticket.Number, ticket.Plan, ticket.Class.Name, ticket.Units, ticket.First, ticket.Spread
+	c.Retry, c.Effect = ticket.Retry, c.effect
 	return c, nil
 }
 
-// identify gives a request an id, where its client sent none, and finds how careful
-// it has to be.
-func (b *bookReader) identify(c *openRequest, k *routing.Ticket) (id string, e policy.Effect, err error) {
+// identify returns the request's id, generating one if the client sent none, and the strictest effect that has applied to
+// its idempotency key.
+func (b *bookReader) identify(c *openRequest, ticket *routing.Ticket) (id string, effect policy.Effect, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.strictestEffects == nil {
 		b.strictestEffects = routing.NewCareful(maxTrackedKeys)
 	}
-	if id = k.ID; id == "" {
+	if id = ticket.ID; id == "" {
 		var raw [16]byte
 		if _, err := io.ReadFull(b.random, raw[:]); err != nil {
-			return "", e, err
+			return "", effect, err
 		}
 		id = hex.EncodeToString(raw[:])
 	}
-	return id, b.strictestEffects.Hold(c.arrived, k), nil
+	return id, b.strictestEffects.Hold(c.arrived, ticket), nil
 }
 
-// bookFields are the fields that tell an answer's client what its request was read
-// as, where the operator lets it.
+// bookFields returns the header fields that tell the client how its request was read (book generation, operation and
+// units), or nothing unless the operator has enabled them.
 func (r *clientRequest) bookFields() string {
 	if r.ticket == nil || !r.ticket.Table.Tell {
 		return ""
@@ -93,7 +92,8 @@
 		routing.UnitsField + ": " + strconv.FormatFloat(r.ticket.Units, 'f', -1, 64) + "\r\n"
 }
 
-// printableField writes what stood in a description so that it can stand in a field.
+// printableField replaces every character that is not printable ASCII by an underscore, so that text from an API description
+// is valid in a header field.
 func printableField(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c > '~' {
@@ -103,9 +103,9 @@
 	}, s)
 }
 
-// appendForwardedFields writes the fields with which a request read under a book goes on.
+// appendForwardedFields appends the header fields that the server gets with a request read under a book.
 func (r *clientRequest) appendForwardedFields(b []byte) []byte {
-	k := r.ticket
+	ticket := r.ticket
 	field := func(name, value string) {
 		b = append(append(append(append(b, "\r\n"...), name...), ": "...), value...)
 	}
@@ -117,15 +117,15 @@
 	pass("Host")
 	field("X-Request-Id", r.id)
 	pass("Idempotency-Key")
-	field("X-Class", k.Class.Name)
+	field("X-Class", ticket.Class.Name)
 	pass("Content-Type")
-	for _, name := range k.Table.Pass {
+	for _, name := range ticket.Table.Pass {
 		if !strings.EqualFold(name, "Content-Type") {
 			pass(name)
 		}
 	}
-	if k.Table.PassKey {
-		for _, p := range k.Table.Book.Keys {
+	if ticket.Table.PassKey {
+		for _, p := range ticket.Table.Book.Keys {
 			switch p.In {
 			case "header":
 				pass(p.Name)
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	if k.Table.Tell {
+	if ticket.Table.Tell {
 		b = append(b, "\r\n"...)
 		b = append(b, strings.TrimSuffix(r.bookFields(), "\r\n")...)
 	}
--- a/internal/dataplane/node/clientconn.go
+++ b/internal/dataplane/node/clientconn.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// clientConn is a client's connection.
+// clientConn is a client's connection and the state of its current request.
 type clientConn struct {
 	net.Conn
 	in          stream
 	req         clientRequest
 	out         []byte
-	badRequests int // requests that couldn't be used since the last that could
+	badRequests int // consecutive invalid requests
 
-	finalAnswerSent bool // an answer that told the client that it is the connection's last has been written whole
+	finalAnswerSent bool // an answer that closes the connection has been written completely
 
-	// Under the server's mutex.
+	// The fields below are guarded by the server's mutex.
 	state           connState
 	stateSince      time.Duration
-	hadValidRequest bool // a request that could be used has come
-	requestCount    int  // requests taken
+	hadValidRequest bool // a valid request has arrived
+	requestCount    int  // requests accepted for processing
 
-	lastActivity  time.Duration // when something last came that may be a client's request; 0: it was none, or is counted
-	closedByProxy bool          // closed by this edge node while no request was taken on it
+	lastActivity  time.Duration // when bytes of a possible request last arrived; 0: it was no request, or server.active includes it
+	closedByProxy bool          // closed by this proxy while it had no request in progress
 }
 
+// connState is what a client connection is doing.
 type connState int
 
 const (
 	connIdle    connState = iota
-	connReading           // a request has begun to come
-	connBusy              // one has been taken and not answered
-	connLinger            // turned away
+	connReading           // part of a request has arrived
+	connBusy              // a request is being processed
+	connLinger            // the request was rejected; its remaining bytes are discarded
 )
 
-// addConnection counts a new connection. Over the bound another is closed for it, or
-// itself when all others are busy.
+// addConnection registers a new connection. At the connection limit it closes another connection to make room, or the new
+// one, returning nil, if all others are busy.
 func (s *server) addConnection(c net.Conn) *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,14 +54,15 @@
 	return cc
 }
 
-// ignoreActivity tells that what came on a connection was a look at healthz only:
-// whoever looks often must not keep an edge node from stopping.
+// ignoreActivity marks the connection's last request as a status request, e.g. for /healthz, which does not count as
+// activity: frequent health checks must not keep a proxy from stopping.
 func (s *server) ignoreActivity(cc *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cc.lastActivity = 0
 }
 
+// removeConnection closes and unregisters a connection.
 func (s *server) removeConnection(cc *clientConn) {
 	cc.Close()
 	s.mu.Lock()
@@ -75,10 +77,10 @@
 	delete(s.conns, cc)
 }
 
-// shouldCloseAfterAnswer tells whether the connection's next answer should be its last,
-// since clients leave theirs unused and the room for others is short.
+// shouldCloseAfterAnswer reports whether the connection should be closed after its first answer, because clients rarely
+// reuse their connections and few connections are free.
 func (s *server) shouldCloseAfterAnswer(cc *clientConn) bool {
-	if cc.requestCount != 1 || !s.tune.Load().EndUnused { // took changes on this connection's goroutine alone
+	if cc.requestCount != 1 || !s.tune.Load().EndUnused { // only this connection's goroutine changes requestCount
 		return false
 	}
 	s.mu.Lock()
@@ -94,17 +96,15 @@
 	})
 }
 
-// isUnused tells whether the connection has stood since its first answer for
-// so long that it counts as one that is not used again.
+// isUnused reports whether the connection has been idle for so long after its first answer that it counts as not reused.
 func (cc *clientConn) isUnused(now time.Duration) bool {
 	return cc.requestCount == 1 && cc.state == connIdle && now-cc.stateSince >= churnStood
 }
 
-// evictOne closes the connection that is missed least: one that has been turned
-// away, one that has brought nothing of use, then one that is idle; the oldest
-// first.
+// evictOne closes one connection that is not busy: preferably one whose request was rejected, then one without a valid
+// request so far, then an idle one, and the oldest among equals. It returns false if all connections are busy.
 func (s *server) evictOne() bool {
-	var least *clientConn
+	var victim *clientConn
 	rank := func(cc *clientConn) int {
 		switch {
 		case cc.state == connLinger:
@@ -118,18 +118,19 @@
 		if cc.state == connBusy || cc.closedByProxy {
 			continue
 		}
-		if least == nil || rank(cc) < rank(least) || rank(cc) == rank(least) && cc.stateSince < least.stateSince {
-			least = cc
+		if victim == nil || rank(cc) < rank(victim) || rank(cc) == rank(victim) && cc.stateSince < victim.stateSince {
+			victim = cc
 		}
 	}
-	if least != nil {
-		s.closeConnection(least)
+	if victim != nil {
+		s.closeConnection(victim)
 	}
-	return least != nil
+	return victim != nil
 }
 
-// closeConnection lets go of a connection. On the system's wire only who reads it closes it: a request of which nothing was read
-// by then is the client's to send again, and one that was read is answered.
+// closeConnection starts closing a connection. Under the managed protocol it only ends the pending read, and the reading
+// goroutine closes the connection: a request of which something was read is still answered, and one of which nothing was
+// read is left for the client to send again.
 func (s *server) closeConnection(cc *clientConn) {
 	cc.closedByProxy = true
 	s.shut++
@@ -138,7 +139,7 @@
 	}
 }
 
-// setReadTimeout sets how long the next read may wait. One on a connection that was let go of may not.
+// setReadTimeout limits the next read to the given time. It leaves the deadline of a connection that is being closed.
 func (s *server) setReadTimeout(cc *clientConn, wait time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,21 +149,21 @@
 	return cc.SetReadDeadline(s.clock.Now().Add(wait))
 }
 
-// closeIdle closes the connections that have been idle for so long, and those
-// whose requests don't come to an end.
-func (s *server) closeIdle(least time.Duration) {
+// closeIdle closes the connections that have been idle for at least minIdle, and those whose request has been arriving for
+// drainReadTimeout.
+func (s *server) closeIdle(minIdle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
 	for cc := range s.conns {
 		age := now - cc.stateSince
-		if !cc.closedByProxy && (cc.state == connIdle && age >= least || cc.state == connReading && age >= drainReadTimeout) {
+		if !cc.closedByProxy && (cc.state == connIdle && age >= minIdle || cc.state == connReading && age >= drainReadTimeout) {
 			s.closeConnection(cc)
 		}
 	}
 }
 
-// connectionActivity tells how many connections are open and how long ago a request came.
+// connectionActivity returns the number of open connections and the time since the last request arrived.
 func (s *server) connectionActivity() (open int, quiet time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +174,7 @@
 	return len(s.conns), s.clock.now() - last
 }
 
-// setState notes what a connection does now.
+// setState records what a connection does from now on.
 func (s *server) setState(cc *clientConn, state connState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,10 +184,9 @@
 	}
 }
 
-// beginRequest marks the request's connection as busy if it is still open on this
-// side. A request that crossed the closing of its connection is sent again by
-// the client, so it must not be worked on here. On the system's wire it is open
-// still, and so stays.
+// beginRequest marks the connection as busy and reports whether its request may be processed. Under the standalone protocol
+// a request that arrives while the connection is being closed must not be processed, because its client sends it again.
+// Under the managed protocol the connection is still open, and beginRequest reverts the closing.
 func (s *server) beginRequest(cc *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/node/clientrequest.go
+++ b/internal/dataplane/node/clientrequest.go
@@ -8,20 +8,20 @@
 	"pepperfall.example/pepperfall/internal/dataplane/routing"
 )
 
-// clientRequest is a request as it came.
+// clientRequest is a request as received from the client.
 type clientRequest struct {
 	head
 	method, target []byte
 	body           []byte
-	managed        *passing        // what it is under a system's configuration
-	ticket         *routing.Ticket // what it was read as under a book; nil: it is the platform's
-	id             string          // with a ticket: the client's, or one made here
+	managed        *passing        // state under the managed protocol
+	ticket         *routing.Ticket // its match in the book; nil under the standalone protocol
+	id             string          // if ticket is set: the id from the client or a generated one
 }
 
-// One finds a field for the book's reading.
+// One returns a header field's value and how often the field occurs, as routing.Request requires.
 func (r *clientRequest) One(name string) ([]byte, int) { return r.one(name) }
 
-// readRequest reads a whole request.
+// readRequest reads the head of a request and its body, or the first part of a body that is streamed.
 func (cc *clientConn) readRequest() error {
 	r := &cc.req
 	if err := cc.in.readHead(&r.head, ""); err != nil {
@@ -40,7 +40,7 @@
 	return err
 }
 
-// statusForReadError is the answer to a request that can't be read; 0: none is owed.
+// statusForReadError returns the status of the answer to a request that couldn't be read, or 0 if it gets no answer.
 func statusForReadError(err error) int {
 	switch {
 	case errors.Is(err, errLongBody):
--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -1,5 +1,8 @@
-// Package node is a real edge node: clients, app servers, discovery and peers
-// on sockets, round the decisions of package policy.
+// Package node runs a proxy: it connects clients, servers, discovery and peer proxies over sockets, and package policy makes
+// its decisions.
+//
+// A proxy speaks one of two protocols. A Node is standalone: it has a configuration file and follows the server list of a
+// discovery service. A managed proxy gets its routes, servers and peers from the agent beside it.
 package node
 
 import (
@@ -20,7 +23,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Config is what an edge node is told at its start.
+// Config configures a standalone proxy.
 type Config struct {
 	Name          string
 	Listen        string
@@ -30,17 +33,17 @@
 	Sockets       int
 	PeerListen    string
 	Peers         []netip.AddrPort
-	PeerBroadcast netip.AddrPort // zero: none
-	CachedList    *serverList    // the list as last held; nil: none
+	PeerBroadcast netip.AddrPort // one address that reaches all peers; zero: none
+	CachedList    *serverList    // the last known server list; nil: none
 	Settings      policy.Settings
-	Reload        func() (*Config, error) // reads a new file; nil: there is none
-	World         world.World             // time and sockets; nil: the machine's
-	Membership    *members.Timing         // of the view of the fleet; nil: none is kept
-	Random        io.Reader               // for the ids of requests that bring none; nil: the machine's
+	Reload        func() (*Config, error) // reads the configuration file again; nil: it never changes
+	World         world.World             // clock and network; nil: those of the machine
+	Membership    *members.Timing         // timing of fleet membership; nil: membership is not tracked
+	Random        io.Reader               // for generated request ids; nil: crypto/rand
 
-	DialTimeout time.Duration // an app server that has not accepted by then is out of reach
-	ConnIdle    time.Duration // app servers close idle connections after this
-	DrainGrace  time.Duration // sends to a draining server may go on so long
+	DialTimeout time.Duration // a server that has not accepted a connection by then is unreachable
+	ConnIdle    time.Duration // servers close idle connections after this time
+	DrainGrace  time.Duration // how long requests may still be sent to a draining server
 }
 
 const (
@@ -50,8 +53,8 @@
 	minSockets         = 64
 )
 
-// LoadConfig reads the file that GW_CONFIG names; the other GW_ variables,
-// where set, go before what it holds. Errors name the bad setting.
+// LoadConfig reads the file that GW_CONFIG names. The environment variables GW_NAME, GW_LISTEN and GW_DISCOVERY override it.
+// Errors name the invalid setting.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	c, err := loadFile(getenv)
 	if err != nil {
@@ -60,7 +63,7 @@
 	c.Reload = func() (*Config, error) {
 		return loadFile(func(key string) string {
 			if key == "GW_DISCOVERY" {
-				return "" // told at the start: a new file is newer
+				return "" // the variable dates from the start; the file is newer
 			}
 			return getenv(key)
 		})
@@ -151,7 +154,7 @@
 	return c, c.parsePeers(raw.Peers, raw.PeersAll)
 }
 
-// parsePeers checks the addresses of the other edge nodes.
+// parsePeers parses the addresses of the peer proxies.
 func (c *Config) parsePeers(list []string, all string) error {
 	if !c.Settings.CanMessagePeers {
 		return nil
@@ -164,7 +167,7 @@
 		c.Peers = append(c.Peers, a)
 	}
 	if len(c.Peers) != c.Settings.Gateways {
-		return fmt.Errorf("peers: %d addresses for %d edge nodes", len(c.Peers), c.Settings.Gateways)
+		return fmt.Errorf("peers: %d addresses for %d proxies", len(c.Peers), c.Settings.Gateways)
 	}
 	if all != "" {
 		a, err := netip.ParseAddrPort(all)
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// parseSeed turns the seed's text into a number: it is hexadecimal as a rule.
+// parseSeed converts a seed to a number: a hexadecimal one by its value, other text by its hash.
 func parseSeed(s string) uint64 {
 	if v, err := strconv.ParseUint(s, 16, 64); err == nil {
 		return v
@@ -189,7 +192,7 @@
 	return h.Sum64()
 }
 
-// CheckConfig tells what is wrong with a configuration file's text.
+// CheckConfig returns an error if the text is not a valid configuration file.
 func CheckConfig(text []byte) error {
 	c, err := parseConfig(text, func(string) string { return "" })
 	if err != nil {
--- a/internal/dataplane/node/discovery.go
+++ b/internal/dataplane/node/discovery.go
@@ -19,14 +19,14 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// serverList is discovery's form of the list of app servers.
+// serverList is the server list in the format of the discovery service.
 type serverList struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []target `json:"targets"`
 }
 
-// target is one line of it.
+// target is one server of a serverList.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -36,14 +36,14 @@
 	Weight   float64 `json:"capacity_hint"`
 	BootMS   float64 `json:"boot_ms"`
 
-	maxIdleConns int // connections to it that may stand idle here; 0: any number
+	maxIdleConns int // idle connections to it that this proxy may keep; 0: no limit
 }
 
 var targetStates = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining,
 	"DELETED": policy.Removed}
 
-// serverID names an app server to the module and in messages between edge
-// nodes, so it must come out alike at all of them: it rests on the uid alone.
+// serverID returns the id of a server for the policy package and in messages between proxies. All proxies must get the same
+// id, so it depends on the uid alone.
 func serverID(uid string) policy.ServerID {
 	if hex, ok := strings.CutPrefix(uid, "s-"); ok && len(hex) == 8 {
 		if v, err := strconv.ParseUint(hex, 16, 32); err == nil {
@@ -55,14 +55,14 @@
 	return policy.ServerID(h.Sum32())
 }
 
-// validate refuses a list that can't be meant.
+// validate returns an error if a server has an unknown state, no uid or an invalid address.
 func (l *serverList) validate() error {
 	for _, t := range l.Targets {
 		if _, ok := targetStates[t.State]; !ok {
 			return fmt.Errorf("server %q: unknown state %q", t.UID, t.State)
 		}
 		if t.UID == "" {
-			return fmt.Errorf("a server without uid at %q", t.Endpoint)
+			return fmt.Errorf("server at %q has no uid", t.Endpoint)
 		}
 		if t.State != "DELETED" {
 			if _, err := netip.ParseAddrPort(t.Endpoint); err != nil {
@@ -73,35 +73,35 @@
 	return nil
 }
 
-// policyServer turns a line into the module's form. The loop's clock counts from the
-// Unix epoch, so a start time needs no shift.
+// policyServer converts a target for the policy package. The loop's clock counts from the Unix epoch, as the start time
+// does.
 func (t *target) policyServer() policy.Server {
 	return policy.Server{ID: serverID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: targetStates[t.State],
 		HasStartTime: t.BootMS > 0, StartTime: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
 }
 
 const (
-	watchTimeout      = 3 * time.Second // a watch is answered by then, with or without news
+	watchTimeout      = 3 * time.Second // discovery answers a watch by then, even if nothing changed
 	watchTimeoutSlack = time.Second
-	minWatchInterval  = 50 * time.Millisecond // a watch goes on if the next call comes within 200 ms
+	minWatchInterval  = 50 * time.Millisecond // discovery keeps a watch if the next call comes within 200 ms
 	maxListBytes      = 4 << 20
 	discoveryTimeout  = 2 * time.Second
 )
 
-// discovery follows the list of app servers.
+// discovery follows the server list of the discovery service.
 type discovery struct {
 	clock      world.Clock
 	onList     func(*serverList, policy.ServerListKind)
 	http       http.Client
-	cachedList *serverList // the list held at the start; nil: none is
-	pacing     callPacing  // run's
+	cachedList *serverList // the list known at the start; nil: none
+	pacing     callPacing  // used by run only
 
 	mu          sync.Mutex
 	addr        string
-	cancelWatch context.CancelFunc // ends the watch at the address before
+	cancelWatch context.CancelFunc // ends the watch at the previous address
 }
 
-// newDiscovery returns what follows the list at the address, from a known list on.
+// newDiscovery returns a discovery that follows the list at the address, starting from a cached list if there is one.
 func newDiscovery(w world.World, addr string, known *serverList, tell func(*serverList, policy.ServerListKind)) *discovery {
 	return &discovery{clock: w, addr: addr, cachedList: known, onList: tell, cancelWatch: func() {}, http: http.Client{
 		Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: watchTimeout, DialContext: w.Dial},
@@ -109,8 +109,7 @@
 	}}
 }
 
-// moveTo ends the open watch and begins anew, with the whole list, at another
-// address.
+// moveTo ends the open watch and fetches the complete list from another address.
 func (d *discovery) moveTo(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,31 +117,30 @@
 	d.cancelWatch()
 }
 
-// run follows the list, at whatever address is in force, until ctx ends.
+// run follows the list at the current address until ctx ends.
 func (d *discovery) run(ctx context.Context) {
-	held := false // from an address before
+	hasList := false // a list from a previous address
 	for known := d.cachedList; ctx.Err() == nil; known = nil {
-		at, moved := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		d.mu.Lock()
 		addr := d.addr
-		d.cancelWatch = moved
+		d.cancelWatch = cancel
 		d.mu.Unlock()
-		if held {
-			world.Sleep(at, d.clock, d.pacing.moveDelay()) // all are moved at once
+		if hasList {
+			world.Sleep(watchCtx, d.clock, d.pacing.moveDelay()) // all proxies change the address watchCtx the same time
 		}
-		held = d.follow(at, addr, known) || held
-		moved()
+		hasList = d.follow(watchCtx, addr, known) || hasList
+		cancel()
 		d.http.CloseIdleConnections()
 	}
 }
 
-// follow watches the list, from a known one on or else from the whole list, which
-// it fetches, until ctx ends, and tells whether it has one then. What can't be had is
-// asked for again; the list held stays in force meanwhile.
+// follow watches the list until ctx ends and reports whether it has a list then. It starts from the known list or, if that
+// is nil, fetches the complete list. It repeats failed calls; until one succeeds the current list stays in use.
 func (d *discovery) follow(ctx context.Context, addr string, known *serverList) (have bool) {
-	rev, down := int64(0), false
+	rev, failing := int64(0), false
 	if known != nil && d.pacing.spread > 0 {
-		// Many edge nodes may start at once, each with a list that does for now.
+		// Many proxies may start at the same time, each with a usable list.
 		rev, have = known.Rev, true
 		world.Sleep(ctx, d.clock, d.pacing.firstDelay())
 	}
@@ -153,7 +151,7 @@
 			limit = watchTimeout + watchTimeoutSlack
 		}
 		if d.pacing.spread > 0 {
-			limit += discoveryTimeout // the call waits in turn first
+			limit += discoveryTimeout // the call waits in a queue at the service first
 		}
 		began := d.clock.Now()
 		l, err := d.get(ctx, "http://"+addr+"/v1/servers"+query, limit)
@@ -161,21 +159,21 @@
 			return have
 		}
 		if err != nil {
-			if !down {
-				slog.Warn("discovery does not answer; the list held stays in force", "err", err)
+			if !failing {
+				slog.Warn("discovery does not answer; keeping the current server list", "err", err)
 			}
-			down = true
+			failing = true
 			d.onList(nil, policy.WatchFailed)
 			world.Sleep(ctx, d.clock, d.pacing.retryDelay())
 			continue
 		}
-		if down {
+		if failing {
 			slog.Info("discovery answers again", "rev", l.Rev)
 		}
-		down = false
+		failing = false
 		d.pacing.resetBackoff()
 		if have && l.Rev == rev && d.clock.Now().Sub(began) < minWatchInterval {
-			world.Sleep(ctx, d.clock, minWatchInterval) // it does not wait as it should: don't ask without pause
+			world.Sleep(ctx, d.clock, minWatchInterval) // discovery answered at once without a change: don't call in a busy loop
 		}
 		rev = l.Rev
 		switch {
@@ -189,9 +187,10 @@
 	return have
 }
 
+// get fetches a server list or its changes, and validates it.
 func (d *discovery) get(ctx context.Context, url string, limit time.Duration) (*serverList, error) {
-	ctx, end := world.WithTimeout(ctx, d.clock, limit)
-	defer end()
+	ctx, cancel := world.WithTimeout(ctx, d.clock, limit)
+	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -209,7 +208,7 @@
 		return nil, err
 	}
 	if len(body) > maxListBytes {
-		return nil, fmt.Errorf("a list of over %d bytes", maxListBytes)
+		return nil, fmt.Errorf("server list exceeds %d bytes", maxListBytes)
 	}
 	var l serverList
 	if err := json.Unmarshal(body, &l); err != nil {
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -14,29 +14,28 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Parts of the file descriptors: a request needs one for its client and one
-// for its app server; the rest is for the listeners, discovery and files.
+// Shares of the file descriptors: a request needs one for its client and one for its server. The remaining ones are for
+// listeners, discovery and files.
 const (
 	clientSocketShare, serverSocketShare = 0.5, 0.35
 	sweepInterval                        = time.Second
-	cachedListDelay                      = time.Second // discovery is given so long before the known list has to do
+	cachedListDelay                      = time.Second // how long to wait for discovery before serving from the cached list
 )
 
-// The steps of a planned stop. Clients go on coming for up to 0.4 s after the
-// signal.
+// The steps of a planned stop. Clients still connect for up to 0.4 s after the signal.
 const (
-	drainCloseIdleAfter  = 250 * time.Millisecond // idle connections are closed while new ones still find an open door
+	drainCloseIdleAfter  = 250 * time.Millisecond // idle connections are closed while new ones are still accepted
 	drainStopAcceptAfter = 550 * time.Millisecond
 	drainQuietTime       = 100 * time.Millisecond
-	drainReadTimeout     = 2 * time.Second // a request that has begun to come by then is given so long
+	drainReadTimeout     = 2 * time.Second // how long a request that has started to arrive may take
 	drainTimeout         = 65 * time.Second
 	drainPollInterval    = 10 * time.Millisecond
 )
 
-// drainSchedule is when a planned stop takes its steps.
+// drainSchedule holds the times of the steps of a planned stop, from its start.
 type drainSchedule struct{ closeIdle, stopAccept, timeout time.Duration }
 
-// Node is an edge node whose sockets are open.
+// Node is a standalone proxy whose sockets are open.
 type Node struct {
 	cfg           *Config
 	world         world.World
@@ -48,11 +47,11 @@
 	listener      net.Listener
 	drainSchedule drainSchedule
 
-	tuningMu            sync.Mutex // one change at a time
-	configuredDiscovery string     // where the platform's configuration says that it is
+	tuningMu            sync.Mutex // serializes changes of the tuning and of configuredDiscovery
+	configuredDiscovery string     // the discovery address in the configuration file
 }
 
-// New opens the sockets of an edge node.
+// New opens the sockets of a standalone proxy.
 func New(cfg *Config) (*Node, error) {
 	g, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -79,10 +78,10 @@
 		switch kind {
 		case policy.CompleteList:
 			n.server.ready.Store(true)
-		case policy.CachedList: // has to do while discovery is silent
+		case policy.CachedList: // used until discovery answers
 			if cfg.Settings.MustWatch {
 				n.server.ready.Store(true)
-				break // its answer is not to be had at once
+				break // discovery is slow to answer: its calls are spread over time
 			}
 			go func() {
 				world.Pause(w, cachedListDelay)
@@ -94,7 +93,7 @@
 		n.peers, err = listenPeers(w, cfg.PeerListen, cfg.Peers, cfg.PeerBroadcast, func(from int, data []byte) {
 			select {
 			case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
-			default: // lost, like one on the way
+			default: // dropped; datagrams may also be lost in the network
 			}
 		})
 		if err != nil {
@@ -118,7 +117,7 @@
 		if len(k.Targets) == 0 {
 			cfg.CachedList = nil
 		} else if err := k.validate(); err != nil {
-			slog.Warn("known list passed over", "err", err)
+			slog.Warn("ignoring the invalid cached server list", "err", err)
 			cfg.CachedList = nil
 		}
 	}
@@ -131,7 +130,7 @@
 	return n, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
 func (n *Node) closePeers() {
@@ -140,11 +139,11 @@
 	}
 }
 
-// Run serves until stop ends, then answers what is open and returns. Signals on
-// hup tell that the configuration file is new.
+// Run serves clients until stop ends, then answers the open requests and returns. A signal on hup means that the
+// configuration file has changed.
 func (n *Node) Run(stop context.Context, hup <-chan os.Signal) error {
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	defer n.closePeers()
 	if k := n.cfg.CachedList; k != nil {
 		n.loop.events <- listed{k, policy.CachedList}
@@ -159,7 +158,7 @@
 		if w := n.peers.watch; w != nil {
 			left := make(chan struct{})
 			go func() { w.run(ctx); close(left) }()
-			defer func() { end(); <-left }()
+			defer func() { cancel(); <-left }()
 		}
 	}
 	served := make(chan error, 1)
@@ -173,20 +172,20 @@
 	return nil
 }
 
-// drain goes on accepting for a while, then answers what is open. It returns
-// once nothing is open and nothing has come for a moment.
+// drain accepts connections for a while longer, then answers the open requests. It returns when no connection is open and no
+// request has arrived for drainQuietTime, or after the schedule's timeout.
 func (n *Node) drain() {
 	began := n.world.Now()
 	n.server.draining.Store(true)
 	accepting := true
 	for n.world.Now().Sub(began) < n.drainSchedule.timeout {
 		world.Pause(n.world, drainPollInterval)
-		past := n.world.Now().Sub(began)
-		if past >= n.drainSchedule.closeIdle {
+		elapsed := n.world.Now().Sub(began)
+		if elapsed >= n.drainSchedule.closeIdle {
 			n.server.closeIdle(drainQuietTime)
 		}
 		open, quiet := n.server.connectionActivity()
-		if accepting && past >= n.drainSchedule.stopAccept && quiet >= drainQuietTime {
+		if accepting && elapsed >= n.drainSchedule.stopAccept && quiet >= drainQuietTime {
 			n.listener.Close()
 			accepting = false
 		}
@@ -196,6 +195,7 @@
 	}
 }
 
+// sweep runs the periodic cleanup of server connections until ctx ends.
 func (n *Node) sweep(ctx context.Context) {
 	for world.Sleep(ctx, n.world, sweepInterval) {
 		n.upstream.sweep()
--- a/internal/dataplane/node/pace.go
+++ b/internal/dataplane/node/pace.go
@@ -9,37 +9,35 @@
 	minBackoff = 25 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 
-	// Where lists must be asked for, all edge nodes ask one service, which is as
-	// large as it is however many they are. A call that waits too long there is
-	// turned away after it has been worked on, so that calls in step, or repeated
-	// soon, leave nobody served. All together ask some ten times a second: each has
-	// so long for each of them, up to a bound: within that time the service can take a
-	// call from every edge node, however many there are (the largest all_call_s of the
-	// operators' sites), and later each counts as told.
+	// With a central discovery service, all proxies call one service whose capacity does not grow with their number. It
+	// rejects a call that waits too long only after doing the work for it, so if calls are synchronized or repeated soon, none
+	// succeeds. The proxies together make about ten calls a second: each spreads its calls over spreadPerProxy times the
+	// number of proxies, up to maxSpread. Within maxSpread, the largest all_call_s of the operators' sites, the service can
+	// take a call from every proxy of a fleet of any size; after it, every proxy is assumed to know of a change.
 	spreadPerProxy = 100 * time.Millisecond
 	maxSpread      = 8 * time.Second
 
-	// Moved to another address, each asks for the whole list, which costs twice what a
-	// change does. What is to be told counts as told 6 s after the last call.
+	// After a change of the discovery address each proxy fetches the complete list, which costs the service twice as much as
+	// a change. A proxy is assumed to know the list 6 s after the last call.
 	maxMoveDelay = 5500 * time.Millisecond
 )
 
-// callPacing says when an edge node calls discovery. The zero value is for an agent on
-// its own machine, which may be asked as often as it likes.
+// callPacing determines when a proxy calls discovery. The zero value is for a discovery agent on the proxy's own machine,
+// which needs no spreading of calls.
 type callPacing struct {
-	spread  time.Duration // calls of all edge nodes are spread over it; 0: they need not be
-	random  *rand.Rand    // nil where pause is 0
-	backoff time.Duration // after the next failure, where they need not be spread
+	spread  time.Duration // calls of all proxies are spread over this time; 0: they are not spread
+	random  *rand.Rand    // nil if spread is 0
+	backoff time.Duration // delay after the next failure, if calls are not spread
 }
 
-// newSharedPacing is for one of so many edge nodes that ask one service. The seed
-// spreads its calls among theirs.
+// newSharedPacing returns the pacing of one of several proxies that call one service. The seed determines the place of its
+// calls among theirs.
 func newSharedPacing(nodes int, seed uint64) callPacing {
 	return callPacing{spread: min(time.Duration(nodes)*spreadPerProxy, maxSpread), random: rand.New(rand.NewPCG(seed, 0x5851f42d4c957f2d))}
 }
 
-// firstDelay is how long to wait before the first call, where a list is held that does
-// until then. Changes cost the service half of what a list does, at most.
+// firstDelay returns how long a proxy with a cached list waits before its first call. It is at most half of the spread,
+// because changes cost the service at most half as much as a complete list.
 func (p *callPacing) firstDelay() time.Duration {
 	if p.spread == 0 {
 		return 0
@@ -47,8 +45,7 @@
 	return time.Duration(p.random.Float64() * float64(p.spread) / 2)
 }
 
-// moveDelay is how long to wait before the first call at another address, where a list
-// is held that does until then.
+// moveDelay returns how long a proxy that has a list waits before its first call to another address.
 func (p *callPacing) moveDelay() time.Duration {
 	if p.spread == 0 {
 		return 0
@@ -56,7 +53,7 @@
 	return time.Duration(p.random.Float64() * float64(min(p.spread, maxMoveDelay)))
 }
 
-// retryDelay is how long to wait after a call that brought nothing.
+// retryDelay returns how long to wait after a failed call.
 func (p *callPacing) retryDelay() time.Duration {
 	if p.spread > 0 {
 		return time.Duration((0.5 + p.random.Float64()) * float64(p.spread))
@@ -67,5 +64,5 @@
 	return wait
 }
 
-// resetBackoff notes a call that brought something.
+// resetBackoff starts the backoff from its minimum again, after a successful call.
 func (p *callPacing) resetBackoff() { p.backoff = 0 }
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -36,8 +36,7 @@
 	// This prevents retry storms. It does harm where retries come soon and latency targets are long.
 	bucketLow := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
 	serversBusy := !r.remote && g.noServerAt > 0 && g.now-g.noServerAt < serverShortageSpan
-	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayWait(r) ||
-		r.isRetry && (bucketLow || serversBusy) {
+	if r.overQuota = !g.hasUnits(r); r.overQuota && !g.mayWait(r) || r.isRetry && (bucketLow || serversBusy) {
 		g.refuse(r)
 		return
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// finish ends a request: it leaves its queue, and its root is told that it needs no place any more. While an
-// attempt is in flight the rest waits for its outcome.
+// finish ends a request: it leaves its queue and the tables, and its root learns that it needs no place any more.
+// While an attempt is in flight it only leaves its queue; finish is called again when the attempt has ended.
 func (g *Gateway) finish(r *request) {
 	r.done = true
 	if i := slices.Index(r.customer.held, r); i >= 0 {
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -179,9 +179,10 @@
 // askFor returns the ask for a request.
 func (g *Gateway) askFor(r *request) askMessage {
 	c, remaining := r.customer, (r.deadline - g.now).Milliseconds()
-	m := askMessage{Customer: c.key, FirstGateway: uint16(c.firstGateway), GatewayCount: uint16(c.gatewayCount), Plan: c.plan.index,
-		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
-		Tag: r.tag, BucketFill: unknownFill, AskChance: toByte(250 * r.askChance)}
+	m := askMessage{Customer: c.key, FirstGateway: uint16(c.firstGateway), GatewayCount: uint16(c.gatewayCount),
+		Plan: c.plan.index, Class: byte(r.class.index), Units: uint16(r.units),
+		RemainingMS: uint16(min(max(0, remaining), math.MaxUint16)),
+		Tag:         r.tag, BucketFill: unknownFill, AskChance: toByte(250 * r.askChance)}
 	if r.isRetry {
 		m.Flags |= flagRetry
 	}
