--- a/policy/admit.go
+++ b/policy/admit.go
@@ -116,7 +116,7 @@
 	}
 	c.reportsLeft = reportsPerChange
 	g.startAttempt(r, s)
-	if g.minCapacityShare(s) < 1 || g.now < s.ColdUntil {
+	if g.minCapacity(s) < 1 || g.now < s.ColdUntil {
 		s.sends = append(s.sends, g.now)
 	} else {
 		g.recentSends++
@@ -226,7 +226,8 @@
 // adaptAdmission lowers the share of requests admitted while latencies are near their targets: an overload
 // may show in no report (silent peers, slow servers). It does harm where targets are near idle latencies.
 func (g *Gateway) adaptAdmission(dt time.Duration) {
-	if g.cfg.MultiService == nil && g.lateness > admissionCutLateness || g.usesRoots && g.lateness > admissionCutLatenessWithRoots {
+	if g.cfg.MultiService == nil && g.lateness > admissionCutLateness ||
+		g.usesRoots && g.lateness > admissionCutLatenessWithRoots {
 		g.admitShare = max(minAdmission, g.admitShare*math.Exp(-dt.Seconds()/admissionCutTime.Seconds()))
 	} else {
 		g.admitShare = min(1, g.admitShare+dt.Seconds()/admissionRecoveryTime.Seconds())
@@ -245,7 +246,7 @@
 	g.recentSends *= math.Exp(-float64(dt) / float64(g.cfg.FailTime)) // unused with MultiService (FailTime 0)
 	g.sumPeerLoads()
 	g.adaptAdmission(dt)
-	g.recentMessages *= math.Exp(-dt.Seconds() / demandTimeConstant.Seconds())
+	g.recentMessages *= math.Exp(-dt.Seconds() / demandDecay.Seconds())
 	for _, s := range g.serverList {
 		// A server that gets no requests yields no new data: old measurements decay.
 		s.decay(min(1, dt.Seconds()/healthDecayTime.Seconds()))
--- a/policy/bounds_test.go
+++ b/policy/bounds_test.go
@@ -19,7 +19,7 @@
 	if len(c.views) != 1 || c.ceiling < 9.9 {
 		t.Fatalf("%d peers, a part of %.1f: want 1 and 10", len(c.views), c.ceiling)
 	}
-	c.views[0].demand = 400 // units that the peer requests, over demandTimeConstant
+	c.views[0].demand = 400 // units that the peer requests, over demandDecay
 	w.g.lend(c, 50*ms)
 	lent := c.onLoan
 	if lent < 2 {
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// minCapacityShare returns the share of its capacity that a server has at least: 1 when it is warm.
-func (g *Gateway) minCapacityShare(s *server) float64 {
+// minCapacity returns the share of its capacity that a server has at least: 1 when it is warm.
+func (g *Gateway) minCapacity(s *server) float64 {
 	if g.now < s.ColdUntil {
 		return g.cfg.MultiService.ColdShare
 	}
@@ -27,7 +27,7 @@
 
 // predictLatency returns the latency, in seconds, expected of a server for a class.
 func (g *Gateway) predictLatency(s *server, cl *class) float64 {
-	return cl.mean * s.slowdown * g.loadFactor(s, g.inFlightAt(s)) / g.minCapacityShare(s)
+	return cl.mean * s.slowdown * g.loadFactor(s, g.inFlightAt(s)) / g.minCapacity(s)
 }
 
 // loadFactor returns the factor by which a number of attempts in flight raises a server's latency.
@@ -39,19 +39,20 @@
 	return 1 + slotUsePenalty*min(1, load/slots) + max(0, load+1-slots)/slots
 }
 
-// queueTooLong reports whether the predicted wait at a server exceeds a share of the shortest latency target. Beyond
-// that, requests are held at the gateway, where they can still be sent to another server or be refused.
+// queueTooLong reports whether the predicted wait at a server exceeds a share of the shortest latency target.
+// Beyond that, requests are held at the gateway, from where they can still go elsewhere or be refused.
 func (g *Gateway) queueTooLong(s *server) bool {
 	load := g.inFlightAt(s) / g.relativeSize(s)
-	return load >= minInFlightWhenFull && g.meanLatency*s.slowdown/g.minCapacityShare(s)*queueWeight*load > maxWaitShare*g.minTarget
+	return load >= minInFlightWhenFull &&
+		g.meanLatency*s.slowdown/g.minCapacity(s)*queueWeight*load > maxWaitShare*g.minTarget
 }
 
-// slotQueueTooLong reports whether the wait for a slot of a server exceeds what a request's latency target allows.
+// slotQueueTooLong reports whether the wait for a server's slot exceeds what a request's target allows.
 func (g *Gateway) slotQueueTooLong(s *server, r *request) bool {
 	serviceTime, target := r.class.mean*s.slowdown, r.class.LatencyTarget.Seconds()
 	wait := max(0, g.inFlightAt(s)+1-float64(s.Slots)) / float64(s.Slots) * serviceTime
 	if wait+serviceTime > target-(g.now-r.arrivedAt+r.waitedBefore).Seconds() {
-		return wait > maxLateSlotWaitShare*target // this request misses its target anyway; a long queue would delay others too
+		return wait > maxLateSlotWaitShare*target // late anyway; a longer queue would delay others too
 	}
 	return wait > maxSlotWaitShare*target
 }
@@ -61,27 +62,27 @@
 	return s.Service == r.service && (len(r.regions) == 0 || slices.Contains(r.regions, s.Region))
 }
 
-// usable reports whether a request may be sent to a server: the server runs, has not just rejected work, has send
-// budget left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
+// usable reports whether a request may be sent to a server: it runs, has not just rejected work, has budget
+// left if it is cold, and drops duplicates of the request if an earlier attempt of it may have run.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || !s.canServe(r) || !g.hasColdBudget(s) || g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
+	if s.State != Running || !s.canServe(r) || !g.hasColdBudget(s) ||
+		g.now < max(s.fullUntil, s.planFull[r.customer.plan]) ||
 		r.mayHaveRun && r.effect == Keyed && (g.now-r.ranAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
 		return false
 	}
-	if cold := g.minCapacityShare(s); cold < 1 && g.cfg.MultiService == nil {
-		// The budget of each window, divided among all gateways: what a warm server
-		// receives, times the share of capacity that the cold server has at least.
+	if cold := g.minCapacity(s); cold < 1 && g.cfg.MultiService == nil {
+		// This gateway's budget in a window: what a warm server receives, times the cold one's capacity.
 		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.FailTime })
 		warmRate := g.recentSends / max(1, float64(g.runningServers))
-		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldBudgetShare) {
+		if float64(len(s.sends)) >= max(1, warmRate*cold*g.cfg.FailFactor*coldSafety) {
 			return false
 		}
 	}
 	return true
 }
 
-// coldSendBudget returns how many sends a second this gateway may make to a cold server. Only a few gateways may send
-// to it, so that each has whole sends; the sum stays below the server's limit even if no message arrives.
+// coldSendBudget returns how many sends a second this gateway may make to a cold server. Few gateways send to
+// it, so that each has whole sends; the sum stays below the server's limit even if no message arrives.
 func (g *Gateway) coldSendBudget(m Server) int {
 	if m.ColdSendRate <= 0 {
 		return 0
@@ -92,7 +93,7 @@
 	for i := range g.cfg.Gateways {
 		if g.isNotPeer(g.peerAt(i)) {
 			continue // this gateway itself, or an unused number
-		} else if hash := hashFraction(uint32(m.ID), uint32(i)); hash > ownHash || hash == ownHash && i < g.cfg.Me {
+		} else if h := hashFraction(uint32(m.ID), uint32(i)); h > ownHash || h == ownHash && i < g.cfg.Me {
 			rank++
 		}
 	}
@@ -107,13 +108,13 @@
 	if g.now >= s.ColdUntil {
 		return true
 	}
-	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
+	s.sends = slices.DeleteFunc(s.sends,
+		func(t time.Duration) bool { return g.now-t > g.cfg.MultiService.ColdWindow })
 	return len(s.sends) < s.coldSendQuota
 }
 
-// pickServer chooses a server, or nil when none has room. Servers ejected for the class are skipped unless too many
-// are ejected; their watcher sends them a trial request from time to time. With few gateways, pickServer compares a
-// few random servers by predicted latency and cost of crossing zones.
+// pickServer chooses a server, or nil when none has room. It skips ejected servers unless too many are; only
+// their watcher sends them trials. With few gateways it compares some random ones by latency and zone cost.
 func (g *Gateway) pickServer(r *request) *server {
 	var candidates, ejected []*server
 	for _, s := range g.serverList {
@@ -125,7 +126,6 @@
 			return s
 		}
 		if health := g.healthOf(s, r.class); health != nil && health.ejected && g.now < health.ejectedUntil {
-			// Only the watcher of an ejected server sends it trial requests.
 			if s.watchers[0] == g.cfg.Me && g.now >= health.nextTrial && g.mayRunTrial(r) {
 				health.trialBackoff = min(2*health.trialBackoff+trialBackoffStep, maxTrialBackoff)
 				health.nextTrial = g.now + health.trialBackoff
@@ -165,7 +165,7 @@
 	return best
 }
 
-// pickLeastLatency returns the server of the lowest predicted latency including the network's, or nil if all are full.
+// pickLeastLatency returns the server of the lowest predicted latency, the network's included, or nil.
 func (g *Gateway) pickLeastLatency(candidates []*server, r *request) *server {
 	var best *server
 	lowest := math.Inf(1)
@@ -173,12 +173,13 @@
 		if g.slotQueueTooLong(s, r) {
 			continue
 		}
-		predicted := (g.predictLatency(s, r.class) + s.ExtraLatency.Seconds()) * (1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
+		predicted := (g.predictLatency(s, r.class) + s.ExtraLatency.Seconds()) *
+			(1 - latencyJitter/2 + latencyJitter*g.rng.Float64())
 		if s.trust.Level == Suspect && r.effect != Safe {
 			predicted += suspectCostSeconds
 		}
 		if len(r.regions) == 0 && g.now < s.scarceUntil {
-			predicted += regionBoundPenaltyShare * r.class.LatencyTarget.Seconds() // requests bound to this region have no other choice
+			predicted += regionBoundPenaltyShare * r.class.LatencyTarget.Seconds() // room for bound requests
 		}
 		if predicted < lowest {
 			best, lowest = s, predicted
@@ -192,29 +193,29 @@
 	return best
 }
 
-// pickWeighted draws a server at random, weighted by its share of the capacity. Many gateways don't see each other's
-// load; if each took the best of a few, all would overload the same servers. However slow the warm servers are, a cold
-// one gets at most its minimum capacity's part of an even share; the rest of the requests wait.
+// pickWeighted draws a server, weighted by its share of the capacity. Many gateways don't see each other's
+// load: if each took the best of a few, all would overload the same ones. However slow the warm servers are,
+// a cold one gets at most its minimum capacity's part of an even share; the rest of the requests wait.
 func (g *Gateway) pickWeighted(candidates []*server) *server {
 	totalWeight, totalPart, minTotal := 0.0, 0.0, 0.0
 	for _, s := range candidates {
-		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.minCapacityShare(s)
+		s.weight = s.share * g.relativeSize(s) / max(s.slowdown, 1) / float64(1+s.inFlight) * g.minCapacity(s)
 		if s.Zone != g.cfg.Zone {
 			s.weight *= otherZoneWeight
 		}
 		totalWeight, totalPart = totalWeight+s.weight, totalPart+s.share
 	}
 	for _, s := range candidates {
-		if capacity := g.minCapacityShare(s); capacity < 1 {
-			s.weight = min(s.weight, capacity*s.share*totalWeight/totalPart)
-			minTotal = max(minTotal, s.weight*totalPart/(s.share*capacity*coldBudgetShare*max(1, g.cfg.FailFactor)))
+		if cold := g.minCapacity(s); cold < 1 {
+			s.weight = min(s.weight, cold*s.share*totalWeight/totalPart)
+			minTotal = max(minTotal, s.weight*totalPart/(s.share*cold*coldSafety*max(1, g.cfg.FailFactor)))
 		}
 	}
 	return g.drawByWeight(candidates, minTotal)
 }
 
-// setAffinity sets a server's weight in this gateway's draws. Where there are many gateways, each prefers a few
-// servers, so that connections are reused; over all gateways, each server is drawn equally often.
+// setAffinity sets a server's weight in this gateway's draws. With many gateways, each prefers a few servers,
+// so that connections are reused; over all gateways, each server is drawn equally often.
 func (g *Gateway) setAffinity(s *server) {
 	gateways, preferring, preferredHere := float64(g.cfg.Gateways), 0.0, false
 	for i := range g.cfg.Gateways {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -36,7 +36,7 @@
 	ceiling        float64       // units in this gateway's part of the hard ceiling's bucket
 	onLoan         float64       // units lent and in transit: the part is not refilled in their place until they have arrived
 	passedUnits    uint16        // running total of units passed, reported to peers
-	demand         float64       // units requested here, decayed over demandTimeConstant
+	demand         float64       // units requested here, decayed over demandDecay
 	slotDemand     float64       // the same in seconds in flight that the requests need
 	reportsLeft    int           // number of reports in which a change is still repeated
 	reportedTick   uint32        // tick of the last report on it
@@ -49,7 +49,7 @@
 	Plan
 	index         byte        // index in Settings.Plans
 	passedGranted decayingSum // units passed here that a root granted, decayed over askShareSpan
-	passedAlone   decayingSum // units passed here while no root answered, decayed over demandTimeConstant
+	passedAlone   decayingSum // units passed here while no root answered, decayed over demandDecay
 }
 
 // decayingSum is a sum that falls to 1/e of its value in each span.
@@ -80,7 +80,7 @@
 // chargeUnits takes a request's units from the buckets, and records whether a root granted them.
 func (c *customer) chargeUnits(r *request, now time.Duration) {
 	if !r.granted && len(c.askRoots) > 0 && !r.remote {
-		c.plan.passedAlone.add(now, demandTimeConstant, r.units)
+		c.plan.passedAlone.add(now, demandDecay, r.units)
 	}
 	if r.granted {
 		c.plan.passedGranted.add(now, askShareSpan, r.units)
--- a/policy/judge.go
+++ b/policy/judge.go
@@ -1,7 +1,7 @@
 package policy
 
-// Server health from outcomes. Where there are many gateways, each sends too little to a server to assess it alone:
-// gateways report outcomes to the server's watcher, which sends its verdict by class to all gateways.
+// Server health from outcomes. Where gateways are many, each sends too little to a server to assess it alone:
+// they report outcomes to the server's watcher, which sends its verdict by class to all gateways.
 
 import (
 	"math"
@@ -40,23 +40,25 @@
 		g.reportOutcome(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.lateness += latenessWeight * (min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.lateness)
+		g.lateness += latenessWeight *
+			(min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.lateness)
 	}
 	switch ev.Code {
 	case OK:
 		if v := g.healthOf(s, r.class); v != nil {
 			v.lastOK = g.now
 		}
-		loadEffect := g.loadFactor(s, r.loadAtSend) / g.minCapacityShare(s)
+		loadEffect := g.loadFactor(s, r.loadAtSend) / g.minCapacity(s)
 		latency := ev.Latency.Seconds() / loadEffect
 		s.slowdown += g.ownOutcomeWeight * (min(latency/r.class.mean, maxSlowdown) - s.slowdown)
 		g.meanLatency += meanLearningRate * (r.class.mean - g.meanLatency)
 		r.class.outcomes++ // the first outcomes weigh more
-		r.class.mean += max(meanLearningRate, 1/(r.class.outcomes+1)) * (min(latency, maxLatencyMeans*r.class.mean) - r.class.mean)
+		r.class.mean += max(meanLearningRate, 1/(r.class.outcomes+1)) *
+			(min(latency, maxLatencyMeans*r.class.mean) - r.class.mean)
 	case Full:
 		// The server may reject this plan only: requests of this plan avoid it for a while.
 		if s.planFull[r.customer.plan] = g.now + rejectionPause; g.cfg.MultiService != nil {
-			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+queueFullPause // its queue is full for every plan
+			s.planFull[r.customer.plan], s.fullUntil = 0, g.now+queueFullPause // full for every plan
 		}
 		g.lateness += latenessWeight * (1 - g.lateness)
 	}
@@ -80,12 +82,11 @@
 	}
 }
 
-// recordOutcome adds an outcome to the shared health of a watched server. A server that
-// rejects requests counts as very slow: it gets few until it answers again.
+// recordOutcome adds an outcome to the health of a watched server. One that rejects work counts as very slow.
 func (g *Gateway) recordOutcome(s *server, class int, code Code, latency time.Duration) {
 	cl := g.classes[g.cfg.Classes[class].Name]
 	health, mean := g.healthOf(s, cl), cl.mean
-	observed := min(latency.Seconds()/mean/g.minCapacityShare(s), maxSlowdown)
+	observed := min(latency.Seconds()/mean/g.minCapacity(s), maxSlowdown)
 	switch code {
 	case OK:
 		health.errorRate *= 1 - failureWeight
@@ -105,7 +106,7 @@
 	g.publishVerdict(s)
 }
 
-// publishVerdict sends all gateways what changed for a server watched here, and repeats an ejection before it expires.
+// publishVerdict sends all gateways a watched server's changes, and repeats an ejection before it expires.
 // A verdict goes to every gateway, so all watchers together use a limited share of the message rate.
 func (g *Gateway) publishVerdict(s *server) {
 	perSecond := g.cfg.MessagesPerSecond * verdictIntakeShare / float64(max(1, len(g.serverList)))
@@ -122,12 +123,14 @@
 		return v.errorRate > ejectionThreshold || v.ejected && (!isFirst || v.errorRate > ejectionThreshold/2)
 	}
 	ejectedBits, classChanged, anyEjected, until := s.ejectionBits(isBad)
-	slowdownChanged := g.usesRoots && max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > slowdownReportFactor
+	slowdownChanged := g.usesRoots &&
+		max(s.sharedSlowdown/s.slowdown, s.slowdown/s.sharedSlowdown) > slowdownReportFactor
 	repeatDue := isFirst && anyEjected && until-g.now < verdictTTL/4
 	if s.verdictTokens < 1 || !classChanged && !slowdownChanged && !repeatDue {
 		return
 	}
-	m := serverVerdict{Server: uint32(s.ID), EjectedBits: ejectedBits, Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, minSlowdown))))}
+	m := serverVerdict{Server: uint32(s.ID), EjectedBits: ejectedBits,
+		Slowdown: toByte(16 * (4 + math.Log2(max(s.sharedSlowdown, minSlowdown))))}
 	g.applyVerdict(s, m.Slowdown, isBad)
 	if g.usesRoots {
 		s.verdictTokens--
@@ -135,18 +138,21 @@
 	}
 }
 
-// checkOverdue counts attempts far older than predicted as failed and, within the retry budget, cancels those that may
-// run elsewhere. It guards against servers that never answer; if all servers slow down at once, it adds load.
+// checkOverdue counts attempts far older than predicted as failed and, within the retry budget, cancels those
+// that may run elsewhere. This guards against servers that never answer; it adds load if all slow down.
 func (g *Gateway) checkOverdue(s *server) {
 	for _, r := range slices.Clone(s.attempts) {
-		if r.granted && r.customer.plan.MaxInFlight > 0 && (g.now-r.askedAt).Seconds() > leaseMeanLatencies/2*r.class.mean {
+		if r.granted && r.customer.plan.MaxInFlight > 0 &&
+			(g.now-r.askedAt).Seconds() > leaseMeanLatencies/2*r.class.mean {
 			r.askedAt = g.now // renews the root's lease: the attempt is still in flight
 			g.emit(SendPeer{To: r.root, Data: encode(g.askFor(r))})
 		}
-		age := (g.now - r.sentAt).Seconds() / max(g.predictLatency(s, r.class), minOverdueShare*r.class.LatencyTarget.Seconds())
+		age := (g.now - r.sentAt).Seconds() /
+			max(g.predictLatency(s, r.class), minOverdueShare*r.class.LatencyTarget.Seconds())
 		health := g.healthOf(s, r.class)
-		waitLonger := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswerFactor // if the server has answered others since
-		if age < overdueFactor || r.done || r.cancelled || r.streams || waitLonger && health != nil && health.lastOK > r.sentAt {
+		waitLonger := g.cfg.MultiService == nil || r.effect != Safe || age < lostAnswerFactor
+		if age < overdueFactor || r.done || r.cancelled || r.streams ||
+			waitLonger && health != nil && health.lastOK > r.sentAt { // the server has answered others since
 			continue
 		}
 		r.cancelled = true
--- a/policy/line.go
+++ b/policy/line.go
@@ -1,14 +1,13 @@
 package policy
 
-// The order in which waiting requests get servers, where gateways serve many services. Requests that wait
-// for the servers of one service do not block those that need another's.
+// The order in which waiting requests get servers: those for one service do not block those for another.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// willMissTarget reports whether an idle server of average speed would answer a request after its latency target.
+// willMissTarget reports whether even an idle server of average speed would answer after the latency target.
 func (g *Gateway) willMissTarget(r *request) bool {
 	return (g.now-r.arrivedAt+r.waitedBefore).Seconds()+r.class.mean > r.class.LatencyTarget.Seconds()
 }
@@ -25,8 +24,8 @@
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.arrivedAt, b.arrivedAt))
 }
 
-// mayBypassQueue reports whether a new request may be sent ahead of all waiting ones: no request of its customer
-// waits for units, and no request that precedes it waits for the same servers.
+// mayBypassQueue reports whether a new request may be sent before all waiting ones: no request of its
+// customer waits for units, and none that precedes it waits for the same servers.
 func (g *Gateway) mayBypassQueue(r *request) bool {
 	if g.cfg.MultiService == nil {
 		return len(r.customer.held) == 0
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -197,7 +197,8 @@
 
 // requestFrom returns the request that another gateway asks for.
 func (g *Gateway) requestFrom(c *customer, from int, m askMessage) *request {
-	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name], effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
+	return &request{customer: c, class: g.classes[g.cfg.Classes[m.Class].Name],
+		effect: g.cfg.Classes[m.Class].Effect, units: float64(m.Units), arrivedAt: g.now,
 		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, isRetry: m.Flags&flagRetry != 0,
 		ownCeiling: m.Flags&flagOwnCeiling != 0, remote: true, root: from, tag: m.Tag}
 }
--- a/policy/partition_test.go
+++ b/policy/partition_test.go
@@ -67,11 +67,11 @@
 		w.request(i, RequestID(100+id), "k", "rate", "safe", 50)
 		w.pass(time.Second, nil)
 	}
-	told, done := w.messageCount, len(w.sends)+w.finalAnswers
+	messagesBefore, answeredBefore := w.messageCount, len(w.sends)+w.finalAnswers
 	w.request(i, 200, "k", "rate", "safe", 50)
 	w.pass(200*ms, nil)
-	if asks := w.messageCount - told; asks > 3 || len(w.sends)+w.finalAnswers == done {
-		t.Errorf("%d messages sent, answered %v within 200 ms", asks, len(w.sends)+w.finalAnswers > done)
+	if asks := w.messageCount - messagesBefore; asks > 3 || len(w.sends)+w.finalAnswers == answeredBefore {
+		t.Errorf("%d messages sent, answered %v within 200 ms", asks, len(w.sends)+w.finalAnswers > answeredBefore)
 	}
 }
 
--- a/policy/report.go
+++ b/policy/report.go
@@ -48,7 +48,7 @@
 	inFlight   byte   // mean attempts in flight over the tick: inFlightScale times the square root, up to 15
 	held       byte   // held requests, up to maxReportedHeld
 	passed     byte   // running total of units passed, its lowest bits
-	lent       byte   // running total of the ceiling units lent to this peer, times lendPartsPerUnit
+	lent       byte   // running total of the ceiling units lent to this peer, times loanScale
 	rate       byte   // demand in units a second: rateScale * log2(1 + rate), up to maxRateCode
 	newTotal   bool   // the running total has just restarted from 0: the highest bit of the rate
 	bucketFill byte   // estimated fill of the quota's bucket, 250 when full
@@ -70,7 +70,7 @@
 	serverBytes         = 2
 	entryBytes          = 8
 	rateScale           = 8
-	lendPartsPerUnit    = 4.0 // ceiling units are lent in steps of 1/lendPartsPerUnit
+	loanScale           = 4.0 // ceiling units are lent in steps of 1/loanScale
 )
 
 // hasRoom reports whether one more customer fits into the message.
@@ -148,10 +148,10 @@
 	if outdated {
 		passed = max(0, passed)
 	} else {
-		lent = float64(e.lent-v.borrowedTotal) / lendPartsPerUnit
+		lent = float64(e.lent-v.borrowedTotal) / loanScale
 	}
 	v.reported, v.incarnation, v.passedUnits, v.borrowedTotal = true, inc, e.passed, e.lent
-	v.reportedAt, v.demand = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandTimeConstant.Seconds()
+	v.reportedAt, v.demand = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandDecay.Seconds()
 	v.inFlight, v.held = math.Pow(float64(e.inFlight)/inFlightScale, 2), float64(e.held)
 	return passed, lent, isNew
 }
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -28,7 +28,7 @@
 		e := customerEntry{hash: c.hash, held: byte(min(len(c.held), maxReportedHeld)),
 			inFlight: byte(min(math.Round(inFlightScale*math.Sqrt(c.meanInFlight)), 15)),
 			passed:   byte(c.passedUnits), lent: v.lentTotal, bucketFill: unknownFill, newTotal: g.now-c.createdAt < newTotalSpan,
-			rate: min(maxRateCode, toByte(rateScale*math.Log2(1+c.demand/demandTimeConstant.Seconds())))}
+			rate: min(maxRateCode, toByte(rateScale*math.Log2(1+c.demand/demandDecay.Seconds())))}
 		if c.bucketKnown && c.plan.Burst > 0 {
 			e.bucketFill = toByte(250 * max(c.bucket, 0) / c.plan.Burst)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -18,7 +18,7 @@
 	lentTotal     byte          // running total of ceiling units lent to the peer
 	borrowedTotal byte          // running total of ceiling units lent by the peer
 	wantedUnits   float64       // units that it may be lent now
-	demand        float64       // units requested there, decayed over demandTimeConstant
+	demand        float64       // units requested there, decayed over demandDecay
 }
 
 // peer is another gateway and what it last reported.
@@ -75,7 +75,7 @@
 	runningServers   int                 // listed servers that are running
 	meanLatency      float64             // latency of an idle server in seconds, over all classes
 	minTarget        float64             // the shortest LatencyTarget, in seconds
-	recentMessages   float64             // peer messages received, decayed over demandTimeConstant
+	recentMessages   float64             // peer messages received, decayed over demandDecay
 	answeredShare    float64             // share of asks that are answered
 	unansweredAsks   int                 // asks left unanswered since the last message of any peer
 	ownOutcomeWeight float64             // weight of an outcome seen here in a server's slowdown
--- a/policy/store.go
+++ b/policy/store.go
@@ -14,9 +14,9 @@
 	if gatewayCount = max(1, min(gatewayCount, g.cfg.Gateways)); g.cfg.MultiService != nil {
 		gatewayCount = g.cfg.Gateways // gateways may have been added since the request was read
 	}
-	c := &customer{key: key, hash: shortHash(key), plan: plan, parts: float64(gatewayCount), bucket: plan.Burst,
-		fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: firstGateway, gatewayCount: gatewayCount, refilledAt: g.now, inFlightAt: g.now,
-		createdAt: g.now}
+	c := &customer{key: key, hash: shortHash(key), plan: plan, parts: float64(gatewayCount),
+		bucket: plan.Burst, fittingShare: 1, leases: map[leaseKey]leaseEntry{}, firstGateway: firstGateway,
+		gatewayCount: gatewayCount, refilledAt: g.now, inFlightAt: g.now, createdAt: g.now}
 	if g.ceilingParts > 0 {
 		c.parts = g.ceilingDivisor(float64(g.ceilingParts))
 	}
@@ -28,7 +28,7 @@
 	} else if plan.Rate > 0 || plan.MaxInFlight > 0 {
 		c.askRoots = []int{roots[g.cfg.Me%len(roots)], deputy}
 	}
-	if g.usesRoots { // each gateway has a part of the ceiling, roots and deputy a larger one: the parts add up to it
+	if g.usesRoots { // roots and deputy have larger parts of the ceiling than others; the parts add up to it
 		ownShare := dealtCeilingShare / float64(gatewayCount)
 		if slices.Contains(roots, g.cfg.Me) {
 			ownShare += (1 - dealtCeilingShare - deputyCeilingShare) / float64(len(roots))
@@ -41,7 +41,7 @@
 	if g.usesRoots && plan.Rate > 0 && (g.now-g.startedAt).Seconds() < plan.Burst/plan.Rate {
 		c.bucket *= restartedBucketFill
 	}
-	// This part of the ceiling starts empty, but for HardInitial: after a restart it must not be granted again.
+	// This part starts empty, but for HardInitial: after a restart it must not be granted a second time.
 	c.ceiling = min(plan.HardBurst, plan.HardInitial+plan.HardRate*(g.now-g.startedAt).Seconds()) / c.parts
 	g.registerCustomer(c)
 	return c
@@ -67,7 +67,7 @@
 	}
 	c.bucket = min(c.plan.Burst, c.bucket+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.parts-c.onLoan, c.ceiling+c.plan.HardRate/c.parts*dt))
-	decay := math.Exp(-dt / demandTimeConstant.Seconds())
+	decay := math.Exp(-dt / demandDecay.Seconds())
 	c.demand, c.slotDemand = c.demand*decay, c.slotDemand*decay
 	for _, view := range c.views {
 		view.demand *= decay
@@ -87,20 +87,20 @@
 	return assumedDemandShare*c.plan.Rate + minAssumedDemand
 }
 
-// peerDemand returns a peer's demand, in units a second, for dividing the quota. A silent peer counts as much as this
-// gateway, then less, but never zero: it may be partitioned and still pass requests, or be gone.
+// peerDemand returns a peer's demand in units a second, to divide the quota by. A silent peer counts as much
+// as this gateway, then less, but never zero: it may be partitioned and still pass requests, or be gone.
 func (g *Gateway) peerDemand(c *customer, view *peerView) float64 {
 	rate := view.demand
 	if g.isSilent(view.peer) {
 		fade := math.Exp(-(g.now - max(view.peer.reportedAt, g.startedAt)).Seconds() / idleExpiry.Seconds())
 		rate = max(rate, c.demand) * (minSilentWeight + (1-minSilentWeight)*fade)
 	}
-	return rate/demandTimeConstant.Seconds() + g.assumedDemand(c)
+	return rate/demandDecay.Seconds() + g.assumedDemand(c)
 }
 
 // totalDemand returns all gateways' demand, in units a second, including this gateway's.
 func (g *Gateway) totalDemand(c *customer) float64 {
-	sum := c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)
+	sum := c.demand/demandDecay.Seconds() + g.assumedDemand(c)
 	for _, view := range c.views {
 		sum += g.peerDemand(c, view)
 	}
@@ -109,11 +109,11 @@
 
 // demandShare returns this gateway's share of the total demand.
 func (g *Gateway) demandShare(c *customer) float64 {
-	return (c.demand/demandTimeConstant.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
+	return (c.demand/demandDecay.Seconds() + g.assumedDemand(c)) / g.totalDemand(c)
 }
 
-// allowance returns how many units of the customer's bucket this gateway may pass now: its share by demand, or
-// what remains if the peers pass all their expected demand until their next reports arrive, whichever is more.
+// allowance returns how many of the bucket's units this gateway may pass now: its share by demand, or what is
+// left if the peers pass all their expected demand until their next reports arrive, whichever is more.
 func (g *Gateway) allowance(c *customer) float64 {
 	reportDelay := (g.reportInterval() + reportTransitTime).Seconds()
 	unreported := 0.0
@@ -127,15 +127,15 @@
 	return max(c.bucket*g.demandShare(c), c.bucket-unreported)
 }
 
-// lend gives peers what this gateway does not need of its part of the ceiling and they need beyond theirs.
-// Loans are deducted here before the peer adds them, a part never exceeds its even share, and units lost
-// in transit are not restored: all parts together stay below the ceiling.
+// lend gives peers what they need beyond their part of the ceiling and this gateway does not need of its own.
+// The parts' sum stays below the ceiling: loans are deducted here before they are added there, lost ones
+// are not restored, and no part exceeds an even share.
 func (g *Gateway) lend(c *customer, dt time.Duration) {
 	if c.plan.HardRate == 0 || len(c.views) == 0 || g.usesRoots || g.unusedShare >= 1 {
 		return
 	}
 	g.advance(c)
-	if c.onLoan *= math.Exp(-dt.Seconds() / loanTransitTime.Seconds()); c.onLoan < 1/lendPartsPerUnit/16 {
+	if c.onLoan *= math.Exp(-dt.Seconds() / loanTransitTime.Seconds()); c.onLoan < 1/loanScale/16 {
 		c.onLoan = 0
 	}
 	fairRate, wanted := c.plan.HardRate/c.parts, 0.0
@@ -145,15 +145,15 @@
 	for _, view := range c.views {
 		view.wantedUnits = 0
 		if !g.isSilent(view.peer) {
-			view.wantedUnits = max(0, view.demand/demandTimeConstant.Seconds()-fairRate) * dt.Seconds() * maxLoanFactor
+			view.wantedUnits = max(0, view.demand/demandDecay.Seconds()-fairRate) * dt.Seconds() * maxLoan
 		}
 		wanted += view.wantedUnits
 	}
-	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandTimeConstant.Seconds()*unlentDemandSpan.Seconds()
-	for _, view := range c.views {
-		loan := min(lendPartsPerUnit*30, math.Floor(lendPartsPerUnit*view.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
-		view.lentTotal += byte(loan)
-		c.ceiling, c.onLoan = c.ceiling-loan/lendPartsPerUnit, c.onLoan+loan/lendPartsPerUnit
+	spare := c.ceiling - g.cfg.MaxRequestUnits - c.demand/demandDecay.Seconds()*unlentDemandSpan.Seconds()
+	for _, v := range c.views {
+		loan := min(loanScale*30, math.Floor(loanScale*v.wantedUnits*min(1, max(0, spare)/max(wanted, 1e-9))))
+		v.lentTotal += byte(loan)
+		c.ceiling, c.onLoan = c.ceiling-loan/loanScale, c.onLoan+loan/loanScale
 		if loan > 0 {
 			c.reportsLeft = max(c.reportsLeft, 1)
 		}
--- a/policy/trust.go
+++ b/policy/trust.go
@@ -8,8 +8,8 @@
 	return level <= Suspect || level == SafeOnly && r.effect == Safe || s.mayTakeTrial(r)
 }
 
-// mayTakeTrial reports whether a request may be sent to a server as a trial, as its first attempt. A server that gets
-// trials only is tested with requests that may run again; one for safe requests only, with those that must not.
+// mayTakeTrial reports whether a request's first attempt may be a server's trial: one that gets only trials
+// is tested with requests that may run again, one for safe requests only with those that must not.
 func (s *server) mayTakeTrial(r *request) bool {
 	return s.trust.Trial && r.attempts == 0 && (r.effect == Safe) == (s.trust.Level == TrialsOnly)
 }
--- a/policy/wide.go
+++ b/policy/wide.go
@@ -1,7 +1,7 @@
 package policy
 
-// Borrowing, for so many gateways that not all can report to all: where a customer's ceiling is too small to divide
-// among all gateways, a few owners near each gateway hold it, and the others borrow units for each request.
+// Borrowing, where gateways are too many to report to all: if a customer's ceiling is too small to divide,
+// a few owners near each gateway hold it, and the other gateways borrow units for each request.
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// assignCeilingPart finds a customer's owners and sets this gateway's part of the ceiling. All parts add up to one
-// ceiling even if messages are lost: an owner deducts what it lends before the borrower receives it.
+// assignCeilingPart finds a customer's owners and sets this gateway's part of the ceiling. All parts add up
+// to the ceiling even if messages are lost: an owner deducts what it lends before the borrower receives it.
 func (g *Gateway) assignCeilingPart(c *customer) {
 	owners, isOwner := 0, false
 	c.owners = nil // owners of this gateway's region come first
@@ -56,7 +56,8 @@
 		to := r.customer.owners[r.askCount]
 		r.askCount++
 		p := g.peerAt(to)
-		if to == g.cfg.Me || p.missed >= maxRootAsks && g.now-p.missedAt < unresponsivePause || !g.borrows && g.pastLoanDeadline(r) {
+		if to == g.cfg.Me || p.missed >= rootAsks && g.now-p.missedAt < peerPause ||
+			!g.borrows && g.pastLoanDeadline(r) {
 			continue
 		}
 		g.nextTag++
