--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -12,8 +12,8 @@
 func (l *loop) decide(ev policy.Event) {
 	l.queue = append(l.queue[:0], ev)
 	for i := 0; i < len(l.queue); i++ {
-		l.acts = l.gateway.Handle(l.clock.now(), l.queue[i], l.acts[:0])
-		for _, a := range l.acts {
+		l.actions = l.gateway.Handle(l.clock.now(), l.queue[i], l.actions[:0])
+		for _, a := range l.actions {
 			l.execute(a)
 		}
 	}
@@ -23,40 +23,40 @@
 func (l *loop) execute(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		l.send(a)
+		l.sendAttempt(a)
 	case policy.Cancel:
-		if c := l.calls[a.ID]; c != nil && c.inFlight != nil && c.inFlight.num == a.Attempt {
+		if c := l.requests[a.ID]; c != nil && c.inFlight != nil && c.inFlight.num == a.Attempt {
 			c.inFlight.recall()
 		}
 	case policy.Refuse:
-		if c := l.calls[a.ID]; c != nil {
+		if c := l.requests[a.ID]; c != nil {
 			l.finish(c, command{refused: true, retryAfter: a.RetryAfter, overQuota: a.OverQuota})
 		}
 	case policy.Fail:
-		if c := l.calls[a.ID]; c != nil {
+		if c := l.requests[a.ID]; c != nil {
 			l.finish(c, command{})
 		}
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{at: l.clock.now() + max(0, a.After), token: a.Token})
 	case policy.SendPeer:
-		if l.tell != nil {
-			l.tell(a.To, a.Data)
+		if l.sendPeer != nil {
+			l.sendPeer(a.To, a.Data)
 		}
 	case policy.Watch:
 		// The server list is watched from the start, whether or not the gateway asks for it.
 	case policy.OfferUnits:
-		if l.give != nil {
-			l.give(a)
+		if l.onUnitsOffered != nil {
+			l.onUnitsOffered(a)
 		}
 	case policy.Log:
 		slog.Info(a.Text)
 	}
 }
 
-// send starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or is past
+// sendAttempt starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or is past
 // its deadline, nothing is sent and the gateway receives an outcome without a retry.
-func (l *loop) send(s policy.Send) {
-	c, now := l.calls[s.ID], l.clock.now()
+func (l *loop) sendAttempt(s policy.Send) {
+	c, now := l.requests[s.ID], l.clock.now()
 	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
 	if c != nil {
 		notSent.Attempt = c.attempts
--- a/internal/dataplane/node/answers_fault_test.go
+++ b/internal/dataplane/node/answers_fault_test.go
@@ -15,7 +15,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-// Each planted fault breaks the property that is for it.
+// Each injected fault breaks the property that is meant to detect it.
 func TestAnswersDetectInjectedFaults(t *testing.T) {
 	pair := [][]clientStep{{stepRead, stepAwait, stepWrite, stepAwait}, {stepWrite, stepAwait, stepRead, stepAwait}}
 	many := [][]clientStep{slices.Repeat([]clientStep{stepWrite, stepAwait}, 9)}
@@ -24,18 +24,18 @@
 		script
 		property string
 	}{
-		faultForeignBody:       {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultForeignID:         {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultNoID:              {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultAnswerTwice:       {script{clients: pair, acts: []serverAct{actServe}}, "own: "},
-		faultFailureAsSuccess:  {script{clients: pair, acts: []serverAct{actFail}}, "own: "},
-		faultSendTwice:         {script{clients: pair, acts: []serverAct{actServe}}, "once: "},
-		faultFailureAsRefusal:  {script{clients: pair, acts: []serverAct{actReset}}, "promise: "},
-		faultAnswerLost:        {script{clients: pair, acts: []serverAct{actServe}}, "answer: "},
-		faultCloseEarly:        {script{clients: pair, acts: []serverAct{actServe}}, "answer: "},
-		faultHideTrailingBytes: {script{clients: many, acts: []serverAct{actTwice}}, "spoilt: "},
-		faultHideLeadingBytes:  {script{clients: many, acts: []serverAct{actStrayBefore}}, "spoilt: "},
-		faultHideDisconnect:    {script{clients: leaves, acts: []serverAct{actWork}}, "left: "},
+		faultForeignBody:       {script{clients: pair, serverActs: []serverAct{actServe}}, "own: "},
+		faultForeignID:         {script{clients: pair, serverActs: []serverAct{actServe}}, "own: "},
+		faultNoID:              {script{clients: pair, serverActs: []serverAct{actServe}}, "own: "},
+		faultAnswerTwice:       {script{clients: pair, serverActs: []serverAct{actServe}}, "own: "},
+		faultFailureAsSuccess:  {script{clients: pair, serverActs: []serverAct{actFail}}, "own: "},
+		faultSendTwice:         {script{clients: pair, serverActs: []serverAct{actServe}}, "once: "},
+		faultFailureAsRefusal:  {script{clients: pair, serverActs: []serverAct{actReset}}, "promise: "},
+		faultAnswerLost:        {script{clients: pair, serverActs: []serverAct{actServe}}, "answer: "},
+		faultCloseEarly:        {script{clients: pair, serverActs: []serverAct{actServe}}, "answer: "},
+		faultHideTrailingBytes: {script{clients: many, serverActs: []serverAct{actTwice}}, "damaged: "},
+		faultHideLeadingBytes:  {script{clients: many, serverActs: []serverAct{actStrayBefore}}, "damaged: "},
+		faultHideDisconnect:    {script{clients: leaves, serverActs: []serverAct{actWork}}, "left: "},
 	} {
 		t.Run(fault, func(t *testing.T) {
 			assert.Equal(t, (&answersScenario{script: x.script}).run(t, ""), "")
@@ -45,7 +45,7 @@
 	}
 }
 
-// Faults that a test plants between the node and its network.
+// Faults that a test injects between the proxy and its network.
 const (
 	faultForeignBody       = "another's body to the client"
 	faultForeignID         = "another's id to the client"
@@ -55,19 +55,19 @@
 	faultFailureAsRefusal  = "a failure as a refusal to the client"
 	faultAnswerLost        = "an answer lost before the client"
 	faultCloseEarly        = "the client's connection closed in place of an answer"
-	faultHideDisconnect    = "a client's end not seen"
+	faultHideDisconnect    = "a client's disconnect hidden"
 	faultSendTwice         = "a request sent to two servers"
-	faultHideTrailingBytes = "bytes behind an answer not seen"
-	faultHideLeadingBytes  = "bytes before an answer not seen"
+	faultHideTrailingBytes = "bytes after an answer hidden"
+	faultHideLeadingBytes  = "bytes before an answer hidden"
 )
 
-// faultyWorld is a network that plants a fault in the node's connections.
-type faultyWorld struct {
+// faultyNetwork is a network that injects a fault into the proxy's connections.
+type faultyNetwork struct {
 	*sim.Net
 	fault string
 }
 
-func (w *faultyWorld) Listen(ctx context.Context, network, address string) (net.Listener, error) {
+func (w *faultyNetwork) Listen(ctx context.Context, network, address string) (net.Listener, error) {
 	ln, err := w.Net.Listen(ctx, network, address)
 	if w.fault == "" || err != nil {
 		return ln, err
@@ -75,7 +75,7 @@
 	return &faultyListener{ln, w}, nil
 }
 
-func (w *faultyWorld) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (w *faultyNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := w.Net.Dial(ctx, network, address)
 	if w.fault == "" || err != nil {
 		return c, err
@@ -85,7 +85,7 @@
 
 type faultyListener struct {
 	net.Listener
-	w *faultyWorld
+	world *faultyNetwork
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
@@ -93,13 +93,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &faultyClientConn{faultyConn{c, l.w}}, nil
+	return &faultyClientConn{faultyConn{c, l.world}}, nil
 }
 
-// faultyConn passes on what the simulated network's connections have beyond net.Conn.
+// faultyConn forwards the methods that connections of the simulated network have beyond net.Conn.
 type faultyConn struct {
 	net.Conn
-	w *faultyWorld
+	world *faultyNetwork
 }
 
 func (c *faultyConn) CloseWrite() error { return c.Conn.(interface{ CloseWrite() error }).CloseWrite() }
@@ -108,7 +108,7 @@
 }
 func (c *faultyConn) Peek() world.Peeked { return world.Peek(c.Conn) }
 
-// faultyClientConn is a client's connection, as the node holds it.
+// faultyClientConn is the proxy's end of a client's connection.
 type faultyClientConn struct{ faultyConn }
 
 func (c *faultyClientConn) Write(b []byte) (int, error) {
@@ -116,7 +116,7 @@
 	if !strings.HasPrefix(text, "HTTP/1.1 ") {
 		return c.Conn.Write(b)
 	}
-	switch c.w.fault {
+	switch c.world.fault {
 	case faultForeignBody:
 		text = strings.Replace(text, "yes id", "yes ix", 1)
 	case faultForeignID:
@@ -141,45 +141,45 @@
 
 func (c *faultyClientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if err == io.EOF && c.w.fault == faultHideDisconnect {
+	if err == io.EOF && c.world.fault == faultHideDisconnect {
 		time.Sleep(2 * time.Second)
 	}
 	return n, err
 }
 
 func (c *faultyClientConn) Peek() world.Peeked {
-	if c.w.fault == faultHideDisconnect {
+	if c.world.fault == faultHideDisconnect {
 		return world.PeekQuiet
 	}
 	return world.Peek(c.Conn)
 }
 
-// faultyServerConn is a connection to a server.
+// faultyServerConn is the proxy's connection to a server.
 type faultyServerConn struct {
 	faultyConn
 	address string
 }
 
 func (c *faultyServerConn) Write(b []byte) (int, error) {
-	if c.w.fault == faultSendTwice {
-		if again, err := c.w.Net.Dial(context.Background(), "tcp", c.address); err == nil {
+	if c.world.fault == faultSendTwice {
+		if again, err := c.world.Net.Dial(context.Background(), "tcp", c.address); err == nil {
 			_, _ = again.Write(b)
 		}
 	}
 	return c.Conn.Write(b)
 }
 
-// Read hides what does not belong to the answer; the stand-ins write in one piece what they write.
+// Read hides bytes that do not belong to the answer. It relies on test servers writing each response in one piece.
 func (c *faultyServerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	text := string(b[:n])
-	switch c.w.fault {
+	switch c.world.fault {
 	case faultHideTrailingBytes:
 		if i := strings.LastIndex(text, "HTTP/1.1 "); i > 0 {
 			text = text[:i]
 		}
 	case faultHideLeadingBytes:
-		text = strings.TrimPrefix(text, otherBody)
+		text = strings.TrimPrefix(text, foreignAnswer)
 	}
 	return copy(b, text), err
 }
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -23,7 +23,7 @@
 const (
 	actServe serverAct = iota
 	actServeLate
-	actWork // for longer than clients stay; it ends with its connection
+	actWork // works for longer than clients wait; stops when its connection closes
 	actServeUnsized
 	actInterim
 	actStrayBefore
@@ -38,10 +38,10 @@
 	serverActCount
 )
 
-// mayRun tells whether a request may have run at a server that acts so.
+// mayRun reports whether the request may have run at a server that acts like this.
 func (a serverAct) mayRun() bool { return a != actNotRun && a != actMisdirected }
 
-// sendsExtraBytes tells whether the connection carries bytes that belong to no request.
+// sendsExtraBytes reports whether the server sends bytes that belong to no request's answer.
 func (a serverAct) sendsExtraBytes() bool {
 	return a == actStrayBefore || a == actStrayAfter || a == actTwice
 }
@@ -50,9 +50,9 @@
 type clientStep int
 
 const (
-	stepRead  clientStep = iota // send a request that may be repeated
-	stepWrite                   // send one that may run once
-	stepAwait                   // until all answers have come
+	stepRead  clientStep = iota // send an idempotent request
+	stepWrite                   // send a request that must run at most once
+	stepAwait                   // wait for all answers
 	stepPause
 	stepReset
 	stepClose
@@ -60,12 +60,12 @@
 	clientStepCount
 )
 
-// script is one play: what clients and servers do, and when the node reloads and stops.
+// script determines one run: what clients and servers do, and when the proxy reloads and stops.
 type script struct {
-	clients [][]clientStep
-	acts    []serverAct
-	reload  time.Duration // 0: never
-	stop    time.Duration // 0: never
+	clients    [][]clientStep
+	serverActs []serverAct
+	reload     time.Duration // 0: never
+	stop       time.Duration // 0: never
 }
 
 func drawScript(t *rapid.T) script {
@@ -75,21 +75,21 @@
 	act := rapid.Custom(func(t *rapid.T) serverAct { return serverAct(rapid.IntRange(0, int(serverActCount)-1).Draw(t, "act")) })
 	when := rapid.SampledFrom([]time.Duration{0, 0, 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond})
 	return script{
-		clients: rapid.SliceOfN(rapid.SliceOfN(step, 1, 7), 1, 3).Draw(t, "clients"),
-		acts:    rapid.SliceOfN(act, 1, 10).Draw(t, "acts"),
-		reload:  when.Draw(t, "reload"),
-		stop:    when.Draw(t, "stop"),
+		clients:    rapid.SliceOfN(rapid.SliceOfN(step, 1, 7), 1, 3).Draw(t, "clients"),
+		serverActs: rapid.SliceOfN(act, 1, 10).Draw(t, "acts"),
+		reload:     when.Draw(t, "reload"),
+		stop:       when.Draw(t, "stop"),
 	}
 }
 
-// sentRequest is a request as its client knows it.
+// sentRequest is a request as recorded by its client.
 type sentRequest struct {
-	id     string
-	repeat bool
-	at     time.Time
+	id         string
+	idempotent bool
+	at         time.Time
 }
 
-// observedAttempt is an attempt as its server knows it.
+// observedAttempt is an attempt as recorded by its server.
 type observedAttempt struct {
 	id        string
 	act       serverAct
@@ -97,18 +97,18 @@
 	at, ended time.Time
 }
 
-// observedClient is what one client did and got.
+// observedClient records what one client sent and received.
 type observedClient struct {
 	sent           []sentRequest
-	answers        []*answered
-	left           time.Time // zero: it stayed
-	pendingAnswers int       // answers that had not come then
+	answers        []*timedAnswer
+	disconnectedAt time.Time // when it disconnected; zero: it stayed connected
+	pendingAnswers int       // answers outstanding at that time
 }
 
-// answersScenario plays a script and keeps what both sides saw.
+// answersScenario runs a script and records what clients and servers observe.
 type answersScenario struct {
 	script
-	r        *rig
+	rig      *managedFixture
 	mu       sync.Mutex
 	attempts []*observedAttempt
 	clients  []*observedClient
@@ -118,24 +118,24 @@
 	workDuration  = 1200 * time.Millisecond
 	lateDelay     = 200 * time.Millisecond
 	pauseDuration = 40 * time.Millisecond
-	maxEndDelay   = 500 * time.Millisecond // work for one who has left
+	maxEndDelay   = 500 * time.Millisecond // limit for work after its client disconnected
 )
 
-// serve is one attempt at a server.
+// serve handles one attempt at a server.
 func (p *answersScenario) serve(c net.Conn, q *standin.Request) bool {
 	id := q.Header.Get("Attempt-Id")
 	p.mu.Lock()
-	a := &observedAttempt{id: id, act: p.acts[len(p.attempts)%len(p.acts)], conn: c, at: time.Now()}
+	a := &observedAttempt{id: id, act: p.serverActs[len(p.attempts)%len(p.serverActs)], conn: c, at: time.Now()}
 	p.attempts = append(p.attempts, a)
 	p.mu.Unlock()
-	goesOn := p.act(c, a)
+	goesOn := p.answerAs(c, a)
 	p.mu.Lock()
 	a.ended = time.Now()
 	p.mu.Unlock()
 	return goesOn
 }
 
-func (p *answersScenario) act(c net.Conn, a *observedAttempt) bool {
+func (p *answersScenario) answerAs(c net.Conn, a *observedAttempt) bool {
 	own := "HTTP/1.1 200 OK\r\nAttempt-Id: " + a.id + "\r\nServer-Seal: s\r\n"
 	body := "yes " + a.id
 	whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", own, len(body), body)
@@ -156,9 +156,9 @@
 	case actInterim:
 		text = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + whole
 	case actStrayBefore:
-		text = otherBody + whole
+		text = foreignAnswer + whole
 	case actStrayAfter:
-		text = whole + otherBody
+		text = whole + foreignAnswer
 	case actTwice:
 		text = whole + whole
 	case actFail:
@@ -178,9 +178,9 @@
 	return err == nil && goesOn
 }
 
-// client plays one client.
+// client runs the steps of one client.
 func (p *answersScenario) client(seen *observedClient, steps []clientStep) {
-	c := p.r.dial()
+	c := p.rig.dial()
 	defer c.Close()
 	read := make(chan struct{})
 	go func() {
@@ -191,8 +191,8 @@
 		switch step {
 		case stepRead, stepWrite:
 			p.mu.Lock()
-			text := wired(map[clientStep]string{stepRead: "/get/", stepWrite: "/act/"}[step], "")
-			seen.sent = append(seen.sent, sentRequest{fmt.Sprint("id", nextID), step == stepRead, time.Now()})
+			text := requestText(map[clientStep]string{stepRead: "/get/", stepWrite: "/act/"}[step], "")
+			seen.sent = append(seen.sent, sentRequest{fmt.Sprint("id", nextAttemptID), step == stepRead, time.Now()})
 			p.mu.Unlock()
 			if _, err := io.WriteString(c, text); err != nil {
 				return
@@ -203,7 +203,7 @@
 			time.Sleep(pauseDuration)
 		default:
 			p.mu.Lock()
-			seen.left, seen.pendingAnswers = time.Now(), len(seen.sent)-len(seen.answers)
+			seen.disconnectedAt, seen.pendingAnswers = time.Now(), len(seen.sent)-len(seen.answers)
 			p.mu.Unlock()
 			disconnects[map[clientStep]string{stepReset: "reset", stepClose: "close", stepHalfClose: "half"}[step]](c)
 			if step != stepHalfClose {
@@ -216,13 +216,14 @@
 	p.await(seen)
 }
 
-// await waits until all that was sent is answered, or no answer can come any more: each request has 1.5 s.
+// await waits until all requests of the client are answered or their time is over: each request has 1.5 s, and await allows 2 s
+// for each.
 func (p *answersScenario) await(seen *observedClient) {
 	for range 200 * len(seen.sent) {
 		p.mu.Lock()
-		over := len(seen.answers) >= len(seen.sent)
+		done := len(seen.answers) >= len(seen.sent)
 		p.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -241,17 +242,17 @@
 			return
 		}
 		p.mu.Lock()
-		seen.answers = append(seen.answers, &answered{Response: resp, body: string(body)})
+		seen.answers = append(seen.answers, &timedAnswer{Response: resp, body: string(body)})
 		p.mu.Unlock()
 	}
 }
 
-// run carries the script out, and says which property is broken first; empty: none.
+// run executes the script and describes the first property that is broken, or returns an empty string.
 func (p *answersScenario) run(t *testing.T, fault string) (broken string) {
-	world := func(n *sim.Net) world.World { return &faultyWorld{Net: n, fault: fault} }
-	playIn(t, false, world, func(r *rig) {
-		p.r, r.acts = r, []act{p.serve}
-		r.tell()
+	world := func(n *sim.Net) world.World { return &faultyNetwork{Net: n, fault: fault} }
+	runManagedIn(t, false, world, func(r *managedFixture) {
+		p.rig, r.behaviors = r, []serverBehavior{p.serve}
+		r.configure()
 		var all sync.WaitGroup
 		for _, steps := range p.script.clients {
 			seen := &observedClient{}
@@ -259,7 +260,7 @@
 			all.Go(func() { p.client(seen, steps) })
 		}
 		if p.reload > 0 {
-			all.Go(func() { time.Sleep(p.reload); r.configuration() })
+			all.Go(func() { time.Sleep(p.reload); r.applyConfiguration() })
 		}
 		if p.stop > 0 {
 			all.Go(func() { time.Sleep(p.stop); r.stop() })
@@ -282,7 +283,8 @@
 	return ""
 }
 
-// ownAnswers: each client gets the answers to its requests in their order, and a success only as its server gave it.
+// ownAnswers checks that each client gets the answers to its own requests, in order, and a success only exactly as its server
+// sent it.
 func (p *answersScenario) ownAnswers() string {
 	for _, c := range p.clients {
 		if len(c.answers) > len(c.sent) {
@@ -301,7 +303,7 @@
 	return ""
 }
 
-func (p *answersScenario) runs(id string) (n int) {
+func (p *answersScenario) runCount(id string) (n int) {
 	for _, a := range p.attempts {
 		if a.id == id && a.act.mayRun() {
 			n++
@@ -310,11 +312,11 @@
 	return n
 }
 
-// runsOnce: what may run once is at one server at most, unless it is proven not to have run.
+// runsOnce checks that a request which must run at most once may have run at one server only.
 func (p *answersScenario) runsOnce() string {
 	for _, c := range p.clients {
 		for _, s := range c.sent {
-			if n := p.runs(s.id); !s.repeat && n > 1 {
+			if n := p.runCount(s.id); !s.idempotent && n > 1 {
 				return fmt.Sprintf("once: %s ran %d times", s.id, n)
 			}
 		}
@@ -322,13 +324,13 @@
 	return ""
 }
 
-// refusesOnlyUnexecuted: a refusal of the node's own is given only where nothing has run.
+// refusesOnlyUnexecuted checks that the proxy's own refusals are given only to requests that have not run.
 func (p *answersScenario) refusesOnlyUnexecuted() string {
 	for _, c := range p.clients {
 		for i, a := range c.answers {
 			switch a.StatusCode {
 			case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-				if id := c.sent[i].id; p.runs(id) > 0 {
+				if id := c.sent[i].id; p.runCount(id) > 0 {
 					return fmt.Sprintf("promise: %s is refused with %d and ran", id, a.StatusCode)
 				}
 			}
@@ -337,11 +339,12 @@
 	return ""
 }
 
-// answersAll: who stays gets a final answer to each request, up to one that ends the connection; what follows that one
-// has not run. While the node stops, a request that crosses the end of its connection has not run either.
+// answersAll checks that a client that stays connected gets a final answer to each request, up to an answer that closes the
+// connection, and that requests after that one have not run. While the proxy stops, a request sent as its connection is being
+// closed must not have run either.
 func (p *answersScenario) answersAll() string {
 	for _, c := range p.clients {
-		if !c.left.IsZero() {
+		if !c.disconnectedAt.IsZero() {
 			continue
 		}
 		n := len(c.answers)
@@ -350,7 +353,7 @@
 			return fmt.Sprintf("answer: %d of %d requests are answered", n, len(c.sent))
 		}
 		for _, s := range c.sent[n:] {
-			if p.runs(s.id) > 0 {
+			if p.runCount(s.id) > 0 {
 				return fmt.Sprintf("answer: %s ran and is not answered", s.id)
 			}
 		}
@@ -358,31 +361,32 @@
 	return ""
 }
 
-// dropsDamagedConnections: no connection that has carried a byte too many gets another request.
+// dropsDamagedConnections checks that a connection that has carried extra bytes gets no further request.
 func (p *answersScenario) dropsDamagedConnections() string {
-	spoilt := map[net.Conn]string{}
+	damaged := map[net.Conn]string{}
 	for _, a := range p.attempts {
-		if by := spoilt[a.conn]; by != "" {
-			return fmt.Sprintf("spoilt: %s goes to a connection that %s left bytes on", a.id, by)
+		if id := damaged[a.conn]; id != "" {
+			return fmt.Sprintf("damaged: %s is sent on a connection on which %s left extra bytes", a.id, id)
 		}
 		if a.act.sendsExtraBytes() {
-			spoilt[a.conn] = a.id
+			damaged[a.conn] = a.id
 		}
 	}
 	return ""
 }
 
-// stopsWorkForDisconnectedClients: repeatable work of a client that closed its connection ends soon. A client's end behind bytes that
-// it sent ahead is not seen yet (docs/ROADMAP.md), so only clients that were owed one answer are looked at.
+// stopsWorkForDisconnectedClients checks that work on an idempotent request ends soon after its client closes the connection.
+// The proxy does not yet detect a close that follows pipelined bytes (docs/ROADMAP.md), so only clients with exactly one
+// answer outstanding are checked.
 func (p *answersScenario) stopsWorkForDisconnectedClients() string {
 	for _, c := range p.clients {
-		if c.left.IsZero() || c.pendingAnswers != 1 {
+		if c.disconnectedAt.IsZero() || c.pendingAnswers != 1 {
 			continue
 		}
 		for _, s := range c.sent[len(c.sent)-1:] {
 			for _, a := range p.attempts {
-				if a.id == s.id && s.repeat && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.left) > maxEndDelay) {
-					return fmt.Sprintf("left: %s is worked on %v after its client left", s.id, a.ended.Sub(c.left))
+				if a.id == s.id && s.idempotent && a.act == actWork && (a.ended.IsZero() || a.ended.Sub(c.disconnectedAt) > maxEndDelay) {
+					return fmt.Sprintf("left: %s is worked on %v after its client disconnected", s.id, a.ended.Sub(c.disconnectedAt))
 				}
 			}
 		}
@@ -390,7 +394,7 @@
 	return ""
 }
 
-// Whatever clients and servers do, at whatever step the node reloads or stops: answers go to the right caller, once.
+// For random scripts of clients, servers, reloads and stops, each answer goes to the right client, once.
 func TestAnswersProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScript(rt)
--- a/internal/dataplane/node/asked.go
+++ b/internal/dataplane/node/asked.go
@@ -43,53 +43,53 @@
 
 // countSnapshot holds the total count of each route at one time.
 type countSnapshot struct {
-	at     time.Duration
-	counts []uint32
+	takenAt time.Duration
+	counts  []uint32
 }
 
 // countRecent returns the last minute's requests by route, or nil if there is no configuration yet. The counts cover a whole
 // minute only if it is called about every requestCountInterval.
-func (m *requestCounter) countRecent(t *tilled, now time.Duration) *RequestCounts {
-	if t == nil {
+func (m *requestCounter) countRecent(current *tilled, now time.Duration) *RequestCounts {
+	if current == nil {
 		return nil
 	}
-	latest := countSnapshot{now, make([]uint32, len(t.configuration.Routes))}
-	for i := range t.configuration.Routes {
-		latest.counts[i] = t.routes[&t.configuration.Routes[i]].requests.Load()
+	latest := countSnapshot{now, make([]uint32, len(current.configuration.Routes))}
+	for i := range current.configuration.Routes {
+		latest.counts[i] = current.routes[&current.configuration.Routes[i]].requests.Load()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.current != t {
-		m.current, m.snapshots = t, nil
+	if m.current != current {
+		m.current, m.snapshots = current, nil
 	}
-	for len(m.snapshots) > 1 && now-m.snapshots[1].at >= requestCountWindow {
+	for len(m.snapshots) > 1 && now-m.snapshots[1].takenAt >= requestCountWindow {
 		m.snapshots = m.snapshots[1:]
 	}
-	a := &RequestCounts{Gen: t.configuration.Gen}
+	counts := &RequestCounts{Gen: current.configuration.Gen}
 	if len(m.snapshots) > 0 {
 		oldest := m.snapshots[0]
-		a.Span = now - oldest.at
+		counts.Span = now - oldest.takenAt
 		for i, n := range latest.counts {
 			if n -= oldest.counts[i]; n > 0 {
-				a.Routes = append(a.Routes, RouteRequests{uint32(i), n})
+				counts.Routes = append(counts.Routes, RouteRequests{uint32(i), n})
 			}
 		}
 	}
-	if n := len(m.snapshots); n == 0 || now-m.snapshots[n-1].at >= requestCountInterval {
+	if n := len(m.snapshots); n == 0 || now-m.snapshots[n-1].takenAt >= requestCountInterval {
 		m.snapshots = append(m.snapshots, latest)
 	}
-	if len(a.Routes) > maxCountedRoutes {
-		slices.SortStableFunc(a.Routes, func(x, y RouteRequests) int { return cmp.Compare(y.Requests, x.Requests) })
-		for _, r := range a.Routes[maxCountedRoutes:] {
-			a.OtherRequests += r.Requests
+	if len(counts.Routes) > maxCountedRoutes {
+		slices.SortStableFunc(counts.Routes, func(x, y RouteRequests) int { return cmp.Compare(y.Requests, x.Requests) })
+		for _, r := range counts.Routes[maxCountedRoutes:] {
+			counts.OtherRequests += r.Requests
 		}
-		a.Routes = a.Routes[:maxCountedRoutes]
-		slices.SortFunc(a.Routes, func(x, y RouteRequests) int { return cmp.Compare(x.Route, y.Route) })
+		counts.Routes = counts.Routes[:maxCountedRoutes]
+		slices.SortFunc(counts.Routes, func(x, y RouteRequests) int { return cmp.Compare(x.Route, y.Route) })
 	}
-	return a
+	return counts
 }
 
 // RequestCounts returns the last minute's requests by route, or nil if there is no configuration yet.
-func (e *Estate) RequestCounts() *RequestCounts {
-	return e.minute.countRecent(e.estate.tilled.Load(), e.node.server.clock.now())
+func (e *ManagedNode) RequestCounts() *RequestCounts {
+	return e.requests.countRecent(e.managed.tilled.Load(), e.node.server.clock.now())
 }
--- a/internal/dataplane/node/bench_test.go
+++ b/internal/dataplane/node/bench_test.go
@@ -22,7 +22,7 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// countingNetwork is the machine's network, on which calls are counted.
+// countingNetwork is the machine's network; it counts reads and writes.
 type countingNetwork struct {
 	world.Real
 	writes, reads atomic.Int64
@@ -69,7 +69,7 @@
 	return countingConn{c.(*net.TCPConn), w}, nil
 }
 
-// What a request with a short body costs at an edge node, client and server included.
+// BenchmarkShortBody measures a request with a short body through a proxy, including its client and server.
 func BenchmarkShortBody(b *testing.B) {
 	for _, n := range []int{4, 1000, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchBody(b, n) })
@@ -133,7 +133,7 @@
 	b.ReportMetric(float64(w.reads.Load()-reads)/float64(b.N), "reads/op")
 }
 
-// What an edge node holds for each of many long bodies that stand still on their way.
+// BenchmarkLongBodiesHeld measures the memory that a proxy uses for each of many long bodies whose transfer has stalled.
 func BenchmarkLongBodiesHeld(b *testing.B) {
 	const open, size = 300, 4 << 20
 	for name, heads := range map[string][2]string{
@@ -158,7 +158,7 @@
 							defer c.Close()
 							q, err := http.ReadRequest(bufio.NewReaderSize(c, 256))
 							if err != nil || heads[1] == "" {
-								time.Sleep(5 * time.Second) // it takes no more
+								time.Sleep(5 * time.Second) // stops reading
 								return
 							}
 							_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n%s", q.Header.Get(fieldID), heads[1])
@@ -170,11 +170,11 @@
 				var before runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				var all []net.Conn
+				var clients []net.Conn
 				for i := range open {
 					c, err := net.Dial("tcp", e.Addr().String())
 					assert.NilError(b, err)
-					all = append(all, c)
+					clients = append(clients, c)
 					go func() {
 						_, _ = fmt.Fprintf(c, "POST /act/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: n%d\r\nX-Api-Key: k1\r\n%s", i, heads[0])
 						if heads[1] == "" {
@@ -182,13 +182,13 @@
 						}
 					}()
 				}
-				time.Sleep(2500 * time.Millisecond) // they may stop for 3 s
+				time.Sleep(2500 * time.Millisecond) // shorter than the 3 s for which a body may stall
 				runtime.GC()
 				runtime.ReadMemStats(&held)
 				used := held.HeapAlloc + held.StackInuse - before.HeapAlloc - before.StackInuse
 				b.ReportMetric(float64(used)/open/1024, "KB/body")
 				b.ReportMetric(float64(e.node.upstream.open), "out")
-				for _, c := range all {
+				for _, c := range clients {
 					c.Close()
 				}
 				ln.Close()
@@ -198,19 +198,19 @@
 	}
 }
 
-// startBenchmarkProxy is an edge node before one server.
-func startBenchmarkProxy(b *testing.B, w world.World, server string) (e *Estate, end func()) {
-	e, err := NewEstate(EstateConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 4100,
+// startBenchmarkProxy starts a managed proxy with one server.
+func startBenchmarkProxy(b *testing.B, w world.World, server string) (e *ManagedNode, end func()) {
+	e, err := NewManagedNode(ManagedConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 4100,
 		World: w, Regions: map[string]string{"a": "r"}, Grace: time.Second, RetryRatio: 1, RetrySlack: 100})
 	assert.NilError(b, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
-	p, err := routeconfig.Parse([]byte(strings.ReplaceAll(estateConfiguration, `"timeout_ms":2000`, `"timeout_ms":30000`)))
+	p, err := routeconfig.Parse([]byte(strings.ReplaceAll(managedConfiguration, `"timeout_ms":2000`, `"timeout_ms":30000`)))
 	assert.NilError(b, err)
-	e.Configuration(p)
-	e.Servers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: server, Zone: "a", Slots: 400}})
-	e.Peers(0, 1, 0, []netip.AddrPort{{}}, nil)
+	e.SetConfiguration(p)
+	e.SetServers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: server, Zone: "a", Slots: 400}})
+	e.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 	return e, func() {
 		stop()
 		assert.Check(b, <-ended)
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -27,8 +27,7 @@
 	}
 }
 
-// newTestTable compiles a book for the test settings; change may shape routes and
-// options.
+// newTestTable compiles a book for the test settings; change, if set, adjusts its routes and options.
 func newTestTable(t testing.TB, cfg *Config, revision string, change func(list []routebook.Route, o *routing.Options) []routebook.Route) *routing.Table {
 	t.Helper()
 	list, o := bookRoutes(), routing.Options{Tell: true}
@@ -53,7 +52,7 @@
 	return tab
 }
 
-// writeAnswer writes an answer as a loan server does; HEAD gets none of the body.
+// writeAnswer writes an answer, without its body if the request is HEAD.
 func writeAnswer(c net.Conn, r *standin.Request, status, fields, body string) bool {
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n", status, fields, len(body))
 	if r.Method != "HEAD" {
@@ -63,14 +62,14 @@
 	return err == nil
 }
 
-// setRoutes brings a table in force.
+// setRoutes makes the table the current one.
 func (r *running) setRoutes(tab *routing.Table) {
 	t := r.Tuning()
 	t.Routes = tab
 	r.Tune(t)
 }
 
-// newClientRequest makes a request as ordinary clients do.
+// newClientRequest returns a request as ordinary clients send it: with an API key and without protocol fields.
 func newClientRequest(method, url, body string, fields ...string) *http.Request {
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -83,8 +82,7 @@
 	return r
 }
 
-// An ordinary client needs nothing but its key; what goes on to loan servers is
-// the protocol's, and no key.
+// An ordinary client only needs its API key. The servers get the fields of the protocol, and no key.
 func TestOrdinaryClient(t *testing.T) {
 	var mu sync.Mutex
 	var seen []*standin.Request
@@ -110,11 +108,11 @@
 	}
 	r := last()
 	if text := fmt.Sprintf("%s %v", r.URL, r.Header); strings.Contains(text, "ppk_") || r.URL.String() != "/v1/holdings?q=x" {
-		t.Errorf("what went on: %s", text)
+		t.Errorf("forwarded request: %s", text)
 	}
 	if r.Header.Get("X-Request-Id") == "" || r.Header.Get("X-Class") != "lookup" || r.Header.Get("Accept-Language") != "ro" ||
 		r.Header.Get("Authorization") != "" || r.Header.Get(routing.OperationField) != "search" {
-		t.Errorf("fields that went on: %v", r.Header)
+		t.Errorf("forwarded fields: %v", r.Header)
 	}
 	first := r.Header.Get("X-Request-Id")
 	ask(t, newClientRequest("GET", n.url+"/v1/holdings", ""))
@@ -129,7 +127,7 @@
 	if r := last(); r.Method != "DELETE" || r.URL.Path != "/v1/loans/7" {
 		t.Errorf("%s %s", r.Method, r.URL)
 	}
-	// HEAD: a length and no body, on either side; the connections go on.
+	// Answers to HEAD have a length and no body, from server and proxy, and the connections stay open.
 	for range 3 {
 		resp, body = ask(t, newClientRequest("HEAD", n.url+"/v1/holdings", ""))
 		if resp.StatusCode != 200 || body != "" {
@@ -145,12 +143,11 @@
 		t.Errorf("with keys passed on: %s %v", r.URL, r.Header)
 	}
 	if resp.Header.Get(routing.BookField) != "" {
-		t.Error("an answer tells of the book though it must not")
+		t.Error("the answer names the book although that is disabled")
 	}
 }
 
-// What can't be served is answered at once, without an attempt and without
-// touching a quota.
+// Invalid requests are answered at once, without an attempt and without use of a quota.
 func TestRejectedRequests(t *testing.T) {
 	app := newApp(t, func(c net.Conn, r *standin.Request) bool { return writeAnswer(c, r, "200 OK", "", "x") })
 	n := nodeWith(t, app.Addr())
@@ -162,13 +159,13 @@
 		value  string
 	}{
 		{newClientRequest("GET", n.url+"/v1/holdings", "", "X-Api-Key", "wrong"), 401, "WWW-Authenticate", "ApiKey"},
-		{newClientRequest("GET", n.url+"/v1/holdings?api_key="+tinyKey, ""), 400, "", ""}, // and the town's in the header
+		{newClientRequest("GET", n.url+"/v1/holdings?api_key="+tinyKey, ""), 400, "", ""}, // the header has a second key, of another customer
 		{newClientRequest("GET", n.url+"/nothing", ""), 404, "", ""},
 		{newClientRequest("PUT", n.url+"/v1/loans/4", ""), 405, "Allow", "DELETE"},
 		{newClientRequest("GET", n.url+"/v1/holdings", "", "X-Class", "loan"), 400, "", ""},
 		{newClientRequest("GET", n.url+"/v1/holdings", "body"), 400, "", ""},
 	} {
-		c.r.Close = true // of its own connection: floods on one are paced
+		c.r.Close = true // one connection per request: repeated bad requests on one are slowed down
 		resp, body := ask(t, c.r)
 		if resp.StatusCode != c.status || c.field != "" && resp.Header.Get(c.field) != c.value {
 			t.Errorf("%s %s: %d %v %q, want %d", c.r.Method, c.r.URL, resp.StatusCode, resp.Header, body, c.status)
@@ -183,8 +180,8 @@
 	}
 }
 
-// What must not run twice is not sent again once it may have run, though its
-// class could; what repeats is.
+// A request that must not run twice is not retried once it may have run, even if its class allows it. Safe and keyed requests
+// are retried.
 func TestNeverRunsTwice(t *testing.T) {
 	var mu sync.Mutex
 	count := map[string]int{}
@@ -205,7 +202,7 @@
 	}{
 		{"a", "GET", "/v1/holdings", nil, 200, 2},
 		{"b", "POST", "/v1/loans", []string{"Idempotency-Key", "k1"}, 200, 2},
-		{"c", "POST", "/v1/loans", nil, 502, 1}, // without a key no rack can drop a repeat
+		{"c", "POST", "/v1/loans", nil, 502, 1}, // without a key no server can detect a repeat
 		{"d", "DELETE", "/v1/loans/4", []string{"Idempotency-Key", "k2"}, 502, 1},
 	} {
 		resp, _ := ask(t, newClientRequest(c.method, n.url+c.path, "", append(c.fields, "X-Request-Id", c.id)...))
@@ -217,8 +214,8 @@
 	}
 }
 
-// A client's further try with one key is held to the more careful of its two
-// revisions: the operation was never to be repeated, and now is keyed.
+// If a client uses an idempotency key under two revisions of the book, the stricter effect applies: here the operation must
+// never be repeated by the first revision, and is keyed by the second.
 func TestKeyUnderTwoRevisions(t *testing.T) {
 	var mu sync.Mutex
 	count := 0
@@ -252,7 +249,7 @@
 	if sent := try(routebook.Keyed, "k"); sent != 1 {
 		t.Errorf("its client's further try, now keyed, was sent %d times", sent)
 	}
-	// Its class changes: what rack knows the key is the old class's to say.
+	// The class changes. Only the old class determines which servers know the key, so the request must not be repeated.
 	if sent := tryAs("lookup", routebook.Safe, "fresh"); sent < 2 {
 		t.Fatalf("a safe request was sent %d times: the test shows nothing", sent)
 	}
@@ -261,13 +258,12 @@
 	}
 }
 
-// A request that is held keeps its operation, key and costs though its
-// operation and its library's key are gone meanwhile.
+// A request that waits keeps its operation, key and cost even if its operation and its customer's key are removed meanwhile.
 func TestHeldRequestKeepsItsRoute(t *testing.T) {
-	gate := make(chan struct{})
+	release := make(chan struct{})
 	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		if r.Header.Get("X-Request-Id") == "first" {
-			<-gate
+			<-release
 		}
 		return writeAnswer(c, r, "200 OK", "", "x")
 	})
@@ -291,22 +287,22 @@
 		eventually(t, "the first is out, the second held", func() bool { return n.openRequests() == i+1 && app.Seen.Load() == 1 })
 	}
 	without := newTestTable(t, cfg, "rev2", func(l []routebook.Route, _ *routing.Options) []routebook.Route { return l[:2] })
-	withdrawn, err := routing.NewTable(&cfg.Settings, without.Book, nil, nil, without.Options) // no key is known any more
+	withdrawn, err := routing.NewTable(&cfg.Settings, without.Book, nil, nil, without.Options) // without any key
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.setRoutes(withdrawn)
-	stranger := newClientRequest("GET", n.url+"/v1/holdings", "")
-	stranger.Close = true
-	if resp, _ := ask(t, stranger); resp.StatusCode != 401 {
+	withOldKey := newClientRequest("GET", n.url+"/v1/holdings", "")
+	withOldKey.Close = true
+	if resp, _ := ask(t, withOldKey); resp.StatusCode != 401 {
 		t.Errorf("a new request with the withdrawn key: %d", resp.StatusCode)
 	}
-	gone := newClientRequest("POST", n.url+"/v1/loans", "x")
-	gone.Close = true
-	if resp, _ := ask(t, gone); resp.StatusCode != 404 {
-		t.Errorf("a new request for the operation that is gone: %d", resp.StatusCode)
+	removed := newClientRequest("POST", n.url+"/v1/loans", "x")
+	removed.Close = true
+	if resp, _ := ask(t, removed); resp.StatusCode != 404 {
+		t.Errorf("a new request for the operation that is removed: %d", resp.StatusCode)
 	}
-	close(gate)
+	close(release)
 	for range 2 {
 		if resp := <-answers; resp.StatusCode != 200 || resp.Header.Get(routing.BookField) != "rev1" {
 			t.Errorf("%d under %s, want 200 under rev1", resp.StatusCode, resp.Header.Get(routing.BookField))
@@ -314,7 +310,7 @@
 	}
 }
 
-// openRequests counts the connections with a request that was taken.
+// openRequests returns the number of connections whose request is being processed.
 func (r *running) openRequests() (n int) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
@@ -326,23 +322,22 @@
 	return n
 }
 
-// hasOpenRequest tells whether the request with a client's id is open.
+// hasOpenRequest reports whether a request with this client id is open.
 func (r *running) hasOpenRequest(id string) (open bool) {
 	done := make(chan struct{})
 	r.loop.events <- func() {
-		open = r.loop.names[id] != nil
+		open = r.loop.requestsByClientID[id] != nil
 		close(done)
 	}
 	<-done
 	return open
 }
 
-// An id that a client sends while a request of that id is open is a conflict;
-// once that is answered it may be used again.
+// A request whose id equals that of an open request is answered by 409. The id may be used again once that one is answered.
 func TestDuplicateRequestID(t *testing.T) {
-	gate := make(chan struct{})
+	release := make(chan struct{})
 	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
-		<-gate
+		<-release
 		return writeAnswer(c, r, "200 OK", "", "x")
 	})
 	n := nodeWith(t, app.Addr())
@@ -361,7 +356,7 @@
 	if resp, _ := ask(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 409 {
 		t.Errorf("the same id at once: %d", resp.StatusCode)
 	}
-	close(gate)
+	close(release)
 	if status := <-done; status != 200 {
 		t.Errorf("the first: %d", status)
 	}
--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// disconnects are the ways in which a side leaves.
+// disconnects are the ways in which a client or server ends a connection or stops sending.
 var disconnects = map[string]func(c net.Conn){
 	"close": func(c net.Conn) { c.Close() },
 	"reset": func(c net.Conn) { reset(c, nil); c.Close() },
@@ -23,9 +23,10 @@
 	"stall": func(net.Conn) {},
 }
 
-// cutPoints are where in a message it breaks off: bytes from its beginning, from its end where they are below 0.
+// cutPoints are the places where a message is interrupted: bytes from its start, or from its end if negative.
 var cutPoints = map[string]int{"window": 5000, "window's end": bodyWindow, "beyond": bodyWindow + 4000, "middle": large / 2, "last": -1}
 
+// cutAt returns the bytes before the place.
 func cutAt(b []byte, place int) []byte {
 	if place < 0 {
 		place += len(b)
@@ -33,11 +34,11 @@
 	return b[:place]
 }
 
-// Wherever a client leaves or stops in its body, no server sees a whole request, and a client that is still there is
-// promised so.
+// If a client disconnects or stalls anywhere in a request body, no server sees a complete request, and a client that is still
+// connected gets 408, which promises that the request has not run.
 func TestInterruptedUpload(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
-		play(t, false, func(r *rig) {
+		runManaged(t, false, func(r *managedFixture) {
 			h := r.open(nil, nil)
 			for place, n := range cutPoints {
 				for how, end := range disconnects {
@@ -46,7 +47,7 @@
 					assert.NilError(t, err)
 					end(c)
 					if how == "stall" {
-						a := r.answer(c)
+						a := r.readAnswer(c)
 						assert.Assert(t, a.StatusCode == 408 && a.Close, "%s: %d", place, a.StatusCode)
 						assert.Assert(t, a.took < 800*time.Millisecond, "%s: %v", place, a.took)
 					}
@@ -55,22 +56,22 @@
 					assert.Equal(t, h.complete(), 0, "%s, %s", place, how)
 				}
 			}
-			assert.Equal(t, r.ask("/act/", "").StatusCode, 200)
-			open, _ := r.Estate.node.server.connectionActivity()
-			assert.Assert(t, open <= 1 && r.Estate.node.upstream.open <= 1)
+			assert.Equal(t, r.request("/act/", "").StatusCode, 200)
+			open, _ := r.ManagedNode.node.server.connectionActivity()
+			assert.Assert(t, open <= 1 && r.ManagedNode.node.upstream.open <= 1)
 		})
 	})
 }
 
-// Where a server leaves in the middle of a body it has not run, and its client is told so at once; once all of it was
-// written it may have run. Nothing of it is sent a second time.
+// If a server disconnects in the middle of a request body, the request has not run and its client gets 503 at once. If the
+// whole body was written, the request may have run and the client gets 502. It is not sent again in either case.
 func TestServerDisconnectsDuringUpload(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		for _, path := range []string{"/act/", "/get/"} {
 			for name, status := range map[string]int{"window": 503, "middle": 503, "last": 502} {
 				for _, how := range []string{"close", "reset"} {
 					t.Run(name+how+path, func(t *testing.T) {
-						play(t, false, func(r *rig) {
+						runManaged(t, false, func(r *managedFixture) {
 							h := r.open(func(c net.Conn, q *http.Request) bool {
 								n := cutPoints[name]
 								if n < 0 {
@@ -84,7 +85,7 @@
 							}, nil)
 							c := r.send(upload(path, content(large), chunked))
 							defer c.Close()
-							a := r.answer(c)
+							a := r.readAnswer(c)
 							assert.Equal(t, a.StatusCode, status, a.body)
 							assert.Equal(t, a.StatusCode == 503, a.Close && a.Header.Get("Retry-After") != "")
 							assert.Assert(t, a.took < time.Second, "%v", a.took)
@@ -97,13 +98,14 @@
 	})
 }
 
-// Wherever a server's answer breaks off, its client gets one answer that is not complete, or another that is.
+// If a server's answer is interrupted, the client gets exactly one answer: an incomplete one if the proxy has begun to stream
+// it, otherwise a complete 502 or 504.
 func TestInterruptedAnswer(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		for place, n := range cutPoints {
 			for how, end := range disconnects {
 				t.Run(place+how, func(t *testing.T) {
-					play(t, false, func(r *rig) {
+					runManaged(t, false, func(r *managedFixture) {
 						stays := make(chan bool)
 						defer close(stays)
 						h := r.open(nil, func(c net.Conn, q *http.Request) bool {
@@ -121,7 +123,7 @@
 						if within {
 							path = "/act/"
 						}
-						c := r.send([]byte(wired(path, patient)))
+						c := r.send([]byte(requestText(path, patient)))
 						defer c.Close()
 						began := time.Now()
 						b, err := io.ReadAll(io.LimitReader(c, 2*large))
@@ -129,7 +131,7 @@
 						text := string(b[:min(len(b), 12)])
 						assert.Equal(t, bytes.Count(b, []byte("HTTP/1.1 ")), 1)
 						assert.Equal(t, len(h.seen()), 1)
-						r.in(func(l *loop) { assert.Equal(t, len(l.calls), 0) })
+						r.runOnLoop(func(l *loop) { assert.Equal(t, len(l.requests), 0) })
 						if within {
 							want := "HTTP/1.1 502"
 							if how == "stall" {
@@ -151,7 +153,7 @@
 	})
 }
 
-// What is turned away is so at once, though its body has not come whole: what follows is passed over.
+// A request is rejected at once even if its body has not arrived completely; the rest of the body is discarded.
 func TestLargeBodiesAreRejected(t *testing.T) {
 	over := func(c net.Conn, q *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 503 Busy\r\nAttempt-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", q.Header.Get(fieldID))
@@ -162,7 +164,7 @@
 		path, key string
 		n         int
 		status    int
-		conns     [2]int // to the server: with a length, in chunks
+		conns     [2]int // expected connections to servers: body with length, chunked body
 		before    func(c net.Conn, q *http.Request) bool
 	}{
 		"no route":      {path: "/none/", n: large, status: 404},
@@ -173,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			framings(t, func(t *testing.T, chunked bool) {
-				play(t, false, func(r *rig) {
+				runManaged(t, false, func(r *managedFixture) {
 					h := r.open(c.before, nil)
 					b := upload(c.path, content(c.n), chunked)
 					if c.key != "" {
@@ -186,7 +188,7 @@
 						_, err := conn.Write(b)
 						all <- err
 					}()
-					a := r.answer(conn)
+					a := r.readAnswer(conn)
 					assert.Equal(t, a.StatusCode, c.status, a.body)
 					assert.Assert(t, a.took < time.Second, "%v", a.took)
 					assert.Equal(t, a.Close, c.status != 200)
@@ -201,7 +203,8 @@
 	}
 }
 
-// What a server says ahead of its answer, while the body is on its way, changes nothing; an early answer ends it.
+// Interim answers and answers to other requests that a server sends during the upload have no effect. An early final answer
+// ends the upload.
 func TestEarlyServerResponses(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		for name, c := range map[string]struct {
@@ -209,18 +212,18 @@
 			status int
 		}{
 			"goes on":      {"HTTP/1.1 100 Continue\r\n\r\n", 200},
-			"another's":    {otherBody, 200},
-			"long other":   {strings.Replace(otherBody, "5\r\n\r\nwrong", "50000\r\n\r\n"+strings.Repeat("x", 50000), 1), 200},
-			"both":         {"HTTP/1.1 100 Continue\r\n\r\n" + otherBody + "HTTP/1.1 103 Hints\r\n\r\n", 200},
+			"another's":    {foreignAnswer, 200},
+			"long other":   {strings.Replace(foreignAnswer, "5\r\n\r\nwrong", "50000\r\n\r\n"+strings.Repeat("x", 50000), 1), 200},
+			"both":         {"HTTP/1.1 100 Continue\r\n\r\n" + foreignAnswer + "HTTP/1.1 103 Hints\r\n\r\n", 200},
 			"its own":      {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: s\r\nContent-Length: 3\r\n\r\nyes", 200},
 			"too long":     {"HTTP/1.1 413 Long\r\nAttempt-Id: ID\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n", 413},
 			"failed":       {"HTTP/1.1 500 No\r\nAttempt-Id: ID\r\nContent-Length: 0\r\n\r\n", 500},
 			"no answer":    {"no", 503},
 			"not run":      {"HTTP/1.1 429 No\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", 503},
-			"another's id": {strings.Repeat(otherBody, 9), 503},
+			"another's id": {strings.Repeat(foreignAnswer, 9), 503},
 		} {
 			t.Run(name, func(t *testing.T) {
-				play(t, false, func(r *rig) {
+				runManaged(t, false, func(r *managedFixture) {
 					r.open(func(s net.Conn, q *http.Request) bool {
 						_, err := io.WriteString(s, strings.ReplaceAll(c.text, "ID", q.Header.Get(fieldID)))
 						time.Sleep(300 * time.Millisecond)
@@ -228,7 +231,7 @@
 					}, nil)
 					conn := r.send(upload("/act/", content(large), chunked))
 					defer conn.Close()
-					a := r.answer(conn)
+					a := r.readAnswer(conn)
 					assert.Equal(t, a.StatusCode, c.status, a.body)
 				})
 			})
@@ -236,31 +239,31 @@
 	})
 }
 
-// A long request goes to another server as long as nothing of it was let go; a long answer is asked for again as long
-// as none of it was passed on.
+// A request with a large body is sent to another server if none of the streamed body has been dropped from memory. A large
+// answer is requested again if none of it has been forwarded.
 func TestLargeBodiesRetryElsewhere(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
-		for name, spoilt := range map[string]func(q *http.Request) []byte{
+		for name, firstAnswer := range map[string]func(q *http.Request) []byte{
 			"cut":    func(q *http.Request) []byte { return told(q, "200 OK", content(large), chunked)[:bodyWindow] },
 			"failed": func(q *http.Request) []byte { return told(q, "500 No", content(large), chunked) },
 		} {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				times := 0
 				h := r.open(nil, func(c net.Conn, q *http.Request) bool {
 					if times++; times == 1 {
-						_, _ = c.Write(spoilt(q))
+						_, _ = c.Write(firstAnswer(q))
 						return false
 					}
 					_, err := c.Write(told(q, "200 OK", content(large), chunked))
 					return err == nil
 				})
-				c := r.send([]byte(wired("/get/", patient)))
+				c := r.send([]byte(requestText("/get/", patient)))
 				defer c.Close()
 				n, err := read(c)
 				assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
 				assert.Equal(t, h.complete(), 2)
-				r.list[0].Address = "127.0.0.1:1" // nobody is there
-				r.Servers(2, r.list)
+				r.list[0].Address = "127.0.0.1:1" // nothing listens there
+				r.SetServers(2, r.list)
 				for i := range 9 {
 					c := r.send(upload("/act/", content(large), chunked))
 					n, err := read(c)
@@ -273,8 +276,8 @@
 	})
 }
 
-// A long failure of a repeatable request waits for what another server says, and is its client's, unchanged, where that
-// is nothing better.
+// A large error answer to an idempotent request is held back while another server is tried. If no better answer comes, the
+// client gets it unchanged.
 func TestLargeFailuresAreReturned(t *testing.T) {
 	long := func(c net.Conn, q *http.Request) bool {
 		_, err := c.Write(told(q, "500 No", content(large), true))
@@ -290,8 +293,8 @@
 		return true
 	}
 	for name, c := range map[string]struct {
-		acts     []func(net.Conn, *http.Request) bool // by attempts
-		from, to string                               // in the client's request
+		acts     []func(net.Conn, *http.Request) bool // one per attempt
+		from, to string                               // replacement in the client's request
 		want     string
 	}{
 		"always":         {acts: []func(net.Conn, *http.Request) bool{long, long, long}, want: "500 300001 s"},
@@ -302,10 +305,10 @@
 		"not repeatable": {acts: []func(net.Conn, *http.Request) bool{long}, from: "/get/", to: "/act/", want: "500 300001 s"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				times := 0
 				h := r.open(nil, func(s net.Conn, q *http.Request) bool { times++; return c.acts[times-1](s, q) })
-				conn := r.send([]byte(strings.Replace(wired("/get/", patient), c.from, c.to, 1)))
+				conn := r.send([]byte(strings.Replace(requestText("/get/", patient), c.from, c.to, 1)))
 				defer conn.Close()
 				a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				assert.NilError(t, err)
@@ -316,24 +319,24 @@
 				assert.Equal(t, h.complete(), len(c.acts))
 				time.Sleep(10 * time.Millisecond)
 				synctest.Wait()
-				r.in(func(l *loop) { // nothing is held any more
-					l.up.mu.Lock()
-					defer l.up.mu.Unlock()
+				r.runOnLoop(func(l *loop) { // no connection is held for a large answer any more
+					l.upstream.mu.Lock()
+					defer l.upstream.mu.Unlock()
 					idle := 0
-					for _, s := range l.up.servers {
+					for _, s := range l.upstream.servers {
 						idle += len(s.idle)
 					}
-					assert.Equal(t, l.up.open, idle)
+					assert.Equal(t, l.upstream.open, idle)
 				})
 			})
 		})
 	}
 }
 
-// An answer that is on its way to its client is not called back for another, however long it takes, and its server is
-// not held for one that is silent; nor is a request that can't be sent again.
+// An answer that is being streamed to its client is not cancelled in favour of another attempt, however long it takes, and its
+// server does not count as silent. The same holds for an upload that can't be sent again.
 func TestLargeTransfersAreNotCancelled(t *testing.T) {
-	play(t, false, func(r *rig) {
+	runManaged(t, false, func(r *managedFixture) {
 		slow := func(c net.Conn, b []byte) bool {
 			for ; len(b) > 0; b = b[min(len(b), 25_000):] {
 				if _, err := c.Write(b[:min(len(b), 25_000)]); err != nil {
@@ -352,9 +355,9 @@
 			return err == nil
 		})
 		for range 40 {
-			assert.Equal(t, r.ask("/get/", "").StatusCode, 200)
+			assert.Equal(t, r.request("/get/", "").StatusCode, 200)
 		}
-		c := r.send([]byte(wired("/get/?long", patient)))
+		c := r.send([]byte(requestText("/get/?long", patient)))
 		defer c.Close()
 		n, err := read(c)
 		assert.Assert(t, err == nil && n == large, "%d bytes, %v", n, err)
--- a/internal/dataplane/node/clientconn.go
+++ b/internal/dataplane/node/clientconn.go
@@ -8,9 +8,9 @@
 // clientConn is a client's connection and the state of its current request.
 type clientConn struct {
 	net.Conn
-	in          stream
-	req         clientRequest
-	out         []byte
+	input       messageReader
+	request     clientRequest
+	output      []byte
 	badRequests int // consecutive invalid requests
 
 	finalAnswerSent bool // an answer that closes the connection has been written completely
@@ -46,10 +46,10 @@
 	}
 	cc := &clientConn{Conn: c, stateSince: s.clock.now()}
 	if s.estate != nil {
-		cc.in.window = bodyWindow
+		cc.input.window = bodyWindow
 	}
 	cc.lastActivity = cc.stateSince
-	cc.in.src = c
+	cc.input.src = c
 	s.conns[cc] = struct{}{}
 	return cc
 }
--- a/internal/dataplane/node/clientrequest.go
+++ b/internal/dataplane/node/clientrequest.go
@@ -19,24 +19,24 @@
 }
 
 // One returns a header field's value and how often the field occurs, as routing.Request requires.
-func (r *clientRequest) One(name string) ([]byte, int) { return r.one(name) }
+func (r *clientRequest) One(name string) ([]byte, int) { return r.valueAndCount(name) }
 
 // readRequest reads the head of a request and its body, or the first part of a body that is streamed.
 func (cc *clientConn) readRequest() error {
-	r := &cc.req
-	if err := cc.in.readHead(&r.head, ""); err != nil {
+	r := &cc.request
+	if err := cc.input.readHead(&r.head, ""); err != nil {
 		return err
 	}
 	if err := r.startLine(); err != nil {
 		return err
 	}
-	if _, n := r.one("Expect"); n > 0 && (r.length > cc.in.buffered() || r.length == -1 && cc.in.window > 0 && cc.in.buffered() == 0) {
+	if _, n := r.valueAndCount("Expect"); n > 0 && (r.length > cc.input.buffered() || r.length == -1 && cc.input.window > 0 && cc.input.buffered() == 0) {
 		if _, err := io.WriteString(cc, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
 		}
 	}
 	var err error
-	r.body, err = cc.in.readBody(&r.head)
+	r.body, err = cc.input.readBody(&r.head)
 	return err
 }
 
--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -159,22 +159,22 @@
 	if !c.Settings.CanMessagePeers {
 		return nil
 	}
-	for i, p := range list {
-		a, err := netip.ParseAddrPort(p)
+	for i, text := range list {
+		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		c.Peers = append(c.Peers, a)
+		c.Peers = append(c.Peers, address)
 	}
 	if len(c.Peers) != c.Settings.Gateways {
 		return fmt.Errorf("peers: %d addresses for %d proxies", len(c.Peers), c.Settings.Gateways)
 	}
 	if all != "" {
-		a, err := netip.ParseAddrPort(all)
+		address, err := netip.ParseAddrPort(all)
 		if err != nil {
 			return fmt.Errorf("peers_all: %w", err)
 		}
-		c.PeerBroadcast = a
+		c.PeerBroadcast = address
 	}
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
--- a/internal/dataplane/node/configured_test.go
+++ b/internal/dataplane/node/configured_test.go
@@ -14,8 +14,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// Changes reach the module; while discovery fails the list held stays in
-// force, and the next call comes soon.
+// Changes of the server list take effect. While discovery fails the current list stays in use, and calls are repeated soon.
 func TestDiscovery(t *testing.T) {
 	a, b := newApp(t, standin.Answer("200 OK", "", "a")), newApp(t, standin.Answer("200 OK", "", "b"))
 	first, second := serving("s-00000001", a.Addr()), serving("s-00000002", b.Addr())
@@ -36,15 +35,14 @@
 	calls := g.Calls()
 	eventually(t, "further calls while discovery fails", func() bool { return g.Calls() > calls+2 })
 	if !serves("b")() {
-		t.Error("the list held is not in force while discovery fails")
+		t.Error("the current list is not used while discovery fails")
 	}
 	g.set(false, first, target{UID: "s-00000002", State: "DELETED"})
 	eventually(t, "the list after discovery is back", serves("a"))
 }
 
-// At SIGHUP the open watch ends at once and the list is followed at the new
-// address, which the file tells even where GW_DISCOVERY told the old one. A
-// file that can't be used changes nothing and is read again.
+// After SIGHUP the open watch ends at once and the list is read from the new address. The file's address applies even if
+// GW_DISCOVERY set the old one. An invalid file changes nothing and is read again.
 func TestReload(t *testing.T) {
 	a, b := newApp(t, standin.Answer("200 OK", "", "a")), newApp(t, standin.Answer("200 OK", "", "b"))
 	older := newRegistry(t, serving("s-00000001", a.Addr()))
@@ -83,14 +81,14 @@
 		return resp.StatusCode == 200 && body == "b"
 	})
 	calls := older.Calls()
-	older.set(false, serving("s-00000001", a.Addr())) // an open watch would bring this
+	older.set(false, serving("s-00000001", a.Addr())) // an open watch would report this
 	eventually(t, "a watch at the new address", func() bool { return newer.Calls() > 1 })
 	if _, body := ask(t, request(n.url, "lookup", patience)); body != "b" || older.Calls() != calls {
-		t.Errorf("%q; %d calls at the old address after the new one was told", body, older.Calls()-calls)
+		t.Errorf("%q; %d calls at the old address after the new one was set", body, older.Calls()-calls)
 	}
 }
 
-// While discovery is silent at the start, the known list has to do.
+// If discovery does not answer at the start, the proxy serves from the cached list.
 func TestCachedListServesWhileDiscoveryFails(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	cfg := testConfig(t, refusing(t))
@@ -101,7 +99,7 @@
 	}
 }
 
-// Names in messages between edge nodes must come out alike at all of them.
+// All proxies must derive the same server id from a uid, because messages between them contain it.
 func TestServerID(t *testing.T) {
 	if id := serverID("s-5be2a07c"); id != 0x5be2a07c {
 		t.Errorf("%x", id)
@@ -111,7 +109,7 @@
 	}
 }
 
-// Start times in the list and the module's clock count from the same moment.
+// Start times in the list and the policy package's clock both count from the Unix epoch.
 func TestClock(t *testing.T) {
 	c := newClock(world.Real{})
 	now := c.now()
@@ -127,7 +125,7 @@
 	}
 }
 
-// Errors of the configuration name the bad setting.
+// Configuration errors name the invalid setting.
 func TestConfigErrors(t *testing.T) {
 	good := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:5"],
 		"limits":{"sockets":1024},"settings":%s}`, strings.Replace(testSettings, `"cancel"`, `"peers":true,"cancel"`, 1))
--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -41,18 +41,18 @@
 	held, out := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
 	held.ID, out.ID, out.inFlight = 1, 2, &attempt{id: 2}
 	held.answerBy, out.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
-	l.calls[1], l.calls[2] = held, out
-	l.look()
-	if len(l.calls) != 2 {
-		t.Fatalf("%d open while the client is there", len(l.calls))
+	l.requests[1], l.requests[2] = held, out
+	l.checkDisconnects()
+	if len(l.requests) != 2 {
+		t.Fatalf("%d open while the client is there", len(l.requests))
 	}
 	client.Close()
-	eventually(t, "notice of the close", func() bool { l.look(); return len(l.calls) == 0 })
+	eventually(t, "notice of the close", func() bool { l.checkDisconnects(); return len(l.requests) == 0 })
 	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
 		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
 	}
-	l.send(policy.Send{ID: 2, Server: 1})
-	l.end(outcome{out, out.inFlight, ended(verdict.Failed, nil)})
+	l.sendAttempt(policy.Send{ID: 2, Server: 1})
+	l.endAttempt(outcome{out, out.inFlight, ended(verdict.Failed, nil)})
 	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
@@ -60,7 +60,7 @@
 
 // A connection that brings no request, or half of one, is let go within the 3 s
 // that such a client is owed.
-func TestSilentClientsAreLetGo(t *testing.T) {
+func TestSilentClientsAreDisconnected(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	silent, half := dial(t, n), dial(t, n)
 	_, _ = half.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a"))
@@ -78,7 +78,7 @@
 
 // Connections that bring nothing of use make room before those that have
 // carried good requests, however old these are.
-func TestUsefulClientsStay(t *testing.T) {
+func TestUsefulClientsAreKept(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
@@ -87,13 +87,13 @@
 	n.server.most = 4
 	n.server.mu.Unlock()
 	useful := dial(t, n)
-	send(t, useful, request(n.url, "lookup", patience))()
+	writeRequest(t, useful, request(n.url, "lookup", patience))()
 	for range 40 {
 		dial(t, n)
 	}
 	silent := dial(t, n)
 	eventually(t, "room made", func() bool { open, _ := n.server.connectionActivity(); return open <= 4 })
-	if resp := send(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	silent.Close()
@@ -101,23 +101,23 @@
 
 // A request under the id of one that is open is refused, and the first goes on:
 // two under one id would be two attempts out at once.
-func TestIDOfAnOpenRequest(t *testing.T) {
+func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
 	n := nodeWith(t, a.Addr())
-	first := send(t, dial(t, n), request(n.url, "loan", patience))
+	first := writeRequest(t, dial(t, n), request(n.url, "loan", patience))
 	eventually(t, "the first at the app server", func() bool { return a.Seen.Load() == 1 })
-	if resp := send(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != http.StatusConflict {
+	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the second: %d", resp.StatusCode)
 	}
 	close(release)
 	if resp := first(); resp.StatusCode != 200 || a.Seen.Load() != 1 {
 		t.Errorf("the first: %d, %d attempts", resp.StatusCode, a.Seen.Load())
 	}
-	if resp := send(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != 200 {
 		t.Errorf("once it is free again: %d", resp.StatusCode)
 	}
 }
@@ -133,8 +133,8 @@
 	return c
 }
 
-// send writes a request on a connection of the test's own.
-func send(t *testing.T, c net.Conn, r *http.Request) func() *http.Response {
+// writeRequest writes a request on a connection of the test's own.
+func writeRequest(t *testing.T, c net.Conn, r *http.Request) func() *http.Response {
 	t.Helper()
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 
 // Idle client connections are shut before the descriptors run out, oldest
 // first, and busy ones are not.
-func TestShutsIdleClients(t *testing.T) {
+func TestClosesIdleClients(t *testing.T) {
 	release := make(chan struct{})
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
@@ -165,7 +165,7 @@
 	n.server.most = 2
 	n.server.mu.Unlock()
 	busy := dial(t, n)
-	held := send(t, busy, request(n.url, "loan", patience))
+	held := writeRequest(t, busy, request(n.url, "loan", patience))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 1 })
 	idle := dial(t, n)
 	eventually(t, "two connections", func() bool { open, _ := n.server.connectionActivity(); return open == 2 })
@@ -181,7 +181,7 @@
 
 // A request that crossed the closing of its idle connection is sent again by
 // the client: worked on here too it would have its effect twice.
-func TestCrossedRequestIsNotWorkedOn(t *testing.T) {
+func TestRequestOnClosedConnectionIsNotProcessed(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
@@ -204,7 +204,7 @@
 
 // Clients that never finish their requests must not use up the descriptors:
 // others still get in, and busy connections stay.
-func TestSlowRequestsMakeRoom(t *testing.T) {
+func TestSlowRequestsAreEvicted(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
@@ -219,7 +219,7 @@
 		_, _ = dial(t, n).Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")) // may be closed already
 	}
 	c := dial(t, n)
-	if resp := send(t, c, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, c, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	// At its read time-out it would get an answer that says so.
--- a/internal/dataplane/node/discovery.go
+++ b/internal/dataplane/node/discovery.go
@@ -102,8 +102,8 @@
 }
 
 // newDiscovery returns a discovery that follows the list at the address, starting from a cached list if there is one.
-func newDiscovery(w world.World, addr string, known *serverList, tell func(*serverList, policy.ServerListKind)) *discovery {
-	return &discovery{clock: w, addr: addr, cachedList: known, onList: tell, cancelWatch: func() {}, http: http.Client{
+func newDiscovery(w world.World, addr string, cachedList *serverList, onList func(*serverList, policy.ServerListKind)) *discovery {
+	return &discovery{clock: w, addr: addr, cachedList: cachedList, onList: onList, cancelWatch: func() {}, http: http.Client{
 		Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: watchTimeout, DialContext: w.Dial},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
@@ -137,16 +137,16 @@
 
 // follow watches the list until ctx ends and reports whether it has a list then. It starts from the known list or, if that
 // is nil, fetches the complete list. It repeats failed calls; until one succeeds the current list stays in use.
-func (d *discovery) follow(ctx context.Context, addr string, known *serverList) (have bool) {
+func (d *discovery) follow(ctx context.Context, addr string, known *serverList) (hasList bool) {
 	rev, failing := int64(0), false
 	if known != nil && d.pacing.spread > 0 {
 		// Many proxies may start at the same time, each with a usable list.
-		rev, have = known.Rev, true
+		rev, hasList = known.Rev, true
 		world.Sleep(ctx, d.clock, d.pacing.firstDelay())
 	}
 	for ctx.Err() == nil {
 		query, limit := "", discoveryTimeout
-		if have {
+		if hasList {
 			query = fmt.Sprintf("?since=%d&timeout_ms=%d", rev, watchTimeout.Milliseconds())
 			limit = watchTimeout + watchTimeoutSlack
 		}
@@ -154,9 +154,9 @@
 			limit += discoveryTimeout // the call waits in a queue at the service first
 		}
 		began := d.clock.Now()
-		l, err := d.get(ctx, "http://"+addr+"/v1/servers"+query, limit)
+		list, err := d.get(ctx, "http://"+addr+"/v1/servers"+query, limit)
 		if ctx.Err() != nil {
-			return have
+			return hasList
 		}
 		if err != nil {
 			if !failing {
@@ -168,23 +168,23 @@
 			continue
 		}
 		if failing {
-			slog.Info("discovery answers again", "rev", l.Rev)
+			slog.Info("discovery answers again", "rev", list.Rev)
 		}
 		failing = false
 		d.pacing.resetBackoff()
-		if have && l.Rev == rev && d.clock.Now().Sub(began) < minWatchInterval {
+		if hasList && list.Rev == rev && d.clock.Now().Sub(began) < minWatchInterval {
 			world.Sleep(ctx, d.clock, minWatchInterval) // discovery answered at once without a change: don't call in a busy loop
 		}
-		rev = l.Rev
+		rev = list.Rev
 		switch {
-		case l.All || !have:
-			d.onList(l, policy.CompleteList)
-		case len(l.Targets) > 0:
-			d.onList(l, policy.ChangedServers)
+		case list.All || !hasList:
+			d.onList(list, policy.CompleteList)
+		case len(list.Targets) > 0:
+			d.onList(list, policy.ChangedServers)
 		}
-		have = true
+		hasList = true
 	}
-	return have
+	return hasList
 }
 
 // get fetches a server list or its changes, and validates it.
@@ -210,9 +210,9 @@
 	if len(body) > maxListBytes {
 		return nil, fmt.Errorf("server list exceeds %d bytes", maxListBytes)
 	}
-	var l serverList
-	if err := json.Unmarshal(body, &l); err != nil {
+	var list serverList
+	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, err
 	}
-	return &l, l.validate()
+	return &list, list.validate()
 }
--- a/internal/dataplane/node/estate.go
+++ b/internal/dataplane/node/estate.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	estateDial   = 250 * time.Millisecond
-	estateIdle   = 6 * time.Second // an idle connection to an app server is used again within it
-	estateGrace  = 0               // what is not sent yet when a server leaves goes elsewhere
-	estateMail   = 40.0            // datagrams a second from each to all others
-	estateReport = 250 * time.Millisecond
-	estateLook   = 100 * time.Millisecond // for clients that have gone away: servers have to stop within half a second
-	freshMargin  = 600 * time.Millisecond // control's word is held for old so long before the rules do
-	clientWay    = 40 * time.Millisecond  // an answer is decided so long before the client's deadline
-	farZone      = 5 * time.Millisecond   // what a server of another zone is held to cost beside its latency
-	farRegion    = 250 * time.Millisecond // and of another region
-	coldPart     = 0.5
-	coldSpan     = handover.ColdSpan
-	budgetPart   = 0.7                    // of the budget of further tries that is given out
-	excessPart   = 0.5                    // of what a quota may be passed by, all the time
-	idleConns    = 0.8                    // part of a server's connections that may stand idle at all edge nodes
-	startPart    = 0.4                    // and at a start
-	refusedWait  = 200 * time.Millisecond // told to those who come before there is a configuration
+	managedDialTimeout        = 250 * time.Millisecond
+	managedConnIdle           = 6 * time.Second // an idle connection to an app server is used again within it
+	managedDrainGrace         = 0               // what is not sent yet when a server leaves goes elsewhere
+	managedMessagesPerSecond  = 40.0            // datagrams a second from each to all others
+	managedReportInterval     = 250 * time.Millisecond
+	managedDisconnectInterval = 100 * time.Millisecond // for clients that have gone away: servers have to stop within half a second
+	freshnessMargin           = 600 * time.Millisecond // control's word is held for old so long before the rules do
+	clientTransitMargin       = 40 * time.Millisecond  // an answer is decided so long before the client's deadline
+	otherZonePenalty          = 5 * time.Millisecond   // what a server of another zone is held to cost beside its latency
+	otherRegionPenalty        = 250 * time.Millisecond // and of another region
+	coldShare                 = 0.5
+	coldWindow                = handover.ColdSpan
+	retryBudgetShare          = 0.7                    // of the budget of further tries that is given out
+	quotaExcessShare          = 0.5                    // of what a quota may be passed by, all the time
+	idleConnShare             = 0.8                    // part of a server's connections that may stand idle at all edge nodes
+	initialExcessShare        = 0.4                    // and at a start
+	refusalRetryAfter         = 200 * time.Millisecond // told to those who come before there is a configuration
 )
 
-// EstateConfig is what an edge node of the whole system is told at its start.
-type EstateConfig struct {
+// ManagedConfig is what an edge node of the whole system is told at its start.
+type ManagedConfig struct {
 	Listen, Peer string // clients' address, and that of peers' datagrams
 	Zone, Region string
 	Seed         uint64
@@ -50,55 +50,55 @@
 	Regions      map[string]string // zone to region
 	Grace        time.Duration     // a planned stop is over by then
 
-	Revoked                   bool          // keys taken away must be out of use within Revoke
-	Revoke                    time.Duration // of their acknowledgement, here too when control is out of reach
+	EnforceRevocation         bool          // keys taken away must be out of use within Revoke
+	RevocationLimit           time.Duration // of their acknowledgement, here too when control is out of reach
 	RetryRatio, RetrySlack    float64       // further tries: of a service's requests, and beside them
 	QuotaExcess, QuotaSlack   float64
 	QuotaWindow               time.Duration
 	WarmupExcess, WarmupSlack float64
 	ListLag                   time.Duration
 
-	Failed func(id string, why verdict.Verdict) // of a request that may have run and got no server's answer; nil: nobody is told
+	OnRequestFailed func(id string, why verdict.Verdict) // of a request that may have run and got no server's answer; nil: nobody is told
 
-	Given func(units, of int) // its parts of quotas are others' from now on; so many units were taken over. nil: nobody asks
+	OnUnitsTransferred func(units, of int) // its parts of quotas are others' from now on; so many units were taken over. nil: nobody asks
 }
 
-// Estate is an edge node of the whole system: the same loop, sockets and decisions as Node, on the system's wire,
+// ManagedNode is an edge node of the whole system: the same loop, sockets and decisions as Node, on the system's wire,
 // and fed by its agent instead of the platform.
-type Estate struct {
+type ManagedNode struct {
 	node       *Node
-	cfg        EstateConfig
-	field      *policy.MultiService
+	cfg        ManagedConfig
+	services   *policy.MultiService
 	serverList *serverlist.ServerList // the loop's
 
-	estate *estate
-	ready  atomic.Bool
-	yields yields // the loop's
-	minute requestCounter
-	fit    fit // the loop's
+	managed  *estate
+	ready    atomic.Bool
+	handover handoverState // the loop's
+	requests requestCounter
+	health   serverHealthState // the loop's
 }
 
-// NewEstate opens the sockets of an edge node of the system.
-func NewEstate(cfg EstateConfig) (*Estate, error) {
-	field := &policy.MultiService{RetryBudgetPerAttempt: cfg.RetryRatio * budgetPart, ColdShare: coldPart, ColdWindow: coldSpan, ReportInterval: estateReport}
+// NewManagedNode opens the sockets of an edge node of the system.
+func NewManagedNode(cfg ManagedConfig) (*ManagedNode, error) {
+	field := &policy.MultiService{RetryBudgetPerAttempt: cfg.RetryRatio * retryBudgetShare, ColdShare: coldShare, ColdWindow: coldWindow, ReportInterval: managedReportInterval}
 	set := policy.Settings{Gateways: 1, Zone: cfg.Zone, Resolution: time.Millisecond, CanCancel: true, CanMessagePeers: true,
-		MessagesPerSecond: estateMail, MaxRequestUnits: 1, MaxRetryAfter: time.Second, MultiService: field}
+		MessagesPerSecond: managedMessagesPerSecond, MaxRequestUnits: 1, MaxRetryAfter: time.Second, MultiService: field}
 	g, err := policy.New(set, cfg.Seed)
 	if err != nil {
 		return nil, errors.WithMessage(err, "settings")
 	}
 	w := cfg.World
 	clk := newClock(w)
-	up := &upstream{clock: clk, network: w, limit: estateDial, idleFor: estateIdle, grace: estateGrace, rest: restFor,
+	up := &upstream{clock: clk, network: w, limit: managedDialTimeout, idleFor: managedConnIdle, grace: managedDrainGrace, rest: restFor,
 		most: int(serverSocketShare * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, estate: true}
 	n := &Node{world: w, upstream: up, loop: newLoop(clk, g, up)}
-	n.loop.lookEvery = estateLook
+	n.loop.disconnectInterval = managedDisconnectInterval
 	n.server = newServer(clk, set, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
-	e := &Estate{node: n, cfg: cfg, field: field, serverList: &serverlist.ServerList{Terms: serverListTerms(&cfg)}}
+	e := &ManagedNode{node: n, cfg: cfg, services: field, serverList: &serverlist.ServerList{Terms: serverListTerms(&cfg)}}
 	field.MaxRetryBudget = e.retryCap
-	e.estate = &estate{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
-	e.estate.freshFor.Store(int64(freshFor(&cfg)))
-	n.server.estate, n.server.over, n.server.failed = e.estate, n.loop.over, cfg.Failed
+	e.managed = &estate{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
+	e.managed.freshFor.Store(int64(freshFor(&cfg)))
+	n.server.estate, n.server.over, n.server.failed = e.managed, n.loop.stopped, cfg.OnRequestFailed
 	if n.peers, err = listenPeers(w, cfg.Peer, nil, netip.AddrPort{}, func(from int, data []byte) {
 		select {
 		case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
@@ -107,10 +107,10 @@
 	}); err != nil {
 		return nil, err
 	}
-	n.loop.tell = n.peers.tell
-	e.yields.taker.Life = handover.Life(max(cfg.Seed, 1))
-	n.loop.give = e.gave
-	n.peers.handed = e.handed
+	n.loop.sendPeer = n.peers.tell
+	e.handover.taker.Life = handover.Life(max(cfg.Seed, 1))
+	n.loop.onUnitsOffered = e.recordOfferedUnits
+	n.peers.handed = e.receiveHandover
 	if n.listener, err = w.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
 		n.closePeers()
 		return nil, errors.WithMessage(err, "listen")
@@ -119,10 +119,10 @@
 }
 
 // Addr is where clients connect.
-func (e *Estate) Addr() net.Addr { return e.node.listener.Addr() }
+func (e *ManagedNode) Addr() net.Addr { return e.node.listener.Addr() }
 
 // Run serves until stop ends, then answers what is open and returns.
-func (e *Estate) Run(stop context.Context) error {
+func (e *ManagedNode) Run(stop context.Context) error {
 	n := e.node
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -145,32 +145,34 @@
 
 // Ready tells whether it may be found by clients: it knows configuration, servers and peers, its word is fresh, and
 // it does not stop.
-func (e *Estate) Ready() bool { return e.well() && !e.node.server.resting.Load() }
+func (e *ManagedNode) Ready() bool { return e.readyExceptResting() && !e.node.server.resting.Load() }
 
-// Rests tells whether it would be ready, but for the order to rest.
-func (e *Estate) Rests() bool { return e.well() && e.node.server.resting.Load() }
+// ReadyButResting tells whether it would be ready, but for the order to rest.
+func (e *ManagedNode) ReadyButResting() bool {
+	return e.readyExceptResting() && e.node.server.resting.Load()
+}
 
-func (e *Estate) well() bool {
-	return e.ready.Load() && !e.node.server.draining.Load() && e.estate.isFresh(e.node.loop.clock.now())
+func (e *ManagedNode) readyExceptResting() bool {
+	return e.ready.Load() && !e.node.server.draining.Load() && e.managed.isFresh(e.node.loop.clock.now())
 }
 
-// Rest takes over whether it is to rest: then it is not ready, and lets go of each client after its next answer.
-func (e *Estate) Rest(rest bool) { e.node.server.resting.Store(rest) }
+// SetResting takes over whether it is to rest: then it is not ready, and lets go of each client after its next answer.
+func (e *ManagedNode) SetResting(rest bool) { e.node.server.resting.Store(rest) }
 
-// Confirm tells until when control's word is known to be the newest.
-func (e *Estate) Confirm(ago time.Duration) {
+// ConfirmConfiguration tells until when control's word is known to be the newest.
+func (e *ManagedNode) ConfirmConfiguration(ago time.Duration) {
 	at := int64(e.node.loop.clock.now() - ago)
 	for {
-		old := e.estate.confirmed.Load()
-		if at <= old || e.estate.confirmed.CompareAndSwap(old, at) {
+		old := e.managed.confirmed.Load()
+		if at <= old || e.managed.confirmed.CompareAndSwap(old, at) {
 			return
 		}
 	}
 }
 
-// Configuration puts a configuration in force. It is in force when Configuration returns.
-func (e *Estate) Configuration(p *routeconfig.Configuration) {
-	classes := e.estate.till(p)
+// SetConfiguration puts a configuration in force. It is in force when Configuration returns.
+func (e *ManagedNode) SetConfiguration(p *routeconfig.Configuration) {
+	classes := e.managed.till(p)
 	t := DefaultTuning()
 	t.FirstRequest, t.WholeRequest = p.Limits.HeaderTimeout, 2*p.Limits.HeaderTimeout
 	t.ClientIdle, t.EndUnused = p.Limits.IdleTimeout, false
@@ -180,15 +182,15 @@
 	for _, b := range p.Backends {
 		services[b.Name] = serverlist.Service{Warmup: b.Warmup, PerS: b.WarmupPerS, MostOut: b.MaxConns}
 	}
-	e.in(func(l *loop) {
+	e.runOnLoop(func(l *loop) {
 		e.serverList.Services(services)
-		l.decide(e.terms(p, classes))
-		e.members(l)
+		l.decide(e.configUpdate(p, classes))
+		e.updateServers(l)
 	})
 }
 
-// terms are the module's classes and plans for a configuration.
-func (e *Estate) terms(p *routeconfig.Configuration, classes map[string]*policy.Class) policy.ConfigUpdate {
+// configUpdate are the module's classes and plans for a configuration.
+func (e *ManagedNode) configUpdate(p *routeconfig.Configuration, classes map[string]*policy.Class) policy.ConfigUpdate {
 	var t policy.ConfigUpdate
 	for _, name := range slices.Sorted(maps.Keys(classes)) { // their order numbers them
 		t.Classes = append(t.Classes, *classes[name])
@@ -196,52 +198,52 @@
 	for _, n := range p.Tenants {
 		pl := policy.Plan{Name: n.Name}
 		if n.RatePerS > 0 || n.Burst > 0 {
-			more := e.cfg.QuotaExcess * excessPart
+			more := e.cfg.QuotaExcess * quotaExcessShare
 			pl.Rate, pl.Burst = max(n.RatePerS*(1+more), 0.01), max(n.Burst*(1+more), 1)
-			pl.HardRate, pl.HardBurst = pl.Rate, pl.Burst+e.cfg.QuotaSlack*excessPart
-			pl.HardInitial = (e.cfg.QuotaExcess*(n.RatePerS*e.cfg.QuotaWindow.Seconds()+n.Burst) + e.cfg.QuotaSlack) * startPart
+			pl.HardRate, pl.HardBurst = pl.Rate, pl.Burst+e.cfg.QuotaSlack*quotaExcessShare
+			pl.HardInitial = (e.cfg.QuotaExcess*(n.RatePerS*e.cfg.QuotaWindow.Seconds()+n.Burst) + e.cfg.QuotaSlack) * initialExcessShare
 		}
 		t.Plans = append(t.Plans, pl)
 	}
 	return t
 }
 
-// Servers takes the platform's list over, as it stood at a stamp.
-func (e *Estate) Servers(stamp int64, list []serverlist.Listed) {
-	e.in(func(l *loop) {
+// SetServers takes the platform's list over, as it stood at a stamp.
+func (e *ManagedNode) SetServers(stamp int64, list []serverlist.Listed) {
+	e.runOnLoop(func(l *loop) {
 		if e.serverList.List(l.clock.now(), stamp, list) {
-			e.members(l)
+			e.updateServers(l)
 		}
 	})
 }
 
-// Zones takes over which zones are drained.
-func (e *Estate) Zones(drained map[string]bool) {
-	e.in(func(l *loop) {
+// SetDrainedZones takes over which zones are drained.
+func (e *ManagedNode) SetDrainedZones(drained map[string]bool) {
+	e.runOnLoop(func(l *loop) {
 		e.serverList.Drained(l.clock.now(), drained)
-		e.members(l)
+		e.updateServers(l)
 	})
 }
 
-// Peers takes over who is there: the number of this edge node, in how many parts quotas are divided, and the
+// SetPeers takes over who is there: the number of this edge node, in how many parts quotas are divided, and the
 // addresses of the others by number. Of its own parts it leaves a part unused.
-func (e *Estate) Peers(me, shares int, less float64, at []netip.AddrPort, regions []string) {
+func (e *ManagedNode) SetPeers(me, shares int, less float64, at []netip.AddrPort, regions []string) {
 	numbers := max(len(at), me+1, shares)
 	shares = max(shares, 1)
 	to := make([]netip.AddrPort, numbers)
 	copy(to, at)
 	to[me] = netip.AddrPort{}
 	e.node.peers.meet(to)
-	e.estate.shares.Store(int64(shares))
-	e.in(func(l *loop) {
-		e.yields.peers = policy.GatewaySet{Me: me, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: less}
-		e.share(l)
-		e.members(l)
+	e.managed.shares.Store(int64(shares))
+	e.runOnLoop(func(l *loop) {
+		e.handover.peers = policy.GatewaySet{Me: me, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: less}
+		e.updateShares(l)
+		e.updateServers(l)
 	})
 }
 
-// in runs a change on the loop and waits for it.
-func (e *Estate) in(f func(l *loop)) {
+// runOnLoop runs a change on the loop and waits for it.
+func (e *ManagedNode) runOnLoop(f func(l *loop)) {
 	done := make(chan struct{})
 	e.node.loop.events <- func() {
 		f(e.node.loop)
@@ -249,12 +251,12 @@
 	}
 	select {
 	case <-done:
-	case <-e.node.loop.over:
+	case <-e.node.loop.stopped:
 	}
 }
 
-// members tells the module and the upstream side of the servers there are.
-func (e *Estate) members(l *loop) {
+// updateServers tells the module and the upstream side of the servers there are.
+func (e *ManagedNode) updateServers(l *loop) {
 	if !e.serverList.Have() {
 		return
 	}
@@ -263,7 +265,7 @@
 	for _, s := range e.serverList.Lives() {
 		t := target{UID: s.ID, Endpoint: s.Address, State: "SERVING"}
 		if s.MostOut > 0 {
-			t.maxIdleConns = max(1, int(idleConns*float64(s.MostOut)/float64(max(1, e.estate.shares.Load()))))
+			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MostOut)/float64(max(1, e.managed.shares.Load()))))
 		}
 		m := policy.Server{ID: serverID(s.ID), Zone: s.Zone, Region: s.Region, Service: s.Service, Slots: max(1, s.Slots),
 			ColdUntil: s.ColdUntil, ColdSendRate: s.ColdSends}
@@ -272,17 +274,17 @@
 		}
 		switch {
 		case s.Region != e.cfg.Region:
-			m.ExtraLatency = farRegion
+			m.ExtraLatency = otherRegionPenalty
 		case s.Zone != e.cfg.Zone:
-			m.ExtraLatency = farZone
+			m.ExtraLatency = otherZonePenalty
 		}
 		list.Targets = append(list.Targets, t)
 		ev.Servers = append(ev.Servers, m)
 	}
-	l.up.update(list, true)
+	l.upstream.update(list, true)
 	l.decide(ev)
-	if len(e.fit.trusts) > 0 {
-		e.trusts(l) // of servers that are new to the module
+	if len(e.health.trust) > 0 {
+		e.applyTrust(l) // of servers that are new to the module
 	}
-	e.ready.Store(e.estate.tilled.Load() != nil && e.estate.shares.Load() > 0)
+	e.ready.Store(e.managed.tilled.Load() != nil && e.managed.shares.Load() > 0)
 }
--- a/internal/dataplane/node/figures.go
+++ b/internal/dataplane/node/figures.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	figuresOver = 4 * time.Second        // what figures count
-	figuresStep = 200 * time.Millisecond // between two that are kept for that
+	trafficWindow           = 4 * time.Second        // what figures count
+	trafficSnapshotInterval = 200 * time.Millisecond // between two that are kept for that
 )
 
-// Figures are what an estate tells of its traffic.
-type Figures struct {
+// TrafficStats are what an estate tells of its traffic.
+type TrafficStats struct {
 	Open    int           // requests that are not answered
 	Clients int           // connections
 	Span    time.Duration // over which the rest was counted
@@ -23,22 +23,22 @@
 	Failed  uint32        // other 5xx
 }
 
-// counts are an estate's answers since its start.
-type counts struct {
+// trafficCounter are an estate's answers since its start.
+type trafficCounter struct {
 	open                    atomic.Int64
 	served, refused, failed atomic.Uint32
 
-	mu   sync.Mutex
-	past []counted // oldest first
+	mu        sync.Mutex
+	snapshots []trafficSnapshot // oldest first
 }
 
-type counted struct {
+type trafficSnapshot struct {
 	at                      time.Duration
 	served, refused, failed uint32
 }
 
-// own counts an answer that no server gave.
-func (c *counts) own(status int) {
+// countOwn counts an answer that no server gave.
+func (c *trafficCounter) countOwn(status int) {
 	switch {
 	case status == 429 || status == 503:
 		c.refused.Add(1)
@@ -47,8 +47,8 @@
 	}
 }
 
-// passed counts a server's, by the first digit of its status.
-func (c *counts) passed(digit byte) {
+// countForwarded counts a server's, by the first digit of its status.
+func (c *trafficCounter) countForwarded(digit byte) {
 	if digit >= '5' {
 		c.failed.Add(1)
 	} else {
@@ -56,29 +56,29 @@
 	}
 }
 
-// figures are the counts of the last seconds.
-func (c *counts) figures(now time.Duration) Figures {
-	is := counted{now, c.served.Load(), c.refused.Load(), c.failed.Load()}
+// stats are the counts of the last seconds.
+func (c *trafficCounter) stats(now time.Duration) TrafficStats {
+	is := trafficSnapshot{now, c.served.Load(), c.refused.Load(), c.failed.Load()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.past) > 1 && now-c.past[1].at >= figuresOver {
-		c.past = c.past[1:]
+	for len(c.snapshots) > 1 && now-c.snapshots[1].at >= trafficWindow {
+		c.snapshots = c.snapshots[1:]
 	}
-	f := Figures{Open: int(c.open.Load())}
-	if len(c.past) > 0 {
-		was := c.past[0]
+	f := TrafficStats{Open: int(c.open.Load())}
+	if len(c.snapshots) > 0 {
+		was := c.snapshots[0]
 		f.Span, f.Served, f.Refused, f.Failed = now-was.at, is.served-was.served, is.refused-was.refused, is.failed-was.failed
 	}
-	if n := len(c.past); n == 0 || now-c.past[n-1].at >= figuresStep {
-		c.past = append(c.past, is)
+	if n := len(c.snapshots); n == 0 || now-c.snapshots[n-1].at >= trafficSnapshotInterval {
+		c.snapshots = append(c.snapshots, is)
 	}
 	return f
 }
 
-// Figures tells of the traffic of the last seconds.
-func (e *Estate) Figures() Figures {
+// TrafficStats tells of the traffic of the last seconds.
+func (e *ManagedNode) TrafficStats() TrafficStats {
 	s := e.node.server
-	f := s.counts.figures(s.clock.now())
+	f := s.counts.stats(s.clock.now())
 	s.mu.Lock()
 	f.Clients = len(s.conns)
 	s.mu.Unlock()
@@ -86,12 +86,14 @@
 }
 
 // ConfirmedAge is how long ago what is in force was last confirmed to be the newest; long where it never was.
-func (e *Estate) ConfirmedAge() time.Duration {
-	return e.estate.clock.now() - time.Duration(e.estate.confirmed.Load())
+func (e *ManagedNode) ConfirmedAge() time.Duration {
+	return e.managed.clock.now() - time.Duration(e.managed.confirmed.Load())
 }
 
-// Left is how many requests' clients have left before their answer.
-func (e *Estate) Left() uint64 { return e.node.loop.left.Load() }
+// DisconnectedClients is how many requests' clients have left before their answer.
+func (e *ManagedNode) DisconnectedClients() uint64 { return e.node.loop.disconnectedClients.Load() }
 
-// Heads tells of the requests by host, where some routes are bound to regions.
-func (e *Estate) Heads() []homing.Heads { return e.estate.heads.Top(e.estate.clock.now()) }
+// RequestsByHost tells of the requests by host, where some routes are bound to regions.
+func (e *ManagedNode) RequestsByHost() []homing.Heads {
+	return e.managed.heads.Top(e.managed.clock.now())
+}
--- a/internal/dataplane/node/fit.go
+++ b/internal/dataplane/node/fit.go
@@ -8,35 +8,35 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// lateAims is after how many of its aims a confirmed answer counts as late.
-const lateAims = 4
+// lateTargetFactor is after how many of its aims a confirmed answer counts as late.
+const lateTargetFactor = 4
 
-// fit is what an estate notes of servers, and how far they are trusted; the loop's.
-type fit struct {
+// serverHealthState is what an estate notes of servers, and how far they are trusted; the loop's.
+type serverHealthState struct {
 	recorder *serverhealth.Recorder // nil: nothing is noted
-	trusts   map[policy.ServerID]policy.Trust
+	trust    map[policy.ServerID]policy.Trust
 }
 
-// Note has the edge node note how attempts end, under a name of its own.
-func (e *Estate) Note(name, zone string, life int64) {
-	e.in(func(l *loop) {
-		e.fit.recorder = serverhealth.NewRecorder(name, zone, life)
-		l.note = e.note
+// StartHealthRecording has the edge node note how attempts end, under a name of its own.
+func (e *ManagedNode) StartHealthRecording(name, zone string, life int64) {
+	e.runOnLoop(func(l *loop) {
+		e.health.recorder = serverhealth.NewRecorder(name, zone, life)
+		l.onOutcome = e.recordOutcome
 	})
 }
 
-// steady is the clock of what is noted.
-func (e *Estate) steady() time.Duration {
+// recorderNow is the clock of what is noted.
+func (e *ManagedNode) recorderNow() time.Duration {
 	c := e.node.loop.clock
 	return c.Now().Sub(c.anchor)
 }
 
-// Noted is what was noted after a number, at most so many observations of it, and the number to ask from the next time; nil
+// HealthReport is what was noted after a number, at most so many observations of it, and the number to ask from the next time; nil
 // where nothing is noted.
-func (e *Estate) Noted(after uint64, most int) (s *serverhealth.Report, next uint64) {
-	e.in(func(*loop) {
-		if e.fit.recorder != nil {
-			s, next = e.fit.recorder.Tell(e.steady(), after, func(string) bool { return true })
+func (e *ManagedNode) HealthReport(after uint64, most int) (s *serverhealth.Report, next uint64) {
+	e.runOnLoop(func(*loop) {
+		if e.health.recorder != nil {
+			s, next = e.health.recorder.Tell(e.recorderNow(), after, func(string) bool { return true })
 		}
 	})
 	if s != nil {
@@ -45,51 +45,51 @@
 	return s, next
 }
 
-// Ill notes that the edge node itself is starved, cut off or leaving.
-func (e *Estate) Ill() {
-	e.in(func(*loop) {
-		if e.fit.recorder != nil {
-			e.fit.recorder.Ill(e.steady())
+// MarkUnreliable notes that the edge node itself is starved, cut off or leaving.
+func (e *ManagedNode) MarkUnreliable() {
+	e.runOnLoop(func(*loop) {
+		if e.health.recorder != nil {
+			e.health.recorder.Ill(e.recorderNow())
 		}
 	})
 }
 
-// Trust takes over how far servers are trusted, by their ids; one that is left out is trusted. Whoever may be tried
+// SetTrust takes over how far servers are trusted, by their ids; one that is left out is trusted. Whoever may be tried
 // may be so once.
-func (e *Estate) Trust(servers map[string]policy.Trust) {
-	e.in(func(l *loop) {
-		was := len(e.fit.trusts) > 0
-		e.fit.trusts = make(map[policy.ServerID]policy.Trust, len(servers))
+func (e *ManagedNode) SetTrust(servers map[string]policy.Trust) {
+	e.runOnLoop(func(l *loop) {
+		was := len(e.health.trust) > 0
+		e.health.trust = make(map[policy.ServerID]policy.Trust, len(servers))
 		for id, t := range servers {
-			e.fit.trusts[serverID(id)] = t
+			e.health.trust[serverID(id)] = t
 		}
 		if was || len(servers) > 0 {
-			e.trusts(l)
+			e.applyTrust(l)
 		}
-		for id, t := range e.fit.trusts {
+		for id, t := range e.health.trust {
 			t.Trial = false // told once
-			e.fit.trusts[id] = t
+			e.health.trust[id] = t
 		}
 	})
 }
 
-// trusts tells the module how far servers are trusted.
-func (e *Estate) trusts(l *loop) { l.decide(policy.TrustUpdate{Servers: e.fit.trusts}) }
+// applyTrust tells the module how far servers are trusted.
+func (e *ManagedNode) applyTrust(l *loop) { l.decide(policy.TrustUpdate{Servers: e.health.trust}) }
 
-// note notes how an attempt ended, where that says anything of its server.
-func (e *Estate) note(o outcome) {
-	out, says := outcomeOf(&o, e.node.loop.clock.now())
+// recordOutcome notes how an attempt ended, where that says anything of its server.
+func (e *ManagedNode) recordOutcome(o outcome) {
+	out, says := serverOutcome(&o, e.node.loop.clock.now())
 	if id := e.node.upstream.uid(o.attempt.server); says && id != "" {
 		kind := serverhealth.Record
 		if o.request.effect == policy.Safe {
 			kind = serverhealth.Search
 		}
-		e.fit.recorder.Add(e.steady(), id, kind, serverhealth.Group(o.request.managed.tenant), out)
+		e.health.recorder.Add(e.recorderNow(), id, kind, serverhealth.Group(o.request.managed.tenant), out)
 	}
 }
 
-// outcomeOf is what the end of an attempt says of its server; false: nothing.
-func outcomeOf(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
+// serverOutcome is what the end of an attempt says of its server; false: nothing.
+func serverOutcome(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
 	aim := o.request.class.LatencyTarget
 	switch {
 	case o.fault != nil || o.End == verdict.Unfit: // the client's fault
@@ -99,7 +99,7 @@
 	}
 	switch o.Code() {
 	case policy.OK:
-		if took := max(o.latency, 0); took > lateAims*aim || took == 0 && now-o.attempt.sent > lateAims*aim {
+		if took := max(o.latency, 0); took > lateTargetFactor*aim || took == 0 && now-o.attempt.sent > lateTargetFactor*aim {
 			return serverhealth.Late, true
 		}
 		return serverhealth.Confirmed, true
--- a/internal/dataplane/node/flood_test.go
+++ b/internal/dataplane/node/flood_test.go
@@ -19,9 +19,9 @@
 
 var floodPairs = flag.Int("flood.pairs", 0, "measure so many pairs of runs, without and with a flood of wrong keys")
 
-// flood asks with wrong keys, each on a connection of its own, so many times a
+// sendWrongKeys asks with wrong keys, each on a connection of its own, so many times a
 // second until ctx ends. It returns how many answers of 401 came.
-func flood(ctx context.Context, addr string, perSecond int) (refused int64) {
+func sendWrongKeys(ctx context.Context, addr string, perSecond int) (refused int64) {
 	var n atomic.Int64
 	var all sync.WaitGroup
 	const askers = 64
@@ -58,7 +58,7 @@
 
 // A flood of wrong keys touches no quota and keeps none from being served: a
 // library within its quota is answered all the same.
-func TestWrongKeysTouchNoQuota(t *testing.T) {
+func TestWrongKeysUseNoQuota(t *testing.T) {
 	in := install(t, 1, nil)
 	in.bring(0, in.revision(t, 0))
 	front := in.front(t, 20)
@@ -66,7 +66,7 @@
 	defer stop()
 	var refused int64
 	var both sync.WaitGroup
-	both.Go(func() { refused = flood(ctx, in.addrs[0].Addr, 2000) })
+	both.Go(func() { refused = sendWrongKeys(ctx, in.addrs[0].Addr, 2000) })
 	front.Run(ctx)
 	both.Wait()
 	for _, b := range in.ledger.Finish() {
@@ -98,7 +98,7 @@
 		defer stop()
 		var both sync.WaitGroup
 		if wrong > 0 {
-			both.Go(func() { refused = flood(ctx, in.addrs[0].Addr, wrong) })
+			both.Go(func() { refused = sendWrongKeys(ctx, in.addrs[0].Addr, wrong) })
 		}
 		front.Run(ctx)
 		both.Wait()
--- a/internal/dataplane/node/forgot_test.go
+++ b/internal/dataplane/node/forgot_test.go
@@ -11,38 +11,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// forgetful has servers reset a connection that stood idle for long at the first byte that comes then, some time later
+// useForgetfulServers has servers reset a connection that stood idle for long at the first byte that comes then, some time later
 // and without a packet before.
-func (r *rig) forgetful(after, late time.Duration) *hall {
+func (r *managedFixture) useForgetfulServers(after, late time.Duration) *hall {
 	h := r.open(nil, nil)
 	for i := range r.list {
 		ln, err := r.net.Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(r.t, err)
 		r.t.Cleanup(func() { ln.Close() })
 		r.list[i].Address = ln.Addr().String()
-		go h.accept(&forgetful{ln, after, late}, nil, nil)
+		go h.accept(&forgetfulListener{ln, after, late}, nil, nil)
 	}
-	r.Servers(2, r.list)
+	r.SetServers(2, r.list)
 	return h
 }
 
-type forgetful struct {
+type forgetfulListener struct {
 	net.Listener
 	after, late time.Duration
 }
 
-func (d *forgetful) Accept() (net.Conn, error) {
+func (d *forgetfulListener) Accept() (net.Conn, error) {
 	c, err := d.Listener.Accept()
-	return &dozy{Conn: c, forgetful: d, last: time.Now()}, err
+	return &forgetfulConn{Conn: c, forgetfulListener: d, last: time.Now()}, err
 }
 
-type dozy struct {
+type forgetfulConn struct {
 	net.Conn
-	*forgetful
+	*forgetfulListener
 	last time.Time
 }
 
-func (c *dozy) Read(b []byte) (int, error) {
+func (c *forgetfulConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err == nil && time.Since(c.last) > c.after {
 		time.Sleep(c.late)
@@ -56,32 +56,32 @@
 
 // A request that may run once is not lost on a connection that its server has dropped without a packet: it goes on
 // another, at once, and reaches a server once. Nor does one that may be repeated spend its tries there for long.
-func TestForgottenConnectionsLoseNothing(t *testing.T) {
+func TestDroppedConnectionsLoseNoRequests(t *testing.T) {
 	for _, path := range []string{"/act/", "/get/"} {
-		play(t, false, func(r *rig) {
-			h := r.forgetful(300*time.Millisecond, 0)
+		runManaged(t, false, func(r *managedFixture) {
+			h := r.useForgetfulServers(300*time.Millisecond, 0)
 			const n = 60
 			for i := range n {
-				a := r.ask(path, "")
+				a := r.request(path, "")
 				assert.Equal(t, a.StatusCode, 200, "%s, %d: %s", path, i, a.body)
 				assert.Assert(t, a.took < 60*time.Millisecond, "%v", a.took)
 				time.Sleep(400 * time.Millisecond)
 			}
 			assert.Equal(t, len(h.seen()), n)
-			assert.Assert(t, r.Estate.node.upstream.open <= 3)
+			assert.Assert(t, r.ManagedNode.node.upstream.open <= 3)
 		})
 	}
 }
 
 // A connection that its server still knows is used again, for what may run once too, and a request that goes there in
 // two parts is the same as in one.
-func TestTriedConnectionsAreUsedAgain(t *testing.T) {
+func TestProbedConnectionsAreReused(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
-		play(t, false, func(r *rig) {
+		runManaged(t, false, func(r *managedFixture) {
 			h := r.open(nil, nil)
 			for i := range 12 {
 				c := r.send(upload("/act/", content(large), chunked))
-				a := r.answer(c)
+				a := r.readAnswer(c)
 				c.Close()
 				assert.Equal(t, a.StatusCode, 200, "%d: %s", i, a.body)
 				time.Sleep(300 * time.Millisecond)
@@ -99,12 +99,12 @@
 
 // Where a reset comes too late for a trial one request is lost, and no other for as long as it is held against
 // connections as old.
-func TestLateResetsLoseOne(t *testing.T) {
-	play(t, false, func(r *rig) {
-		h := r.forgetful(300*time.Millisecond, 30*time.Millisecond)
+func TestLateResetLosesOneRequest(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
+		h := r.useForgetfulServers(300*time.Millisecond, 30*time.Millisecond)
 		lost, n := 0, 0
-		for began := time.Now(); time.Since(began) < doubtFor; n++ {
-			if a := r.ask("/act/", ""); a.StatusCode != 200 {
+		for began := time.Now(); time.Since(began) < suspicionPeriod; n++ {
+			if a := r.request("/act/", ""); a.StatusCode != 200 {
 				assert.Equal(t, a.StatusCode, 502)
 				lost++
 			}
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	mostSurplus = 4 // answers to others that are passed over ahead of one's own
+	maxForeignAnswers = 4 // answers to others that are passed over ahead of one's own
 )
 
-// hop tells whether a field concerns one connection only (RFC 9110, 7.6.1), or the body's frame, which is written
+// isHopByHop tells whether a field concerns one connection only (RFC 9110, 7.6.1), or the body's frame, which is written
 // anew.
-func hop(name []byte) bool {
+func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2, 7, 10, 14, 16, 17, 18, 19:
 	default:
@@ -30,17 +30,17 @@
 	return false
 }
 
-func is(name []byte, field string) bool {
+func equalsFieldName(name []byte, field string) bool {
 	return len(name) == len(field) && strings.EqualFold(string(name), field)
 }
 
-// ours tells whether a field of a client's is written by the system alone.
-func ours(name []byte) bool {
-	return is(name, fieldKey) || is(name, fieldTenant) || is(name, fieldTarget) || is(name, fieldDeadline) || is(name, "Expect")
+// isSetByProxy tells whether a field of a client's is written by the system alone.
+func isSetByProxy(name []byte) bool {
+	return equalsFieldName(name, fieldKey) || equalsFieldName(name, fieldTenant) || equalsFieldName(name, fieldTarget) || equalsFieldName(name, fieldDeadline) || equalsFieldName(name, "Expect")
 }
 
-// appendForward writes what goes on to an app server.
-func appendForward(b []byte, req *clientRequest, server string, left time.Duration) []byte {
+// appendForwardedRequest writes what goes on to an app server.
+func appendForwardedRequest(b []byte, req *clientRequest, server string, left time.Duration) []byte {
 	b = append(b, req.method...)
 	b = append(b, ' ')
 	b = append(b, req.target...)
@@ -48,7 +48,7 @@
 	named := req.get("Connection")
 	for i := range req.fields {
 		f := &req.fields[i]
-		if hop(f.name) || ours(f.name) || len(named) > 0 && req.has("Connection", string(f.name)) {
+		if isHopByHop(f.name) || isSetByProxy(f.name) || len(named) > 0 && req.hasToken("Connection", string(f.name)) {
 			continue
 		}
 		b = appendField(b, f)
@@ -81,18 +81,18 @@
 	return append(b, "\r\n"...)
 }
 
-// passOn makes of an app server's answer what its client gets: status, fields and body unchanged, the frame
+// buildClientAnswer makes of an app server's answer what its client gets: status, fields and body unchanged, the frame
 // written anew.
-func passOn(h *head, status int, body []byte, bare, more bool) []byte {
+func buildClientAnswer(h *head, status int, body []byte, bare, more bool) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, answerStart...)
-	b = append(b, h.first[len(answerStart):]...)
+	b = append(b, h.firstLine[len(answerStart):]...)
 	b = append(b, "\r\n"...)
 	named := h.get("Connection")
 	for i := range h.fields {
 		f := &h.fields[i]
-		if hop(f.name) && !(bare && is(f.name, "Content-Length")) || is(f.name, fieldLoad) ||
-			len(named) > 0 && h.has("Connection", string(f.name)) {
+		if isHopByHop(f.name) && !(bare && equalsFieldName(f.name, "Content-Length")) || equalsFieldName(f.name, fieldLoad) ||
+			len(named) > 0 && h.hasToken("Connection", string(f.name)) {
 			continue
 		}
 		b = appendField(b, f)
@@ -118,11 +118,11 @@
 		return ended(verdict.Unsent, errNoWay), false
 	}
 	msg := buffers.Get().(*[]byte)
-	b := appendForward((*msg)[:0], req, server, req.managed.front.s.estate.workFor(left, u.clock.now()))
+	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.front.s.estate.workFor(left, u.clock.now()))
 	n, err := c.Write(b[c.ahead:])
 	whole := c.ahead+n == len(b)
 	c.ahead = 0
-	if *msg = b; cap(b) <= 4*leastBuf {
+	if *msg = b; cap(b) <= 4*minBufferBytes {
 		buffers.Put(msg)
 	}
 	if !whole {
@@ -131,7 +131,7 @@
 	bare, written := string(req.method) == "HEAD", u.clock.now()
 	stray := false
 	status, body, framed, unsent := 0, []byte(nil), false, req.managed.front.unread()
-	for range mostSurplus {
+	for range maxForeignAnswers {
 		if err != nil {
 			break
 		}
@@ -151,7 +151,7 @@
 		for p := []byte{0}; len(p) > 0 && err == nil && c.in.unread(); {
 			p, err = c.in.piece()
 		}
-		c.in.begin() // it answers another request
+		c.in.startMessage() // it answers another request
 		status, stray = 0, true
 	}
 	spent := req.managed.front.spent()
@@ -163,42 +163,42 @@
 		r.spent, r.stray = spent, stray
 		return r, false
 	}
-	r := judged(c, status, body, framed, bare)
+	r := classifyAnswer(c, status, body, framed, bare)
 	if r.spent = spent; spent || c.in.unread() {
 		r.latency = max(1, u.clock.now()-written)
 	}
 	if c.in.unread() {
 		u.download(a, c, req, &r)
 	}
-	reuse := framed && !stray && !unsent && !c.in.unread() && c.in.buffered() == 0 && !c.head.has("Connection", "close")
+	reuse := framed && !stray && !unsent && !c.in.unread() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	if r.held == nil {
-		c.in.begin()
+		c.in.startMessage()
 	}
 	return r, reuse
 }
 
-// judged is the end of an attempt that a server answered, with the answer where its client may have it.
-func judged(c *upConn, status int, body []byte, framed, bare bool) result {
+// classifyAnswer is the end of an attempt that a server answered, with the answer where its client may have it.
+func classifyAnswer(c *upConn, status int, body []byte, framed, bare bool) result {
 	h := &c.head
-	count := func(field string) int { _, n := h.one(field); return n }
+	count := func(field string) int { _, n := h.valueAndCount(field); return n }
 	v, pass := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
 		Coded: count("Content-Encoding") > 0, Framed: framed})
-	r := result{Verdict: v, load: serverLoad(h)}
+	r := result{Verdict: v, load: parseServerLoad(h)}
 	if pass {
-		r.answer = passOn(h, status, body, bare, c.in.unread())
+		r.answer = buildClientAnswer(h, status, body, bare, c.in.unread())
 	}
 	return r
 }
 
-// serverLoad reads running, waiting and slots.
-func serverLoad(h *head) []float64 {
-	text, n := h.one(fieldLoad)
+// parseServerLoad reads running, waiting and slots.
+func parseServerLoad(h *head) []float64 {
+	text, n := h.valueAndCount(fieldLoad)
 	if n != 1 {
 		return nil
 	}
 	var out []float64
 	for part := range bytes.SplitSeq(text, []byte(",")) {
-		v, digits := decimal(bytes.TrimSpace(part))
+		v, digits := parseDecimal(bytes.TrimSpace(part))
 		if digits == 0 || v > mostLoad {
 			return nil
 		}
--- a/internal/dataplane/node/framing_test.go
+++ b/internal/dataplane/node/framing_test.go
@@ -52,7 +52,7 @@
 // Requests that two readers may understand in two ways could hide another one:
 // they are answered 400 at most once, nothing of them is sent on and nothing more is read
 // from their connection. The good request behind each must not be served.
-func TestUnclearFraming(t *testing.T) {
+func TestAmbiguousFraming(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
 	fields := "Host: app.svc\r\nX-Request-Id: 1\r\nX-Class: loan\r\nX-Tier: town\r\nCookie: key=00000000b4d65521\r\n" +
@@ -107,7 +107,7 @@
 
 // Huge bodies and endless heads are refused when their size is told or passed,
 // not when they have come, and the refusal reaches a client that still sends.
-func TestOversize(t *testing.T) {
+func TestOversizedMessages(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	for name, c := range map[string]struct{ head, more, want string }{
 		"60 MB":        {"POST /loan HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", strings.Repeat("b", 1<<20), "HTTP/1.1 413 "},
@@ -170,9 +170,9 @@
 		return standin.Answer("200 OK", "", r.Content)(c, r)
 	})
 	n := nodeWith(t, a.Addr())
-	want := strings.Repeat("0123456789abcdef", mostBody/16)
+	want := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	r := request(n.url, "loan", patience)
-	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), mostBody
+	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBodyBytes
 	r.Header.Set("X-Padding", strings.Repeat("p", 8<<10))
 	if resp, body := ask(t, r); resp.StatusCode != 200 || body != want {
 		t.Errorf("%d, %d bytes", resp.StatusCode, len(body))
--- a/internal/dataplane/node/guard_test.go
+++ b/internal/dataplane/node/guard_test.go
@@ -19,32 +19,32 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// only has one app server take all requests.
-func (r *rig) only(address string) {
-	r.configuration()
-	r.Servers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: address, Zone: "a", Slots: 9}})
-	r.Peers(0, 1, 0, []netip.AddrPort{{}}, nil)
+// useOnly has one app server take all requests.
+func (r *managedFixture) useOnly(address string) {
+	r.applyConfiguration()
+	r.SetServers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: address, Zone: "a", Slots: 9}})
+	r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 }
 
 // An answer that ends at any of its bytes never looks whole, and what may have run is not sent again.
 func TestAnswerCutAtEachByte(t *testing.T) {
 	for _, frame := range []string{"Content-Length: 3\r\n\r\nyes", "Transfer-Encoding: chunked\r\n\r\n1\r\ny\r\n2\r\nes\r\n0\r\n\r\n"} {
-		play(t, false, func(r *rig) {
+		runManaged(t, false, func(r *managedFixture) {
 			whole := "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: s\r\n" + frame
-			r.acts = []act{func(c net.Conn, q *standin.Request) bool {
+			r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 				var cut int
 				_, _ = fmt.Sscan(q.Header.Get("X-Cut"), &cut)
 				text := strings.ReplaceAll(whole, "ID", q.Header.Get("Attempt-Id"))
 				_, _ = io.WriteString(c, text[:len(text)-cut])
 				return false
 			}}
-			r.tell()
+			r.configure()
 			for cut := range len(whole) {
-				before := len(r.seen())
-				a := r.ask("/act/a", fmt.Sprintf("X-Cut: %d\r\n", cut))
+				before := len(r.receivedRequests())
+				a := r.request("/act/a", fmt.Sprintf("X-Cut: %d\r\n", cut))
 				assert.Equal(t, a.StatusCode == 200, cut == 0, "%d bytes less: %d %q", cut, a.StatusCode, a.body)
 				assert.Assert(t, cut == 0 || a.StatusCode == 502 && a.Header.Get(fieldSeal) == "", "%d bytes less: %d", cut, a.StatusCode)
-				assert.Equal(t, len(r.seen())-before, 1)
+				assert.Equal(t, len(r.receivedRequests())-before, 1)
 			}
 		})
 	}
@@ -53,10 +53,10 @@
 // A connection that has served a request dies when so many bytes of the next have been read. A request that may run
 // once only is failed then, and not promised about; it goes elsewhere only where no more of it was written than what
 // tries the connection.
-func TestReusedConnectionDies(t *testing.T) {
+func TestReusedConnectionBreaks(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		for k, whole := 0, 1; k <= whole; k++ {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				var runs atomic.Int64
 				ln, err := r.net.Listen(t.Context(), "tcp", "127.0.0.1:0")
 				assert.NilError(t, err)
@@ -94,11 +94,11 @@
 						go serve(c)
 					}
 				}()
-				r.only(ln.Addr().String())
-				first := r.ask("/act/a", "")
+				r.useOnly(ln.Addr().String())
+				first := r.request("/act/a", "")
 				assert.Equal(t, first.StatusCode, 200, "%d: %s", k, first.body)
 				time.Sleep(50 * time.Millisecond) // it stands idle, or has been closed
-				a := r.ask("/act/a", "")
+				a := r.request("/act/a", "")
 				if k <= len("POST") {
 					assert.Assert(t, a.StatusCode == 200 && runs.Load() == 2, "%d: %d", k, a.StatusCode)
 				} else {
@@ -111,8 +111,8 @@
 }
 
 // A request whose last bytes were never written has not run: its client is told so, and its next try runs once.
-func TestRequestNotWrittenWhole(t *testing.T) {
-	play(t, false, func(r *rig) {
+func TestPartlyWrittenRequest(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
 		ln, err := r.net.Listen(t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		defer ln.Close()
@@ -129,67 +129,67 @@
 				c.Close()
 			}
 		}()
-		r.acts = []act{served}
-		r.configuration()
+		r.behaviors = []serverBehavior{servedAnswer}
+		r.applyConfiguration()
 		list := []serverlist.Listed{{ID: "i-9", Service: "x", Address: ln.Addr().String(), Zone: "a", Slots: 9}, r.list[0]}
-		r.Servers(1, list)
-		r.Peers(0, 1, 0, []netip.AddrPort{{}}, nil)
+		r.SetServers(1, list)
+		r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 		body := strings.Repeat("x", 1<<20)
 		for served := 0; served < 10; {
 			c := r.dial()
-			text := strings.Replace(wired("/act/a", ""), "Content-Length: 4\r\n\r\nbody", fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)), 1)
+			text := strings.Replace(requestText("/act/a", ""), "Content-Length: 4\r\n\r\nbody", fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)), 1)
 			_, err := io.WriteString(c, text+body)
 			assert.NilError(t, err)
-			switch status := r.answer(c).StatusCode; status {
+			switch status := r.readAnswer(c).StatusCode; status {
 			case 200:
 				served++
 			default:
 				assert.Equal(t, status, 503)
 			}
-			assert.Equal(t, len(r.seen()), served)
+			assert.Equal(t, len(r.receivedRequests()), served)
 			c.Close()
 		}
 		assert.Assert(t, begun.Load() > 0)
-		assert.Equal(t, len(r.seen()), 10)
+		assert.Equal(t, len(r.receivedRequests()), 10)
 	})
 }
 
 // Each attempt names the server that it is meant for, also while a server moves to another address: a connection that
 // was out meanwhile is not used again.
-func TestServerMovesUnderAnAttempt(t *testing.T) {
-	play(t, false, func(r *rig) {
+func TestServerMovesDuringAttempt(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
 		var at []string
-		r.acts = []act{func(c net.Conn, q *standin.Request) bool {
+		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 			at = append(at, c.LocalAddr().String()+" "+q.Header.Get(fieldTarget))
 			time.Sleep(300 * time.Millisecond)
-			return served(c, q)
+			return servedAnswer(c, q)
 		}}
-		r.only(r.list[0].Address)
+		r.useOnly(r.list[0].Address)
 		done := make(chan int)
-		go func() { done <- r.ask("/act/a", "").StatusCode }()
+		go func() { done <- r.request("/act/a", "").StatusCode }()
 		time.Sleep(100 * time.Millisecond)
 		moved := serverlist.Listed{ID: "i-0", Service: "x", Address: r.list[1].Address, Zone: "a", Slots: 9}
-		r.Servers(2, []serverlist.Listed{moved, {ID: "i-7", Service: "y", Address: r.list[0].Address, Zone: "a", Slots: 9}})
+		r.SetServers(2, []serverlist.Listed{moved, {ID: "i-7", Service: "y", Address: r.list[0].Address, Zone: "a", Slots: 9}})
 		assert.Equal(t, <-done, http.StatusOK)
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, r.ask("/act/a", "").StatusCode, http.StatusOK)
+		assert.Equal(t, r.request("/act/a", "").StatusCode, http.StatusOK)
 		assert.DeepEqual(t, at, []string{r.list[0].Address + " i-0", r.list[1].Address + " i-0"})
 	})
 }
 
 // The budget of further tries is a part of the whole, by how many there are.
-func TestFurtherTriesByShares(t *testing.T) {
+func TestRetryBudgetByShares(t *testing.T) {
 	tries := func(shares int) (n int) {
-		play(t, false, func(r *rig) {
-			r.acts = []act{notRun}
-			r.configuration()
-			r.Servers(1, r.list)
-			r.Peers(0, shares, 0, make([]netip.AddrPort, shares), nil)
+		runManaged(t, false, func(r *managedFixture) {
+			r.behaviors = []serverBehavior{notRunAnswer}
+			r.applyConfiguration()
+			r.SetServers(1, r.list)
+			r.SetPeers(0, shares, 0, make([]netip.AddrPort, shares), nil)
 			for range 5 {
-				assert.Equal(t, r.ask("/act/a", "").StatusCode, 503)
+				assert.Equal(t, r.request("/act/a", "").StatusCode, 503)
 				time.Sleep(20 * time.Second) // the servers are tried again
 			}
-			n = len(r.seen()) - 5
+			n = len(r.receivedRequests()) - 5
 		})
 		return n
 	}
@@ -197,21 +197,21 @@
 	assert.Assert(t, one == 10 && some > 0 && some <= 5 && none == 0, "%d, %d, %d", one, some, none)
 }
 
-func TestHeadsAsLongAsTheConfigurationSays(t *testing.T) {
-	play(t, false, func(r *rig) {
-		r.acts = []act{served}
-		r.tell()
+func TestHeadLimitFromConfiguration(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
+		r.behaviors = []serverBehavior{servedAnswer}
+		r.configure()
 		long := "X-Long: " + strings.Repeat("x", 20<<10) + "\r\n"
-		assert.Equal(t, r.ask("/act/", long).StatusCode, 431)
-		p, err := routeconfig.Parse([]byte(strings.Replace(estateConfiguration, `"gen":"r1",`, `"gen":"r2","limits":{"max_header_bytes":32768},`, 1)))
+		assert.Equal(t, r.request("/act/", long).StatusCode, 431)
+		p, err := routeconfig.Parse([]byte(strings.Replace(managedConfiguration, `"gen":"r1",`, `"gen":"r2","limits":{"max_header_bytes":32768},`, 1)))
 		assert.NilError(t, err)
-		r.Configuration(p)
-		assert.Equal(t, r.ask("/act/", long).StatusCode, 200)
-		assert.Equal(t, r.ask("/act/", long+long).StatusCode, 431)
+		r.SetConfiguration(p)
+		assert.Equal(t, r.request("/act/", long).StatusCode, 200)
+		assert.Equal(t, r.request("/act/", long+long).StatusCode, 431)
 	})
 }
 
-func TestPartsOfASplitGetTheirWeights(t *testing.T) {
+func TestSplitWeights(t *testing.T) {
 	e := &estate{rnd: rand.New(rand.NewPCG(1, 2))}
 	n := map[string]int{}
 	for range 2000 {
--- a/internal/dataplane/node/hard_test.go
+++ b/internal/dataplane/node/hard_test.go
@@ -21,7 +21,7 @@
 // operation and key go, a key whose operation changes its class, an id that is
 // sent twice, and keys of two libraries. The audit judges what is asked beside
 // them.
-func TestHardCasesUnderLoad(t *testing.T) {
+func TestRouteSwapCasesUnderLoad(t *testing.T) {
 	in := install(t, 3, func(s *standin.Settings) {
 		s.Plans = append(s.Plans, standin.Plan{Name: "single", Parallel: 1})
 	})
@@ -153,12 +153,12 @@
 	}
 }
 
-const slowLoan = 150 * time.Millisecond
+const slowLoanTime = 150 * time.Millisecond
 
-// work is the core time of a request: one whose id says so is slow.
-func work(r *standin.Request) time.Duration {
+// coreTime is the core time of a request: one whose id says so is slow.
+func coreTime(r *standin.Request) time.Duration {
 	if strings.HasPrefix(r.Header.Get("X-Request-Id"), "slow") {
-		return slowLoan
+		return slowLoanTime
 	}
 	return 3 * time.Millisecond
 }
--- a/internal/dataplane/node/idle_test.go
+++ b/internal/dataplane/node/idle_test.go
@@ -11,7 +11,7 @@
 )
 
 // A server takes so many connections from all edge nodes: no more than this one's part of them stand idle here.
-func TestIdleConnectionsOfAServerAreBounded(t *testing.T) {
+func TestIdleConnectionsPerServerAreBounded(t *testing.T) {
 	id := serverID("i-1")
 	u := &upstream{clock: newClock(world.Real{}), servers: map[policy.ServerID]*appServer{}, open: 3}
 	u.update(&serverList{All: true, Targets: []target{{UID: "i-1", Endpoint: "pipe", State: "SERVING", maxIdleConns: 2}}}, true)
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -6,18 +6,18 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// yields is how an estate's parts are given up and taken over.
-type yields struct {
-	peers policy.GatewaySet // as told last; Gateways 0: not told
-	stage handover.Stage
-	taker handover.Taker
-	giver *handover.Giver // nil: nothing is given up
-	lots  []handover.Lot
+// handoverState is how an estate's parts are given up and taken over.
+type handoverState struct {
+	peers       policy.GatewaySet // as told last; Gateways 0: not told
+	stage       handover.Stage
+	taker       handover.Taker
+	giver       *handover.Giver // nil: nothing is given up
+	offeredLots []handover.Lot
 }
 
-// share tells the module what its parts are; it runs on the loop.
-func (e *Estate) share(l *loop) {
-	y := &e.yields
+// updateShares tells the module what its parts are; it runs on the loop.
+func (e *ManagedNode) updateShares(l *loop) {
+	y := &e.handover
 	if y.peers.Gateways == 0 {
 		return
 	}
@@ -30,16 +30,16 @@
 }
 
 // leave goes through the stages of a planned stop, and returns when all is answered or its time is over.
-func (e *Estate) leave() {
+func (e *ManagedNode) leave() {
 	n := e.node
 	s := n.server
 	began := n.world.Now()
 	s.draining.Store(true)
 	var l handover.Leave
-	e.in(func(loop *loop) {
-		e.yields.taker.Leaving = true
+	e.runOnLoop(func(loop *loop) {
+		e.handover.taker.Leaving = true
 		l.Grace = e.cfg.Grace // as told last
-		e.estate.workEnds.Store(int64(loop.clock.now() + l.WorkEnds()))
+		e.managed.workEnds.Store(int64(loop.clock.now() + l.WorkEnds()))
 	})
 	handed := false
 	for {
@@ -49,7 +49,7 @@
 			s.closeIdle(drainQuietTime)
 		}
 		if l.Stage() == handover.Shut && !handed {
-			handed = e.hand()
+			handed = e.continueHandover()
 		}
 		open, quiet := s.connectionActivity()
 		stage, isNew := l.Step(past, handover.Facts{Open: open, Quiet: quiet, Handed: handed})
@@ -62,36 +62,36 @@
 		if stage == handover.Ended {
 			return
 		}
-		e.in(func(l *loop) { e.enter(l, stage) })
-		if stage == handover.Answering && e.cfg.Given != nil {
+		e.runOnLoop(func(l *loop) { e.enterStage(l, stage) })
+		if stage == handover.Answering && e.cfg.OnUnitsTransferred != nil {
 			units, of := 0, 0
-			e.in(func(*loop) {
-				if g := e.yields.giver; g != nil {
+			e.runOnLoop(func(*loop) {
+				if g := e.handover.giver; g != nil {
 					units, of = g.Taken()
 				}
 			})
-			e.cfg.Given(units, of)
+			e.cfg.OnUnitsTransferred(units, of)
 		}
 	}
 }
 
-// enter does what a stage begins with; it runs on the loop.
-func (e *Estate) enter(l *loop, stage handover.Stage) {
-	y := &e.yields
+// enterStage does what a stage begins with; it runs on the loop.
+func (e *ManagedNode) enterStage(l *loop, stage handover.Stage) {
+	y := &e.handover
 	switch y.stage = stage; stage {
 	case handover.Shut:
 		l.decide(policy.Relinquish{}) // before its parts are told to be none
-		y.giver = handover.NewGiver(y.taker.Life, y.lots, l.clock.now())
+		y.giver = handover.NewGiver(y.taker.Life, y.offeredLots, l.clock.now())
 	case handover.Late:
 		l.finishAll()
 	}
-	e.share(l)
+	e.updateShares(l)
 }
 
-// hand goes on with the hand-over, and tells whether it is over.
-func (e *Estate) hand() (over bool) {
-	e.in(func(l *loop) {
-		g, now := e.yields.giver, l.clock.now()
+// continueHandover goes on with the hand-over, and tells whether it is over.
+func (e *ManagedNode) continueHandover() (over bool) {
+	e.runOnLoop(func(l *loop) {
+		g, now := e.handover.giver, l.clock.now()
 		for _, m := range g.Step(now) {
 			e.node.peers.tell(m.To, m.Encode())
 		}
@@ -100,25 +100,25 @@
 	return over
 }
 
-// gave notes units that the module has given up; it runs on the loop.
-func (e *Estate) gave(a policy.OfferUnits) {
-	e.yields.lots = append(e.yields.lots, handover.Lot{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Takers: a.Candidates})
+// recordOfferedUnits notes units that the module has given up; it runs on the loop.
+func (e *ManagedNode) recordOfferedUnits(a policy.OfferUnits) {
+	e.handover.offeredLots = append(e.handover.offeredLots, handover.Lot{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Takers: a.Candidates})
 }
 
-// handed takes in what another edge node says about what is handed over.
-func (e *Estate) handed(from int, data []byte) {
+// receiveHandover takes in what another edge node says about what is handed over.
+func (e *ManagedNode) receiveHandover(from int, data []byte) {
 	m := handover.Decode(data)
 	if m == nil {
 		return
 	}
 	select {
-	case e.node.loop.events <- func() { e.hear(e.node.loop, from, m) }:
+	case e.node.loop.events <- func() { e.handleHandover(e.node.loop, from, m) }:
 	default: // lost, like one on the way
 	}
 }
 
-func (e *Estate) hear(l *loop, from int, m *handover.Message) {
-	y := &e.yields
+func (e *ManagedNode) handleHandover(l *loop, from int, m *handover.Message) {
+	y := &e.handover
 	switch m.Kind {
 	case handover.Will, handover.Wont, handover.Took, handover.Never:
 		if y.giver != nil {
--- a/internal/dataplane/node/leave_test.go
+++ b/internal/dataplane/node/leave_test.go
@@ -37,19 +37,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				net := sim.New(1)
 				net.Set(sim.Faults{Least: time.Millisecond, Most: 30 * time.Millisecond})
-				var all [3]*Estate
+				var all [3]*ManagedNode
 				var at []netip.AddrPort
 				var stops [3]context.CancelFunc
 				var ended [3]chan error
 				took, of := -1, -1
-				body := strings.Replace(estateConfiguration, `"api_keys":["k1"]`, `"api_keys":["k1"],"rate_per_s":0.001,"burst":12`, 1)
+				body := strings.Replace(managedConfiguration, `"api_keys":["k1"]`, `"api_keys":["k1"],"rate_per_s":0.001,"burst":12`, 1)
 				p, err := routeconfig.Parse([]byte(body))
 				assert.NilError(t, err)
 				for i := range all {
-					e, err := NewEstate(EstateConfig{Listen: "127.0.0.1:0", Peer: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(7000+i)).String(),
+					e, err := NewManagedNode(ManagedConfig{Listen: "127.0.0.1:0", Peer: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(7000+i)).String(),
 						Zone: "a", Region: "r", Seed: uint64(i + 1), Sockets: 100, World: net, Regions: map[string]string{"a": "r"},
 						Grace: 6 * time.Second, QuotaExcess: 0.1, QuotaSlack: 0, QuotaWindow: 5 * time.Second, RetrySlack: 10,
-						Given: func(units, n int) {
+						OnUnitsTransferred: func(units, n int) {
 							if i == 0 {
 								took, of = units, n
 							}
@@ -63,16 +63,16 @@
 					go func() { ended[i] <- e.Run(ctx) }()
 				}
 				units := func(i int) (n float64) {
-					all[i].in(func(l *loop) { n = l.gateway.Ceiling("t") })
+					all[i].runOnLoop(func(l *loop) { n = l.gateway.Ceiling("t") })
 					return n
 				}
 				for i, e := range all {
-					e.Configuration(p)
-					e.Servers(1, []serverlist.Listed{{ID: "i", Service: "x", Address: "127.0.0.1:9", Zone: "a", Slots: 9}})
-					e.Peers(i, 3, 0, at, []string{"r", "r", "r"})
+					e.SetConfiguration(p)
+					e.SetServers(1, []serverlist.Listed{{ID: "i", Service: "x", Address: "127.0.0.1:9", Zone: "a", Slots: 9}})
+					e.SetPeers(i, 3, 0, at, []string{"r", "r", "r"})
 				}
 				for i, e := range all { // two hold what one may, one has used its units up
-					e.in(func(l *loop) {
+					e.runOnLoop(func(l *loop) {
 						l.decide(policy.UnitsReceived{Customer: policy.KeyOf("t"), Units: []uint16{4, 0, 4}[i]})
 					})
 				}
@@ -101,43 +101,43 @@
 	}
 }
 
-// dozing is a network on whose listeners an edge node gets what it has read only a while later, as where its machine
+// slowReadNetwork is a network on whose listeners an edge node gets what it has read only a while later, as where its machine
 // has no core free for it.
-type dozing struct {
+type slowReadNetwork struct {
 	*sim.Net
 	conns sync.Map // by the client's address
 }
 
-type dozingListener struct {
+type slowReadListener struct {
 	net.Listener
-	of *dozing
+	network *slowReadNetwork
 }
 
-type dozingConn struct {
+type slowReadConn struct {
 	net.Conn
-	got atomic.Int64 // bytes
+	bytesRead atomic.Int64 // bytes
 }
 
-func (d *dozing) Listen(ctx context.Context, network, address string) (net.Listener, error) {
+func (d *slowReadNetwork) Listen(ctx context.Context, network, address string) (net.Listener, error) {
 	l, err := d.Net.Listen(ctx, network, address)
-	return dozingListener{l, d}, err
+	return slowReadListener{l, d}, err
 }
 
-func (l dozingListener) Accept() (net.Conn, error) {
+func (l slowReadListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	x := &dozingConn{Conn: c}
-	l.of.conns.Store(c.RemoteAddr().String(), x)
+	x := &slowReadConn{Conn: c}
+	l.network.conns.Store(c.RemoteAddr().String(), x)
 	return x, nil
 }
 
-func (c *dozingConn) Peek() world.Peeked { return world.Peek(c.Conn) }
+func (c *slowReadConn) Peek() world.Peeked { return world.Peek(c.Conn) }
 
-func (c *dozingConn) Read(b []byte) (int, error) {
+func (c *slowReadConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.got.Add(int64(n)); n > 0 {
+	if c.bytesRead.Add(int64(n)); n > 0 {
 		time.Sleep(30 * time.Millisecond)
 	}
 	return n, err
@@ -145,11 +145,11 @@
 
 // Whatever an edge node that leaves has read is answered, at whatever stage it came, on an old connection or a new one; what
 // it has not read, the client may send again.
-func TestWhatIsReadWhileLeavingIsAnswered(t *testing.T) {
-	d := &dozing{}
-	playIn(t, false, func(n *sim.Net) world.World { d.Net = n; return d }, func(r *rig) {
-		r.acts = []act{served}
-		r.tell()
+func TestRequestsReadWhileLeavingAreAnswered(t *testing.T) {
+	d := &slowReadNetwork{}
+	runManagedIn(t, false, func(n *sim.Net) world.World { d.Net = n; return d }, func(r *managedFixture) {
+		r.behaviors = []serverBehavior{servedAnswer}
+		r.configure()
 		var moments []time.Duration // since the stop
 		for _, from := range []time.Duration{0, 1800, 2900, 3000, 3100, 3200, 3700} {
 			for i := range time.Duration(10) {
@@ -160,7 +160,7 @@
 		var answers, unread atomic.Int64
 		stop := time.Now().Add(5 * time.Second)
 		for i, at := range moments {
-			text, kept := wired("/act/", ""), i%3 > 0
+			text, kept := requestText("/act/", ""), i%3 > 0
 			ask := func(c net.Conn, before int) {
 				_, err := io.WriteString(c, text)
 				var resp *http.Response
@@ -171,19 +171,19 @@
 				switch {
 				case err == nil && resp.StatusCode == 200:
 					answers.Add(1)
-				case met && x.(*dozingConn).got.Load() > int64(before):
+				case met && x.(*slowReadConn).bytesRead.Load() > int64(before):
 					t.Errorf("read %v after the stop, and not answered: %v", at, err)
 				default:
 					unread.Add(1)
 				}
 			}
 			var old net.Conn
-			first := wired("/act/", "")
+			first := requestText("/act/", "")
 			if kept {
 				old = r.dial()
 				_, err := io.WriteString(old, first)
 				assert.NilError(t, err)
-				assert.Assert(t, !r.answer(old).Close)
+				assert.Assert(t, !r.readAnswer(old).Close)
 			}
 			jobs.Go(func() {
 				time.Sleep(time.Until(stop.Add(at)))
@@ -211,37 +211,37 @@
 }
 
 // A server that would work for longer than the grace lasts ends by itself before it is over: it is not broken off.
-func TestLeaveBreaksOffNoServerAtWork(t *testing.T) {
-	play(t, false, func(r *rig) {
-		r.acts = []act{func(c net.Conn, q *standin.Request) bool {
+func TestLeaveInterruptsNoServer(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
+		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 			ms, _ := strconv.Atoi(q.Header.Get("Deadline-Ms"))
 			time.Sleep(min(9*time.Second, time.Duration(ms)*time.Millisecond))
-			return say("504 Late", seal, "late")(c, q)
+			return respond("504 Late", sealField, "late")(c, q)
 		}}
-		r.tell()
-		p, err := routeconfig.Parse([]byte(strings.ReplaceAll(strings.Replace(estateConfiguration, `"r1"`, `"r2"`, 1), `"timeout_ms":2000`, `"timeout_ms":9000`)))
+		r.configure()
+		p, err := routeconfig.Parse([]byte(strings.ReplaceAll(strings.Replace(managedConfiguration, `"r1"`, `"r2"`, 1), `"timeout_ms":2000`, `"timeout_ms":9000`)))
 		assert.NilError(t, err)
-		r.Configuration(p)
+		r.SetConfiguration(p)
 		r.stop()
 		time.Sleep(2950 * time.Millisecond)
-		a := r.ask("/act/", "Deadline-Ms: 9000\r\n")
+		a := r.request("/act/", "Deadline-Ms: 9000\r\n")
 		assert.Assert(t, a.StatusCode == 504 && a.Header.Get("Server-Seal") == "s", "%d %v", a.StatusCode, a.Header)
 		r.ended <- <-r.ended
 	})
 }
 
 // What has no answer when nearly all of the grace is over gets one then: nothing is cut by the end.
-func TestLastAnswersComeInTheGrace(t *testing.T) {
-	play(t, false, func(r *rig) {
-		r.acts = []act{standin.Deaf}
-		r.tell()
-		p, err := routeconfig.Parse([]byte(strings.ReplaceAll(strings.Replace(estateConfiguration, `"r1"`, `"r2"`, 1), `"timeout_ms":2000`, `"timeout_ms":9000`)))
+func TestLastAnswersAreSentWithinGrace(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
+		r.behaviors = []serverBehavior{standin.Deaf}
+		r.configure()
+		p, err := routeconfig.Parse([]byte(strings.ReplaceAll(strings.Replace(managedConfiguration, `"r1"`, `"r2"`, 1), `"timeout_ms":2000`, `"timeout_ms":9000`)))
 		assert.NilError(t, err)
-		r.Configuration(p)
+		r.SetConfiguration(p)
 		r.stop()
 		stop := time.Now()
 		time.Sleep(2900 * time.Millisecond)
-		a := r.ask("/act/", "Deadline-Ms: 9000\r\n")
+		a := r.request("/act/", "Deadline-Ms: 9000\r\n")
 		assert.Assert(t, a.StatusCode == 504 && a.Close, "%d", a.StatusCode)
 		r.ended <- <-r.ended
 		assert.Assert(t, time.Since(stop) < 6*time.Second)
--- a/internal/dataplane/node/leaving_test.go
+++ b/internal/dataplane/node/leaving_test.go
@@ -10,28 +10,28 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-func TestRequestNotSentYetGoesElsewhereWhenItsServerLeaves(t *testing.T) {
-	play(t, false, func(r *rig) {
+func TestUnsentRequestIsReassignedWhenServerLeaves(t *testing.T) {
+	runManaged(t, false, func(r *managedFixture) {
 		const way = 60 * time.Millisecond
-		r.acts = []act{served}
+		r.behaviors = []serverBehavior{servedAnswer}
 		leave := func(stamp int64, ready int) {
 			for i := range r.list {
 				r.list[i].Draining = i != ready
 			}
-			r.Servers(stamp, r.list)
+			r.SetServers(stamp, r.list)
 		}
 		r.list[1].Draining, r.list[2].Draining = true, true
-		r.tell()
+		r.configure()
 		c := r.dial()
 		defer c.Close()
 		r.net.Set(sim.Faults{Least: way, Most: way})
-		_, err := io.WriteString(c, wired("/act/", ""))
+		_, err := io.WriteString(c, requestText("/act/", ""))
 		assert.NilError(t, err)
 		time.Sleep(way + way/2) // the request has come, and its connection is under way
 		r.list[2].ID = "i-new"  // a life that never drained
 		leave(2, 2)
-		assert.Equal(t, r.answer(c).StatusCode, 200)
-		assert.Equal(t, len(r.seen()), 1)
-		assert.Equal(t, r.seen()[0].Header.Get("Target-Instance"), "i-new")
+		assert.Equal(t, r.readAnswer(c).StatusCode, 200)
+		assert.Equal(t, len(r.receivedRequests()), 1)
+		assert.Equal(t, r.receivedRequests()[0].Header.Get("Target-Instance"), "i-new")
 	})
 }
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	eventQueue = 4096
+	eventQueueLength = 4096
 	// answerMargin is how long before a client's deadline its answer is decided:
 	// the request and the answer each have a way to go.
-	answerMargin = 10 * time.Millisecond
-	backstop     = 3 * time.Millisecond  // and then what the module left open is failed
-	lookEvery    = 50 * time.Millisecond // for clients that have gone away
+	answerMargin       = 10 * time.Millisecond
+	backstopDelay      = 3 * time.Millisecond  // and then what the module left open is failed
+	disconnectInterval = 50 * time.Millisecond // for clients that have gone away
 
 	statusBadRequest, statusConflict = 400, 409
 )
 
-type listed struct {
+type listUpdate struct {
 	list *serverList
 	kind policy.ServerListKind
 }
@@ -31,40 +31,40 @@
 // loop owns the Gateway and the state of all open requests. Others hand it
 // events; it never waits for a socket.
 type loop struct {
-	clock   clock
-	gateway *policy.Gateway
-	up      *upstream
-	tell    func(to int, data []byte)
-	mustAsk bool
-	onList  func(kind policy.ServerListKind)
-	give    func(policy.OfferUnits)
-	note    func(outcome) // of how attempts end; nil: nobody does
-
-	lookEvery time.Duration
-	left      atomic.Uint64 // requests whose client left before its answer
-
-	events chan any
-	over   chan struct{} // closed when the loop has ended: nothing is answered any more
-	nextID policy.RequestID
-	calls  map[policy.RequestID]*openRequest
-	names  map[string]*openRequest // the same by the clients' ids
-	timers timerHeap
-	timer  world.Timer
-	wake   time.Duration // when the timer is set for; 0: it is not
-	queue  []policy.Event
-	acts   []policy.Action
+	clock               clock
+	gateway             *policy.Gateway
+	upstream            *upstream
+	sendPeer            func(to int, data []byte)
+	reportWatchFailures bool
+	onList              func(kind policy.ServerListKind)
+	onUnitsOffered      func(policy.OfferUnits)
+	onOutcome           func(outcome) // of how attempts end; nil: nobody does
+
+	disconnectInterval  time.Duration
+	disconnectedClients atomic.Uint64 // requests whose client left before its answer
+
+	events             chan any
+	stopped            chan struct{} // closed when the loop has ended: nothing is answered any more
+	nextID             policy.RequestID
+	requests           map[policy.RequestID]*openRequest
+	requestsByClientID map[string]*openRequest // the same by the clients' ids
+	timers             timerHeap
+	timer              world.Timer
+	timerAt            time.Duration // when the timer is set for; 0: it is not
+	queue              []policy.Event
+	actions            []policy.Action
 }
 
 func newLoop(c clock, g *policy.Gateway, up *upstream) *loop {
-	return &loop{clock: c, gateway: g, up: up, events: make(chan any, eventQueue), over: make(chan struct{}),
-		calls: map[policy.RequestID]*openRequest{}, names: map[string]*openRequest{}, timer: c.NewTimer(time.Hour), lookEvery: lookEvery}
+	return &loop{clock: c, gateway: g, upstream: up, events: make(chan any, eventQueueLength), stopped: make(chan struct{}),
+		requests: map[policy.RequestID]*openRequest{}, requestsByClientID: map[string]*openRequest{}, timer: c.NewTimer(time.Hour), disconnectInterval: disconnectInterval}
 }
 
 // run handles events until done is closed.
 func (l *loop) run(done <-chan struct{}) {
-	defer close(l.over)
+	defer close(l.stopped)
 	defer l.timer.Stop()
-	l.look()
+	l.checkDisconnects()
 	for {
 		l.arm()
 		select {
@@ -73,7 +73,7 @@
 		case ev := <-l.events:
 			l.handle(ev)
 		case <-l.timer.C():
-			l.wake = 0
+			l.timerAt = 0
 		}
 		l.fire()
 	}
@@ -82,22 +82,22 @@
 func (l *loop) handle(ev any) {
 	switch ev := ev.(type) {
 	case *openRequest:
-		l.arrive(ev)
+		l.addRequest(ev)
 	case outcome:
-		l.end(ev)
+		l.endAttempt(ev)
 	case started:
 		l.decide(policy.Started{ID: ev.attempt.id, Attempt: ev.attempt.num, Server: ev.attempt.server})
 	case policy.PeerMessage:
 		l.decide(ev)
-	case listed:
-		l.members(ev)
+	case listUpdate:
+		l.updateServers(ev)
 	case func():
 		ev() // a look at what the loop owns
 	}
 }
 
-func (l *loop) arrive(c *openRequest) {
-	if l.names[c.clientID] != nil {
+func (l *loop) addRequest(c *openRequest) {
+	if l.requestsByClientID[c.clientID] != nil {
 		c.commands <- command{clientErrorStatus: statusConflict} // the one that is open goes on
 		return
 	}
@@ -108,20 +108,20 @@
 		c.answerBy = c.arrived + c.budget
 	}
 	c.Remaining = max(0, c.answerBy-l.clock.now())
-	l.calls[c.ID], l.names[c.clientID] = c, c
-	c.deadlineTimer = &timer{at: c.answerBy + backstop, call: c}
+	l.requests[c.ID], l.requestsByClientID[c.clientID] = c, c
+	c.deadlineTimer = &timer{at: c.answerBy + backstopDelay, call: c}
 	heap.Push(&l.timers, c.deadlineTimer)
 	l.decide(c.Request)
 }
 
-// end takes in an attempt's end. A whole answer is on its way to the client
+// endAttempt takes in an attempt's end. A whole answer is on its way to the client
 // already.
-func (l *loop) end(o outcome) {
+func (l *loop) endAttempt(o outcome) {
 	c, ev := o.request, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.num, Server: o.attempt.server, Code: o.Code(),
 		Latency: l.clock.now() - o.attempt.sent, Load: o.load}
 	c.inFlight = nil
-	if l.note != nil {
-		l.note(o)
+	if l.onOutcome != nil {
+		l.onOutcome(o)
 	}
 	if o.latency > 0 {
 		ev.Latency = o.latency
@@ -131,21 +131,21 @@
 	}
 	switch {
 	case o.End == verdict.Served || o.begun || o.fault != nil:
-		l.forget(c)
+		l.removeRequest(c)
 	case o.End == verdict.Unfit && c.pendingAnswer == nil:
 		l.answer(c, command{clientErrorStatus: statusBadRequest})
 	case c.pendingAnswer != nil:
 		l.answer(c, *c.pendingAnswer)
 	case o.spent: // there is nothing to send again
-		l.answer(c, command{retryAfter: refusedWait})
+		l.answer(c, command{retryAfter: refusalRetryAfter})
 	}
-	ev.Final = l.calls[c.ID] == nil
+	ev.Final = l.requests[c.ID] == nil
 	l.decide(ev)
 }
 
-// overdue fails what the module has left open until the client's deadline.
-func (l *loop) overdue(c *openRequest) {
-	if l.calls[c.ID] == nil {
+// failOverdue fails what the module has left open until the client's deadline.
+func (l *loop) failOverdue(c *openRequest) {
+	if l.requests[c.ID] == nil {
 		return
 	}
 	l.finish(c, command{timedOut: true})
@@ -154,31 +154,31 @@
 
 // finishAll answers all that is open as at its deadline.
 func (l *loop) finishAll() {
-	for _, id := range slices.Sorted(maps.Keys(l.calls)) {
-		if c := l.calls[id]; c != nil {
-			l.overdue(c)
+	for _, id := range slices.Sorted(maps.Keys(l.requests)) {
+		if c := l.requests[id]; c != nil {
+			l.failOverdue(c)
 		}
 	}
 }
 
-// look finds the clients that have closed their connections. Nothing more is
+// checkDisconnects finds the clients that have closed their connections. Nothing more is
 // sent for them.
-func (l *loop) look() {
-	for id, c := range l.calls {
+func (l *loop) checkDisconnects() {
+	for id, c := range l.requests {
 		if c.conn == nil || world.Peek(c.conn) != world.PeekEnd {
 			continue
 		}
 		if c.inFlight == nil {
 			l.answer(c, command{})
 		} else {
-			l.forget(c)
+			l.removeRequest(c)
 			c.pendingAnswer = &command{}
 			c.abandonAttempt()
 		}
-		l.left.Add(1)
+		l.disconnectedClients.Add(1)
 		l.decide(policy.ClientGone{ID: id})
 	}
-	heap.Push(&l.timers, &timer{at: l.clock.now() + l.lookEvery, look: true})
+	heap.Push(&l.timers, &timer{at: l.clock.now() + l.disconnectInterval, look: true})
 }
 
 // finish gives a request its final answer, after calling back an attempt that
@@ -196,32 +196,32 @@
 }
 
 func (l *loop) answer(c *openRequest, cmd command) {
-	l.forget(c)
+	l.removeRequest(c)
 	if c.managed != nil {
 		cmd.timedOut = cmd.timedOut || l.clock.now() >= c.answerBy
 	}
 	c.commands <- cmd
 }
 
-// forget drops what is kept of a request once its answer is decided.
-func (l *loop) forget(c *openRequest) {
-	delete(l.calls, c.ID)
-	if l.names[c.clientID] == c {
-		delete(l.names, c.clientID)
+// removeRequest drops what is kept of a request once its answer is decided.
+func (l *loop) removeRequest(c *openRequest) {
+	delete(l.requests, c.ID)
+	if l.requestsByClientID[c.clientID] == c {
+		delete(l.requestsByClientID, c.clientID)
 	}
 	if c.deadlineTimer != nil && c.deadlineTimer.place >= 0 {
 		heap.Remove(&l.timers, c.deadlineTimer.place)
 	}
 }
 
-func (l *loop) members(m listed) {
+func (l *loop) updateServers(m listUpdate) {
 	if m.list == nil {
-		if l.mustAsk {
+		if l.reportWatchFailures {
 			l.decide(policy.ServerList{Kind: policy.WatchFailed})
 		}
 		return
 	}
-	l.up.update(m.list, m.kind != policy.ChangedServers)
+	l.upstream.update(m.list, m.kind != policy.ChangedServers)
 	ev := policy.ServerList{Kind: m.kind}
 	for i := range m.list.Targets {
 		ev.Servers = append(ev.Servers, m.list.Targets[i].policyServer())
--- a/internal/dataplane/node/message.go
+++ b/internal/dataplane/node/message.go
@@ -9,11 +9,11 @@
 
 // Bounds of one HTTP/1.1 message.
 const (
-	mostBody   = 64 << 10
-	mostHead   = 16 << 10
-	mostFields = 100
-	mostLine   = 256 // of a chunk's size, with its extensions
-	leastBuf   = 2 << 10
+	maxBodyBytes      = 64 << 10
+	maxHeadBytes      = 16 << 10
+	maxHeadFields     = 100
+	maxChunkLineBytes = 256 // of a chunk's size, with its extensions
+	minBufferBytes    = 2 << 10
 )
 
 // What is wrong with a message. After any of these nothing more can be read
@@ -25,51 +25,51 @@
 	errLongBody = errors.New("the body is too long")
 )
 
-// stream reads messages from a connection. It takes only what can't be
+// messageReader reads messages from a connection. It takes only what can't be
 // understood in two ways, since an app server or a front might understand it
 // the other way. Slices that it gives hold until begin.
-type stream struct {
-	src    io.Reader
-	buf    []byte
-	off    int       // what comes before has been used
-	most   int       // bytes of a body; 0: mostBody
-	head   int       // bytes of a head; 0: mostHead
-	window int       // bytes of a body that are read whole, the others in pieces; 0: all
-	rest   remainder // of a body longer than the window
-	own    bool      // nobody needs what has been used of buf
+type messageReader struct {
+	src        io.Reader
+	buf        []byte
+	off        int       // what comes before has been used
+	maxBody    int       // bytes of a body; 0: maxBodyBytes
+	maxHead    int       // bytes of a head; 0: maxHeadBytes
+	window     int       // bytes of a body that are read whole, the others in pieces; 0: all
+	remainder  remainder // of a body longer than the window
+	ownsBuffer bool      // nobody needs what has been used of buf
 }
 
-// bound is the most bytes that a body may have.
-func (s *stream) bound() int {
-	if s.most > 0 {
-		return s.most
+// bodyLimit is the most bytes that a body may have.
+func (s *messageReader) bodyLimit() int {
+	if s.maxBody > 0 {
+		return s.maxBody
 	}
-	return mostBody
+	return maxBodyBytes
 }
 
-// headBound is the most bytes that a head may have.
-func (s *stream) headBound() int {
-	if s.head > 0 {
-		return s.head
+// headLimit is the most bytes that a head may have.
+func (s *messageReader) headLimit() int {
+	if s.maxHead > 0 {
+		return s.maxHead
 	}
-	return mostHead
+	return maxHeadBytes
 }
 
-func (s *stream) buffered() int { return len(s.buf) - s.off }
+func (s *messageReader) buffered() int { return len(s.buf) - s.off }
 
-// begin lets go of the message before.
-func (s *stream) begin() {
+// startMessage lets go of the message before.
+func (s *messageReader) startMessage() {
 	rest := s.buf[s.off:]
-	if cap(s.buf) > 2*leastBuf && len(rest) < leastBuf {
-		s.buf = append(make([]byte, 0, leastBuf), rest...)
+	if cap(s.buf) > 2*minBufferBytes && len(rest) < minBufferBytes {
+		s.buf = append(make([]byte, 0, minBufferBytes), rest...)
 	} else {
 		s.buf = s.buf[:copy(s.buf, rest)]
 	}
-	s.off, s.rest, s.own = 0, remainder{}, false
+	s.off, s.remainder, s.ownsBuffer = 0, remainder{}, false
 }
 
-// more reads what comes next, at least a byte.
-func (s *stream) more() error {
+// fill reads what comes next, at least a byte.
+func (s *messageReader) fill() error {
 	if len(s.buf) == cap(s.buf) {
 		s.widen()
 	}
@@ -84,13 +84,13 @@
 	return err
 }
 
-// take returns the next n bytes.
-func (s *stream) take(n int) ([]byte, error) {
+// readBytes returns the next n bytes.
+func (s *messageReader) readBytes(n int) ([]byte, error) {
 	if s.window > 0 && n > mostDoubled && s.off+n > cap(s.buf) {
 		s.buf, s.off = append(make([]byte, 0, n), s.buf[s.off:]...), 0
 	}
 	for s.buffered() < n {
-		if err := s.more(); err != nil {
+		if err := s.fill(); err != nil {
 			return nil, err
 		}
 	}
@@ -98,12 +98,12 @@
 	return s.buf[s.off-n : s.off], nil
 }
 
-// lines returns what comes up to the first CRLF, or, for a head, up to the first
+// readLines returns what comes up to the first CRLF, or, for a head, up to the first
 // empty line. Bytes that can't stand in a line are noticed as they come.
-func (s *stream) lines(start string, whole bool, most int) ([]byte, error) {
+func (s *messageReader) readLines(start string, whole bool, most int) ([]byte, error) {
 	for i := 0; ; i++ {
 		for s.buffered() <= i {
-			if err := s.more(); err != nil {
+			if err := s.fill(); err != nil {
 				return nil, err
 			}
 		}
@@ -129,42 +129,42 @@
 
 // head is the head of a message.
 type head struct {
-	first  []byte // the start line
-	fields []field
-	length int // of the body; -1: in chunks, -2: not told
+	firstLine []byte // the start line
+	fields    []field
+	length    int // of the body; -1: in chunks, -2: not told
 }
 
 type field struct{ name, value []byte }
 
 // readHead reads a head that begins with start.
-func (s *stream) readHead(h *head, start string) error {
-	b, err := s.lines(start, true, s.headBound())
+func (s *messageReader) readHead(h *head, start string) error {
+	b, err := s.readLines(start, true, s.headLimit())
 	if err != nil {
 		return err
 	}
-	h.first, b, _ = bytes.Cut(b, []byte("\r\n"))
+	h.firstLine, b, _ = bytes.Cut(b, []byte("\r\n"))
 	h.fields, h.length = h.fields[:0], -2
 	for string(b) != "\r\n" && len(b) > 0 {
 		var line []byte
 		line, b, _ = bytes.Cut(b, []byte("\r\n"))
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) || len(h.fields) == mostFields {
+		if !ok || !isToken(name) || len(h.fields) == maxHeadFields {
 			return errSyntax // a folded line and a blank before the colon too
 		}
 		h.fields = append(h.fields, field{name, bytes.Trim(value, " \t")})
 	}
-	return h.frame(s.bound())
+	return h.parseFraming(s.bodyLimit())
 }
 
-// frame finds how the body's end is told. More than one way is none.
-func (h *head) frame(most int) error {
-	length, n := h.one("Content-Length")
-	coding, m := h.one("Transfer-Encoding")
+// parseFraming finds how the body's end is told. More than one way is none.
+func (h *head) parseFraming(most int) error {
+	length, n := h.valueAndCount("Content-Length")
+	coding, m := h.valueAndCount("Transfer-Encoding")
 	switch {
 	case n+m > 1:
 		return errFraming
 	case n == 1:
-		if h.length, n = decimal(length); n == 0 {
+		if h.length, n = parseDecimal(length); n == 0 {
 			return errFraming
 		}
 		if h.length > most {
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// one returns a field's value and how often the field is there.
-func (h *head) one(name string) (value []byte, n int) {
+// valueAndCount returns a field's value and how often the field is there.
+func (h *head) valueAndCount(name string) (value []byte, n int) {
 	for i := range h.fields {
 		if f := &h.fields[i]; len(f.name) == len(name) && strings.EqualFold(string(f.name), name) {
 			if n++; n == 1 {
@@ -192,12 +192,12 @@
 }
 
 func (h *head) get(name string) []byte {
-	v, _ := h.one(name)
+	v, _ := h.valueAndCount(name)
 	return v
 }
 
-// has tells whether a field that lists words lists this one.
-func (h *head) has(name, word string) bool {
+// hasToken tells whether a field that lists words lists this one.
+func (h *head) hasToken(name, word string) bool {
 	for i := range h.fields {
 		if !strings.EqualFold(string(h.fields[i].name), name) {
 			continue
@@ -212,31 +212,31 @@
 }
 
 // readBody reads the body that the head tells of, of a longer one what the window holds.
-func (s *stream) readBody(h *head) ([]byte, error) {
-	window := s.bound()
+func (s *messageReader) readBody(h *head) ([]byte, error) {
+	window := s.bodyLimit()
 	if s.window > 0 {
 		window = s.window
 	}
 	if h.length >= 0 {
 		n := min(h.length, window)
-		s.rest.left = h.length - n
-		return s.take(n)
+		s.remainder.left = h.length - n
+		return s.readBytes(n)
 	}
 	var body []byte
 	for h.length == -1 {
-		n, err := s.chunk(len(body))
+		n, err := s.readChunkSize(len(body))
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
-			return body, s.trailer()
+			return body, s.skipTrailer()
 		}
 		if len(body)+n > window {
-			part, err := s.take(window - len(body))
-			s.rest = remainder{left: n - len(part), total: len(body) + n, chunks: true}
+			part, err := s.readBytes(window - len(body))
+			s.remainder = remainder{left: n - len(part), total: len(body) + n, chunks: true}
 			return append(body, part...), err
 		}
-		chunk, err := s.take(n + 2)
+		chunk, err := s.readBytes(n + 2)
 		if err != nil {
 			return nil, err
 		}
@@ -248,27 +248,27 @@
 	return body, nil
 }
 
-// chunk reads the size of the next chunk of a body of which so many bytes have come.
-func (s *stream) chunk(total int) (int, error) {
-	line, err := s.lines("", false, mostLine)
+// readChunkSize reads the size of the next chunk of a body of which so many bytes have come.
+func (s *messageReader) readChunkSize(total int) (int, error) {
+	line, err := s.readLines("", false, maxChunkLineBytes)
 	if err != nil {
 		return 0, err
 	}
 	size, _, _ := bytes.Cut(line[:len(line)-2], []byte(";"))
-	n, ok := hexadecimal(size)
+	n, ok := parseHex(size)
 	switch {
 	case !ok:
 		return 0, errFraming
-	case n > s.bound()-total:
+	case n > s.bodyLimit()-total:
 		return 0, errLongBody
 	}
 	return n, nil
 }
 
-// trailer passes over what follows the last chunk.
-func (s *stream) trailer() error {
-	for range mostFields {
-		line, err := s.lines("", false, mostHead)
+// skipTrailer passes over what follows the last chunk.
+func (s *messageReader) skipTrailer() error {
+	for range maxHeadFields {
+		line, err := s.readLines("", false, maxHeadBytes)
 		if err != nil {
 			return err
 		}
@@ -292,8 +292,8 @@
 	return len(b) > 0
 }
 
-// decimal reads digits and nothing else; n is how many, 0 where that fails.
-func decimal(b []byte) (v, n int) {
+// parseDecimal reads digits and nothing else; n is how many, 0 where that fails.
+func parseDecimal(b []byte) (v, n int) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, 0
 	}
@@ -306,7 +306,7 @@
 	return v, len(b)
 }
 
-func hexadecimal(b []byte) (v int, ok bool) {
+func parseHex(b []byte) (v int, ok bool) {
 	for _, c := range b {
 		d := strings.IndexByte("0123456789abcdef", c|0x20)
 		if d < 0 || c < '0' {
--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -23,17 +23,17 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := clientConn{in: stream{src: bytes.NewReader(data)}}
+		c := clientConn{input: messageReader{src: bytes.NewReader(data)}}
 		err := c.readRequest()
-		slow := clientConn{in: stream{src: iotest.OneByteReader(bytes.NewReader(data))}}
-		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.req.body, slow.req.body) {
-			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.req.body, slowErr, slow.req.body)
+		slow := clientConn{input: messageReader{src: iotest.OneByteReader(bytes.NewReader(data))}}
+		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.request.body, slow.request.body) {
+			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.request.body, slowErr, slow.request.body)
 		}
 		if err != nil {
 			return
 		}
-		if len(c.req.body) > mostBody {
-			t.Fatalf("a body of %d bytes", len(c.req.body))
+		if len(c.request.body) > maxBodyBytes {
+			t.Fatalf("a body of %d bytes", len(c.request.body))
 		}
 		br := bufio.NewReader(bytes.NewReader(data))
 		r, err := http.ReadRequest(br)
@@ -44,11 +44,11 @@
 			return // a target that is no URL: it goes on as it is
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !bytes.Equal(body, c.req.body) {
-			t.Fatalf("body %q, elsewhere %q, %v", c.req.body, body, err)
+		if err != nil || !bytes.Equal(body, c.request.body) {
+			t.Fatalf("body %q, elsewhere %q, %v", c.request.body, body, err)
 		}
 		there, _ := io.ReadAll(br)
-		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.in.buf[c.in.off:]), c.in.src))
+		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.input.buf[c.input.off:]), c.input.src))
 		if !bytes.Equal(here, there) {
 			t.Fatalf("rest %q, elsewhere %q", here, there)
 		}
@@ -66,7 +66,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		// Not through upConn.Read, which sets deadlines on a socket.
-		c := upConn{in: stream{src: bytes.NewReader(data)}}
+		c := upConn{in: messageReader{src: bytes.NewReader(data)}}
 		status, body, framed, err := c.answer(false, false)
 		if err != nil || !framed {
 			return
@@ -90,13 +90,13 @@
 }
 
 // The buffer grows with a large message and is let go after it.
-func TestStreamLetsGo(t *testing.T) {
-	s := stream{src: strings.NewReader(strings.Repeat("a", mostBody) + "b")}
-	if b, err := s.take(mostBody); err != nil || len(b) != mostBody {
+func TestMessageReaderReleasesBuffer(t *testing.T) {
+	s := messageReader{src: strings.NewReader(strings.Repeat("a", maxBodyBytes) + "b")}
+	if b, err := s.readBytes(maxBodyBytes); err != nil || len(b) != maxBodyBytes {
 		t.Fatal(len(b), err)
 	}
-	s.begin()
-	if b, err := s.take(1); err != nil || string(b) != "b" || cap(s.buf) > 2*leastBuf {
+	s.startMessage()
+	if b, err := s.readBytes(1); err != nil || string(b) != "b" || cap(s.buf) > 2*minBufferBytes {
 		t.Errorf("%q, %v, %d bytes kept", b, err, cap(s.buf))
 	}
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -53,27 +53,27 @@
 
 // New opens the sockets of a standalone proxy.
 func New(cfg *Config) (*Node, error) {
-	g, err := policy.New(cfg.Settings, cfg.Seed)
+	gateway, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	w := cfg.World
-	if w == nil {
-		w = world.Real{}
+	machine := cfg.World
+	if machine == nil {
+		machine = world.Real{}
 	}
-	clk := newClock(w)
-	up := &upstream{clock: clk, network: w, limit: cfg.DialTimeout,
+	clk := newClock(machine)
+	up := &upstream{clock: clk, network: machine, limit: cfg.DialTimeout,
 		idleFor: time.Duration(idlePart * float64(cfg.ConnIdle)), grace: cfg.DrainGrace,
 		most: int(serverSocketShare * float64(cfg.Sockets)), fields: cfg.Settings.LoadReportNames,
 		servers: map[policy.ServerID]*appServer{}}
-	n := &Node{cfg: cfg, world: w, upstream: up, loop: newLoop(clk, g, up), configuredDiscovery: cfg.Discovery,
+	n := &Node{cfg: cfg, world: machine, upstream: up, loop: newLoop(clk, gateway, up), configuredDiscovery: cfg.Discovery,
 		drainSchedule: drainSchedule{drainCloseIdleAfter, drainStopAcceptAfter, drainTimeout}}
 	n.server = newServer(clk, cfg.Settings, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
 	n.server.booked.random = cfg.Random
 	if cfg.Random == nil {
 		n.server.booked.random = rand.Reader
 	}
-	n.loop.mustAsk = cfg.Settings.MustWatch
+	n.loop.reportWatchFailures = cfg.Settings.MustWatch
 	n.loop.onList = func(kind policy.ServerListKind) {
 		switch kind {
 		case policy.CompleteList:
@@ -84,13 +84,13 @@
 				break // discovery is slow to answer: its calls are spread over time
 			}
 			go func() {
-				world.Pause(w, cachedListDelay)
+				world.Pause(machine, cachedListDelay)
 				n.server.ready.Store(true)
 			}()
 		}
 	}
 	if cfg.Settings.CanMessagePeers {
-		n.peers, err = listenPeers(w, cfg.PeerListen, cfg.Peers, cfg.PeerBroadcast, func(from int, data []byte) {
+		n.peers, err = listenPeers(machine, cfg.PeerListen, cfg.Peers, cfg.PeerBroadcast, func(from int, data []byte) {
 			select {
 			case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
 			default: // dropped; datagrams may also be lost in the network
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		n.loop.tell = n.peers.tell
+		n.loop.sendPeer = n.peers.tell
 		if t := cfg.Membership; t != nil {
 			if n.peers.watch, err = newWatch(cfg, *t, clk, n.peers, cfg.Seed); err != nil {
 				n.closePeers()
@@ -108,21 +108,21 @@
 			n.server.watch = n.peers.watch
 		}
 	}
-	if n.listener, err = w.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
+	if n.listener, err = machine.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
 		n.closePeers()
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	up.tune(DefaultTuning())
-	if k := cfg.CachedList; k != nil {
-		if len(k.Targets) == 0 {
+	if cached := cfg.CachedList; cached != nil {
+		if len(cached.Targets) == 0 {
 			cfg.CachedList = nil
-		} else if err := k.validate(); err != nil {
+		} else if err := cached.validate(); err != nil {
 			slog.Warn("ignoring the invalid cached server list", "err", err)
 			cfg.CachedList = nil
 		}
 	}
-	n.discovery = newDiscovery(w, cfg.Discovery, cfg.CachedList, func(l *serverList, kind policy.ServerListKind) {
-		n.loop.events <- listed{l, kind}
+	n.discovery = newDiscovery(machine, cfg.Discovery, cfg.CachedList, func(l *serverList, kind policy.ServerListKind) {
+		n.loop.events <- listUpdate{l, kind}
 	})
 	if cfg.Settings.MustWatch {
 		n.discovery.pacing = newSharedPacing(cfg.Settings.Gateways, cfg.Seed)
@@ -145,8 +145,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer n.closePeers()
-	if k := n.cfg.CachedList; k != nil {
-		n.loop.events <- listed{k, policy.CachedList}
+	if cached := n.cfg.CachedList; cached != nil {
+		n.loop.events <- listUpdate{cached, policy.CachedList}
 	}
 	go n.loop.run(ctx.Done())
 	go n.discovery.run(ctx)
@@ -155,10 +155,10 @@
 	if n.peers != nil {
 		go n.peers.send(ctx.Done())
 		go n.peers.receive()
-		if w := n.peers.watch; w != nil {
-			left := make(chan struct{})
-			go func() { w.run(ctx); close(left) }()
-			defer func() { cancel(); <-left }()
+		if watch := n.peers.watch; watch != nil {
+			watchDone := make(chan struct{})
+			go func() { watch.run(ctx); close(watchDone) }()
+			defer func() { cancel(); <-watchDone }()
 		}
 	}
 	served := make(chan error, 1)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -17,8 +17,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// What goes on to an app server, and what comes back, is unchanged; each
-// request is written once.
+// Requests and answers are forwarded unchanged, and each request is sent once.
 func TestServes(t *testing.T) {
 	var got atomic.Value
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -40,7 +39,7 @@
 	}
 }
 
-// An attempt that never ran goes elsewhere; the client sees one answer.
+// An attempt that did not run is retried at another server; the client gets one answer.
 func TestRetriesOnAnotherServer(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, refusing(t), a.Addr())
@@ -51,8 +50,8 @@
 	}
 }
 
-// A keyed request that may have run goes to its own group of servers only, and
-// a refusal is ruled out: it would say that a retry is harmless.
+// A keyed request that may have run is retried only within its own group of servers. It is never refused, because a refusal
+// tells the client that a retry is harmless.
 func TestKeyedMayHaveRun(t *testing.T) {
 	breaks := func(net.Conn, *standin.Request) bool { return false }
 	a, b := newApp(t, breaks), newApp(t, breaks)
@@ -65,8 +64,7 @@
 	}
 }
 
-// A server that never answers: the client gets a failure before its deadline,
-// and the attempt does not stay out.
+// If a server never answers, the client gets a failure before its deadline and the attempt is ended.
 func TestAnswersBeforeTheDeadline(t *testing.T) {
 	a := newApp(t, standin.Deaf)
 	n := nodeWith(t, a.Addr())
@@ -77,11 +75,11 @@
 	eventually(t, "the end of the attempt", func() bool { return a.Ended.Load() == 1 })
 }
 
-// What the module has given up on is answered at once, with its advice.
+// A request that the policy refuses is answered at once, with the retry time that the policy returned.
 func TestRefusesAtOnce(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	r := request(n.url, "loan", patience)
-	r.Header.Set("X-Tier", "tiny") // its store holds less than the request takes
+	r.Header.Set("X-Tier", "tiny") // the plan's token bucket holds less than the request costs
 	began := time.Now()
 	resp, _ := ask(t, r)
 	if time.Since(began) > patience/2 {
@@ -92,29 +90,28 @@
 	}
 }
 
-// The backstop: what the module leaves open is failed, not refused, while an
-// attempt is out, and its connection is closed first.
+// A request that is still open at its deadline fails. It is not refused while an attempt is in flight, and the attempt is
+// cancelled first.
 func TestBackstop(t *testing.T) {
 	c := newClock(world.Real{})
 	l := newLoop(c, nil, nil)
 	out := &attempt{id: 1, cancelled: false}
-	k := &openRequest{commands: make(chan command, 1), inFlight: out}
-	k.ID = 1
-	l.calls[1] = k
-	l.finish(k, command{refused: true})
-	if !out.cancelled || len(k.commands) != 0 {
-		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.commands))
+	open := &openRequest{commands: make(chan command, 1), inFlight: out}
+	open.ID = 1
+	l.requests[1] = open
+	l.finish(open, command{refused: true})
+	if !out.cancelled || len(open.commands) != 0 {
+		t.Fatalf("cancelled %v, answers %d", out.cancelled, len(open.commands))
 	}
-	l.finish(k, command{}) // a second end changes nothing
-	k.inFlight = nil
-	l.answer(k, *k.pendingAnswer)
-	if cmd := <-k.commands; cmd.refused || cmd.attempt != nil || len(l.calls) != 0 {
-		t.Errorf("%+v, %d open", cmd, len(l.calls))
+	l.finish(open, command{}) // finishing it again has no effect
+	open.inFlight = nil
+	l.answer(open, *open.pendingAnswer)
+	if cmd := <-open.commands; cmd.refused || cmd.attempt != nil || len(l.requests) != 0 {
+		t.Errorf("%+v, %d open", cmd, len(l.requests))
 	}
 }
 
-// What an app server calls unfit is the client's fault: it is neither tried
-// elsewhere nor held against the server.
+// A 4xx answer of a server is the client's fault: the request is not retried, and the server is not considered failing.
 func TestBadRequestIsNotRetried(t *testing.T) {
 	a := newApp(t, standin.Answer("400 No", "", ""))
 	n := nodeWith(t, a.Addr())
@@ -125,9 +122,8 @@
 	}
 }
 
-// A planned stop loses nothing: what is open is answered, and so is what comes
-// on old and new connections for a while after the signal. Each answer, also a
-// refusal, tells the client to go.
+// A planned stop loses no request: open requests are answered, and so are those that arrive on old and new connections for a
+// while after the signal. Each answer, including refusals, closes the connection.
 func TestStopAnswersAll(t *testing.T) {
 	release := make(chan struct{})
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -138,19 +134,19 @@
 	})
 	n := nodeWith(t, a.Addr())
 	old, open, idle := dial(t, n), dial(t, n), dial(t, n)
-	send(t, old, request(n.url, "lookup", patience))()
-	send(t, idle, request(n.url, "lookup", patience))()
-	held := send(t, open, request(n.url, "loan", patience))
+	writeRequest(t, old, request(n.url, "lookup", patience))()
+	writeRequest(t, idle, request(n.url, "lookup", patience))()
+	held := writeRequest(t, open, request(n.url, "loan", patience))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 3 })
 	n.stop()
 	eventually(t, "the stop", n.server.draining.Load)
 	fresh := dial(t, n)
 	refused := request(n.url, "lookup", patience)
 	again := request(n.url, "lookup", patience)
-	again.Header.Set("X-Request-Id", "again") // the first is open still
+	again.Header.Set("X-Request-Id", "again") // the first request still uses the default id
 	refused.Header.Set("X-Request-Id", "refused")
 	refused.Header.Set("X-Tier", "tiny")
-	refused.Header.Set("Cookie", "key=0000000000000001") // the plan goes with the customer
+	refused.Header.Set("Cookie", "key=0000000000000001") // each customer has one plan
 	for what, c := range map[string]struct {
 		conn net.Conn
 		r    *http.Request
@@ -159,7 +155,7 @@
 		"old connection": {old, again, 200},
 		"new connection": {fresh, refused, 429},
 	} {
-		if resp := send(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
+		if resp := writeRequest(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: %d, close %v", what, resp.StatusCode, resp.Close)
 		}
 	}
@@ -185,13 +181,13 @@
 	}
 }
 
-// Only known edge nodes are heard, and only whole messages.
+// Only messages of known proxies that fit into a datagram are accepted.
 func TestPeers(t *testing.T) {
 	type msg struct {
 		from int
 		text string
 	}
-	heard := make(chan msg, 10)
+	received := make(chan msg, 10)
 	sock := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -203,7 +199,7 @@
 	peer, stranger := sock(), sock()
 	to := peer.LocalAddr().(*net.UDPAddr).AddrPort()
 	p, err := listenPeers(world.Real{}, "127.0.0.1:0", []netip.AddrPort{to}, netip.AddrPort{}, func(from int, data []byte) {
-		heard <- msg{from, string(data)}
+		received <- msg{from, string(data)}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -222,10 +218,10 @@
 			t.Fatal(err)
 		}
 	}
-	if m := <-heard; m.from != 0 || m.text != strings.Repeat("y", mostDatagram) {
-		t.Errorf("heard %d bytes of %d", len(m.text), m.from)
+	if m := <-received; m.from != 0 || m.text != strings.Repeat("y", mostDatagram) {
+		t.Errorf("received %d bytes from %d", len(m.text), m.from)
 	}
-	p.tell(0, make([]byte, mostDatagram+1)) // voids a run: must not go out
+	p.tell(0, make([]byte, mostDatagram+1)) // exceeds the size limit, which would invalidate a test run: must not be sent
 	p.tell(5, []byte("nobody"))
 	p.tell(-1, []byte("all"))
 	_ = peer.SetReadDeadline(time.Now().Add(patience))
@@ -235,7 +231,7 @@
 	}
 }
 
-// Garbage from a peer reaches the module and is passed over there.
+// The policy package ignores malformed messages of peers.
 func TestGarbageFromPeers(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	for _, data := range []string{"", "\x04", "\x03\x00", strings.Repeat("\xff", 256), "\x04" + strings.Repeat("\xff", 255)} {
@@ -247,13 +243,13 @@
 	}
 }
 
-// Those who look at healthz often don't keep an edge node from stopping.
+// Frequent requests for /healthz do not keep a proxy from stopping.
 func TestHealthChecksDoNotDelayStop(t *testing.T) {
 	r := nodeWith(t)
 	stop := make(chan struct{})
-	var looks sync.WaitGroup
+	var checks sync.WaitGroup
 	for range 2 {
-		looks.Go(func() {
+		checks.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -277,8 +273,8 @@
 			t.Error(err)
 		}
 	case <-time.After(patience):
-		t.Error("an edge node that is looked at every few milliseconds has not stopped")
+		t.Error("a proxy with a health check every few milliseconds has not stopped")
 	}
 	close(stop)
-	looks.Wait()
+	checks.Wait()
 }
--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -12,28 +12,28 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// overloadedDiscovery is one discovery for many edge nodes. It serves calls in turn, takes
-// more than it can answer before they run out, and works on all that it took.
+// overloadedDiscovery simulates one discovery service for many proxies. It serves calls in order, accepts more calls than it
+// can answer before they time out, and spends time on every accepted call.
 type overloadedDiscovery struct {
-	perCall, patience, maxQueue time.Duration
-	freeAt                      time.Duration // when it has done all that it took
+	perCall, callTimeout, maxQueue time.Duration
+	freeAt                         time.Duration // when it has finished all accepted calls
 }
 
-// call tells when a call is over, and whether it brought an answer.
+// call returns when a call ends and whether it is answered.
 func (o *overloadedDiscovery) call(at time.Duration) (end time.Duration, ok bool) {
 	o.freeAt = max(o.freeAt, at)
 	if o.freeAt-at > o.maxQueue {
 		return at, false
 	}
 	o.freeAt += o.perCall
-	if o.freeAt-at > o.patience {
-		return at + o.patience, false
+	if o.freeAt-at > o.callTimeout {
+		return at + o.callTimeout, false
 	}
 	return o.freeAt, true
 }
 
-// run lets edge nodes start at a time and call until each has an answer or the
-// end has come; it returns how many have one and how many calls failed.
+// run starts proxies at a time and lets them call until each has an answer or the end is reached. It returns the number of
+// proxies with an answer and the number of failed calls.
 func (o *overloadedDiscovery) run(paces []callPacing, start, end time.Duration) (answered, failed int) {
 	next := make([]time.Duration, len(paces))
 	for i := range paces {
@@ -42,7 +42,7 @@
 	return o.runFrom(paces, next, end)
 }
 
-// runFrom goes on from the times of the edge nodes' next calls.
+// runFrom continues from the times of the proxies' next calls.
 func (o *overloadedDiscovery) runFrom(paces []callPacing, next []time.Duration, end time.Duration) (answered, failed int) {
 	for {
 		i := 0
@@ -65,9 +65,9 @@
 	}
 }
 
-// Eighty edge nodes start at one moment, each with its last list, and most are
-// killed at once later: all come to follow an overbooked discovery soon. Without
-// the spread none of the later ones does, and hardly one of the first.
+// Eighty proxies start at the same time, each with its last list, and most are killed and restarted together later. All of
+// them get an answer of an overloaded discovery service soon. Without spreading the calls none of the restarted proxies does,
+// and hardly one of the first.
 func TestManyProxiesStartWithOverloadedDiscovery(t *testing.T) {
 	paces := func(n int, life uint64, spread bool) (list []callPacing) {
 		for i := range n {
@@ -80,25 +80,24 @@
 		return list
 	}
 	for life := uint64(1); life <= 200; life++ {
-		// It can take a whole list's call from each in 8 s, a change's in half of it.
-		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		// In 8 s the service can send the complete list to every proxy, or in half of that a change.
+		o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		first, _ := o.run(paces(80, life, true), 0, 8*time.Second)
 		second, failed := o.run(paces(56, life+1000, true), 10*time.Second, 18*time.Second)
 		if first != 80 || second != 56 || failed > 0 {
 			t.Fatalf("seeds %d: %d of 80 and %d of 56 have an answer, %d calls failed", life, first, second, failed)
 		}
 	}
-	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, patience: 2 * time.Second, maxQueue: 6 * time.Second}
+	o := &overloadedDiscovery{perCall: 50 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 	if n, _ := o.run(paces(80, 1, false), 0, 8*time.Second); n > 45 {
-		t.Errorf("%d of 80 have an answer though all call in step: the stand-in is too kind", n)
+		t.Errorf("%d of 80 have an answer although all calls are synchronized: the simulated service is not overloaded", n)
 	}
 }
 
-// However many edge nodes there are, the service can take a call from each within 8 s:
-// the bound of the pause holds for fleets of any size.
+// Within 8 s the service can take a call from every proxy, whatever their number: maxSpread suits fleets of any size.
 func TestStartSpreadHoldsForAnyFleetSize(t *testing.T) {
 	for _, n := range []int{81, 300, 1000} {
-		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+		o := &overloadedDiscovery{perCall: 4 * time.Second / time.Duration(n), callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 		var paces []callPacing
 		for i := range n {
 			paces = append(paces, newSharedPacing(n, uint64(i)))
@@ -109,12 +108,12 @@
 	}
 }
 
-// A reload moves all edge nodes to another address at one moment, where each asks for
-// the whole list. Within 7 s two thirds have it; all at once, four tenths at most.
+// A reload moves all proxies to another address at the same time, where each fetches the complete list. With spread calls two
+// thirds have it within 7 s; without, four tenths at most.
 func TestAddressChangeSpreadsCalls(t *testing.T) {
 	for _, n := range []int{80, 300} {
 		play := func(spread bool) (answered, failed int) {
-			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), patience: 2 * time.Second, maxQueue: 6 * time.Second}
+			o := &overloadedDiscovery{perCall: 8 * time.Second / time.Duration(n), callTimeout: 2 * time.Second, maxQueue: 6 * time.Second}
 			var paces []callPacing
 			next := make([]time.Duration, n)
 			for i := range n {
@@ -123,7 +122,7 @@
 					next[i] = paces[i].moveDelay()
 				}
 				if next[i] >= 6*time.Second {
-					t.Errorf("waits %v, counts as told by then", next[i])
+					t.Errorf("waits %v, too long: it is assumed to know the list by then", next[i])
 				}
 			}
 			return o.runFrom(paces, next, 7*time.Second)
@@ -135,10 +134,9 @@
 	}
 }
 
-// A discovery that is too small for a while, and has a long line then, is left
-// alone long enough to get rid of it.
+// A discovery service that has built up a long queue while it was too slow gets few enough calls to drain it.
 func TestDiscoveryBacklogDrains(t *testing.T) {
-	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, patience: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
+	o := &overloadedDiscovery{perCall: 100 * time.Millisecond, callTimeout: 2 * time.Second, maxQueue: 8 * time.Second, freeAt: 8 * time.Second}
 	var paces []callPacing
 	for i := range 80 {
 		paces = append(paces, newSharedPacing(80, uint64(i)))
@@ -148,7 +146,7 @@
 	}
 }
 
-// A few edge nodes with an agent of their own ask again as soon as ever.
+// A proxy with a discovery agent of its own retries with the usual short backoff.
 func TestLocalAgentIsRetriedSoon(t *testing.T) {
 	p := callPacing{}
 	if p.firstDelay() != 0 || p.moveDelay() != 0 {
@@ -160,12 +158,12 @@
 		}
 	}
 	if p.resetBackoff(); p.retryDelay() != minBackoff {
-		t.Error("an answer is forgotten")
+		t.Error("a successful call does not reset the backoff")
 	}
 }
 
-// Where lists must be asked for, an edge node with a known list serves by it,
-// and asks for what is new since then, not for all of it.
+// With a central discovery service, a proxy with a cached list serves from it and asks only for the changes since then, not
+// for the complete list.
 func TestStartsFromCachedList(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -187,7 +185,7 @@
 	}
 }
 
-// Moved to another address, an edge node that holds a list waits its turn there, and asks for all.
+// After a change of the discovery address, a proxy that has a list delays its call and then fetches the complete list.
 func TestDelaysCallAfterAddressChange(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -195,7 +193,7 @@
 		_, _ = w.Write([]byte(`{"rev":7,"all":true,"targets":[]}`))
 	}))
 	t.Cleanup(agent.Close)
-	clock := &stoppedClock{slept: make(chan time.Duration, 100)}
+	clock := &recordingClock{timers: make(chan time.Duration, 100)}
 	d := newDiscovery(clock, strings.TrimPrefix(agent.URL, "http://"), nil, func(*serverList, policy.ServerListKind) {})
 	d.pacing = newSharedPacing(300, 1)
 	want := newSharedPacing(300, 1)
@@ -205,29 +203,29 @@
 	if q := <-asked; !strings.HasSuffix(q, "?") {
 		t.Errorf("asked %q first, with no list", q)
 	}
-	for slept := time.Duration(0); slept != minWatchInterval; { // it has the list, and watches
-		slept = <-clock.slept
+	for slept := time.Duration(0); slept != minWatchInterval; { // until it has the list and watches it
+		slept = <-clock.timers
 	}
 	d.moveTo(strings.TrimPrefix(agent.URL, "http://"))
 	turn, never := want.moveDelay(), time.After(20*time.Second)
 	for slept := time.Duration(0); slept != turn; {
 		select {
-		case slept = <-clock.slept:
+		case slept = <-clock.timers:
 		case <-never:
-			t.Fatalf("did not wait its turn of %v", turn)
+			t.Fatalf("did not wait its delay of %v", turn)
 		}
 	}
 	end()
 	<-done
 }
 
-// stoppedClock tells what is slept for and lets nothing run out.
-type stoppedClock struct {
+// recordingClock reports the duration of each timer and never lets one expire.
+type recordingClock struct {
 	world.Real
-	slept chan time.Duration
+	timers chan time.Duration
 }
 
-func (c *stoppedClock) NewTimer(d time.Duration) world.Timer {
-	c.slept <- d
+func (c *recordingClock) NewTimer(d time.Duration) world.Timer {
+	c.timers <- d
 	return c.Real.NewTimer(time.Hour)
 }
--- a/internal/dataplane/node/passing.go
+++ b/internal/dataplane/node/passing.go
@@ -125,7 +125,7 @@
 }
 
 // unready turns a request away that can't be decided about yet.
-func unready(why string) *verdict.Own { return unsent(503, refusedWait, why) }
+func unready(why string) *verdict.Own { return unsent(503, refusalRetryAfter, why) }
 
 // unsent is an answer to what has not been sent on, and won't be.
 func unsent(status int, after time.Duration, why string) *verdict.Own {
@@ -141,7 +141,7 @@
 		return nil, unready("no configuration yet")
 	}
 	for _, name := range []string{"Host", fieldID, fieldDeadline, fieldKey} {
-		if _, n := r.one(name); n > 1 || n == 0 && name == "Host" {
+		if _, n := r.valueAndCount(name); n > 1 || n == 0 && name == "Host" {
 			return nil, unsent(400, 0, name+": missing, or more than once")
 		}
 	}
@@ -178,12 +178,12 @@
 	}
 	c.clientID, c.managed.id = string(id), string(id)
 	c.budget = route.Timeout
-	if v, n := r.one(fieldDeadline); n == 1 {
-		ms, digits := decimal(v)
+	if v, n := r.valueAndCount(fieldDeadline); n == 1 {
+		ms, digits := parseDecimal(v)
 		if digits == 0 || digits > 9 {
 			return nil, unsent(400, 0, fieldDeadline+": no whole milliseconds")
 		}
-		c.budget = min(c.budget, max(0, time.Duration(ms)*time.Millisecond-clientWay))
+		c.budget = min(c.budget, max(0, time.Duration(ms)*time.Millisecond-clientTransitMargin))
 		c.WaitedBefore = t.spent(route, int64(ms))
 	}
 	t.routes[route].requests.Add(1)
@@ -242,11 +242,11 @@
 // 9.6). So what still comes is passed over first, unless the client itself asked for the end.
 func (s *server) pass(cc *clientConn) bool {
 	on := s.served(cc)
-	unread := cc.in.unread()
+	unread := cc.input.unread()
 	if on && !unread {
 		return true
 	}
-	if unread || cc.finalAnswerSent && !cc.req.over() {
+	if unread || cc.finalAnswerSent && !cc.request.over() {
 		s.setState(cc, connLinger)
 		s.passOver(cc)
 	}
@@ -254,7 +254,7 @@
 }
 
 func (s *server) served(cc *clientConn) bool {
-	r := &cc.req
+	r := &cc.request
 	c, turned := s.estate.read(r)
 	if turned != nil {
 		cc.badRequests = 0
@@ -322,18 +322,18 @@
 		return s.whole(cc, t.last)
 	case t.Ran() && s.up.flows(t.held):
 		var r result
-		s.up.flow(&cc.req.managed.front, t.held, &r)
+		s.up.flow(&cc.request.managed.front, t.held, &r)
 		return cc.goesOn(r.whole)
 	}
 	if t.Ran() && s.failed != nil {
-		s.failed(cc.req.managed.id, t.Last())
+		s.failed(cc.request.managed.id, t.Last())
 	}
 	return s.own(cc, t.GivenUp(cmd.overQuota, cmd.timedOut, cmd.retryAfter))
 }
 
 // own writes an answer of the system's own.
 func (s *server) own(cc *clientConn, o verdict.Own) bool {
-	s.counts.own(o.Status())
+	s.counts.countOwn(o.Status())
 	return s.reply(cc, o.Status(), o.Fields(), o.Text())
 }
 
@@ -343,7 +343,7 @@
 	return status != 0 && s.own(cc, t.Answer(status, 0, why.Error()))
 }
 
-// whole writes an app server's answer, made by passOn.
+// whole writes an app server's answer, made by buildClientAnswer.
 func (s *server) whole(cc *clientConn, answer []byte) bool {
 	answer, over := s.closing(cc, answer)
 	written := cc.write(answer, s.clock.Now().Add(s.tune.Load().ClientWrite)) == nil
@@ -353,7 +353,7 @@
 
 // goesOn tells whether the connection goes on after an answer that was passed on as it came, whole or not.
 func (cc *clientConn) goesOn(whole bool) bool {
-	over := cc.req.managed.over
+	over := cc.request.managed.over
 	cc.finalAnswerSent = whole && over
 	return whole && !over
 }
@@ -361,9 +361,9 @@
 // closing tells the client, where it is so, that this is the connection's last answer.
 func (s *server) closing(cc *clientConn, answer []byte) ([]byte, bool) {
 	if i := len(answerStart); len(answer) > i {
-		s.counts.passed(answer[i])
+		s.counts.countForwarded(answer[i])
 	}
-	over := s.draining.Load() || s.resting.Load() || cc.req.over() || cc.in.unread()
+	over := s.draining.Load() || s.resting.Load() || cc.request.over() || cc.input.unread()
 	if over {
 		const more = "Connection: close\r\n"
 		if i := bytes.Index(answer, []byte("\r\n")); i >= 0 {
--- a/internal/dataplane/node/pieces.go
+++ b/internal/dataplane/node/pieces.go
@@ -21,32 +21,32 @@
 }
 
 // unread tells whether something of the body has not come yet.
-func (s *stream) unread() bool { return s.rest.left > 0 || s.rest.chunks }
+func (s *messageReader) unread() bool { return s.remainder.left > 0 || s.remainder.chunks }
 
 // widen makes room. What has been used is let go where nobody needs it there; who still has a slice keeps the old
 // buffer.
-func (s *stream) widen() {
+func (s *messageReader) widen() {
 	rest := s.buf[s.off:]
 	switch {
-	case s.own && s.off > 0:
+	case s.ownsBuffer && s.off > 0:
 		s.buf, s.off = s.buf[:copy(s.buf, rest)], 0
 	case s.window > 0 && 2*s.off >= cap(s.buf) && s.off > 0:
 		s.buf, s.off = append(make([]byte, 0, cap(s.buf)), rest...), 0
 	default:
-		s.buf = append(make([]byte, 0, max(leastBuf, 2*cap(s.buf))), s.buf...)
+		s.buf = append(make([]byte, 0, max(minBufferBytes, 2*cap(s.buf))), s.buf...)
 	}
 }
 
 // piece returns what comes next of the rest, and no bytes at its end. They hold until the next call. After a
 // time-out it may be called again.
-func (s *stream) piece() ([]byte, error) {
-	r := &s.rest
+func (s *messageReader) piece() ([]byte, error) {
+	r := &s.remainder
 	for r.left == 0 {
 		switch {
 		case !r.chunks:
 			return nil, nil
 		case r.ended:
-			if err := s.trailer(); err != nil {
+			if err := s.skipTrailer(); err != nil {
 				return nil, err
 			}
 			r.chunks = false
@@ -57,11 +57,11 @@
 		}
 	}
 	if s.buffered() == 0 {
-		if !s.own {
-			s.buf, s.own = make([]byte, 0, bodyWindow), true
+		if !s.ownsBuffer {
+			s.buf, s.ownsBuffer = make([]byte, 0, bodyWindow), true
 		}
 		s.buf, s.off = s.buf[:0], 0
-		if err := s.more(); err != nil {
+		if err := s.fill(); err != nil {
 			return nil, err
 		}
 	}
@@ -71,10 +71,10 @@
 }
 
 // chunkEnd passes over the end of a chunk and reads the size of the next one.
-func (s *stream) chunkEnd() error {
-	r := &s.rest
+func (s *messageReader) chunkEnd() error {
+	r := &s.remainder
 	if !r.parted {
-		b, err := s.take(2)
+		b, err := s.readBytes(2)
 		switch {
 		case err != nil:
 			return err
@@ -83,7 +83,7 @@
 		}
 		r.parted = true
 	}
-	n, err := s.chunk(r.total)
+	n, err := s.readChunkSize(r.total)
 	if err != nil {
 		return err
 	}
--- a/internal/dataplane/node/pieces_test.go
+++ b/internal/dataplane/node/pieces_test.go
@@ -33,7 +33,7 @@
 func TestPiecesAfterTimeOuts(t *testing.T) {
 	want := content(3 * bodyWindow)
 	_, wire := enframed(want, true)
-	s := stream{src: io.MultiReader(bytes.NewReader(wire[:bodyWindow+100]), &halting{b: wire[bodyWindow+100:]}), most: len(want), window: bodyWindow}
+	s := messageReader{src: io.MultiReader(bytes.NewReader(wire[:bodyWindow+100]), &halting{b: wire[bodyWindow+100:]}), maxBody: len(want), window: bodyWindow}
 	got, err := s.readBody(&head{length: -1})
 	got = bytes.Clone(got)
 	for stops := 0; stops < 4*len(wire) && s.unread(); stops++ {
@@ -70,10 +70,10 @@
 	for n, code := range map[int]policy.Code{0: policy.ConnectFailed, len(rest): policy.ConnectFailed, len(rest) + 1: policy.Reset, len(rest) + 4: policy.Reset} {
 		s := &server{clock: u.clock, events: make(chan any, 1)}
 		s.tune.Store(&Tuning{BodyStall: time.Second})
-		cc := &clientConn{Conn: &breaking{}, in: stream{src: bytes.NewReader([]byte("abc\r\n0\r\n\r\n")), most: 99, window: 9, rest: remainder{left: 3, total: 12, chunks: true}}}
-		cc.req.length = -1
-		cc.req.managed = &passing{front: front{s: s, cc: cc}}
-		_, end := u.upload(&attempt{deadline: u.clock.now() + time.Second}, &upConn{Conn: &breaking{left: n}}, &cc.req)
+		cc := &clientConn{Conn: &breaking{}, input: messageReader{src: bytes.NewReader([]byte("abc\r\n0\r\n\r\n")), maxBody: 99, window: 9, remainder: remainder{left: 3, total: 12, chunks: true}}}
+		cc.request.length = -1
+		cc.request.managed = &passing{front: front{s: s, cc: cc}}
+		_, end := u.upload(&attempt{deadline: u.clock.now() + time.Second}, &upConn{Conn: &breaking{left: n}}, &cc.request)
 		assert.Equal(t, end.Code(), code, "%d bytes written", n)
 		assert.Assert(t, end.spent)
 	}
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -89,14 +89,14 @@
 	if s == nil {
 		return nil, "", false
 	}
-	now, most := u.clock.now(), u.ages.most(u.idleFor)
+	now, most := u.clock.now(), u.ages.maxUsableAge(u.idleFor)
 	for i := len(s.idle) - 1; i >= 0; i-- {
 		c := s.idle[i]
 		if now-c.used < u.rest {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
-		if now-c.used < most && alive(c) && !(once && u.estate && u.ages.doubtful(now-c.used, now)) {
+		if now-c.used < most && alive(c) && !(once && u.estate && u.ages.brokeRecently(now-c.used, now)) {
 			return c, "", true
 		}
 		c.Close()
@@ -173,8 +173,8 @@
 func (u *upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, most := u.clock.now(), u.ages.most(u.idleFor)
-	u.ages.fade()
+	now, most := u.clock.now(), u.ages.maxUsableAge(u.idleFor)
+	u.ages.decay()
 	for _, s := range u.servers {
 		s.idle = slices.DeleteFunc(s.idle, func(c *upConn) bool {
 			if now-c.used < most && alive(c) {
--- a/internal/dataplane/node/reply.go
+++ b/internal/dataplane/node/reply.go
@@ -43,8 +43,8 @@
 
 // answer writes an answer in one piece.
 func (s *server) answer(cc *clientConn, status int, fields, body string) error {
-	b := appendHead(cc.out[:0], status, fields, len(body))
-	if string(cc.req.method) != "HEAD" { // RFC 9110, 9.3.2: the length that a GET would have, and no body
+	b := appendHead(cc.output[:0], status, fields, len(body))
+	if string(cc.request.method) != "HEAD" { // RFC 9110, 9.3.2: the length that a GET would have, and no body
 		b = append(b, body...)
 	}
 	return cc.write(b, s.clock.Now().Add(s.tune.Load().ClientWrite))
@@ -67,8 +67,8 @@
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
 func (cc *clientConn) write(b []byte, by time.Time) error {
-	if cc.out = b; cap(b) > 4*leastBuf {
-		cc.out = nil // a large one is not kept
+	if cc.output = b; cap(b) > 4*minBufferBytes {
+		cc.output = nil // a large one is not kept
 	}
 	if err := cc.SetWriteDeadline(by); err != nil {
 		return err
@@ -79,7 +79,7 @@
 
 // reply answers a request; the connection goes on if both sides want it.
 func (s *server) reply(cc *clientConn, status int, fields, body string) bool {
-	over := s.draining.Load() || s.resting.Load() || cc.req.over() || cc.in.unread() || s.shouldCloseAfterAnswer(cc)
+	over := s.draining.Load() || s.resting.Load() || cc.request.over() || cc.input.unread() || s.shouldCloseAfterAnswer(cc)
 	if over {
 		fields += "Connection: close\r\n"
 	}
@@ -104,13 +104,13 @@
 func (s *server) final(cc *clientConn, cmd command) bool {
 	switch {
 	case cmd.clientErrorStatus != 0:
-		return s.bad(cc, &rejection{cmd.clientErrorStatus, cc.req.bookFields(), "this request can't be used"})
+		return s.bad(cc, &rejection{cmd.clientErrorStatus, cc.request.bookFields(), "this request can't be used"})
 	case !cmd.refused:
 		cc.badRequests = 0
-		return s.reply(cc, 502, cc.req.bookFields(), "failed")
+		return s.reply(cc, 502, cc.request.bookFields(), "failed")
 	}
 	cc.badRequests = 0
-	fields := cc.req.bookFields()
+	fields := cc.request.bookFields()
 	if cmd.retryAfter > 0 {
 		fields += "Retry-After: " + strconv.FormatFloat(cmd.retryAfter.Seconds(), 'f', -1, 64) + "\r\n"
 	}
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -23,7 +23,7 @@
 func (r *clientRequest) startLine() error {
 	var version []byte
 	var ok, whole bool
-	r.method, version, ok = bytes.Cut(r.first, []byte(" "))
+	r.method, version, ok = bytes.Cut(r.firstLine, []byte(" "))
 	r.target, version, whole = bytes.Cut(version, []byte(" "))
 	if !ok || !whole || !isToken(r.method) || len(r.target) == 0 || r.target[0] != '/' || !visible(r.target) {
 		return errSyntax
@@ -31,7 +31,7 @@
 	if v := string(version); v != "HTTP/1.1" && (v != "HTTP/1.0" || r.length == -1) {
 		return errSyntax
 	}
-	if _, n := r.one("Host"); n > 1 {
+	if _, n := r.valueAndCount("Host"); n > 1 {
 		return errSyntax
 	}
 	return nil
@@ -39,7 +39,7 @@
 
 // over tells whether the client wants its connection closed.
 func (r *clientRequest) over() bool {
-	return r.has("Connection", "close") || bytes.HasSuffix(r.first, []byte("1.0")) && !r.has("Connection", "keep-alive")
+	return r.hasToken("Connection", "close") || bytes.HasSuffix(r.firstLine, []byte("1.0")) && !r.hasToken("Connection", "keep-alive")
 }
 
 func visible(b []byte) bool {
@@ -63,7 +63,7 @@
 	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1)}
 	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key",
 		"X-Call-Terms", "X-Retry", "Content-Type"} {
-		if _, n := r.one(name); n > 1 {
+		if _, n := r.valueAndCount(name); n > 1 {
 			return nil, fmt.Errorf("%s: more than once", name)
 		}
 	}
@@ -87,7 +87,7 @@
 	if c.Customer, err = customer(string(r.get("Cookie"))); err != nil {
 		return nil, err
 	}
-	ms, n := decimal(r.get("X-Deadline-Ms"))
+	ms, n := parseDecimal(r.get("X-Deadline-Ms"))
 	c.budget = time.Duration(ms) * time.Millisecond
 	if n == 0 || n > 9 || c.budget > c.class.Deadline+time.Millisecond { // the settings' may have been rounded
 		return nil, fmt.Errorf("X-Deadline-Ms: not whole milliseconds up to the class's %v", c.class.Deadline)
@@ -149,7 +149,7 @@
 	units, spread, first := false, false, false
 	for pair := range strings.SplitSeq(text, ",") {
 		k, v, _ := strings.Cut(strings.Trim(pair, " \t"), "=")
-		x, n := decimal([]byte(v))
+		x, n := parseDecimal([]byte(v))
 		ok := n > 0
 		switch k {
 		case "units":
