--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -13,28 +13,28 @@
 
 // New bounds hold from the moment that they are told, requests under way don't suffer, and addresses stay.
 func TestEstateRetuned(t *testing.T) {
-	play(t, true, func(r *rig) {
-		r.acts = []act{func(c net.Conn, q *standin.Request) bool {
+	runManaged(t, true, func(r *managedFixture) {
+		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 			time.Sleep(time.Second)
-			return served(c, q)
-		}, served}
-		r.tell()
-		r.Confirm(0)
+			return servedAnswer(c, q)
+		}, servedAnswer}
+		r.configure()
+		r.ConfirmConfiguration(0)
 		time.Sleep(3 * time.Second)
 		slow := r.dial()
-		_, err := io.WriteString(slow, wired("/act/", ""))
+		_, err := io.WriteString(slow, requestText("/act/", ""))
 		assert.NilError(t, err)
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, r.ask("/act/", "").StatusCode, 200)
+		assert.Equal(t, r.request("/act/", "").StatusCode, 200)
 		cfg := r.cfg
-		cfg.Revoke, cfg.Grace, cfg.RetrySlack, cfg.WarmupSlack, cfg.Zone = 2*time.Second, 2*time.Second, 10, 7, "b"
+		cfg.RevocationLimit, cfg.Grace, cfg.RetrySlack, cfg.WarmupSlack, cfg.Zone = 2*time.Second, 2*time.Second, 10, 7, "b"
 		r.Retune(cfg)
-		assert.Equal(t, r.ask("/act/", "").StatusCode, 503) // control's word is too old by now
-		a := r.answer(slow)
+		assert.Equal(t, r.request("/act/", "").StatusCode, 503) // control's word is too old by now
+		a := r.readAnswer(slow)
 		assert.Assert(t, a.StatusCode == 200 && a.body == "yes")
-		r.Confirm(0)
-		assert.Equal(t, r.ask("/act/", "").StatusCode, 200)
-		assert.Assert(t, r.cfg.Zone == "a" && r.serverList.Terms.Slack == 7 && r.field.MaxRetryBudget("x") == 10*budgetPart)
+		r.ConfirmConfiguration(0)
+		assert.Equal(t, r.request("/act/", "").StatusCode, 200)
+		assert.Assert(t, r.cfg.Zone == "a" && r.serverList.Terms.Slack == 7 && r.services.MaxRetryBudget("x") == 10*retryBudgetShare)
 		began := time.Now()
 		r.stop()
 		r.ended <- <-r.ended
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -22,7 +22,7 @@
 	now := clk.now()
 	c := &openRequest{Request: policy.Request{ID: 1}, class: &policy.Class{Name: "loan", Effect: policy.Keyed, DedupWindow: 2 * time.Second}, effect: policy.Keyed,
 		answerBy: now + 10*time.Second, commands: make(chan command, 1)}
-	l.calls[1] = c
+	l.requests[1] = c
 	return l, c, now
 }
 
@@ -30,17 +30,17 @@
 // key: the window counts from when the first was asked for.
 func TestKeyedRepeatHasToBeWrittenInTheWindow(t *testing.T) {
 	l, c, now := sending(t)
-	l.send(policy.Send{ID: 1, Server: 1})
+	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
 		t.Errorf("a first attempt is to be written by %v, want the deadline, %v", a.writeBy-now, c.answerBy-now)
 	}
 	c.inFlight, c.mayHaveRunSince = nil, now-time.Second
-	l.send(policy.Send{ID: 1, Server: 1})
+	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.mayHaveRunSince+2*time.Second || a.deadline != c.answerBy {
 		t.Errorf("a repeat is to be written by %v and ends at %v, want 1s and %v", a.writeBy-now, a.deadline-now, c.answerBy-now)
 	}
 	c.inFlight, c.class, c.effect = nil, &policy.Class{Name: "lookup"}, policy.Safe
-	l.send(policy.Send{ID: 1, Server: 1})
+	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
 		t.Errorf("what may run any number of times is to be written by %v", a.writeBy-now)
 	}
@@ -56,7 +56,7 @@
 	} {
 		l, c, now := sending(t)
 		spoil(c, now)
-		l.send(policy.Send{ID: 1, Server: 1})
+		l.sendAttempt(policy.Send{ID: 1, Server: 1})
 		select {
 		case cmd := <-c.commands:
 			t.Errorf("%s: sent all the same: %+v", name, cmd)
@@ -84,7 +84,7 @@
 	if c.mayHaveRunSince != first {
 		t.Fatalf("the window began %v after the first attempt that may have run", c.mayHaveRunSince-first)
 	}
-	l.send(policy.Send{ID: 1, Server: 1})
+	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != first+2*time.Second {
 		t.Errorf("the third attempt is to be written by %v after the first, want 2 s", a.writeBy-first)
 	}
@@ -94,5 +94,5 @@
 func (l *loop) attemptEnds(c *openRequest, sent time.Duration, end verdict.End) {
 	c.inFlight = &attempt{id: c.ID, num: c.attempts, server: 1, sent: sent}
 	c.attempts++
-	l.end(outcome{request: c, attempt: c.inFlight, result: ended(end, nil)})
+	l.endAttempt(outcome{request: c, attempt: c.inFlight, result: ended(end, nil)})
 }
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -41,9 +41,9 @@
 	reuse  reuse
 
 	booked bookReader
-	watch  *watch  // nil: no view of the fleet is kept
-	estate *estate // nil: the platform's wire is spoken
-	counts counts  // an estate's
+	watch  *watch         // nil: no view of the fleet is kept
+	estate *estate        // nil: the platform's wire is spoken
+	counts trafficCounter // an estate's
 	failed func(id string, why verdict.Verdict)
 	over   <-chan struct{} // closed when an estate's loop has ended
 }
@@ -94,7 +94,7 @@
 func (s *server) talk(cc *clientConn) {
 	defer s.removeConnection(cc)
 	for first := true; ; first = false {
-		cc.in.begin()
+		cc.input.startMessage()
 		tune := s.tune.Load()
 		wait, whole := tune.ClientIdle, tune.WholeRequest
 		if first && s.estate == nil {
@@ -102,14 +102,14 @@
 		} else if first {
 			whole = tune.FirstRequest
 		}
-		if cc.in.buffered() == 0 {
-			if s.setReadTimeout(cc, wait) != nil || cc.in.more() != nil {
+		if cc.input.buffered() == 0 {
+			if s.setReadTimeout(cc, wait) != nil || cc.input.fill() != nil {
 				return // idle for long, or gone
 			}
 		}
 		s.setState(cc, connReading)
 		if s.estate != nil {
-			cc.in.head, cc.in.most = s.estate.bounds()
+			cc.input.maxHead, cc.input.maxBody = s.estate.bounds()
 		}
 		if whole > 0 && s.setReadTimeout(cc, whole) != nil {
 			return
@@ -131,7 +131,7 @@
 // handle answers a request that could be read; it is false when the connection
 // is over.
 func (s *server) handle(cc *clientConn) bool {
-	r := &cc.req
+	r := &cc.request
 	if s.estate != nil {
 		return s.pass(cc)
 	}
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -38,14 +38,14 @@
 	buf     []byte
 }
 
-func (f *front) unread() bool { return f.cc != nil && f.cc.in.unread() }
+func (f *front) unread() bool { return f.cc != nil && f.cc.input.unread() }
 
 // spent tells whether the request can't be sent again.
-func (f *front) spent() bool { return f.cc != nil && f.cc.in.rest.taken }
+func (f *front) spent() bool { return f.cc != nil && f.cc.input.remainder.taken }
 
 // ending tells whether some of the end of a body in chunks was written: it may be taken for whole.
 func (f *front) ending() bool {
-	return f.last && f.cc.req.length == -1 && len(f.pending) < len(lastChunk)
+	return f.last && f.cc.request.length == -1 && len(f.pending) < len(lastChunk)
 }
 
 // pin rules out that the request is sent to another server for it.
@@ -156,7 +156,7 @@
 		if err := f.cc.SetReadDeadline(u.clock.time(min(now+bodyStep, a.deadline, stalled))); err != nil {
 			return nil, err
 		}
-		p, err := f.cc.in.piece()
+		p, err := f.cc.input.piece()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return p, err
 		}
@@ -203,7 +203,7 @@
 	f := &req.managed.front
 	h := &heldAnswer{a, c, r.answer}
 	r.answer = nil
-	unknown := c.head.length < 0 && strings.HasSuffix(string(req.first), "1.0") // this client would not know its end
+	unknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // this client would not know its end
 	switch {
 	case h.begin == nil:
 	case r.End != verdict.Served && f.call.effect == policy.Safe:
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -50,7 +50,7 @@
 // upload is a request with such a body.
 func upload(path string, body []byte, chunked bool) []byte {
 	fields, wire := enframed(body, chunked)
-	head := wired(path, patient)
+	head := requestText(path, patient)
 	head = strings.TrimSuffix(head, "Content-Length: 4\r\n\r\nbody")
 	return append([]byte(head+fields+"\r\n"), wire...)
 }
@@ -88,7 +88,7 @@
 
 // open makes these the servers of the site, and the configuration with bounds. before is done when a request's head has
 // come, after when all of it has, each till it is false; nil: nothing, and an answer.
-func (r *rig) open(before, after func(c net.Conn, q *http.Request) bool) *hall {
+func (r *managedFixture) open(before, after func(c net.Conn, q *http.Request) bool) *hall {
 	h := &hall{}
 	r.t.Cleanup(func() {
 		h.mu.Lock()
@@ -104,11 +104,11 @@
 		r.list[i].Address = ln.Addr().String()
 		go h.accept(ln, before, after)
 	}
-	r.tell()
-	p, err := routeconfig.Parse([]byte(strings.Replace(estateConfiguration, `"gen":"r1",`, fmt.Sprintf(
+	r.configure()
+	p, err := routeconfig.Parse([]byte(strings.Replace(managedConfiguration, `"gen":"r1",`, fmt.Sprintf(
 		`"gen":"r2","limits":{"max_body_bytes":%d,"header_timeout_ms":700},`, mostBytes), 1)))
 	assert.NilError(r.t, err)
-	r.Configuration(p)
+	r.SetConfiguration(p)
 	return h
 }
 
@@ -154,7 +154,7 @@
 }
 
 // send writes a request without waiting for its end.
-func (r *rig) send(b []byte) net.Conn {
+func (r *managedFixture) send(b []byte) net.Conn {
 	c := r.dial()
 	go func() { _, _ = c.Write(b) }()
 	return c
@@ -175,7 +175,7 @@
 // Bodies of any size go both ways unchanged, and the connections go on behind them.
 func TestBodiesPass(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
-		play(t, false, func(r *rig) {
+		runManaged(t, false, func(r *managedFixture) {
 			h := r.open(nil, func(c net.Conn, q *http.Request) bool {
 				n := int(q.ContentLength)
 				_, _ = fmt.Sscan(q.Header.Get("X-Want"), &n)
@@ -243,7 +243,7 @@
 	const sockets, held = 2 * 64 << 10, 4 * bodyWindow
 	framings(t, func(t *testing.T, chunked bool) {
 		t.Run("server", func(t *testing.T) {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				stuck := make(chan bool)
 				h := r.open(func(net.Conn, *http.Request) bool { <-stuck; return true }, nil)
 				c := &countedConn{Conn: r.dial()}
@@ -253,13 +253,13 @@
 				assert.Assert(t, c.written() > sockets && c.written() < sockets+held, "%d", c.written())
 				began := time.Now()
 				close(stuck)
-				assert.Equal(t, r.answer(c).body, "yes")
+				assert.Equal(t, r.readAnswer(c).body, "yes")
 				assert.Assert(t, time.Since(began) < 900*time.Millisecond)
 				assert.Equal(t, len(h.seen()[0].body), large)
 			})
 		})
 		t.Run("client", func(t *testing.T) {
-			play(t, false, func(r *rig) {
+			runManaged(t, false, func(r *managedFixture) {
 				var out *countedConn
 				var let error // how the server's sending ended
 				h := r.open(nil, func(c net.Conn, q *http.Request) bool {
@@ -268,7 +268,7 @@
 					let = err
 					return err == nil
 				})
-				c := r.send([]byte(wired("/get/", patient)))
+				c := r.send([]byte(requestText("/get/", patient)))
 				defer c.Close()
 				time.Sleep(time.Second)
 				synctest.Wait()
@@ -276,7 +276,7 @@
 				time.Sleep(2 * time.Second) // its time is over: the server is let go
 				synctest.Wait()
 				assert.Assert(t, h.complete() == 1 && let != nil)
-				open, _ := r.Estate.node.server.connectionActivity()
+				open, _ := r.ManagedNode.node.server.connectionActivity()
 				assert.Equal(t, open, 0)
 				n, err := read(c)
 				assert.Assert(t, err != nil && n < large, "%d bytes: %v", n, err)
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -51,7 +51,7 @@
 	var list []standin.Target
 	for i := range 4 {
 		l, err := in.site.StartLoan(standin.LoanConfig{UID: fmt.Sprintf("s-%08x", i+1), Rack: fmt.Sprint(1 + i%2), Zone: "a", Cores: 4, Queue: 200,
-			Work: work, Script: func(r *standin.Request) standin.Fault {
+			Work: coreTime, Script: func(r *standin.Request) standin.Fault {
 				if in.script == nil {
 					return standin.NoFault
 				}
--- a/internal/dataplane/node/timers.go
+++ b/internal/dataplane/node/timers.go
@@ -8,11 +8,11 @@
 )
 
 func (l *loop) arm() {
-	if len(l.timers) == 0 || l.wake != 0 && l.wake <= l.timers[0].at {
+	if len(l.timers) == 0 || l.timerAt != 0 && l.timerAt <= l.timers[0].at {
 		return
 	}
-	l.wake = l.timers[0].at
-	l.timer.Reset(max(0, l.wake-l.clock.now()))
+	l.timerAt = l.timers[0].at
+	l.timer.Reset(max(0, l.timerAt-l.clock.now()))
 }
 
 // fire tells of the timers that have run out.
@@ -21,9 +21,9 @@
 		t := heap.Pop(&l.timers).(*timer)
 		switch {
 		case t.call != nil:
-			l.overdue(t.call)
+			l.failOverdue(t.call)
 		case t.look:
-			l.look()
+			l.checkDisconnects()
 		default:
 			l.decide(policy.Timer{Token: t.token})
 		}
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -48,14 +48,14 @@
 
 	mu      sync.Mutex
 	open    int
-	ages    idleAges
+	ages    idleAgeStats
 	servers map[policy.ServerID]*appServer
 }
 
 // upConn is a connection to an app server.
 type upConn struct {
 	net.Conn
-	in   stream
+	in   messageReader
 	head head
 	used time.Duration
 	up   *upstream
@@ -173,7 +173,7 @@
 // is closed before do returns, but for that of an answer held.
 func (u *upstream) do(a *attempt, req *clientRequest) result {
 	c, addr, ok := u.take(a.server, a.once)
-	for ok && c != nil && u.trial(a, c) && !u.stands(a, c, req) {
+	for ok && c != nil && u.needsProbe(a, c) && !u.probe(a, c, req) {
 		u.discard(c)
 		c, addr, ok = u.take(a.server, a.once)
 	}
@@ -190,7 +190,7 @@
 		c = &upConn{Conn: conn, up: u}
 		c.in.src = c
 		if u.estate {
-			c.in.most, c.in.window = math.MaxInt, bodyWindow
+			c.in.maxBody, c.in.window = math.MaxInt, bodyWindow
 			c.reach = u.reached(a.server, u.clock.now()-began)
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 	if c.used > 0 {
 		u.mu.Lock()
-		u.ages.note(now-c.used, u.clock.now(), u.clock.now()-now-c.reach, r.Code(), len(c.in.buf) > 0)
+		u.ages.recordUse(now-c.used, u.clock.now(), u.clock.now()-now-c.reach, r.Code(), len(c.in.buf) > 0)
 		u.mu.Unlock()
 	}
 	if !a.hold(nil) { // cancelled: its connection is closed already
@@ -256,7 +256,7 @@
 	b := appendRequest((*msg)[:0], req, left)
 	n, err := c.Write(b)
 	whole := n == len(b)
-	if *msg = b; cap(b) <= 4*leastBuf {
+	if *msg = b; cap(b) <= 4*minBufferBytes {
 		buffers.Put(msg)
 	}
 	if !whole {
@@ -282,8 +282,8 @@
 		r.Verdict = verdict.Of(verdict.Unfit, nil)
 	}
 	// What comes behind an answer belongs to none.
-	reuse := framed && c.in.buffered() == 0 && !c.head.has("Connection", "close")
-	c.in.begin()
+	reuse := framed && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	c.in.startMessage()
 	return r, reuse
 }
 
@@ -296,8 +296,8 @@
 		if err = c.in.readHead(&c.head, answerStart); err != nil {
 			return 0, nil, false, err
 		}
-		code := c.head.first[len(answerStart):]
-		status, n := decimal(code[:min(3, len(code))])
+		code := c.head.firstLine[len(answerStart):]
+		status, n := parseDecimal(code[:min(3, len(code))])
 		switch {
 		case n != 3 || status < 100 || status > 599 || len(code) > 3 && code[3] != ' ':
 			return 0, nil, false, errSyntax
@@ -306,7 +306,7 @@
 		case status < 200 && unsent:
 			return status, nil, true, nil
 		case status < 200:
-			c.in.begin() // it only announces the answer, which may take its time
+			c.in.startMessage() // it only announces the answer, which may take its time
 			continue
 		case status == 204 || status == 304 || bare:
 			return status, nil, true, nil
@@ -361,7 +361,7 @@
 // load reads a load report: a word, then name=value pairs. One that lacks a
 // field, or can't be meant, counts for nothing.
 func (u *upstream) load(h *head) []float64 {
-	text, n := h.one("X-Load")
+	text, n := h.valueAndCount("X-Load")
 	if n != 1 || len(u.fields) == 0 {
 		return nil
 	}
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -27,12 +27,12 @@
 	now := u.clock.now()
 	a := &attempt{id: 7, server: 1, sent: now, deadline: now + deadline, writeBy: now + deadline}
 	return a, func() (result, string) {
-		in := clientConn{in: stream{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
+		in := clientConn{input: messageReader{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Request-Id: 9b1f03aa5c7e2d41\r\n\r\n")}}
 		if err := in.readRequest(); err != nil {
 			panic(err)
 		}
-		r := u.do(a, &in.req)
+		r := u.do(a, &in.request)
 		return r, r.body
 	}
 }
@@ -242,26 +242,26 @@
 // request is written, cost that request: the age from which they do is learned,
 // and unlearned once they do so no longer.
 func TestLearnsHowLongConnectionsLast(t *testing.T) {
-	var x idleAges
+	var x idleAgeStats
 	for range 40 {
-		x.note(20*time.Millisecond, time.Second, time.Millisecond, policy.OK, true)
-		x.note(150*time.Millisecond, time.Second, time.Millisecond, policy.OK, true)
-		x.note(150*time.Millisecond, time.Second, time.Second, policy.Reset, false) // broke at work
-		x.note(150*time.Millisecond, time.Second, time.Millisecond, policy.Reset, true)
+		x.recordUse(20*time.Millisecond, time.Second, time.Millisecond, policy.OK, true)
+		x.recordUse(150*time.Millisecond, time.Second, time.Millisecond, policy.OK, true)
+		x.recordUse(150*time.Millisecond, time.Second, time.Second, policy.Reset, false) // broke at work
+		x.recordUse(150*time.Millisecond, time.Second, time.Millisecond, policy.Reset, true)
 	}
-	if got := x.most(time.Minute); got != time.Minute {
+	if got := x.maxUsableAge(time.Minute); got != time.Minute {
 		t.Fatalf("%v while none broke for its age", got)
 	}
 	for range 40 {
-		x.note(150*time.Millisecond, time.Second, time.Millisecond, policy.Reset, false)
+		x.recordUse(150*time.Millisecond, time.Second, time.Millisecond, policy.Reset, false)
 	}
-	if got := x.most(time.Minute); got != 128*time.Millisecond {
+	if got := x.maxUsableAge(time.Minute); got != 128*time.Millisecond {
 		t.Fatalf("%v, want 128ms: those of 150ms break", got)
 	}
 	for range 300 {
-		x.fade()
+		x.decay()
 	}
-	if got := x.most(time.Minute); got != time.Minute {
+	if got := x.maxUsableAge(time.Minute); got != time.Minute {
 		t.Errorf("%v long after the last broke", got)
 	}
 }
@@ -283,14 +283,14 @@
 		for _, c := range u.servers[1].idle {
 			c.used -= 200 * time.Millisecond // as if it had stood for so long
 		}
-		full := u.ages.most(u.idleFor) < u.idleFor
+		full := u.ages.maxUsableAge(u.idleFor) < u.idleFor
 		u.mu.Unlock()
 		if full {
 			break
 		}
 	}
-	if u.ages.most(u.idleFor) > 200*time.Millisecond {
-		t.Fatalf("%v learned where those of 200ms break", u.ages.most(u.idleFor))
+	if u.ages.maxUsableAge(u.idleFor) > 200*time.Millisecond {
+		t.Fatalf("%v learned where those of 200ms break", u.ages.maxUsableAge(u.idleFor))
 	}
 	before := a.Accepted.Load()
 	_, do := u.try(patience)
--- a/internal/dataplane/proxy/figures.go
+++ b/internal/dataplane/proxy/figures.go
@@ -8,7 +8,7 @@
 
 // figures are what this proxy tells of itself to whoever watches it.
 func (g *Proxy) figures() []metrics.Figure {
-	f, ready := g.estate.Figures(), 0
+	f, ready := g.estate.TrafficStats(), 0
 	if g.estate.Ready() {
 		ready = 1
 	}
@@ -22,7 +22,7 @@
 		metrics.Seconds("proxy_list_age_seconds", "Since the reading of the servers' list in force began.", g.listAge()),
 		metrics.Count("proxy_requests_open", "Requests that are not answered yet.", f.Open),
 		metrics.Count("proxy_client_connections", "Connections of clients.", f.Clients),
-		counter("proxy_client_left_total", "Requests whose client left before its answer.", g.estate.Left()),
+		counter("proxy_client_left_total", "Requests whose client left before its answer.", g.estate.DisconnectedClients()),
 	}
 }
 
--- a/internal/dataplane/proxy/fit.go
+++ b/internal/dataplane/proxy/fit.go
@@ -70,10 +70,10 @@
 	f.begun, f.heartbeat = true, now
 	f.mu.Unlock()
 	if !begun {
-		g.estate.Note(g.set.Self.Name, g.set.Self.Zone, g.life)
+		g.estate.StartHealthRecording(g.set.Self.Name, g.set.Self.Zone, g.life)
 	}
-	if late || !g.estate.Ready() && !g.estate.Rests() {
-		g.estate.Ill()
+	if late || !g.estate.Ready() && !g.estate.ReadyButResting() {
+		g.estate.MarkUnreliable()
 	}
 	g.obeys(now)
 	f.mu.Lock()
@@ -88,7 +88,7 @@
 	if !due {
 		return
 	}
-	s, next := g.estate.Noted(after, most)
+	s, next := g.estate.HealthReport(after, most)
 	f.mu.Lock()
 	f.lookedAt = now
 	f.mu.Unlock()
@@ -103,7 +103,7 @@
 // obeys puts the verdicts in force, as far as they are to be trusted at their age.
 func (g *Proxy) obeys(now time.Duration) {
 	if servers, changed := g.fit.trusts(g.set.Self.Name, now); changed {
-		g.estate.Trust(servers)
+		g.estate.SetTrust(servers)
 	}
 }
 
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -33,7 +33,7 @@
 	set    *settings.Settings
 	w      world.World
 	log    logr.Logger
-	estate *node.Estate
+	estate *node.ManagedNode
 	start  time.Time
 	life   int64
 
@@ -54,11 +54,11 @@
 	now := w.Now()
 	g := &Proxy{set: s, w: w, log: log, start: now, life: now.UnixNano(), zones: map[string]peerlink.Zone{}}
 	cfg := estateOf(s, w, uint64(now.UnixNano()))
-	cfg.Given = g.given
-	cfg.Failed = func(id string, why verdict.Verdict) {
+	cfg.OnUnitsTransferred = g.given
+	cfg.OnRequestFailed = func(id string, why verdict.Verdict) {
 		log.V(1).Info("request failed", "attempt", id, "why", why.Error())
 	}
-	e, err := node.NewEstate(cfg)
+	e, err := node.NewManagedNode(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -67,13 +67,13 @@
 }
 
 // estateOf is what an edge node is told by the settings.
-func estateOf(s *settings.Settings, w world.World, seed uint64) node.EstateConfig {
+func estateOf(s *settings.Settings, w world.World, seed uint64) node.ManagedConfig {
 	h := fnv.New64a()
 	h.Write([]byte(s.Self.Name))
 	b := s.Terms.Bounds
-	return node.EstateConfig{Listen: s.Network.Listen.HTTP, Peer: s.Peer(s.Self.IP), Zone: s.Self.Zone,
+	return node.ManagedConfig{Listen: s.Network.Listen.HTTP, Peer: s.Peer(s.Self.IP), Zone: s.Self.Zone,
 		Region: s.Self.Region, Seed: h.Sum64() ^ seed, Sockets: s.Self.Limits.MaxFDs, World: w,
-		Regions: s.Network.Zones, Grace: b.Grace, Revoked: b.Revoked, Revoke: b.Revoke, RetryRatio: b.RetryRatio,
+		Regions: s.Network.Zones, Grace: b.Grace, EnforceRevocation: b.Revoked, RevocationLimit: b.Revoke, RetryRatio: b.RetryRatio,
 		RetrySlack: b.RetrySlack, QuotaExcess: b.QuotaExcess, QuotaSlack: b.QuotaSlack, QuotaWindow: b.QuotaWindow, WarmupExcess: b.WarmupExcess,
 		WarmupSlack: b.WarmupSlack, ListLag: s.Provider.Cloud.MaxLag}
 }
@@ -140,7 +140,7 @@
 			return err
 		}
 		if p := f.Pong; p != nil && p.Fresh {
-			g.estate.Confirm(g.now() - p.Sent + p.Age)
+			g.estate.ConfirmConfiguration(g.now() - p.Sent + p.Age)
 		}
 		if p := f.Pong; p != nil && p.List != nil {
 			g.list.Store(int64(p.Sent - p.List.Age))
@@ -159,9 +159,9 @@
 func (g *Proxy) heartbeat(c *peerlink.Conn) error { return c.Send(&peerlink.Frame{Ping: g.tells()}) }
 
 func (g *Proxy) tells() *peerlink.Ping {
-	f := g.estate.Figures()
-	return &peerlink.Ping{Sent: g.now(), Ready: g.estate.Ready(), Rests: g.estate.Rests(), Gen: g.gen.Load(),
-		Parts: int(g.parts.Load()), Figures: (*peerlink.Figures)(&f), Heads: g.estate.Heads()}
+	f := g.estate.TrafficStats()
+	return &peerlink.Ping{Sent: g.now(), Ready: g.estate.Ready(), Rests: g.estate.ReadyButResting(), Gen: g.gen.Load(),
+		Parts: int(g.parts.Load()), Figures: (*peerlink.Figures)(&f), Heads: g.estate.RequestsByHost()}
 }
 
 // asked tells the agent what was asked for lately, by route.
@@ -199,7 +199,7 @@
 		if parsed, err := routeconfig.Parse(p.Body); err != nil {
 			g.log.Error(err, "a configuration that can't be read", "gen", p.Gen)
 		} else {
-			g.estate.Configuration(parsed)
+			g.estate.SetConfiguration(parsed)
 			g.held = p
 			g.gen.Store(p.Gen)
 			g.log.Info("configuration in force", "gen", p.Gen)
@@ -219,8 +219,8 @@
 				rest = z.Drain
 			}
 		}
-		g.estate.Rest(rest)
-		g.estate.Zones(drained)
+		g.estate.SetResting(rest)
+		g.estate.SetDrainedZones(drained)
 	}
 	if s := c.Servers; s != nil && s.List != nil {
 		list := make([]serverlist.Listed, 0, len(s.List))
@@ -228,7 +228,7 @@
 			list = append(list, serverlist.Listed{ID: v.ID, Service: v.Backend, Address: v.Address, Zone: v.Zone, Slots: v.Capacity,
 				Draining: v.Draining, WarmLeft: v.WarmLeft})
 		}
-		g.estate.Servers(s.Stamp, list)
+		g.estate.SetServers(s.Stamp, list)
 	}
 	if s := c.Census; s != nil {
 		g.peers(s)
@@ -280,7 +280,7 @@
 			at[m.Slot] = a
 		}
 	}
-	g.estate.Peers(s.Proxies[me].Slot, s.Shares, less, at, regions)
+	g.estate.SetPeers(s.Proxies[me].Slot, s.Shares, less, at, regions)
 	g.parts.Store(int64(s.Shares)) // it holds no more than its part of so many from here on
 }
 
