--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxForeignAnswers = 4 // answers to others that are passed over ahead of one's own
+	maxForeignAnswers = 4 // answers to other requests that are skipped before the expected one
 )
 
-// isHopByHop tells whether a field concerns one connection only (RFC 9110, 7.6.1), or the body's frame, which is written
-// anew.
+// isHopByHop reports whether a header field concerns one connection only (RFC 9110, 7.6.1) or the body's framing, which the
+// proxy writes itself.
 func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2, 7, 10, 14, 16, 17, 18, 19:
@@ -30,25 +30,26 @@
 	return false
 }
 
+// equalsFieldName compares header field names without regard to case.
 func equalsFieldName(name []byte, field string) bool {
 	return len(name) == len(field) && strings.EqualFold(string(name), field)
 }
 
-// isSetByProxy tells whether a field of a client's is written by the system alone.
+// isSetByProxy reports whether a header field is dropped from clients' requests because the proxy sets or handles it.
 func isSetByProxy(name []byte) bool {
 	return equalsFieldName(name, fieldKey) || equalsFieldName(name, fieldTenant) || equalsFieldName(name, fieldTarget) || equalsFieldName(name, fieldDeadline) || equalsFieldName(name, "Expect")
 }
 
-// appendForwardedRequest writes what goes on to an app server.
+// appendForwardedRequest appends the request as it is sent to a server.
 func appendForwardedRequest(b []byte, req *clientRequest, server string, left time.Duration) []byte {
 	b = append(b, req.method...)
 	b = append(b, ' ')
 	b = append(b, req.target...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	named := req.get("Connection")
+	connectionField := req.get("Connection")
 	for i := range req.fields {
 		f := &req.fields[i]
-		if isHopByHop(f.name) || isSetByProxy(f.name) || len(named) > 0 && req.hasToken("Connection", string(f.name)) {
+		if isHopByHop(f.name) || isSetByProxy(f.name) || len(connectionField) > 0 && req.hasToken("Connection", string(f.name)) {
 			continue
 		}
 		b = appendField(b, f)
@@ -61,14 +62,14 @@
 		b = append(b, "\r\n"+fieldTenant+": "...)
 		b = append(b, req.managed.tenant...)
 	}
-	if req.managed.front.unread() {
-		b = appendFrame(b, &req.head)
-	} else if m := string(req.method); m != "GET" && m != "HEAD" || len(req.body) > 0 {
+	if req.managed.client.hasUnreadBody() {
+		b = appendFramingField(b, &req.head)
+	} else if method := string(req.method); method != "GET" && method != "HEAD" || len(req.body) > 0 {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	if req.managed.front.unread() {
+	if req.managed.client.hasUnreadBody() {
 		return appendPiece(b, &req.head, req.body)
 	}
 	return append(b, req.body...)
@@ -81,27 +82,28 @@
 	return append(b, "\r\n"...)
 }
 
-// buildClientAnswer makes of an app server's answer what its client gets: status, fields and body unchanged, the frame
-// written anew.
-func buildClientAnswer(h *head, status int, body []byte, bare, more bool) []byte {
+// buildClientAnswer returns a server's answer as its client gets it: status, fields and body are unchanged, only hop-by-hop
+// fields and the framing are replaced. headRequest is set if the request's
+// method is HEAD, and more if further parts of the body follow.
+func buildClientAnswer(h *head, status int, body []byte, headRequest, more bool) []byte {
 	b := make([]byte, 0, 256+len(body))
-	b = append(b, answerStart...)
-	b = append(b, h.firstLine[len(answerStart):]...)
+	b = append(b, answerPrefix...)
+	b = append(b, h.firstLine[len(answerPrefix):]...)
 	b = append(b, "\r\n"...)
-	named := h.get("Connection")
+	connectionField := h.get("Connection")
 	for i := range h.fields {
 		f := &h.fields[i]
-		if isHopByHop(f.name) && !(bare && equalsFieldName(f.name, "Content-Length")) || equalsFieldName(f.name, fieldLoad) ||
-			len(named) > 0 && h.hasToken("Connection", string(f.name)) {
+		if isHopByHop(f.name) && !(headRequest && equalsFieldName(f.name, "Content-Length")) || equalsFieldName(f.name, fieldLoad) ||
+			len(connectionField) > 0 && h.hasToken("Connection", string(f.name)) {
 			continue
 		}
 		b = appendField(b, f)
 	}
 	if more {
-		b = append(appendFrame(b[:len(b)-2], h), "\r\n\r\n"...)
+		b = append(appendFramingField(b[:len(b)-2], h), "\r\n\r\n"...)
 		return appendPiece(b, h, body)
 	}
-	if !bare && status != 204 && status != 304 {
+	if !headRequest && status != 204 && status != 304 {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(body)), 10)
 		b = append(b, "\r\n"...)
@@ -110,27 +112,28 @@
 	return append(b, body...)
 }
 
-// forward writes the request in one call and reads its answer, told from others' by its id. What the number of
-// bytes written decides is as with exchange.
+// forward writes the request in one call and reads its answer, which it recognizes by its id. As in exchange, a request of
+// which the last byte was not written can't have run, and any other may have. It also reports whether the connection can be
+// reused.
 func (u *upstream) forward(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
 	server := u.uid(a.server)
 	if server == "" || c.SetDeadline(u.clock.time(a.deadline)) != nil {
-		return ended(verdict.Unsent, errNoWay), false
+		return endedResult(verdict.Unsent, errNoConnection), false
 	}
-	msg := buffers.Get().(*[]byte)
-	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.front.s.estate.workFor(left, u.clock.now()))
-	n, err := c.Write(b[c.ahead:])
-	whole := c.ahead+n == len(b)
-	c.ahead = 0
+	msg := requestBuffers.Get().(*[]byte)
+	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.client.server.managed.workDuration(left, u.clock.now()))
+	n, err := c.Write(b[c.probedBytes:])
+	complete := c.probedBytes+n == len(b)
+	c.probedBytes = 0
 	if *msg = b; cap(b) <= 4*minBufferBytes {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 	}
-	if !whole {
-		return ended(verdict.Unsent, err), false
+	if !complete {
+		return endedResult(verdict.Unsent, err), false
 	}
-	bare, written := string(req.method) == "HEAD", u.clock.now()
-	stray := false
-	status, body, framed, unsent := 0, []byte(nil), false, req.managed.front.unread()
+	headRequest, written := string(req.method) == "HEAD", u.clock.now()
+	sawForeignAnswer := false
+	status, body, framed, unsent := 0, []byte(nil), false, req.managed.client.hasUnreadBody()
 	for range maxForeignAnswers {
 		if err != nil {
 			break
@@ -142,70 +145,71 @@
 			}
 			written = u.clock.now()
 		}
-		if status, body, framed, err = c.answer(bare, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
+		if status, body, framed, err = c.readAnswer(headRequest, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
 			break
 		}
 		if !framed {
 			err = errFraming
 		}
-		for p := []byte{0}; len(p) > 0 && err == nil && c.in.unread(); {
-			p, err = c.in.piece()
+		for p := []byte{0}; len(p) > 0 && err == nil && c.in.hasUnreadBody(); {
+			p, err = c.in.nextPiece()
 		}
-		c.in.startMessage() // it answers another request
-		status, stray = 0, true
+		c.in.startMessage() // the answer belongs to another request
+		status, sawForeignAnswer = 0, true
 	}
-	spent := req.managed.front.spent()
+	spent := req.managed.client.hasDiscardedBody()
 	if err != nil || status == 0 {
-		r := u.unanswered(a, err)
-		if unsent && !req.managed.front.ending() { // and never will be sent
-			r = ended(verdict.Unsent, err)
+		r := u.errorResult(a, err)
+		if unsent && !req.managed.client.hasBegunLastChunk() { // the remainder will never be sent, so the request can't run
+			r = endedResult(verdict.Unsent, err)
 		}
-		r.spent, r.stray = spent, stray
+		r.cannotRepeat, r.hasStrayAnswers = spent, sawForeignAnswer
 		return r, false
 	}
-	r := classifyAnswer(c, status, body, framed, bare)
-	if r.spent = spent; spent || c.in.unread() {
+	r := classifyAnswer(c, status, body, framed, headRequest)
+	if r.cannotRepeat = spent; spent || c.in.hasUnreadBody() {
 		r.latency = max(1, u.clock.now()-written)
 	}
-	if c.in.unread() {
+	if c.in.hasUnreadBody() {
 		u.download(a, c, req, &r)
 	}
-	reuse := framed && !stray && !unsent && !c.in.unread() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	reuse := framed && !sawForeignAnswer && !unsent && !c.in.hasUnreadBody() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	if r.held == nil {
 		c.in.startMessage()
 	}
 	return r, reuse
 }
 
-// classifyAnswer is the end of an attempt that a server answered, with the answer where its client may have it.
-func classifyAnswer(c *upConn, status int, body []byte, framed, bare bool) result {
+// classifyAnswer returns the result of an attempt that a server answered, with the answer if the client may get it.
+func classifyAnswer(c *upConn, status int, body []byte, framed, headRequest bool) result {
 	h := &c.head
 	count := func(field string) int { _, n := h.valueAndCount(field); return n }
-	v, pass := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
+	v, usable := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
 		Coded: count("Content-Encoding") > 0, Framed: framed})
-	r := result{Verdict: v, load: parseServerLoad(h)}
-	if pass {
-		r.answer = buildClientAnswer(h, status, body, bare, c.in.unread())
+	r := result{Verdict: v, loadReport: parseServerLoad(h)}
+	if usable {
+		r.answer = buildClientAnswer(h, status, body, headRequest, c.in.hasUnreadBody())
 	}
 	return r
 }
 
-// parseServerLoad reads running, waiting and slots.
+// parseServerLoad returns the running requests, the waiting requests and the slots that a server reports, or nil if the
+// field is missing or malformed.
 func parseServerLoad(h *head) []float64 {
 	text, n := h.valueAndCount(fieldLoad)
 	if n != 1 {
 		return nil
 	}
-	var out []float64
+	var figures []float64
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		v, digits := parseDecimal(bytes.TrimSpace(part))
-		if digits == 0 || v > mostLoad {
+		if digits == 0 || v > maxLoadValue {
 			return nil
 		}
-		out = append(out, float64(v))
+		figures = append(figures, float64(v))
 	}
-	if len(out) != 3 {
+	if len(figures) != 3 {
 		return nil
 	}
-	return out
+	return figures
 }
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -6,53 +6,53 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// handoverState is how an estate's parts are given up and taken over.
+// handoverState is the state of a managed proxy's handover of quota units, as giver and as taker.
 type handoverState struct {
-	peers       policy.GatewaySet // as told last; Gateways 0: not told
+	peers       policy.GatewaySet // as last set by SetPeers; Gateways is 0 before the first call
 	stage       handover.Stage
 	taker       handover.Taker
-	giver       *handover.Giver // nil: nothing is given up
+	giver       *handover.Giver // nil: no handover has begun
 	offeredLots []handover.Lot
 }
 
-// updateShares tells the module what its parts are; it runs on the loop.
+// updateShares passes the peers and this proxy's share of quotas to the policy package. It runs on the loop.
 func (e *ManagedNode) updateShares(l *loop) {
-	y := &e.handover
-	if y.peers.Gateways == 0 {
+	state := &e.handover
+	if state.peers.Gateways == 0 {
 		return
 	}
-	p := y.peers
-	p.NoColdSends = y.stage >= handover.Cool
-	if y.stage >= handover.Shut {
-		p.UnusedShare = 1
+	peers := state.peers
+	peers.NoColdSends = state.stage >= handover.Cool
+	if state.stage >= handover.Shut {
+		peers.UnusedShare = 1
 	}
-	l.decide(p)
+	l.decide(peers)
 }
 
-// leave goes through the stages of a planned stop, and returns when all is answered or its time is over.
+// leave goes through the stages of a planned stop. It returns when all requests are answered or the grace period is over.
 func (e *ManagedNode) leave() {
 	n := e.node
 	s := n.server
 	began := n.world.Now()
 	s.draining.Store(true)
-	var l handover.Leave
+	var leave handover.Leave
 	e.runOnLoop(func(loop *loop) {
 		e.handover.taker.Leaving = true
-		l.Grace = e.cfg.Grace // as told last
-		e.managed.workEnds.Store(int64(loop.clock.now() + l.WorkEnds()))
+		leave.Grace = e.cfg.Grace // as last set
+		e.managed.workDeadline.Store(int64(loop.clock.now() + leave.WorkEnds()))
 	})
-	handed := false
+	handedOver := false
 	for {
 		world.Pause(n.world, drainPollInterval)
-		past := n.world.Now().Sub(began)
-		if past >= l.Grace/2 {
+		elapsed := n.world.Now().Sub(began)
+		if elapsed >= leave.Grace/2 {
 			s.closeIdle(drainQuietTime)
 		}
-		if l.Stage() == handover.Shut && !handed {
-			handed = e.continueHandover()
+		if leave.Stage() == handover.Shut && !handedOver {
+			handedOver = e.continueHandover()
 		}
 		open, quiet := s.connectionActivity()
-		stage, isNew := l.Step(past, handover.Facts{Open: open, Quiet: quiet, Handed: handed})
+		stage, isNew := leave.Step(elapsed, handover.Facts{Open: open, Quiet: quiet, Handed: handedOver})
 		if !isNew {
 			continue
 		}
@@ -64,48 +64,48 @@
 		}
 		e.runOnLoop(func(l *loop) { e.enterStage(l, stage) })
 		if stage == handover.Answering && e.cfg.OnUnitsTransferred != nil {
-			units, of := 0, 0
+			units, offered := 0, 0
 			e.runOnLoop(func(*loop) {
 				if g := e.handover.giver; g != nil {
-					units, of = g.Taken()
+					units, offered = g.Taken()
 				}
 			})
-			e.cfg.OnUnitsTransferred(units, of)
+			e.cfg.OnUnitsTransferred(units, offered)
 		}
 	}
 }
 
-// enterStage does what a stage begins with; it runs on the loop.
+// enterStage carries out the first actions of a stage. It runs on the loop.
 func (e *ManagedNode) enterStage(l *loop, stage handover.Stage) {
-	y := &e.handover
-	switch y.stage = stage; stage {
+	state := &e.handover
+	switch state.stage = stage; stage {
 	case handover.Shut:
-		l.decide(policy.Relinquish{}) // before its parts are told to be none
-		y.giver = handover.NewGiver(y.taker.Life, y.offeredLots, l.clock.now())
+		l.decide(policy.Relinquish{}) // must come before updateShares sets its share to none
+		state.giver = handover.NewGiver(state.taker.Life, state.offeredLots, l.clock.now())
 	case handover.Late:
 		l.finishAll()
 	}
 	e.updateShares(l)
 }
 
-// continueHandover goes on with the hand-over, and tells whether it is over.
+// continueHandover sends the handover's next messages and reports whether the handover is over.
 func (e *ManagedNode) continueHandover() (over bool) {
 	e.runOnLoop(func(l *loop) {
 		g, now := e.handover.giver, l.clock.now()
 		for _, m := range g.Step(now) {
-			e.node.peers.tell(m.To, m.Encode())
+			e.node.peers.sendMessage(m.To, m.Encode())
 		}
 		over = g.Done(now)
 	})
 	return over
 }
 
-// recordOfferedUnits notes units that the module has given up; it runs on the loop.
+// recordOfferedUnits keeps quota units that the policy package has given up, for the handover. It runs on the loop.
 func (e *ManagedNode) recordOfferedUnits(a policy.OfferUnits) {
 	e.handover.offeredLots = append(e.handover.offeredLots, handover.Lot{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Takers: a.Candidates})
 }
 
-// receiveHandover takes in what another edge node says about what is handed over.
+// receiveHandover passes a peer's handover message to the loop.
 func (e *ManagedNode) receiveHandover(from int, data []byte) {
 	m := handover.Decode(data)
 	if m == nil {
@@ -113,28 +113,29 @@
 	}
 	select {
 	case e.node.loop.events <- func() { e.handleHandover(e.node.loop, from, m) }:
-	default: // lost, like one on the way
+	default: // queue full: dropped, as datagrams may be anyway
 	}
 }
 
+// handleHandover processes a peer's handover message. It runs on the loop.
 func (e *ManagedNode) handleHandover(l *loop, from int, m *handover.Message) {
-	y := &e.handover
+	state := &e.handover
 	switch m.Kind {
 	case handover.Will, handover.Wont, handover.Took, handover.Never:
-		if y.giver != nil {
-			y.giver.Hear(from, m)
+		if state.giver != nil {
+			state.giver.Hear(from, m)
 		}
 		return
 	case handover.Ask:
 		if !e.ready.Load() {
-			return // it does not know what there is yet
+			return // not configured yet
 		}
 	}
-	answer, shares := y.taker.Hear(m)
+	answer, shares := state.taker.Hear(m)
 	for _, s := range shares {
 		l.decide(policy.UnitsReceived{Customer: s.Key, Units: s.Units})
 	}
 	if answer != nil {
-		e.node.peers.tell(from, answer.Encode())
+		e.node.peers.sendMessage(from, answer.Encode())
 	}
 }
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -14,22 +14,22 @@
 
 const (
 	eventQueueLength = 4096
-	// answerMargin is how long before a client's deadline its answer is decided:
-	// the request and the answer each have a way to go.
+	// answerMargin is how long before a client's deadline its answer is decided, since request and answer each take time on
+	// the network.
 	answerMargin       = 10 * time.Millisecond
-	backstopDelay      = 3 * time.Millisecond  // and then what the module left open is failed
-	disconnectInterval = 50 * time.Millisecond // for clients that have gone away
+	backstopDelay      = 3 * time.Millisecond  // after that, requests that the policy package left open are failed
+	disconnectInterval = 50 * time.Millisecond // between two checks for disconnected clients
 
 	statusBadRequest, statusConflict = 400, 409
 )
 
+// listUpdate is an update of the server list. A nil list means that discovery failed.
 type listUpdate struct {
 	list *serverList
 	kind policy.ServerListKind
 }
 
-// loop owns the Gateway and the state of all open requests. Others hand it
-// events; it never waits for a socket.
+// loop owns the Gateway and the state of all open requests. Other goroutines send it events. It never waits for a socket.
 type loop struct {
 	clock               clock
 	gateway             *policy.Gateway
@@ -38,19 +38,19 @@
 	reportWatchFailures bool
 	onList              func(kind policy.ServerListKind)
 	onUnitsOffered      func(policy.OfferUnits)
-	onOutcome           func(outcome) // of how attempts end; nil: nobody does
+	onOutcome           func(outcome) // called at the end of each attempt; may be nil
 
 	disconnectInterval  time.Duration
-	disconnectedClients atomic.Uint64 // requests whose client left before its answer
+	disconnectedClients atomic.Uint64 // number of requests whose client disconnected before its answer
 
 	events             chan any
-	stopped            chan struct{} // closed when the loop has ended: nothing is answered any more
+	stopped            chan struct{} // closed when the loop has ended; no request is answered any more
 	nextID             policy.RequestID
 	requests           map[policy.RequestID]*openRequest
-	requestsByClientID map[string]*openRequest // the same by the clients' ids
+	requestsByClientID map[string]*openRequest // the same requests by the ids that clients gave them
 	timers             timerHeap
 	timer              world.Timer
-	timerAt            time.Duration // when the timer is set for; 0: it is not
+	timerAt            time.Duration // time that the timer is set for; 0: it is not set
 	queue              []policy.Event
 	actions            []policy.Action
 }
@@ -66,7 +66,7 @@
 	defer l.timer.Stop()
 	l.checkDisconnects()
 	for {
-		l.arm()
+		l.armTimer()
 		select {
 		case <-done:
 			return
@@ -75,7 +75,7 @@
 		case <-l.timer.C():
 			l.timerAt = 0
 		}
-		l.fire()
+		l.fireTimers()
 	}
 }
 
@@ -86,19 +86,20 @@
 	case outcome:
 		l.endAttempt(ev)
 	case started:
-		l.decide(policy.Started{ID: ev.attempt.id, Attempt: ev.attempt.num, Server: ev.attempt.server})
+		l.decide(policy.Started{ID: ev.attempt.id, Attempt: ev.attempt.number, Server: ev.attempt.server})
 	case policy.PeerMessage:
 		l.decide(ev)
 	case listUpdate:
 		l.updateServers(ev)
 	case func():
-		ev() // a look at what the loop owns
+		ev() // a function that needs the state of the loop
 	}
 }
 
+// addRequest takes in a new request, or rejects it if an open request has the same client id.
 func (l *loop) addRequest(c *openRequest) {
 	if l.requestsByClientID[c.clientID] != nil {
-		c.commands <- command{clientErrorStatus: statusConflict} // the one that is open goes on
+		c.commands <- command{clientErrorStatus: statusConflict} // the open request with this id continues
 		return
 	}
 	l.nextID++
@@ -109,16 +110,15 @@
 	}
 	c.Remaining = max(0, c.answerBy-l.clock.now())
 	l.requests[c.ID], l.requestsByClientID[c.clientID] = c, c
-	c.deadlineTimer = &timer{at: c.answerBy + backstopDelay, call: c}
+	c.deadlineTimer = &timer{at: c.answerBy + backstopDelay, request: c}
 	heap.Push(&l.timers, c.deadlineTimer)
 	l.decide(c.Request)
 }
 
-// endAttempt takes in an attempt's end. A whole answer is on its way to the client
-// already.
+// endAttempt processes the end of an attempt. A complete answer of a server is on its way to the client already.
 func (l *loop) endAttempt(o outcome) {
-	c, ev := o.request, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.num, Server: o.attempt.server, Code: o.Code(),
-		Latency: l.clock.now() - o.attempt.sent, Load: o.load}
+	c, ev := o.request, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.number, Server: o.attempt.server, Code: o.Code(),
+		Latency: l.clock.now() - o.attempt.requestedAt, Load: o.loadReport}
 	c.inFlight = nil
 	if l.onOutcome != nil {
 		l.onOutcome(o)
@@ -127,23 +127,23 @@
 		ev.Latency = o.latency
 	}
 	if c.mayHaveRunSince == 0 && !o.Run().Never() {
-		c.mayHaveRunSince = o.attempt.sent
+		c.mayHaveRunSince = o.attempt.requestedAt
 	}
 	switch {
-	case o.End == verdict.Served || o.begun || o.fault != nil:
+	case o.End == verdict.Served || o.isStreamed || o.clientFault != nil:
 		l.removeRequest(c)
 	case o.End == verdict.Unfit && c.pendingAnswer == nil:
 		l.answer(c, command{clientErrorStatus: statusBadRequest})
 	case c.pendingAnswer != nil:
 		l.answer(c, *c.pendingAnswer)
-	case o.spent: // there is nothing to send again
+	case o.cannotRepeat: // the request's body is no longer held, so it can't be sent again
 		l.answer(c, command{retryAfter: refusalRetryAfter})
 	}
 	ev.Final = l.requests[c.ID] == nil
 	l.decide(ev)
 }
 
-// failOverdue fails what the module has left open until the client's deadline.
+// failOverdue fails a request that the policy package has left open past the client's deadline.
 func (l *loop) failOverdue(c *openRequest) {
 	if l.requests[c.ID] == nil {
 		return
@@ -152,7 +152,7 @@
 	l.decide(policy.ClientGone{ID: c.ID})
 }
 
-// finishAll answers all that is open as at its deadline.
+// finishAll answers all open requests as if their deadlines had passed.
 func (l *loop) finishAll() {
 	for _, id := range slices.Sorted(maps.Keys(l.requests)) {
 		if c := l.requests[id]; c != nil {
@@ -161,8 +161,7 @@
 	}
 }
 
-// checkDisconnects finds the clients that have closed their connections. Nothing more is
-// sent for them.
+// checkDisconnects finds the clients that have closed their connections. Nothing more is sent for their requests.
 func (l *loop) checkDisconnects() {
 	for id, c := range l.requests {
 		if c.conn == nil || world.Peek(c.conn) != world.PeekEnd {
@@ -178,23 +177,23 @@
 		l.disconnectedClients.Add(1)
 		l.decide(policy.ClientGone{ID: id})
 	}
-	heap.Push(&l.timers, &timer{at: l.clock.now() + l.disconnectInterval, look: true})
+	heap.Push(&l.timers, &timer{at: l.clock.now() + l.disconnectInterval, isDisconnectCheck: true})
 }
 
-// finish gives a request its final answer, after calling back an attempt that
-// is still out.
+// finish gives a request its final answer. If an attempt is in flight, finish cancels it first, and the answer follows its end.
 func (l *loop) finish(c *openRequest, cmd command) {
 	if c.inFlight == nil {
 		l.answer(c, cmd)
 		return
 	}
 	if c.pendingAnswer == nil {
-		// What is out may run: that rules a refusal out.
+		// The attempt in flight may run, so the answer can't be a refusal.
 		c.pendingAnswer = &command{timedOut: cmd.timedOut}
 		c.inFlight.cancel()
 	}
 }
 
+// answer removes a request and commands its final answer.
 func (l *loop) answer(c *openRequest, cmd command) {
 	l.removeRequest(c)
 	if c.managed != nil {
@@ -203,31 +202,32 @@
 	c.commands <- cmd
 }
 
-// removeRequest drops what is kept of a request once its answer is decided.
+// removeRequest removes a request once its answer is decided.
 func (l *loop) removeRequest(c *openRequest) {
 	delete(l.requests, c.ID)
 	if l.requestsByClientID[c.clientID] == c {
 		delete(l.requestsByClientID, c.clientID)
 	}
-	if c.deadlineTimer != nil && c.deadlineTimer.place >= 0 {
-		heap.Remove(&l.timers, c.deadlineTimer.place)
+	if c.deadlineTimer != nil && c.deadlineTimer.heapIndex >= 0 {
+		heap.Remove(&l.timers, c.deadlineTimer.heapIndex)
 	}
 }
 
-func (l *loop) updateServers(m listUpdate) {
-	if m.list == nil {
+// updateServers passes an update of the server list to the upstream connections and the policy package.
+func (l *loop) updateServers(update listUpdate) {
+	if update.list == nil {
 		if l.reportWatchFailures {
 			l.decide(policy.ServerList{Kind: policy.WatchFailed})
 		}
 		return
 	}
-	l.upstream.update(m.list, m.kind != policy.ChangedServers)
-	ev := policy.ServerList{Kind: m.kind}
-	for i := range m.list.Targets {
-		ev.Servers = append(ev.Servers, m.list.Targets[i].policyServer())
+	l.upstream.update(update.list, update.kind != policy.ChangedServers)
+	ev := policy.ServerList{Kind: update.kind}
+	for i := range update.list.Targets {
+		ev.Servers = append(ev.Servers, update.list.Targets[i].policyServer())
 	}
 	l.decide(ev)
 	if l.onList != nil {
-		l.onList(m.kind)
+		l.onList(update.kind)
 	}
 }
--- a/internal/dataplane/node/message.go
+++ b/internal/dataplane/node/message.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Bounds of one HTTP/1.1 message.
+// Limits of one HTTP/1.1 message.
 const (
 	maxBodyBytes      = 64 << 10
 	maxHeadBytes      = 16 << 10
 	maxHeadFields     = 100
-	maxChunkLineBytes = 256 // of a chunk's size, with its extensions
+	maxChunkLineBytes = 256 // line with a chunk's size and extensions
 	minBufferBytes    = 2 << 10
 )
 
-// What is wrong with a message. After any of these nothing more can be read
-// from the connection: where the next message begins is not known.
+// Errors in a message. After any of these nothing more can be read from the connection, because the start of the next message
+// is unknown.
 var (
 	errSyntax   = errors.New("the message can't be read")
 	errFraming  = errors.New("the message's length is not clear")
@@ -25,21 +25,20 @@
 	errLongBody = errors.New("the body is too long")
 )
 
-// messageReader reads messages from a connection. It takes only what can't be
-// understood in two ways, since an app server or a front might understand it
-// the other way. Slices that it gives hold until begin.
+// messageReader reads HTTP/1.1 messages from a connection. It rejects ambiguous messages, since a server or another proxy might
+// interpret them differently, which would allow request smuggling. The slices that it returns are valid until startMessage.
 type messageReader struct {
 	src        io.Reader
 	buf        []byte
-	off        int       // what comes before has been used
-	maxBody    int       // bytes of a body; 0: maxBodyBytes
-	maxHead    int       // bytes of a head; 0: maxHeadBytes
-	window     int       // bytes of a body that are read whole, the others in pieces; 0: all
-	remainder  remainder // of a body longer than the window
-	ownsBuffer bool      // nobody needs what has been used of buf
+	off        int           // bytes of buf before this offset are consumed
+	maxBody    int           // limit of a body in bytes; 0: maxBodyBytes
+	maxHead    int           // limit of a head in bytes; 0: maxHeadBytes
+	window     int           // bytes of a body that readBody reads at once, the others follow in pieces; 0: all
+	remainder  bodyRemainder // unread part of a body longer than the window
+	ownsBuffer bool          // no caller needs the consumed bytes of buf any more
 }
 
-// bodyLimit is the most bytes that a body may have.
+// bodyLimit returns the maximum size of a body in bytes.
 func (s *messageReader) bodyLimit() int {
 	if s.maxBody > 0 {
 		return s.maxBody
@@ -47,7 +46,7 @@
 	return maxBodyBytes
 }
 
-// headLimit is the most bytes that a head may have.
+// headLimit returns the maximum size of a head in bytes.
 func (s *messageReader) headLimit() int {
 	if s.maxHead > 0 {
 		return s.maxHead
@@ -55,23 +54,25 @@
 	return maxHeadBytes
 }
 
+// buffered returns the number of bytes that were read from the connection and not consumed yet.
 func (s *messageReader) buffered() int { return len(s.buf) - s.off }
 
-// startMessage lets go of the message before.
+// startMessage releases the previous message and prepares for the next one. A buffer that grew for a large message is
+// replaced by a small one.
 func (s *messageReader) startMessage() {
-	rest := s.buf[s.off:]
-	if cap(s.buf) > 2*minBufferBytes && len(rest) < minBufferBytes {
-		s.buf = append(make([]byte, 0, minBufferBytes), rest...)
+	unread := s.buf[s.off:]
+	if cap(s.buf) > 2*minBufferBytes && len(unread) < minBufferBytes {
+		s.buf = append(make([]byte, 0, minBufferBytes), unread...)
 	} else {
-		s.buf = s.buf[:copy(s.buf, rest)]
+		s.buf = s.buf[:copy(s.buf, unread)]
 	}
-	s.off, s.remainder, s.ownsBuffer = 0, remainder{}, false
+	s.off, s.remainder, s.ownsBuffer = 0, bodyRemainder{}, false
 }
 
-// fill reads what comes next, at least a byte.
+// fill reads at least one more byte into the buffer.
 func (s *messageReader) fill() error {
 	if len(s.buf) == cap(s.buf) {
-		s.widen()
+		s.grow()
 	}
 	n, err := s.src.Read(s.buf[len(s.buf):cap(s.buf)])
 	s.buf = s.buf[:len(s.buf)+n]
@@ -84,9 +85,9 @@
 	return err
 }
 
-// readBytes returns the next n bytes.
+// readBytes returns the next n bytes and consumes them.
 func (s *messageReader) readBytes(n int) ([]byte, error) {
-	if s.window > 0 && n > mostDoubled && s.off+n > cap(s.buf) {
+	if s.window > 0 && n > maxDoublingBytes && s.off+n > cap(s.buf) {
 		s.buf, s.off = append(make([]byte, 0, n), s.buf[s.off:]...), 0
 	}
 	for s.buffered() < n {
@@ -98,9 +99,9 @@
 	return s.buf[s.off-n : s.off], nil
 }
 
-// readLines returns what comes up to the first CRLF, or, for a head, up to the first
-// empty line. Bytes that can't stand in a line are noticed as they come.
-func (s *messageReader) readLines(start string, whole bool, most int) ([]byte, error) {
+// readLines returns the bytes up to and including the first CRLF or, for a whole head, the first empty line. The message must
+// begin with start and have at most limit bytes. A byte that is invalid in a line is an error as soon as it arrives.
+func (s *messageReader) readLines(start string, wholeHead bool, limit int) ([]byte, error) {
 	for i := 0; ; i++ {
 		for s.buffered() <= i {
 			if err := s.fill(); err != nil {
@@ -109,7 +110,7 @@
 		}
 		b := s.buf[s.off:]
 		switch c := b[i]; {
-		case i >= most:
+		case i >= limit:
 			return nil, errLongHead
 		case i < len(start) && c != start[i]:
 			return nil, errSyntax
@@ -117,7 +118,7 @@
 			if i == 0 || b[i-1] != '\r' {
 				return nil, errSyntax
 			}
-			if !whole || i < 2 || b[i-2] == '\n' {
+			if !wholeHead || i < 2 || b[i-2] == '\n' {
 				s.off += i + 1
 				return b[:i+1], nil
 			}
@@ -127,16 +128,17 @@
 	}
 }
 
-// head is the head of a message.
+// head is the parsed head of a message.
 type head struct {
 	firstLine []byte // the start line
 	fields    []field
-	length    int // of the body; -1: in chunks, -2: not told
+	length    int // of the body in bytes; -1: chunked, -2: not given
 }
 
+// field is a header field.
 type field struct{ name, value []byte }
 
-// readHead reads a head that begins with start.
+// readHead reads and parses a head, which must begin with start.
 func (s *messageReader) readHead(h *head, start string) error {
 	b, err := s.readLines(start, true, s.headLimit())
 	if err != nil {
@@ -149,15 +151,16 @@
 		line, b, _ = bytes.Cut(b, []byte("\r\n"))
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !isToken(name) || len(h.fields) == maxHeadFields {
-			return errSyntax // a folded line and a blank before the colon too
+			return errSyntax // covers folded lines and blanks before the colon too
 		}
 		h.fields = append(h.fields, field{name, bytes.Trim(value, " \t")})
 	}
 	return h.parseFraming(s.bodyLimit())
 }
 
-// parseFraming finds how the body's end is told. More than one way is none.
-func (h *head) parseFraming(most int) error {
+// parseFraming determines the body's length from Content-Length or Transfer-Encoding. A head with more than one of these
+// fields is rejected.
+func (h *head) parseFraming(maxBody int) error {
 	length, n := h.valueAndCount("Content-Length")
 	coding, m := h.valueAndCount("Transfer-Encoding")
 	switch {
@@ -167,7 +170,7 @@
 		if h.length, n = parseDecimal(length); n == 0 {
 			return errFraming
 		}
-		if h.length > most {
+		if h.length > maxBody {
 			return errLongBody
 		}
 	case m == 1:
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// valueAndCount returns a field's value and how often the field is there.
+// valueAndCount returns the value of the first field of a name, and the number of fields of that name.
 func (h *head) valueAndCount(name string) (value []byte, n int) {
 	for i := range h.fields {
 		if f := &h.fields[i]; len(f.name) == len(name) && strings.EqualFold(string(f.name), name) {
@@ -191,19 +194,20 @@
 	return value, n
 }
 
+// get returns the value of the first field of a name, or nil.
 func (h *head) get(name string) []byte {
 	v, _ := h.valueAndCount(name)
 	return v
 }
 
-// hasToken tells whether a field that lists words lists this one.
-func (h *head) hasToken(name, word string) bool {
+// hasToken reports whether a field with a comma-separated list contains a token.
+func (h *head) hasToken(name, token string) bool {
 	for i := range h.fields {
 		if !strings.EqualFold(string(h.fields[i].name), name) {
 			continue
 		}
-		for w := range strings.SplitSeq(string(h.fields[i].value), ",") {
-			if strings.EqualFold(strings.Trim(w, " \t"), word) {
+		for listed := range strings.SplitSeq(string(h.fields[i].value), ",") {
+			if strings.EqualFold(strings.Trim(listed, " \t"), token) {
 				return true
 			}
 		}
@@ -211,7 +215,7 @@
 	return false
 }
 
-// readBody reads the body that the head tells of, of a longer one what the window holds.
+// readBody reads the body that the head announces, up to the size of the window.
 func (s *messageReader) readBody(h *head) ([]byte, error) {
 	window := s.bodyLimit()
 	if s.window > 0 {
@@ -219,7 +223,7 @@
 	}
 	if h.length >= 0 {
 		n := min(h.length, window)
-		s.remainder.left = h.length - n
+		s.remainder.bytesLeft = h.length - n
 		return s.readBytes(n)
 	}
 	var body []byte
@@ -233,7 +237,7 @@
 		}
 		if len(body)+n > window {
 			part, err := s.readBytes(window - len(body))
-			s.remainder = remainder{left: n - len(part), total: len(body) + n, chunks: true}
+			s.remainder = bodyRemainder{bytesLeft: n - len(part), chunkBytes: len(body) + n, isChunked: true}
 			return append(body, part...), err
 		}
 		chunk, err := s.readBytes(n + 2)
@@ -248,7 +252,7 @@
 	return body, nil
 }
 
-// readChunkSize reads the size of the next chunk of a body of which so many bytes have come.
+// readChunkSize reads the size of the next chunk. The body's earlier chunks have total bytes.
 func (s *messageReader) readChunkSize(total int) (int, error) {
 	line, err := s.readLines("", false, maxChunkLineBytes)
 	if err != nil {
@@ -265,7 +269,7 @@
 	return n, nil
 }
 
-// skipTrailer passes over what follows the last chunk.
+// skipTrailer skips the trailer fields after the last chunk.
 func (s *messageReader) skipTrailer() error {
 	for range maxHeadFields {
 		line, err := s.readLines("", false, maxHeadBytes)
@@ -282,6 +286,7 @@
 	return errLongHead
 }
 
+// isToken reports whether the text is a token by RFC 9110, 5.6.2.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		letter := 'a' <= c|0x20 && c|0x20 <= 'z'
@@ -292,7 +297,7 @@
 	return len(b) > 0
 }
 
-// parseDecimal reads digits and nothing else; n is how many, 0 where that fails.
+// parseDecimal parses a number that consists of digits only. It returns the number of digits, 0 if the text is invalid.
 func parseDecimal(b []byte) (v, n int) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, 0
@@ -306,6 +311,7 @@
 	return v, len(b)
 }
 
+// parseHex parses a hexadecimal number of at most 8 digits.
 func parseHex(b []byte) (v int, ok bool) {
 	for _, c := range b {
 		d := strings.IndexByte("0123456789abcdef", c|0x20)
--- a/policy/api.go
+++ b/policy/api.go
@@ -120,8 +120,7 @@
 // Event is an input of Gateway.Handle.
 type Event interface{ event() }
 
-// Request is a client's request. The gateway gives exactly one final answer to it: that of a server, Refuse
-// or Fail.
+// Request is a client's request. It gets exactly one final answer: that of a server, Refuse or Fail.
 type Request struct {
 	ID           RequestID
 	Customer     string
@@ -176,8 +175,8 @@
 
 // The states of a server.
 const (
-	Running State = iota
-	Draining
+	Running  State = iota
+	Draining       // finishes its requests and gets no new ones
 	Removed
 )
 
