--- a/internal/control/report_rounds.go
+++ b/internal/control/report_rounds.go
@@ -14,7 +14,7 @@
 const (
 	reportRoundInterval = 400 * time.Millisecond
 	reportRoundTimeout  = 300 * time.Millisecond
-	minWakeDelay        = 20 * time.Millisecond // between a request for work in the background and its start, to join requests
+	minWakeDelay        = 20 * time.Millisecond // from the request of a round or lease step to its start, so that requests are merged
 )
 
 // lastReport is another replica's last report.
@@ -30,7 +30,7 @@
 	ballot  quorum.Ballot
 }
 
-// runReportRounds runs report rounds periodically, and when kicked, until ctx ends.
+// runReportRounds runs report rounds periodically, and when one is requested, until ctx ends.
 func (b *Replica) runReportRounds(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := b.now()
