--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// sendAttempt starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or is past
-// its deadline, nothing is sent and the gateway receives an outcome without a retry.
+// sendAttempt starts an attempt. If the request is no longer open, already has an attempt in flight or a decided answer, or
+// is past its deadline, nothing is sent and the gateway receives an outcome without a retry.
 func (l *loop) sendAttempt(s policy.Send) {
 	c, now := l.requests[s.ID], l.clock.now()
 	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -216,8 +216,7 @@
 	p.await(seen)
 }
 
-// await waits until all requests of the client are answered or their time is over: each request has 1.5 s, and await allows 2 s
-// for each.
+// await waits until all requests of the client are answered or none can be any more: each has 1.5 s.
 func (p *answersScenario) await(seen *observedClient) {
 	for range 200 * len(seen.sent) {
 		p.mu.Lock()
@@ -283,8 +282,7 @@
 	return ""
 }
 
-// ownAnswers checks that each client gets the answers to its own requests, in order, and a success only exactly as its server
-// sent it.
+// ownAnswers checks that each client gets its own answers in order, and a success exactly as its server sent it.
 func (p *answersScenario) ownAnswers() string {
 	for _, c := range p.clients {
 		if len(c.answers) > len(c.sent) {
@@ -339,9 +337,8 @@
 	return ""
 }
 
-// answersAll checks that a client that stays connected gets a final answer to each request, up to an answer that closes the
-// connection, and that requests after that one have not run. While the proxy stops, a request sent as its connection is being
-// closed must not have run either.
+// answersAll checks that a client that stays connected gets a final answer to each request up to one that closes the
+// connection. Later requests, and while the proxy stops those sent as the connection closes, must not have run.
 func (p *answersScenario) answersAll() string {
 	for _, c := range p.clients {
 		if !c.disconnectedAt.IsZero() {
@@ -375,9 +372,8 @@
 	return ""
 }
 
-// stopsWorkForDisconnectedClients checks that work on an idempotent request ends soon after its client closes the connection.
-// The proxy does not yet detect a close that follows pipelined bytes (docs/ROADMAP.md), so only clients with exactly one
-// answer outstanding are checked.
+// stopsWorkForDisconnectedClients checks that idempotent work ends soon after its client disconnects. The proxy does not yet
+// detect a close after pipelined bytes (docs/ROADMAP.md), so only clients with one outstanding answer are checked.
 func (p *answersScenario) stopsWorkForDisconnectedClients() string {
 	for _, c := range p.clients {
 		if c.disconnectedAt.IsZero() || c.pendingAnswers != 1 {
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -159,7 +159,7 @@
 		value  string
 	}{
 		{newClientRequest("GET", n.url+"/v1/holdings", "", "X-Api-Key", "wrong"), 401, "WWW-Authenticate", "ApiKey"},
-		{newClientRequest("GET", n.url+"/v1/holdings?api_key="+tinyKey, ""), 400, "", ""}, // the header has a second key, of another customer
+		{newClientRequest("GET", n.url+"/v1/holdings?api_key="+tinyKey, ""), 400, "", ""}, // and another customer's key in the header
 		{newClientRequest("GET", n.url+"/nothing", ""), 404, "", ""},
 		{newClientRequest("PUT", n.url+"/v1/loans/4", ""), 405, "Allow", "DELETE"},
 		{newClientRequest("GET", n.url+"/v1/holdings", "", "X-Class", "loan"), 400, "", ""},
@@ -244,17 +244,17 @@
 		t.Fatalf("a keyed request was sent %d times: the test shows nothing", sent)
 	}
 	if sent := try(routebook.Never, "k"); sent != 1 {
-		t.Errorf("one that never repeats was sent %d times", sent)
+		t.Errorf("a request that must not be repeated was sent %d times", sent)
 	}
 	if sent := try(routebook.Keyed, "k"); sent != 1 {
-		t.Errorf("its client's further try, now keyed, was sent %d times", sent)
+		t.Errorf("the client's retry, now keyed, was sent %d times", sent)
 	}
 	// The class changes. Only the old class determines which servers know the key, so the request must not be repeated.
 	if sent := tryAs("lookup", routebook.Safe, "fresh"); sent < 2 {
 		t.Fatalf("a safe request was sent %d times: the test shows nothing", sent)
 	}
 	if sent := tryAs("lookup", routebook.Safe, "other"); sent != 1 {
-		t.Errorf("a further try of a keyed request, now of another class and safe, was sent %d times", sent)
+		t.Errorf("a retry of a keyed request, now of another class and safe, was sent %d times", sent)
 	}
 }
 
@@ -284,7 +284,7 @@
 			resp.Body.Close()
 			answers <- resp
 		}()
-		eventually(t, "the first is out, the second held", func() bool { return n.openRequests() == i+1 && app.Seen.Load() == 1 })
+		eventually(t, "the first is in flight, the second waits", func() bool { return n.openRequests() == i+1 && app.Seen.Load() == 1 })
 	}
 	without := newTestTable(t, cfg, "rev2", func(l []routebook.Route, _ *routing.Options) []routebook.Route { return l[:2] })
 	withdrawn, err := routing.NewTable(&cfg.Settings, without.Book, nil, nil, without.Options) // without any key
@@ -352,7 +352,7 @@
 		resp.Body.Close()
 		done <- resp.StatusCode
 	}()
-	eventually(t, "the first is out", func() bool { return app.Seen.Load() == 1 })
+	eventually(t, "the first is in flight", func() bool { return app.Seen.Load() == 1 })
 	if resp, _ := ask(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 409 {
 		t.Errorf("the same id at once: %d", resp.StatusCode)
 	}
--- a/internal/dataplane/node/clientconn.go
+++ b/internal/dataplane/node/clientconn.go
@@ -21,7 +21,7 @@
 	hadValidRequest bool // a valid request has arrived
 	requestCount    int  // requests accepted for processing
 
-	lastActivity  time.Duration // when bytes of a possible request last arrived; 0: it was no request, or server.active includes it
+	lastActivity  time.Duration // last arrival of bytes of a request; 0: they were no request, or server.active includes it
 	closedByProxy bool          // closed by this proxy while it had no request in progress
 }
 
--- a/internal/dataplane/node/discovery.go
+++ b/internal/dataplane/node/discovery.go
@@ -94,11 +94,11 @@
 	onList     func(*serverList, policy.ServerListKind)
 	http       http.Client
 	cachedList *serverList // the list known at the start; nil: none
-	pacing     callPacing  // used by run only
+	pacing     callPacing  // used only by run's goroutine
 
 	mu          sync.Mutex
 	addr        string
-	cancelWatch context.CancelFunc // ends the watch at the previous address
+	cancelWatch context.CancelFunc // ends the open watch
 }
 
 // newDiscovery returns a discovery that follows the list at the address, starting from a cached list if there is one.
@@ -127,7 +127,7 @@
 		d.cancelWatch = cancel
 		d.mu.Unlock()
 		if hasList {
-			world.Sleep(watchCtx, d.clock, d.pacing.moveDelay()) // all proxies change the address watchCtx the same time
+			world.Sleep(watchCtx, d.clock, d.pacing.moveDelay()) // all proxies change the address at the same time
 		}
 		hasList = d.follow(watchCtx, addr, known) || hasList
 		cancel()
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -31,7 +31,7 @@
 	} {
 		resp, body := ask(t, request(n.url, class, patience))
 		if resp.StatusCode != 200 || body != "placed\x00" || got.Load() != want {
-			t.Errorf("%s: %d %q, sent on %q, want %q", class, resp.StatusCode, body, got.Load(), want)
+			t.Errorf("%s: %d %q, forwarded %q, want %q", class, resp.StatusCode, body, got.Load(), want)
 		}
 	}
 	if s := a.Seen.Load(); s != 2 {
@@ -83,7 +83,7 @@
 	began := time.Now()
 	resp, _ := ask(t, r)
 	if time.Since(began) > patience/2 {
-		t.Error("held back")
+		t.Error("the refusal was delayed")
 	}
 	if resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") != "1.5" {
 		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
@@ -137,13 +137,13 @@
 	writeRequest(t, old, request(n.url, "lookup", patience))()
 	writeRequest(t, idle, request(n.url, "lookup", patience))()
 	held := writeRequest(t, open, request(n.url, "loan", patience))
-	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 3 })
+	eventually(t, "the open request at the server", func() bool { return a.Seen.Load() == 3 })
 	n.stop()
 	eventually(t, "the stop", n.server.draining.Load)
 	fresh := dial(t, n)
 	refused := request(n.url, "lookup", patience)
 	again := request(n.url, "lookup", patience)
-	again.Header.Set("X-Request-Id", "again") // the first request still uses the default id
+	again.Header.Set("X-Request-Id", "again") // the first request is still open under the default id
 	refused.Header.Set("X-Request-Id", "refused")
 	refused.Header.Set("X-Tier", "tiny")
 	refused.Header.Set("Cookie", "key=0000000000000001") // each customer has one plan
--- a/internal/dataplane/node/pace.go
+++ b/internal/dataplane/node/pace.go
@@ -32,8 +32,8 @@
 
 // newSharedPacing returns the pacing of one of several proxies that call one service. The seed determines the place of its
 // calls among theirs.
-func newSharedPacing(nodes int, seed uint64) callPacing {
-	return callPacing{spread: min(time.Duration(nodes)*spreadPerProxy, maxSpread), random: rand.New(rand.NewPCG(seed, 0x5851f42d4c957f2d))}
+func newSharedPacing(proxies int, seed uint64) callPacing {
+	return callPacing{spread: min(time.Duration(proxies)*spreadPerProxy, maxSpread), random: rand.New(rand.NewPCG(seed, 0x5851f42d4c957f2d))}
 }
 
 // firstDelay returns how long a proxy with a cached list waits before its first call. It is at most half of the spread,
