--- a/policy/admit.go
+++ b/policy/admit.go
@@ -226,8 +226,8 @@
 // adaptAdmission lowers the share of requests admitted while latencies are near their targets: an overload
 // may show in no report (silent peers, slow servers). It does harm where targets are near idle latencies.
 func (g *Gateway) adaptAdmission(dt time.Duration) {
-	if g.cfg.MultiService == nil && g.lateness > admissionCutLateness ||
-		g.usesRoots && g.lateness > admissionCutLatenessWithRoots {
+	if g.cfg.MultiService == nil && g.lateness > maxLateness ||
+		g.usesRoots && g.lateness > maxRootsLateness {
 		g.admitShare = max(minAdmission, g.admitShare*math.Exp(-dt.Seconds()/admissionCutTime.Seconds()))
 	} else {
 		g.admitShare = min(1, g.admitShare+dt.Seconds()/admissionRecoveryTime.Seconds())
--- a/policy/values.go
+++ b/policy/values.go
@@ -53,9 +53,9 @@
 
 	trialBackoffStep, maxTrialBackoff = time.Second, 8 * time.Second // between trials of an ejected server
 
-	maxEjectedShare               = 0.7  // if more servers are ejected, ejections are ignored
-	admissionCutLateness          = 0.4  // mean latency over target from which requests are refused
-	admissionCutLatenessWithRoots = 0.35 // the same, where gateways don't see each other's load
+	maxEjectedShare  = 0.7  // if more servers are ejected, ejections are ignored
+	maxLateness      = 0.4  // mean latency over target from which requests are refused
+	maxRootsLateness = 0.35 // the same, where gateways don't see each other's load
 
 	admissionCutTime, admissionRecoveryTime = 3 * time.Second, 8 * time.Second // to 1/e; from 0 to 1
 
