--- a/internal/dataplane/node/guard_test.go
+++ b/internal/dataplane/node/attempt_test.go
@@ -19,14 +19,14 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// useOnly has one app server take all requests.
+// useOnly sends all requests to one server.
 func (r *managedFixture) useOnly(address string) {
 	r.applyConfiguration()
 	r.SetServers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: address, Zone: "a", Slots: 9}})
 	r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 }
 
-// An answer that ends at any of its bytes never looks whole, and what may have run is not sent again.
+// An answer that is cut off at any byte never counts as complete, and a request that may have run is not sent again.
 func TestAnswerCutAtEachByte(t *testing.T) {
 	for _, frame := range []string{"Content-Length: 3\r\n\r\nyes", "Transfer-Encoding: chunked\r\n\r\n1\r\ny\r\n2\r\nes\r\n0\r\n\r\n"} {
 		runManaged(t, false, func(r *managedFixture) {
@@ -42,17 +42,16 @@
 			for cut := range len(whole) {
 				before := len(r.receivedRequests())
 				a := r.request("/act/a", fmt.Sprintf("X-Cut: %d\r\n", cut))
-				assert.Equal(t, a.StatusCode == 200, cut == 0, "%d bytes less: %d %q", cut, a.StatusCode, a.body)
-				assert.Assert(t, cut == 0 || a.StatusCode == 502 && a.Header.Get(fieldSeal) == "", "%d bytes less: %d", cut, a.StatusCode)
+				assert.Equal(t, a.StatusCode == 200, cut == 0, "%d bytes cut off: %d %q", cut, a.StatusCode, a.body)
+				assert.Assert(t, cut == 0 || a.StatusCode == 502 && a.Header.Get(fieldSeal) == "", "%d bytes cut off: %d", cut, a.StatusCode)
 				assert.Equal(t, len(r.receivedRequests())-before, 1)
 			}
 		})
 	}
 }
 
-// A connection that has served a request dies when so many bytes of the next have been read. A request that may run
-// once only is failed then, and not promised about; it goes elsewhere only where no more of it was written than what
-// tries the connection.
+// A reused connection breaks when the server has read k bytes of the next request. A request that may run only once then fails
+// with 502, not with 503. It goes to another connection only if no more than the probe's bytes were written.
 func TestReusedConnectionBreaks(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		for k, whole := 0, 1; k <= whole; k++ {
@@ -76,7 +75,7 @@
 					_, id, _ := strings.Cut(string(buf[:n]), "Attempt-Id: ")
 					id, _, _ = strings.Cut(id, "\r\n")
 					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: 3\r\n\r\nyes", id)
-					time.Sleep(20 * time.Millisecond) // the answer is read
+					time.Sleep(20 * time.Millisecond) // time for the answer to be read
 					_ = c.SetReadDeadline(time.Now().Add(time.Second))
 					if m, _ := io.ReadFull(c, buf[:k]); m > 0 && m == whole {
 						runs.Add(1)
@@ -97,7 +96,7 @@
 				r.useOnly(ln.Addr().String())
 				first := r.request("/act/a", "")
 				assert.Equal(t, first.StatusCode, 200, "%d: %s", k, first.body)
-				time.Sleep(50 * time.Millisecond) // it stands idle, or has been closed
+				time.Sleep(50 * time.Millisecond) // the connection is idle or has been closed
 				a := r.request("/act/a", "")
 				if k <= len("POST") {
 					assert.Assert(t, a.StatusCode == 200 && runs.Load() == 2, "%d: %d", k, a.StatusCode)
@@ -110,7 +109,7 @@
 	}
 }
 
-// A request whose last bytes were never written has not run: its client is told so, and its next try runs once.
+// A request whose last bytes were never written has not run. Its client gets a 503, and its next attempt runs once.
 func TestPartlyWrittenRequest(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		ln, err := r.net.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -154,8 +153,8 @@
 	})
 }
 
-// Each attempt names the server that it is meant for, also while a server moves to another address: a connection that
-// was out meanwhile is not used again.
+// Each attempt names its intended server, also when the server moves to another address. A connection that was in use during the
+// move is not reused.
 func TestServerMovesDuringAttempt(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		var at []string
@@ -177,9 +176,9 @@
 	})
 }
 
-// The budget of further tries is a part of the whole, by how many there are.
+// Each proxy's retry budget is its share of the whole budget, by the number of shares.
 func TestRetryBudgetByShares(t *testing.T) {
-	tries := func(shares int) (n int) {
+	retries := func(shares int) (n int) {
 		runManaged(t, false, func(r *managedFixture) {
 			r.behaviors = []serverBehavior{notRunAnswer}
 			r.applyConfiguration()
@@ -187,13 +186,13 @@
 			r.SetPeers(0, shares, 0, make([]netip.AddrPort, shares), nil)
 			for range 5 {
 				assert.Equal(t, r.request("/act/a", "").StatusCode, 503)
-				time.Sleep(20 * time.Second) // the servers are tried again
+				time.Sleep(20 * time.Second) // until the servers get requests again
 			}
 			n = len(r.receivedRequests()) - 5
 		})
 		return n
 	}
-	one, some, none := tries(1), tries(70), tries(700) // the last is none of the few that have any
+	one, some, none := retries(1), retries(70), retries(700) // of 700 proxies only a few have any retries, and this is none of them
 	assert.Assert(t, one == 10 && some > 0 && some <= 5 && none == 0, "%d, %d, %d", one, some, none)
 }
 
--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -15,8 +15,8 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// A client that closes its connection has gone away: nothing more may be sent
-// for it, and what is held for it is let go.
+// When a client closes its connection, its held requests are dropped and nothing more is sent for it. Under the
+// standalone protocol an attempt in flight is not cancelled.
 func TestClientGone(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1")
 	g, err := policy.New(cfg.Settings, cfg.Seed)
@@ -38,28 +38,28 @@
 	}
 	defer conn.Close()
 	l := newLoop(newClock(world.Real{}), g, pool(refusing(t)))
-	held, out := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
-	held.ID, out.ID, out.inFlight = 1, 2, &attempt{id: 2}
-	held.answerBy, out.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
-	l.requests[1], l.requests[2] = held, out
+	waiting, sent := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
+	waiting.ID, sent.ID, sent.inFlight = 1, 2, &attempt{id: 2}
+	waiting.answerBy, sent.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
+	l.requests[1], l.requests[2] = waiting, sent
 	l.checkDisconnects()
 	if len(l.requests) != 2 {
-		t.Fatalf("%d open while the client is there", len(l.requests))
+		t.Fatalf("%d open requests while the client is connected", len(l.requests))
 	}
 	client.Close()
-	eventually(t, "notice of the close", func() bool { l.checkDisconnects(); return len(l.requests) == 0 })
-	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
-		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
+	eventually(t, "the disconnect is noticed", func() bool { l.checkDisconnects(); return len(l.requests) == 0 })
+	if len(waiting.commands) != 1 || len(sent.commands) != 0 || sent.inFlight.cancelled {
+		t.Errorf("answers to the waiting request %d, to the one in flight %d, attempt cancelled %v", len(waiting.commands), len(sent.commands), sent.inFlight.cancelled)
 	}
 	l.sendAttempt(policy.Send{ID: 2, Server: 1})
-	l.endAttempt(outcome{out, out.inFlight, ended(verdict.Failed, nil)})
-	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
+	l.endAttempt(outcome{sent, sent.inFlight, ended(verdict.Failed, nil)})
+	if cmd := <-sent.commands; cmd.attempt != nil || len(sent.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
 }
 
-// A connection that brings no request, or half of one, is let go within the 3 s
-// that such a client is owed.
+// A connection that sends no request or an incomplete one is closed. This must happen within 3 s, the longest time that the
+// rules allow for such a client.
 func TestSilentClientsAreDisconnected(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	silent, half := dial(t, n), dial(t, n)
@@ -69,15 +69,15 @@
 		t.Errorf("silent: %q, %v", all, err)
 	}
 	if all, err := io.ReadAll(half); err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
-		t.Errorf("half a request: %q, %v", all, err)
+		t.Errorf("incomplete request: %q, %v", all, err)
 	}
 	if firstRequest > 2500*time.Millisecond || time.Since(began) > patience-time.Second {
-		t.Errorf("let go after %v", time.Since(began))
+		t.Errorf("closed after %v", time.Since(began))
 	}
 }
 
-// Connections that bring nothing of use make room before those that have
-// carried good requests, however old these are.
+// At the connection limit, connections without a valid request are closed before those that have carried valid requests,
+// however old these are.
 func TestUsefulClientsAreKept(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
@@ -92,15 +92,15 @@
 		dial(t, n)
 	}
 	silent := dial(t, n)
-	eventually(t, "room made", func() bool { open, _ := n.server.connectionActivity(); return open <= 4 })
+	eventually(t, "connections evicted", func() bool { open, _ := n.server.connectionActivity(); return open <= 4 })
 	if resp := writeRequest(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	silent.Close()
 }
 
-// A request under the id of one that is open is refused, and the first goes on:
-// two under one id would be two attempts out at once.
+// A request with the id of an open request is rejected, and the first one continues. Otherwise two attempts under one id would
+// be in flight at once.
 func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -109,16 +109,16 @@
 	})
 	n := nodeWith(t, a.Addr())
 	first := writeRequest(t, dial(t, n), request(n.url, "loan", patience))
-	eventually(t, "the first at the app server", func() bool { return a.Seen.Load() == 1 })
+	eventually(t, "the first request is at the server", func() bool { return a.Seen.Load() == 1 })
 	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %d", resp.StatusCode)
+		t.Errorf("second request: %d", resp.StatusCode)
 	}
 	close(release)
 	if resp := first(); resp.StatusCode != 200 || a.Seen.Load() != 1 {
-		t.Errorf("the first: %d, %d attempts", resp.StatusCode, a.Seen.Load())
+		t.Errorf("first request: %d, %d attempts", resp.StatusCode, a.Seen.Load())
 	}
 	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != 200 {
-		t.Errorf("once it is free again: %d", resp.StatusCode)
+		t.Errorf("after the first has ended: %d", resp.StatusCode)
 	}
 }
 
@@ -133,7 +133,7 @@
 	return c
 }
 
-// writeRequest writes a request on a connection of the test's own.
+// writeRequest writes a request to a connection and returns a function that reads the answer.
 func writeRequest(t *testing.T, c net.Conn, r *http.Request) func() *http.Response {
 	t.Helper()
 	if err := r.Write(c); err != nil {
@@ -150,8 +150,7 @@
 	}
 }
 
-// Idle client connections are shut before the descriptors run out, oldest
-// first, and busy ones are not.
+// Idle client connections are closed, the oldest first, before file descriptors run out. Busy connections stay open.
 func TestClosesIdleClients(t *testing.T) {
 	release := make(chan struct{})
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
@@ -166,12 +165,12 @@
 	n.server.mu.Unlock()
 	busy := dial(t, n)
 	held := writeRequest(t, busy, request(n.url, "loan", patience))
-	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 1 })
+	eventually(t, "the open request is at the server", func() bool { return a.Seen.Load() == 1 })
 	idle := dial(t, n)
 	eventually(t, "two connections", func() bool { open, _ := n.server.connectionActivity(); return open == 2 })
 	dial(t, n)
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("idle connection over the bound: %v", err)
+		t.Errorf("idle connection beyond the limit: %v", err)
 	}
 	close(release)
 	if resp := held(); resp.StatusCode != 200 {
@@ -179,8 +178,8 @@
 	}
 }
 
-// A request that crossed the closing of its idle connection is sent again by
-// the client: worked on here too it would have its effect twice.
+// A request that arrives while its idle connection is being closed is sent again by the client. If it were processed as well,
+// it would take effect twice.
 func TestRequestOnClosedConnectionIsNotProcessed(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	pipe, other := net.Pipe()
@@ -188,22 +187,22 @@
 	c := n.server.addConnection(pipe)
 	n.server.closeIdle(0)
 	if n.server.beginRequest(c) {
-		t.Error("a shut connection counts as open")
+		t.Error("a closed connection counts as open")
 	}
 	c = n.server.addConnection(pipe)
 	if !n.server.beginRequest(c) {
-		t.Error("an open connection counts as shut")
+		t.Error("an open connection counts as closed")
 	}
 	n.server.closeIdle(0)
 	n.server.mu.Lock()
 	defer n.server.mu.Unlock()
 	if c.closedByProxy {
-		t.Error("a busy connection was shut")
+		t.Error("a busy connection was closed")
 	}
 }
 
-// Clients that never finish their requests must not use up the descriptors:
-// others still get in, and busy connections stay.
+// Clients that never finish their requests must not exhaust the file descriptors: other clients still connect, and busy
+// connections stay open.
 func TestSlowRequestsAreEvicted(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
@@ -222,8 +221,8 @@
 	if resp := writeRequest(t, c, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
-	// At its read time-out it would get an answer that says so.
+	// At its read timeout the client would get a 408 answer instead.
 	if got, _ := first.Read(make([]byte, 1)); got != 0 {
-		t.Error("the slowest was not shut before its time-out")
+		t.Error("the slowest connection was not closed before its timeout")
 	}
 }
--- a/internal/dataplane/node/gone_test.go
+++ b/internal/dataplane/node/disconnect_test.go
@@ -16,10 +16,10 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// noticeLimit is how soon what is done for a client that has left has to be over.
+// noticeLimit is the time within which work for a disconnected client must have stopped.
 const noticeLimit = 150 * time.Millisecond
 
-// workUntilDisconnect works on a request for so long, unless its connection goes before.
+// workUntilDisconnect works on a request for d, or until its connection is closed. It stores when it stopped early.
 func workUntilDisconnect(d time.Duration, stopped *atomic.Int64) serverBehavior {
 	return func(c net.Conn, q *standin.Request) bool {
 		began := time.Now()
@@ -34,8 +34,8 @@
 	}
 }
 
-// However a client leaves in the middle of a run, the server stops where the request may be repeated, and works on where
-// it may run once.
+// When a client disconnects while its request runs, in whatever way, the server stops if the request is repeatable, and continues
+// if it may run only once.
 func TestServersStopWhenClientsDisconnect(t *testing.T) {
 	const work, after = 1200 * time.Millisecond, 200 * time.Millisecond
 	for how, end := range disconnects {
@@ -70,7 +70,7 @@
 	}
 }
 
-// One that holds a kept connection does the same: its next request is on a new one.
+// The same holds on a reused connection. The next request uses a new connection.
 func TestKeptConnectionDisconnects(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		var stopped atomic.Int64
@@ -90,7 +90,7 @@
 	})
 }
 
-// slowDialer lets connections to servers come up late.
+// slowDialer delays the setup of connections to servers.
 type slowDialer struct {
 	*sim.Net
 	delay atomic.Int64
@@ -103,7 +103,7 @@
 	return d.Net.Dial(ctx, network, address)
 }
 
-// What waits for a connection when its client leaves reaches no server any more, of whatever kind it is.
+// A request that still waits for a connection when its client disconnects reaches no server, whether it is repeatable or not.
 func TestNothingIsSentForDisconnectedClients(t *testing.T) {
 	for _, path := range []string{"/get/", "/act/"} {
 		t.Run(path, func(t *testing.T) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// An answer that is passed on while its client leaves ends at its server, too, also while that says nothing.
+// When a client disconnects while an answer is streamed to it, the proxy stops the server too, even if the server is silent then.
 func TestStreamEndsWhenClientDisconnects(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		var stopped atomic.Int64
--- a/internal/dataplane/node/forgot_test.go
+++ b/internal/dataplane/node/dropped_conn_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// useForgetfulServers has servers reset a connection that stood idle for long at the first byte that comes then, some time later
-// and without a packet before.
+// useForgetfulServers uses servers that drop a connection silently after it was idle for the time after. They answer the next
+// byte on it with a reset, late by the given time.
 func (r *managedFixture) useForgetfulServers(after, late time.Duration) *hall {
 	h := r.open(nil, nil)
 	for i := range r.list {
@@ -26,6 +26,7 @@
 	return h
 }
 
+// forgetfulListener accepts connections that are dropped after being idle for the time after.
 type forgetfulListener struct {
 	net.Listener
 	after, late time.Duration
@@ -36,6 +37,7 @@
 	return &forgetfulConn{Conn: c, forgetfulListener: d, last: time.Now()}, err
 }
 
+// forgetfulConn resets its connection at the first byte after a long idle time.
 type forgetfulConn struct {
 	net.Conn
 	*forgetfulListener
@@ -54,8 +56,8 @@
 	return n, err
 }
 
-// A request that may run once is not lost on a connection that its server has dropped without a packet: it goes on
-// another, at once, and reaches a server once. Nor does one that may be repeated spend its tries there for long.
+// A request that may run only once is not lost on a connection that its server has dropped silently: it goes to another
+// connection at once and reaches a server once. A repeatable request does not spend its attempts on such connections either.
 func TestDroppedConnectionsLoseNoRequests(t *testing.T) {
 	for _, path := range []string{"/act/", "/get/"} {
 		runManaged(t, false, func(r *managedFixture) {
@@ -73,8 +75,8 @@
 	}
 }
 
-// A connection that its server still knows is used again, for what may run once too, and a request that goes there in
-// two parts is the same as in one.
+// An idle connection that passes its probe is reused, also for requests that may run only once. A request that is sent in two
+// parts because of the probe arrives unchanged.
 func TestProbedConnectionsAreReused(t *testing.T) {
 	framings(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
@@ -97,8 +99,8 @@
 	})
 }
 
-// Where a reset comes too late for a trial one request is lost, and no other for as long as it is held against
-// connections as old.
+// If a server's resets come too late for a probe, one request is lost. No other is lost for suspicionPeriod, in which
+// connections as old are not used.
 func TestLateResetLosesOneRequest(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		h := r.useForgetfulServers(300*time.Millisecond, 30*time.Millisecond)
--- a/internal/dataplane/node/flood_test.go
+++ b/internal/dataplane/node/flood_test.go
@@ -19,15 +19,15 @@
 
 var floodPairs = flag.Int("flood.pairs", 0, "measure so many pairs of runs, without and with a flood of wrong keys")
 
-// sendWrongKeys asks with wrong keys, each on a connection of its own, so many times a
-// second until ctx ends. It returns how many answers of 401 came.
-func sendWrongKeys(ctx context.Context, addr string, perSecond int) (refused int64) {
-	var n atomic.Int64
-	var all sync.WaitGroup
-	const askers = 64
-	for i := range askers {
-		all.Go(func() {
-			tick := time.NewTicker(time.Duration(askers) * time.Second / time.Duration(perSecond))
+// sendWrongKeys sends perSecond requests a second with wrong keys, each on a new connection, until ctx is done. It returns the
+// number of 401 answers.
+func sendWrongKeys(ctx context.Context, addr string, perSecond int) (rejected int64) {
+	var count atomic.Int64
+	var senders sync.WaitGroup
+	const senderCount = 64
+	for i := range senderCount {
+		senders.Go(func() {
+			tick := time.NewTicker(time.Duration(senderCount) * time.Second / time.Duration(perSecond))
 			defer tick.Stop()
 			for k := 0; ; k++ {
 				select {
@@ -45,19 +45,18 @@
 					_, _ = io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 					if resp.StatusCode == http.StatusUnauthorized {
-						n.Add(1)
+						count.Add(1)
 					}
 				}
 				c.Close()
 			}
 		})
 	}
-	all.Wait()
-	return n.Load()
+	senders.Wait()
+	return count.Load()
 }
 
-// A flood of wrong keys touches no quota and keeps none from being served: a
-// library within its quota is answered all the same.
+// A flood of requests with wrong keys uses no quota, and does not keep the proxy from serving a library within its quota.
 func TestWrongKeysUseNoQuota(t *testing.T) {
 	in := install(t, 1, nil)
 	in.bring(0, in.revision(t, 0))
@@ -79,8 +78,8 @@
 	}
 }
 
-// TestMeasureFlood measures what 10,000 wrong keys a second cost a library
-// beside them. It is a measurement behind a flag, not a check.
+// TestMeasureFlood measures how 10,000 requests a second with wrong keys affect the latency of a library's requests. It is a
+// measurement behind a flag, not a check.
 func TestMeasureFlood(t *testing.T) {
 	if *floodPairs == 0 {
 		t.Skip("needs -flood.pairs")
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -83,8 +83,8 @@
 }
 
 // buildClientAnswer returns a server's answer as its client gets it: status, fields and body are unchanged, only hop-by-hop
-// fields and the framing are replaced. headRequest is set if the request's
-// method is HEAD, and more if further parts of the body follow.
+// fields and the framing are replaced. headRequest is set if the request's method is HEAD, and more if further parts of the
+// body follow.
 func buildClientAnswer(h *head, status int, body []byte, headRequest, more bool) []byte {
 	b := make([]byte, 0, 256+len(body))
 	b = append(b, answerStart...)
--- a/internal/dataplane/node/framing_test.go
+++ b/internal/dataplane/node/framing_test.go
@@ -12,7 +12,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// Anything may come from outside: it is answered 400 and harms nobody.
+// Malformed requests are answered with 400, are not forwarded and do not affect later requests.
 func TestMalformedRequests(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
@@ -42,16 +42,15 @@
 		c.Close()
 	}
 	if a.Seen.Load() != 0 {
-		t.Errorf("%d of them were sent on", a.Seen.Load())
+		t.Errorf("%d malformed requests were forwarded", a.Seen.Load())
 	}
 	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
-		t.Errorf("a good one after them: %d", resp.StatusCode)
+		t.Errorf("a valid request after them: %d", resp.StatusCode)
 	}
 }
 
-// Requests that two readers may understand in two ways could hide another one:
-// they are answered 400 at most once, nothing of them is sent on and nothing more is read
-// from their connection. The good request behind each must not be served.
+// An ambiguous request could hide another one (request smuggling). It is answered with a single 400, nothing of it is
+// forwarded, and nothing more is read from its connection: the valid request behind each must not be served.
 func TestAmbiguousFraming(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.Addr())
@@ -96,17 +95,17 @@
 		}
 	}
 	if a.Seen.Load() != 0 {
-		t.Errorf("%d requests were sent on", a.Seen.Load())
+		t.Errorf("%d requests were forwarded", a.Seen.Load())
 	}
-	c := dial(t, n) // the same form, told in one way
+	c := dial(t, n) // the same request with unambiguous framing
 	_, _ = c.Write([]byte(post + "Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	if all, _ := io.ReadAll(c); !strings.HasPrefix(string(all), "HTTP/1.1 200 ") {
-		t.Errorf("a clear one: %q", all)
+		t.Errorf("unambiguous request: %q", all)
 	}
 }
 
-// Huge bodies and endless heads are refused when their size is told or passed,
-// not when they have come, and the refusal reaches a client that still sends.
+// Huge bodies and endless heads are rejected as soon as their size is announced or exceeds the limit, not when they have arrived.
+// The rejection reaches a client that is still sending.
 func TestOversizedMessages(t *testing.T) {
 	n := nodeWith(t, refusing(t))
 	for name, c := range map[string]struct{ head, more, want string }{
@@ -117,7 +116,7 @@
 	} {
 		conn := dial(t, n)
 		_, _ = conn.Write([]byte(c.head))
-		go func() { _, _ = conn.Write([]byte(c.more)) }() // may be cut off
+		go func() { _, _ = conn.Write([]byte(c.more)) }() // may fail, as the proxy closes the connection
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, c.want) {
 			t.Errorf("%s: %q, %v", name, line, err)
@@ -125,8 +124,7 @@
 	}
 }
 
-// Requests sent one behind another each get one answer, in their order; a
-// client that sends only useless ones is let go.
+// Pipelined requests each get one answer, in their order. A client that sends only invalid requests is disconnected.
 func TestBursts(t *testing.T) {
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		return standin.Answer("200 OK", "", r.Header.Get("X-Request-Id")+";")(c, r)
@@ -160,11 +158,11 @@
 	bad := strings.Repeat("GET /none HTTP/1.1\r\nX-Request-Id: 1\r\nX-Class: none\r\n\r\n", 50)
 	_, _ = io.WriteString(c, bad)
 	if all, _ := io.ReadAll(c); strings.Count(string(all), "HTTP/1.1 400 ") != mostBad {
-		t.Errorf("%d answers to useless requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), mostBad)
+		t.Errorf("%d answers to invalid requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), mostBad)
 	}
 }
 
-// Large messages pass unchanged, up to what the protocol allows.
+// Large messages up to the protocol's limits are forwarded unchanged.
 func TestLargeMessages(t *testing.T) {
 	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
 		return standin.Answer("200 OK", "", r.Content)(c, r)
--- a/internal/dataplane/node/idle_test.go
+++ b/internal/dataplane/node/idle_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// A server takes so many connections from all edge nodes: no more than this one's part of them stand idle here.
+// A server accepts a limited number of connections from all proxies together. A proxy keeps no more idle than its share.
 func TestIdleConnectionsPerServerAreBounded(t *testing.T) {
 	id := serverID("i-1")
 	u := &upstream{clock: newClock(world.Real{}), servers: map[policy.ServerID]*appServer{}, open: 3}
--- a/internal/dataplane/node/leave_test.go
+++ b/internal/dataplane/node/leave_test.go
@@ -25,12 +25,12 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Three edge nodes, of which one is told to end: its units are another's that knows what there is and stays, once, in
-// a lossy and doubling network; where nobody can take them they are lost, and the end comes in time all the same.
+// One of three proxies stops. Its quota units go to exactly one configured proxy that stays, over a network that loses and
+// duplicates datagrams. If no proxy can take the units, they are lost, and the stop still ends in time.
 func TestUnitsAreHandedOver(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		leaving []int // beside the first
+		leaving []int // in addition to the first
 		taken   bool
 	}{{"to one that stays", []int{2}, true}, {"all leave", []int{1, 2}, false}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 					e.SetServers(1, []serverlist.Listed{{ID: "i", Service: "x", Address: "127.0.0.1:9", Zone: "a", Slots: 9}})
 					e.SetPeers(i, 3, 0, at, []string{"r", "r", "r"})
 				}
-				for i, e := range all { // two hold what one may, one has used its units up
+				for i, e := range all { // two proxies hold the units of one, and one has used its units up
 					e.runOnLoop(func(l *loop) {
 						l.decide(policy.UnitsReceived{Customer: policy.KeyOf("t"), Units: []uint16{4, 0, 4}[i]})
 					})
@@ -101,11 +101,11 @@
 	}
 }
 
-// slowReadNetwork is a network on whose listeners an edge node gets what it has read only a while later, as where its machine
-// has no core free for it.
+// slowReadNetwork is a network on whose listeners a read returns its data only after a delay, as on a machine without a free
+// core.
 type slowReadNetwork struct {
 	*sim.Net
-	conns sync.Map // by the client's address
+	conns sync.Map // by client address
 }
 
 type slowReadListener struct {
@@ -115,7 +115,7 @@
 
 type slowReadConn struct {
 	net.Conn
-	bytesRead atomic.Int64 // bytes
+	bytesRead atomic.Int64
 }
 
 func (d *slowReadNetwork) Listen(ctx context.Context, network, address string) (net.Listener, error) {
@@ -143,8 +143,8 @@
 	return n, err
 }
 
-// Whatever an edge node that leaves has read is answered, at whatever stage it came, on an old connection or a new one; what
-// it has not read, the client may send again.
+// Every request that a stopping proxy has read is answered, at any stage of the stop and on old and new connections. Requests
+// that it has not read may be sent again by their clients.
 func TestRequestsReadWhileLeavingAreAnswered(t *testing.T) {
 	d := &slowReadNetwork{}
 	runManagedIn(t, false, func(n *sim.Net) world.World { d.Net = n; return d }, func(r *managedFixture) {
@@ -172,7 +172,7 @@
 				case err == nil && resp.StatusCode == 200:
 					answers.Add(1)
 				case met && x.(*slowReadConn).bytesRead.Load() > int64(before):
-					t.Errorf("read %v after the stop, and not answered: %v", at, err)
+					t.Errorf("request read %v after the stop was not answered: %v", at, err)
 				default:
 					unread.Add(1)
 				}
@@ -194,7 +194,7 @@
 				}
 				c, err := r.net.Dial(r.t.Context(), "tcp", r.Addr().String())
 				if err != nil {
-					return // the door is shut
+					return // the listener is closed
 				}
 				defer c.Close()
 				ask(c, 0)
@@ -205,12 +205,12 @@
 		r.ended <- <-r.ended
 		assert.Assert(t, time.Since(stop) < 6*time.Second)
 		jobs.Wait()
-		t.Logf("%d answered, %d closed before they were read", answers.Load(), unread.Load())
+		t.Logf("%d requests answered, %d connections closed before they were read", answers.Load(), unread.Load())
 		assert.Assert(t, answers.Load() > 0 && unread.Load() > 0)
 	})
 }
 
-// A server that would work for longer than the grace lasts ends by itself before it is over: it is not broken off.
+// A server that would work beyond the grace period gets a shorter deadline and answers before that, so that it is not interrupted.
 func TestLeaveInterruptsNoServer(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
@@ -230,7 +230,7 @@
 	})
 }
 
-// What has no answer when nearly all of the grace is over gets one then: nothing is cut by the end.
+// Requests that are still open near the end of the grace period are answered then, so that the stop cuts off none.
 func TestLastAnswersAreSentWithinGrace(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{standin.Deaf}
--- a/internal/dataplane/node/estate_test.go
+++ b/internal/dataplane/node/managed_test.go
@@ -32,10 +32,10 @@
 {"name":"p","host":"h.example","prefix":"/open/","kind":"mutating","timeout_ms":2000,"target_ms":800,"backend":"x","public":true}],
 "backends":[{"name":"x"}],"tenants":[{"name":"t","api_keys":["k1"]}]}`
 
-// serverBehavior is what an app server does with a request; it is false when the connection is over.
+// serverBehavior handles a request at a test server. It returns false if the connection is to be closed.
 type serverBehavior = func(c net.Conn, r *standin.Request) bool
 
-// managedFixture is an edge node of the system with three app servers of one service, in virtual time.
+// managedFixture runs a managed proxy with three servers of one service, in virtual time.
 type managedFixture struct {
 	*ManagedNode
 	t     *testing.T
@@ -45,15 +45,17 @@
 	list  []serverlist.Listed
 
 	mu        sync.Mutex
-	behaviors []serverBehavior // by attempts; the last goes on
+	behaviors []serverBehavior // one per attempt; the last one repeats
 	received  []*standin.Request
-	failures  []verdict.Verdict // of requests that failed here
+	failures  []verdict.Verdict // of requests that the proxy failed
 }
 
+// runManaged runs a test with a managedFixture. With revoked set, the proxy enforces the revocation of keys.
 func runManaged(t *testing.T, revoked bool, test func(r *managedFixture)) {
 	runManagedIn(t, revoked, func(n *sim.Net) world.World { return n }, test)
 }
 
+// runManagedIn is runManaged with another world for the proxy.
 func runManagedIn(t *testing.T, revoked bool, in func(n *sim.Net) world.World, test func(r *managedFixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &managedFixture{t: t, net: sim.New(1), ended: make(chan error, 1)}
@@ -91,7 +93,7 @@
 	r.SetConfiguration(p)
 }
 
-// configure brings all that there is to know.
+// configure sets the configuration, the servers and the peers.
 func (r *managedFixture) configure() {
 	r.applyConfiguration()
 	r.SetServers(1, r.list)
@@ -112,14 +114,14 @@
 	return r.received
 }
 
-// respond answers a request by its id with more fields.
+// respond answers a request with its id and further fields.
 func respond(status, fields, body string) serverBehavior {
 	return func(c net.Conn, q *standin.Request) bool {
 		return standin.Answer(status, "Attempt-Id: "+q.Header.Get("Attempt-Id")+"\r\n"+fields, body)(c, q)
 	}
 }
 
-// respondRaw writes these bytes, with the request's id for ID, and ends the connection.
+// respondRaw writes a text in which ID stands for the request's id, and closes the connection.
 func respondRaw(text string) serverBehavior {
 	return func(c net.Conn, q *standin.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", q.Header.Get("Attempt-Id")))
@@ -127,6 +129,7 @@
 	}
 }
 
+// reset breaks the connection with a TCP reset.
 func reset(c net.Conn, _ *standin.Request) bool {
 	_ = c.(interface{ SetLinger(int) error }).SetLinger(0)
 	return false
@@ -141,6 +144,7 @@
 	foreignAnswer     = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: o\r\nContent-Length: 5\r\n\r\nwrong"
 )
 
+// timedAnswer is an answer with the time that it took.
 type timedAnswer struct {
 	*http.Response
 	body string
@@ -149,7 +153,7 @@
 
 var nextAttemptID int
 
-// requestText is a client's request, as it is sent.
+// requestText returns the bytes of a client's request with a new id.
 func requestText(path, fields string) string {
 	nextAttemptID++
 	method := "POST"
@@ -171,7 +175,7 @@
 	return c
 }
 
-// readAnswer reads the next answer whole.
+// readAnswer reads the next complete answer.
 func (r *managedFixture) readAnswer(c net.Conn) *timedAnswer {
 	began := time.Now()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -181,6 +185,7 @@
 	return &timedAnswer{resp, string(body), time.Since(began)}
 }
 
+// request sends a request on a new connection and returns the answer.
 func (r *managedFixture) request(path, fields string) *timedAnswer {
 	c := r.dial()
 	defer c.Close()
@@ -189,8 +194,8 @@
 	return r.readAnswer(c)
 }
 
-// What a client gets follows from what its request may have met: a success only where it is the server's own, whole
-// and for this request; a promise only where nothing ran; nothing a second time that may run once.
+// A client gets a success only if it is a server's complete answer to this very request, and a 503 only if the request has not
+// run. A request that may run only once is not sent again if it may have run.
 func TestManagedAnswers(t *testing.T) {
 	sealed := "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: s\r\n"
 	for name, c := range map[string]struct {
@@ -200,9 +205,9 @@
 		attempts int
 	}{
 		"served":               {"/act/", []serverBehavior{servedAnswer}, 200, 1},
-		"another's first":      {"/act/", []serverBehavior{respondRaw(foreignAnswer + sealed + "Content-Length: 3\r\n\r\nyes")}, 200, 1},
-		"another's only":       {"/act/", []serverBehavior{respondRaw(foreignAnswer)}, 502, 1},
-		"others' without end":  {"/act/", []serverBehavior{respondRaw(strings.Repeat(foreignAnswer, 9) + sealed + "Content-Length: 3\r\n\r\nyes")}, 502, 1},
+		"foreign answer first": {"/act/", []serverBehavior{respondRaw(foreignAnswer + sealed + "Content-Length: 3\r\n\r\nyes")}, 200, 1},
+		"foreign answer only":  {"/act/", []serverBehavior{respondRaw(foreignAnswer)}, 502, 1},
+		"endless foreign ones": {"/act/", []serverBehavior{respondRaw(strings.Repeat(foreignAnswer, 9) + sealed + "Content-Length: 3\r\n\r\nyes")}, 502, 1},
 		"no seal":              {"/act/", []serverBehavior{respond("200 OK", "", "no")}, 502, 1},
 		"two seals":            {"/act/", []serverBehavior{respond("200 OK", sealField+sealField, "no")}, 502, 1},
 		"no seal, repeatable":  {"/get/", []serverBehavior{respond("200 OK", "", "no"), servedAnswer}, 200, 2},
@@ -245,7 +250,7 @@
 	}
 }
 
-// What passes through keeps what is its own and loses what concerns one connection, and keys stay here.
+// Forwarded requests and answers keep their end-to-end fields and lose hop-by-hop fields. API keys are not forwarded.
 func TestManagedForwardsFields(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{respond("200 OK", sealField+"Connection: x-inner\r\nX-Inner: 1\r\nKeep-Alive: timeout=5\r\nServer-Load: 1,0,9\r\nX-Out: 1\r\n", "yes")}
@@ -259,7 +264,7 @@
 		assert.Equal(t, q.Host+q.Header.Get("X-Other"), "h.example1")
 		assert.Equal(t, len(q.Header["Target-Instance"]), 1)
 		ms, _ := strconv.Atoi(q.Header.Get("Deadline-Ms"))
-		assert.Assert(t, ms > 1300 && ms <= 1500, "of 1500 ms the server is told %d", ms)
+		assert.Assert(t, ms > 1300 && ms <= 1500, "the server got a deadline of %d ms, of 1500", ms)
 		assert.Assert(t, q.Header.Get("Target-Instance") != "i-9")
 		for _, f := range []string{"X-Api-Key", "X-Mine", "Te", "Keep-Alive", "Connection", "Proxy-Authorization", "Expect"} {
 			assert.Equal(t, len(q.Header[f]), 0, f)
@@ -274,7 +279,7 @@
 	})
 }
 
-// Before it knows enough, and while control's word is old, an edge node promises instead of denying.
+// Before a proxy is configured, and while control's statements are stale, it refuses requests with 503 instead of rejecting them.
 func TestManagedRefusesUntilConfigured(t *testing.T) {
 	runManaged(t, true, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{servedAnswer}
@@ -290,7 +295,7 @@
 		}
 		r.applyConfiguration()
 		r.SetServers(1, r.list)
-		expect("", "/open/", 503) // it does not know its part of quotas and budgets
+		expect("", "/open/", 503) // its share of quotas and budgets is unknown
 		assert.Equal(t, len(r.receivedRequests()), 0)
 		r.configure()
 		for range 2 {
@@ -304,17 +309,17 @@
 			expect("k1", "/act/", 200)
 			expect("k2", "/act/", 401)
 			expect("k1", "/none/", 404)
-			r.ConfirmConfiguration(4 * time.Second) // older news change nothing
+			r.ConfirmConfiguration(4 * time.Second) // an older confirmation changes nothing
 			time.Sleep(time.Second)
 			expect("k1", "/act/", 200)
-			time.Sleep(time.Second) // 5 s are over
+			time.Sleep(time.Second) // the 5 s of RevocationLimit are over
 		}
 		r.ConfirmConfiguration(0)
 		expect("k1", "/act/", 200)
 	})
 }
 
-// Where a request's time ends, it is failed if it may run and refused if it was never sent.
+// At its deadline a request fails with 504 if it may run, and with 503 if it was never sent.
 func TestManagedDeadline(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{standin.Deaf}
@@ -334,7 +339,7 @@
 	})
 }
 
-// A stop takes nothing from those who are served: what is out comes whole, and each is told to go elsewhere.
+// A planned stop interrupts no client: requests in flight are answered completely, and each answer closes its connection.
 func TestManagedStop(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{servedAnswer, func(c net.Conn, q *standin.Request) bool {
@@ -356,7 +361,7 @@
 		r.stop()
 		time.Sleep(100 * time.Millisecond)
 		assert.Assert(t, !r.Ready())
-		a := r.request("/act/", "") // from one that does not know yet
+		a := r.request("/act/", "") // a client that does not know about the stop yet
 		assert.Assert(t, a.StatusCode == 200 && a.Close)
 		a = r.readAnswer(slow)
 		assert.Assert(t, a.StatusCode == 200 && a.body == "yes" && a.Close)
@@ -367,8 +372,8 @@
 	})
 }
 
-// A connection may rest for nearly as long as the configuration says, before its first request and between two; then it
-// is closed, and a request that has begun has its own time.
+// A client connection may be idle for the configured time, before its first request and between requests, and is closed then.
+// A request that has begun has its own timeout.
 func TestConnectionsMayStayIdle(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{servedAnswer}
@@ -396,8 +401,8 @@
 	})
 }
 
-// A server that falls silent is not given up for another before a quarter of the request's aim, however fast all others
-// answer: what is cut sooner counts as never offered.
+// An attempt at a silent server is not abandoned for another server before a quarter of the request's latency target, however
+// fast all other servers answer. The rules count an attempt that is cut off sooner as never made.
 func TestSilentServerIsAwaitedForQuarterOfTarget(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
 		at := make(chan time.Time, 2)
@@ -416,6 +421,6 @@
 		}
 		first := <-at
 		waited := (<-at).Sub(first)
-		assert.Assert(t, waited > 200*time.Millisecond && waited < 800*time.Millisecond, "%v", waited) // of 800
+		assert.Assert(t, waited > 200*time.Millisecond && waited < 800*time.Millisecond, "%v", waited) // latency target: 800 ms
 	})
 }
--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -10,9 +10,8 @@
 	"testing/iotest"
 )
 
-// What is taken for a request must mean the same to other readers: the standard
-// library's reads it too, with the same body and the same rest behind it; and
-// how the bytes come in parts changes nothing.
+// A request that the proxy accepts must mean the same to other readers: the standard library reads the same body and the same
+// bytes after it. The result does not depend on how the bytes are split among reads.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /lookup?q=1 HTTP/1.1\r\nHost: a\r\nX-Call-Terms: units=1, spread=2\r\n\r\nrest",
@@ -27,7 +26,7 @@
 		err := c.readRequest()
 		slow := clientConn{input: messageReader{src: iotest.OneByteReader(bytes.NewReader(data))}}
 		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.request.body, slow.request.body) {
-			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.request.body, slowErr, slow.request.body)
+			t.Fatalf("read at once: %v %q; byte by byte: %v %q", err, c.request.body, slowErr, slow.request.body)
 		}
 		if err != nil {
 			return
@@ -39,23 +38,23 @@
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			if !strings.Contains(err.Error(), "parse") && !strings.Contains(err.Error(), "method") && !strings.Contains(err.Error(), "Host") {
-				t.Fatalf("taken here, elsewhere: %v", err)
+				t.Fatalf("accepted here, but not by the standard library: %v", err)
 			}
-			return // a target that is no URL: it goes on as it is
+			return // the target is not a URL; the proxy forwards it unchanged
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, c.request.body) {
-			t.Fatalf("body %q, elsewhere %q, %v", c.request.body, body, err)
+			t.Fatalf("body %q, standard library %q, %v", c.request.body, body, err)
 		}
 		there, _ := io.ReadAll(br)
 		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.input.buf[c.input.off:]), c.input.src))
 		if !bytes.Equal(here, there) {
-			t.Fatalf("rest %q, elsewhere %q", here, there)
+			t.Fatalf("remainder %q, standard library %q", here, there)
 		}
 	})
 }
 
-// The same for answers.
+// FuzzAnswer does the same as FuzzRequest for answers.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits",
@@ -65,7 +64,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Not through upConn.Read, which sets deadlines on a socket.
+		// Reads directly from src, because upConn.Read sets deadlines on a socket.
 		c := upConn{in: messageReader{src: bytes.NewReader(data)}}
 		status, body, framed, err := c.answer(false, false)
 		if err != nil || !framed {
@@ -75,21 +74,21 @@
 		for range mostInterim + 1 {
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
-				t.Fatalf("taken here, elsewhere: %v", err)
+				t.Fatalf("accepted here, but not by the standard library: %v", err)
 			}
 			there, err := io.ReadAll(resp.Body)
 			if resp.StatusCode < 200 {
 				continue
 			}
 			if resp.StatusCode != status || err != nil || !bytes.Equal(there, body) {
-				t.Fatalf("%d %q, elsewhere %d %q, %v", status, body, resp.StatusCode, there, err)
+				t.Fatalf("%d %q, standard library %d %q, %v", status, body, resp.StatusCode, there, err)
 			}
 			return
 		}
 	})
 }
 
-// The buffer grows with a large message and is let go after it.
+// The buffer grows with a large message and is released after it.
 func TestMessageReaderReleasesBuffer(t *testing.T) {
 	s := messageReader{src: strings.NewReader(strings.Repeat("a", maxBodyBytes) + "b")}
 	if b, err := s.readBytes(maxBodyBytes); err != nil || len(b) != maxBodyBytes {
--- a/internal/dataplane/node/leaving_test.go
+++ b/internal/dataplane/node/server_drain_test.go
@@ -10,11 +10,12 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
+// A request that has not been sent yet goes to another server when its server begins to drain.
 func TestUnsentRequestIsReassignedWhenServerLeaves(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
-		const way = 60 * time.Millisecond
+		const transit = 60 * time.Millisecond
 		r.behaviors = []serverBehavior{servedAnswer}
-		leave := func(stamp int64, ready int) {
+		drainAllBut := func(stamp int64, ready int) {
 			for i := range r.list {
 				r.list[i].Draining = i != ready
 			}
@@ -24,12 +25,12 @@
 		r.configure()
 		c := r.dial()
 		defer c.Close()
-		r.net.Set(sim.Faults{Least: way, Most: way})
+		r.net.Set(sim.Faults{Least: transit, Most: transit})
 		_, err := io.WriteString(c, requestText("/act/", ""))
 		assert.NilError(t, err)
-		time.Sleep(way + way/2) // the request has come, and its connection is under way
-		r.list[2].ID = "i-new"  // a life that never drained
-		leave(2, 2)
+		time.Sleep(transit + transit/2) // the request has arrived, and the connection to the server is being set up
+		r.list[2].ID = "i-new"          // an incarnation that never drained
+		drainAllBut(2, 2)
 		assert.Equal(t, r.readAnswer(c).StatusCode, 200)
 		assert.Equal(t, len(r.receivedRequests()), 1)
 		assert.Equal(t, r.receivedRequests()[0].Header.Get("Target-Instance"), "i-new")
--- a/internal/dataplane/node/hard_test.go
+++ b/internal/dataplane/node/swap_cases_test.go
@@ -16,11 +16,9 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// The hard cases of swaps, each caused while ordinary clients ask through three
-// edge nodes and books are swapped beside them: requests held while their
-// operation and key go, a key whose operation changes its class, an id that is
-// sent twice, and keys of two libraries. The audit judges what is asked beside
-// them.
+// Difficult cases of replacing the route book, caused while ordinary clients send requests through three proxies: requests held
+// while their operation and key are removed, an idempotency key whose operation changes its class, an id that is sent twice, and
+// keys of two libraries in one request. The audit checks the ordinary clients' requests.
 func TestRouteSwapCasesUnderLoad(t *testing.T) {
 	in := install(t, 3, func(s *standin.Settings) {
 		s.Plans = append(s.Plans, standin.Plan{Name: "single", Parallel: 1})
@@ -58,7 +56,7 @@
 		r.Header.Set("X-Request-Id", id)
 		r.Header.Set("Idempotency-Key", idem)
 		r.Close = true
-		if strings.HasPrefix(id, "err") { // what it was read as says what may be repeated
+		if strings.HasPrefix(id, "err") { // the class that the request was read as decides whether it may be repeated
 			class := "loan-request"
 			if !strings.HasSuffix(id, "a") {
 				class = "holdings-lookup"
@@ -81,7 +79,7 @@
 		n := round % 3
 		in.bring(n, base)
 
-		// Held behind a slow one of its library's, whose plan has one place.
+		// Two requests are held behind a slow one of the same library, whose plan allows one at a time.
 		type answer struct {
 			status int
 			book   string
@@ -93,18 +91,18 @@
 				s, b := ask(n, in.keys[3], id, id, "/loans")
 				answers <- answer{s, b}
 			}()
-			eventually(t, "the first is out, the others are held", func() bool {
+			eventually(t, "the first request is in flight, the others are held", func() bool {
 				mu.Lock()
 				out := count[id] == 1
 				mu.Unlock()
 				return out || k > 0 && in.nodes[n].hasOpenRequest(id)
 			})
 		}
-		// The id of one that is open is a conflict.
+		// A request with the id of an open request is a conflict.
 		if s, _ := ask(n, in.keys[3], fmt.Sprintf("slow%d-0", round), "x", "/loans"); s != http.StatusConflict {
-			t.Errorf("an id twice: %d", s)
+			t.Errorf("duplicate id: %d", s)
 		}
-		// Its operation and every key go.
+		// The operation and all keys are removed.
 		gone := in.revisionOf(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
 		keyless, err := routing.NewTable(&in.nodes[0].cfg.Settings, gone.Book, nil, nil, gone.Options)
 		if err != nil {
@@ -112,15 +110,15 @@
 		}
 		in.bring(n, keyless)
 		if s, _ := ask(n, in.keys[3], fmt.Sprintf("new%d", round), "x", "/loans"); s != http.StatusNotFound {
-			t.Errorf("a new request for what is gone: %d", s)
+			t.Errorf("new request for a removed operation: %d", s)
 		}
 		for range 3 {
 			if a := <-answers; a.status != 200 && a.status != 429 || a.book != base.Book.Generation {
-				t.Errorf("held through the swap: %d under %s", a.status, a.book)
+				t.Errorf("request held during the swap: %d under %s", a.status, a.book)
 			}
 		}
 
-		// A keyed try, then one with its key under a book that calls it a safe lookup.
+		// An attempt with an idempotency key, then one with the same key under a book that makes the operation a safe lookup.
 		in.bring(n, base)
 		idem := fmt.Sprint("idem", round)
 		ask(n, in.keys[0], fmt.Sprintf("err%d-a", round), idem, "/loans")
@@ -136,7 +134,7 @@
 			t.Errorf("a keyed loan was sent %d times, its further try as a lookup %d, a fresh lookup %d; want 1 for the second and a repeat of another", a, b, c)
 		}
 
-		// Keys of two libraries.
+		// API keys of two libraries in one request.
 		two := in.revisionOf(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
 		in.bring(n, two)
 		if s, _ := ask(n, in.keys[0], fmt.Sprintf("two%d", round), "x", "/loans?k="+in.keys[1]); s != http.StatusBadRequest {
@@ -149,13 +147,13 @@
 		t.Error(b)
 	}
 	if tally := front.Tally(); tally.Lost > 0 || tally.Served < 50 {
-		t.Errorf("beside it %d lost, %d served", tally.Lost, tally.Served)
+		t.Errorf("ordinary clients: %d lost, %d served", tally.Lost, tally.Served)
 	}
 }
 
 const slowLoanTime = 150 * time.Millisecond
 
-// coreTime is the core time of a request: one whose id says so is slow.
+// coreTime returns the CPU time of a request. Requests whose id begins with slow are slow.
 func coreTime(r *standin.Request) time.Duration {
 	if strings.HasPrefix(r.Header.Get("X-Request-Id"), "slow") {
 		return slowLoanTime
