--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	l := newLoop(newClock(world.Real{}), g, pool(refusing(t)))
+	l := newLoop(newClock(world.Real{}), g, newTestUpstream(refusingAddress(t)))
 	waiting, sent := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
 	waiting.ID, sent.ID, sent.inFlight = 1, 2, &attempt{id: 2}
 	waiting.answerBy, sent.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
@@ -48,11 +48,11 @@
 	}
 	client.Close()
 	eventually(t, "the disconnect is noticed", func() bool { l.checkDisconnects(); return len(l.requests) == 0 })
-	if len(waiting.commands) != 1 || len(sent.commands) != 0 || sent.inFlight.cancelled {
-		t.Errorf("answers to the waiting request %d, to the one in flight %d, attempt cancelled %v", len(waiting.commands), len(sent.commands), sent.inFlight.cancelled)
+	if len(waiting.commands) != 1 || len(sent.commands) != 0 || sent.inFlight.isCancelled {
+		t.Errorf("answers to the waiting request %d, to the one in flight %d, attempt cancelled %v", len(waiting.commands), len(sent.commands), sent.inFlight.isCancelled)
 	}
 	l.sendAttempt(policy.Send{ID: 2, Server: 1})
-	l.endAttempt(outcome{sent, sent.inFlight, ended(verdict.Failed, nil)})
+	l.endAttempt(outcome{sent, sent.inFlight, endedResult(verdict.Failed, nil)})
 	if cmd := <-sent.commands; cmd.attempt != nil || len(sent.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
@@ -61,7 +61,7 @@
 // A connection that sends no request or an incomplete one is closed. This must happen within 3 s, the longest time that the
 // rules allow for such a client.
 func TestSilentClientsAreDisconnected(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := nodeWith(t, refusingAddress(t))
 	silent, half := dial(t, n), dial(t, n)
 	_, _ = half.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a"))
 	began := time.Now()
@@ -71,7 +71,7 @@
 	if all, err := io.ReadAll(half); err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
 		t.Errorf("incomplete request: %q, %v", all, err)
 	}
-	if firstRequest > 2500*time.Millisecond || time.Since(began) > patience-time.Second {
+	if defaultFirstRequestTimeout > 2500*time.Millisecond || time.Since(began) > testTimeout-time.Second {
 		t.Errorf("closed after %v", time.Since(began))
 	}
 }
@@ -84,16 +84,16 @@
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
-	n.server.most = 4
+	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	useful := dial(t, n)
-	writeRequest(t, useful, request(n.url, "lookup", patience))()
+	writeRequest(t, useful, newTestRequest(n.url, "lookup", testTimeout))()
 	for range 40 {
 		dial(t, n)
 	}
 	silent := dial(t, n)
 	eventually(t, "connections evicted", func() bool { open, _ := n.server.connectionActivity(); return open <= 4 })
-	if resp := writeRequest(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, useful, newTestRequest(n.url, "lookup", testTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	silent.Close()
@@ -108,28 +108,28 @@
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
 	n := nodeWith(t, a.Addr())
-	first := writeRequest(t, dial(t, n), request(n.url, "loan", patience))
+	first := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the first request is at the server", func() bool { return a.Seen.Load() == 1 })
-	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != http.StatusConflict {
+	if resp := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))(); resp.StatusCode != http.StatusConflict {
 		t.Errorf("second request: %d", resp.StatusCode)
 	}
 	close(release)
 	if resp := first(); resp.StatusCode != 200 || a.Seen.Load() != 1 {
 		t.Errorf("first request: %d, %d attempts", resp.StatusCode, a.Seen.Load())
 	}
-	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("after the first has ended: %d", resp.StatusCode)
 	}
 }
 
-func dial(t *testing.T, n *running) net.Conn {
+func dial(t *testing.T, n *runningNode) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -161,10 +161,10 @@
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
-	n.server.most = 2
+	n.server.maxConns = 2
 	n.server.mu.Unlock()
 	busy := dial(t, n)
-	held := writeRequest(t, busy, request(n.url, "loan", patience))
+	held := writeRequest(t, busy, newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the open request is at the server", func() bool { return a.Seen.Load() == 1 })
 	idle := dial(t, n)
 	eventually(t, "two connections", func() bool { open, _ := n.server.connectionActivity(); return open == 2 })
@@ -181,7 +181,7 @@
 // A request that arrives while its idle connection is being closed is sent again by the client. If it were processed as well,
 // it would take effect twice.
 func TestRequestOnClosedConnectionIsNotProcessed(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := nodeWith(t, refusingAddress(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
 	c := n.server.addConnection(pipe)
@@ -208,7 +208,7 @@
 	n := nodeWith(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	n.server.mu.Lock()
-	n.server.most = 4
+	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	first := dial(t, n)
 	if _, err := first.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")); err != nil {
@@ -218,7 +218,7 @@
 		_, _ = dial(t, n).Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")) // may be closed already
 	}
 	c := dial(t, n)
-	if resp := writeRequest(t, c, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, c, newTestRequest(n.url, "lookup", testTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	// At its read timeout the client would get a 408 answer instead.
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -62,14 +62,14 @@
 		b = append(b, "\r\n"+fieldTenant+": "...)
 		b = append(b, req.managed.tenant...)
 	}
-	if req.managed.front.unread() {
-		b = appendFrame(b, &req.head)
+	if req.managed.client.hasUnreadBody() {
+		b = appendFramingField(b, &req.head)
 	} else if method := string(req.method); method != "GET" && method != "HEAD" || len(req.body) > 0 {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	if req.managed.front.unread() {
+	if req.managed.client.hasUnreadBody() {
 		return appendPiece(b, &req.head, req.body)
 	}
 	return append(b, req.body...)
@@ -87,8 +87,8 @@
 // body follow.
 func buildClientAnswer(h *head, status int, body []byte, headRequest, more bool) []byte {
 	b := make([]byte, 0, 256+len(body))
-	b = append(b, answerStart...)
-	b = append(b, h.firstLine[len(answerStart):]...)
+	b = append(b, answerPrefix...)
+	b = append(b, h.firstLine[len(answerPrefix):]...)
 	b = append(b, "\r\n"...)
 	connectionField := h.get("Connection")
 	for i := range h.fields {
@@ -100,7 +100,7 @@
 		b = appendField(b, f)
 	}
 	if more {
-		b = append(appendFrame(b[:len(b)-2], h), "\r\n\r\n"...)
+		b = append(appendFramingField(b[:len(b)-2], h), "\r\n\r\n"...)
 		return appendPiece(b, h, body)
 	}
 	if !headRequest && status != 204 && status != 304 {
@@ -118,22 +118,22 @@
 func (u *upstream) forward(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
 	server := u.uid(a.server)
 	if server == "" || c.SetDeadline(u.clock.time(a.deadline)) != nil {
-		return ended(verdict.Unsent, errNoWay), false
+		return endedResult(verdict.Unsent, errNoConnection), false
 	}
-	msg := buffers.Get().(*[]byte)
-	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.front.s.estate.workFor(left, u.clock.now()))
-	n, err := c.Write(b[c.ahead:])
-	complete := c.ahead+n == len(b)
-	c.ahead = 0
+	msg := requestBuffers.Get().(*[]byte)
+	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.client.server.managed.workDuration(left, u.clock.now()))
+	n, err := c.Write(b[c.probedBytes:])
+	complete := c.probedBytes+n == len(b)
+	c.probedBytes = 0
 	if *msg = b; cap(b) <= 4*minBufferBytes {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 	}
 	if !complete {
-		return ended(verdict.Unsent, err), false
+		return endedResult(verdict.Unsent, err), false
 	}
 	headRequest, written := string(req.method) == "HEAD", u.clock.now()
 	sawForeignAnswer := false
-	status, body, framed, unsent := 0, []byte(nil), false, req.managed.front.unread()
+	status, body, framed, unsent := 0, []byte(nil), false, req.managed.client.hasUnreadBody()
 	for range maxForeignAnswers {
 		if err != nil {
 			break
@@ -145,35 +145,35 @@
 			}
 			written = u.clock.now()
 		}
-		if status, body, framed, err = c.answer(headRequest, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
+		if status, body, framed, err = c.readAnswer(headRequest, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
 			break
 		}
 		if !framed {
 			err = errFraming
 		}
-		for p := []byte{0}; len(p) > 0 && err == nil && c.in.unread(); {
-			p, err = c.in.piece()
+		for p := []byte{0}; len(p) > 0 && err == nil && c.in.hasUnreadBody(); {
+			p, err = c.in.nextPiece()
 		}
 		c.in.startMessage() // the answer belongs to another request
 		status, sawForeignAnswer = 0, true
 	}
-	spent := req.managed.front.spent()
+	spent := req.managed.client.hasDiscardedBody()
 	if err != nil || status == 0 {
-		r := u.unanswered(a, err)
-		if unsent && !req.managed.front.ending() { // the remainder will never be sent, so the request can't run
-			r = ended(verdict.Unsent, err)
+		r := u.errorResult(a, err)
+		if unsent && !req.managed.client.hasBegunLastChunk() { // the remainder will never be sent, so the request can't run
+			r = endedResult(verdict.Unsent, err)
 		}
-		r.spent, r.stray = spent, sawForeignAnswer
+		r.cannotRepeat, r.hasStrayAnswers = spent, sawForeignAnswer
 		return r, false
 	}
 	r := classifyAnswer(c, status, body, framed, headRequest)
-	if r.spent = spent; spent || c.in.unread() {
+	if r.cannotRepeat = spent; spent || c.in.hasUnreadBody() {
 		r.latency = max(1, u.clock.now()-written)
 	}
-	if c.in.unread() {
+	if c.in.hasUnreadBody() {
 		u.download(a, c, req, &r)
 	}
-	reuse := framed && !sawForeignAnswer && !unsent && !c.in.unread() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	reuse := framed && !sawForeignAnswer && !unsent && !c.in.hasUnreadBody() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	if r.held == nil {
 		c.in.startMessage()
 	}
@@ -186,9 +186,9 @@
 	count := func(field string) int { _, n := h.valueAndCount(field); return n }
 	v, usable := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
 		Coded: count("Content-Encoding") > 0, Framed: framed})
-	r := result{Verdict: v, load: parseServerLoad(h)}
+	r := result{Verdict: v, loadReport: parseServerLoad(h)}
 	if usable {
-		r.answer = buildClientAnswer(h, status, body, headRequest, c.in.unread())
+		r.answer = buildClientAnswer(h, status, body, headRequest, c.in.hasUnreadBody())
 	}
 	return r
 }
@@ -203,7 +203,7 @@
 	var figures []float64
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		v, digits := parseDecimal(bytes.TrimSpace(part))
-		if digits == 0 || v > mostLoad {
+		if digits == 0 || v > maxLoadValue {
 			return nil
 		}
 		figures = append(figures, float64(v))
--- a/internal/dataplane/node/health.go
+++ b/internal/dataplane/node/health.go
@@ -92,28 +92,28 @@
 func serverOutcome(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
 	target := o.request.class.LatencyTarget
 	switch {
-	case o.fault != nil || o.End == verdict.Unfit: // the client caused it
+	case o.clientFault != nil || o.End == verdict.Unfit: // the client caused it
 		return 0, false
-	case o.begun && !o.whole && o.End == verdict.Served: // the client disconnected or reads too slowly
+	case o.isStreamed && !o.isComplete && o.End == verdict.Served: // the client disconnected or reads too slowly
 		return 0, false
 	}
 	switch o.Code() {
 	case policy.OK:
-		if took := max(o.latency, 0); took > lateTargetFactor*target || took == 0 && now-o.attempt.sent > lateTargetFactor*target {
+		if took := max(o.latency, 0); took > lateTargetFactor*target || took == 0 && now-o.attempt.requestedAt > lateTargetFactor*target {
 			return serverhealth.Late, true
 		}
 		return serverhealth.Confirmed, true
 	case policy.Full:
 		return serverhealth.TurnedAway, true
 	case policy.TimedOut, policy.Reset, policy.Error:
-		if o.stray {
+		if o.hasStrayAnswers {
 			return serverhealth.WrongID, true
 		}
 		// With less time than usual, any server may fail to answer in time.
-		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.sent >= target
+		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.requestedAt >= target
 	case policy.Cancelled:
 		// The attempt was cancelled because it was overdue, unless its client had disconnected.
-		return serverhealth.Late, o.request.pendingAnswer == nil && !o.begun && !o.spent
+		return serverhealth.Late, o.request.pendingAnswer == nil && !o.isStreamed && !o.cannotRepeat
 	}
 	return 0, false
 }
--- a/internal/dataplane/node/idle.go
+++ b/internal/dataplane/node/idle.go
@@ -84,46 +84,48 @@
 // only once, else if a connection as old broke recently. A probe does not wait for resets that come late, so after a break
 // requests that may run only once use no connection as old.
 func (u *upstream) needsProbe(a *attempt, c *upConn) bool {
-	if !u.estate || c.used == 0 || c.probeWait() > maxProbeWait {
+	if !u.isManaged || c.idleSince == 0 || c.probeWait() > maxProbeWait {
 		return false
 	}
 	now := u.clock.now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return now-c.used >= probeMinIdle && (a.once || u.ages.brokeRecently(now-c.used, now))
+	return now-c.idleSince >= probeMinIdle && (a.atMostOnce || u.idleAges.brokeRecently(now-c.idleSince, now))
 }
 
 // probeWait returns how long a probe waits for a reset. A reset that comes later is missed.
-func (c *upConn) probeWait() time.Duration { return c.reach + c.reach/4 + probeMargin }
+func (c *upConn) probeWait() time.Duration {
+	return c.fastestConnect + c.fastestConnect/4 + probeMargin
+}
 
 // probe reports whether a server still knows an idle connection. A server that dropped it without sending a packet answers the
 // next bytes with a reset. So probe writes the request's method and waits as long as a reset takes; the remainder of the
 // request follows only then. A request of which only these bytes were sent has not run.
 func (u *upstream) probe(a *attempt, c *upConn, req *clientRequest) bool {
-	if !a.hold(c) {
+	if !a.setConn(c) {
 		return true // the attempt was cancelled; the caller handles it
 	}
-	age := u.clock.now() - c.used
+	age := u.clock.now() - c.idleSince
 	if c.SetDeadline(u.clock.time(a.deadline)) == nil {
 		n, err := c.Write(req.method)
-		if c.ahead = n; err == nil {
+		if c.probedBytes = n; err == nil {
 			world.Pause(u.clock, c.probeWait())
-			if alive(c) {
+			if isQuiet(c) {
 				return true
 			}
 		}
 	}
-	if a.hold(nil) {
+	if a.setConn(nil) {
 		u.mu.Lock()
-		u.ages.recordBreak(age, u.clock.now())
+		u.idleAges.recordBreak(age, u.clock.now())
 		if s := u.servers[a.server]; s != nil { // the server may have dropped all usedBefore connections too
 			usedBefore := u.clock.now() - age
 			s.idle = slices.DeleteFunc(s.idle, func(other *upConn) bool {
-				if other.used > usedBefore {
+				if other.idleSince > usedBefore {
 					return false
 				}
 				other.Close()
-				u.open--
+				u.openConns--
 				return true
 			})
 		}
--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -74,7 +74,7 @@
 	services   *policy.MultiService
 	serverList *serverlist.ServerList // owned by the loop
 
-	managed  *estate
+	managed  *managedState
 	ready    atomic.Bool
 	handover handoverState // owned by the loop
 	requests requestCounter
@@ -92,16 +92,16 @@
 	}
 	w := cfg.World
 	clk := newClock(w)
-	up := &upstream{clock: clk, network: w, limit: managedDialTimeout, idleFor: managedConnIdle, grace: managedDrainGrace, rest: restFor,
-		most: int(serverSocketShare * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, estate: true}
+	up := &upstream{clock: clk, network: w, dialTimeout: managedDialTimeout, idleTimeout: managedConnIdle, drainGrace: managedDrainGrace, reuseDelay: defaultReuseDelay,
+		maxConns: int(serverSocketShare * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, isManaged: true}
 	n := &Node{world: w, upstream: up, loop: newLoop(clk, gateway, up)}
 	n.loop.disconnectInterval = managedDisconnectInterval
 	n.server = newServer(clk, settings, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
-	e := &ManagedNode{node: n, cfg: cfg, services: services, serverList: &serverlist.ServerList{Terms: serverListTerms(&cfg)}}
+	e := &ManagedNode{node: n, cfg: cfg, services: services, serverList: &serverlist.ServerList{Terms: serverListOptions(&cfg)}}
 	services.MaxRetryBudget = e.retryCap
-	e.managed = &estate{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
-	e.managed.freshFor.Store(int64(freshFor(&cfg)))
-	n.server.estate, n.server.over, n.server.failed = e.managed, n.loop.stopped, cfg.OnRequestFailed
+	e.managed = &managedState{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
+	e.managed.maxStatementAge.Store(int64(maxStatementAge(&cfg)))
+	n.server.managed, n.server.loopStopped, n.server.onRequestFailed = e.managed, n.loop.stopped, cfg.OnRequestFailed
 	if n.peers, err = listenPeers(w, cfg.Peer, nil, netip.AddrPort{}, func(from int, data []byte) {
 		select {
 		case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
@@ -110,10 +110,10 @@
 	}); err != nil {
 		return nil, err
 	}
-	n.loop.sendPeer = n.peers.tell
+	n.loop.sendPeer = n.peers.sendMessage
 	e.handover.taker.Life = handover.Life(max(cfg.Seed, 1))
 	n.loop.onUnitsOffered = e.recordOfferedUnits
-	n.peers.handed = e.receiveHandover
+	n.peers.onHandover = e.receiveHandover
 	if n.listener, err = w.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
 		n.closePeers()
 		return nil, errors.WithMessage(err, "listen")
@@ -132,7 +132,7 @@
 	defer n.closePeers()
 	go n.loop.run(ctx.Done())
 	go n.sweep(ctx)
-	go n.peers.send(ctx.Done())
+	go n.peers.writeQueued(ctx.Done())
 	go n.peers.receive()
 	served := make(chan error, 1)
 	go func() { served <- n.server.serve(n.listener) }()
@@ -167,8 +167,8 @@
 func (e *ManagedNode) ConfirmConfiguration(ago time.Duration) {
 	at := int64(e.node.loop.clock.now() - ago)
 	for {
-		previous := e.managed.confirmed.Load()
-		if at <= previous || e.managed.confirmed.CompareAndSwap(previous, at) {
+		previous := e.managed.confirmedAt.Load()
+		if at <= previous || e.managed.confirmedAt.CompareAndSwap(previous, at) {
 			return
 		}
 	}
@@ -176,10 +176,10 @@
 
 // SetConfiguration makes a configuration current. It is current when SetConfiguration returns.
 func (e *ManagedNode) SetConfiguration(configuration *routeconfig.Configuration) {
-	classes := e.managed.till(configuration)
+	classes := e.managed.activate(configuration)
 	tuning := DefaultTuning()
 	tuning.FirstRequest, tuning.WholeRequest = configuration.Limits.HeaderTimeout, 2*configuration.Limits.HeaderTimeout
-	tuning.ClientIdle, tuning.EndUnused = configuration.Limits.IdleTimeout, false
+	tuning.ClientIdle, tuning.CloseUnused = configuration.Limits.IdleTimeout, false
 	tuning.BodyStall = configuration.Limits.HeaderTimeout
 	e.node.server.tune.Store(&tuning)
 	services := map[string]serverlist.Service{}
@@ -237,8 +237,8 @@
 	known := make([]netip.AddrPort, numbers)
 	copy(known, addrs)
 	known[self] = netip.AddrPort{}
-	e.node.peers.meet(known)
-	e.managed.shares.Store(int64(shares))
+	e.node.peers.setAddresses(known)
+	e.managed.gatewayCount.Store(int64(shares))
 	e.runOnLoop(func(l *loop) {
 		e.handover.peers = policy.GatewaySet{Me: self, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: unusedShare}
 		e.updateShares(l)
@@ -269,7 +269,7 @@
 	for _, s := range e.serverList.Lives() {
 		t := target{UID: s.ID, Endpoint: s.Address, State: "SERVING"}
 		if s.MostOut > 0 {
-			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MostOut)/float64(max(1, e.managed.shares.Load()))))
+			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MostOut)/float64(max(1, e.managed.gatewayCount.Load()))))
 		}
 		m := policy.Server{ID: serverID(s.ID), Zone: s.Zone, Region: s.Region, Service: s.Service, Slots: max(1, s.Slots),
 			ColdUntil: s.ColdUntil, ColdSendRate: s.ColdSends}
@@ -290,5 +290,5 @@
 	if len(e.health.trust) > 0 {
 		e.applyTrust(l) // also covers servers that are new to the policy package
 	}
-	e.ready.Store(e.managed.tilled.Load() != nil && e.managed.shares.Load() > 0)
+	e.ready.Store(e.managed.active.Load() != nil && e.managed.gatewayCount.Load() > 0)
 }
--- a/internal/dataplane/node/message.go
+++ b/internal/dataplane/node/message.go
@@ -30,12 +30,12 @@
 type messageReader struct {
 	src        io.Reader
 	buf        []byte
-	off        int       // bytes of buf before this offset are consumed
-	maxBody    int       // limit of a body in bytes; 0: maxBodyBytes
-	maxHead    int       // limit of a head in bytes; 0: maxHeadBytes
-	window     int       // bytes of a body that readBody reads at once, the others follow in pieces; 0: all
-	remainder  remainder // unread part of a body longer than the window
-	ownsBuffer bool      // no caller needs the consumed bytes of buf any more
+	off        int           // bytes of buf before this offset are consumed
+	maxBody    int           // limit of a body in bytes; 0: maxBodyBytes
+	maxHead    int           // limit of a head in bytes; 0: maxHeadBytes
+	window     int           // bytes of a body that readBody reads at once, the others follow in pieces; 0: all
+	remainder  bodyRemainder // unread part of a body longer than the window
+	ownsBuffer bool          // no caller needs the consumed bytes of buf any more
 }
 
 // bodyLimit returns the maximum size of a body in bytes.
@@ -66,13 +66,13 @@
 	} else {
 		s.buf = s.buf[:copy(s.buf, unread)]
 	}
-	s.off, s.remainder, s.ownsBuffer = 0, remainder{}, false
+	s.off, s.remainder, s.ownsBuffer = 0, bodyRemainder{}, false
 }
 
 // fill reads at least one more byte into the buffer.
 func (s *messageReader) fill() error {
 	if len(s.buf) == cap(s.buf) {
-		s.widen()
+		s.grow()
 	}
 	n, err := s.src.Read(s.buf[len(s.buf):cap(s.buf)])
 	s.buf = s.buf[:len(s.buf)+n]
@@ -87,7 +87,7 @@
 
 // readBytes returns the next n bytes and consumes them.
 func (s *messageReader) readBytes(n int) ([]byte, error) {
-	if s.window > 0 && n > mostDoubled && s.off+n > cap(s.buf) {
+	if s.window > 0 && n > maxDoublingBytes && s.off+n > cap(s.buf) {
 		s.buf, s.off = append(make([]byte, 0, n), s.buf[s.off:]...), 0
 	}
 	for s.buffered() < n {
@@ -223,7 +223,7 @@
 	}
 	if h.length >= 0 {
 		n := min(h.length, window)
-		s.remainder.left = h.length - n
+		s.remainder.bytesLeft = h.length - n
 		return s.readBytes(n)
 	}
 	var body []byte
@@ -237,7 +237,7 @@
 		}
 		if len(body)+n > window {
 			part, err := s.readBytes(window - len(body))
-			s.remainder = remainder{left: n - len(part), total: len(body) + n, chunks: true}
+			s.remainder = bodyRemainder{bytesLeft: n - len(part), chunkBytes: len(body) + n, isChunked: true}
 			return append(body, part...), err
 		}
 		chunk, err := s.readBytes(n + 2)
--- a/internal/dataplane/node/swap_cases_test.go
+++ b/internal/dataplane/node/swap_cases_test.go
@@ -20,11 +20,11 @@
 // while their operation and key are removed, an idempotency key whose operation changes its class, an id that is sent twice, and
 // keys of two libraries in one request. The audit checks the ordinary clients' requests.
 func TestRouteSwapCasesUnderLoad(t *testing.T) {
-	in := install(t, 3, func(s *standin.Settings) {
+	in := startInstallation(t, 3, func(s *standin.Settings) {
 		s.Plans = append(s.Plans, standin.Plan{Name: "single", Parallel: 1})
 	})
 	in.libraries[3].Plan = "single"
-	in.rekey(t)
+	in.buildKeyRing(t)
 	var mu sync.Mutex
 	count := map[string]int{}
 	in.script = func(r *standin.Request) standin.Fault {
@@ -37,11 +37,11 @@
 		}
 		return standin.NoFault
 	}
-	base := in.revision(t, 0)
+	base := in.testBook(t, 0)
 	for i := range in.nodes {
-		in.bring(i, base)
+		in.activateBook(i, base)
 	}
-	front := in.front(t, 40)
+	front := in.newFront(t, 40)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	load.Go(func() { front.Run(ctx) })
@@ -77,7 +77,7 @@
 
 	for round := range 5 {
 		n := round % 3
-		in.bring(n, base)
+		in.activateBook(n, base)
 
 		// Two requests are held behind a slow one of the same library, whose plan allows one at a time.
 		type answer struct {
@@ -103,12 +103,12 @@
 			t.Errorf("duplicate id: %d", s)
 		}
 		// The operation and all keys are removed.
-		gone := in.revisionOf(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
+		gone := in.compileBook(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
 		keyless, err := routing.NewTable(&in.nodes[0].cfg.Settings, gone.Book, nil, nil, gone.Options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in.bring(n, keyless)
+		in.activateBook(n, keyless)
 		if s, _ := ask(n, in.keys[3], fmt.Sprintf("new%d", round), "x", "/loans"); s != http.StatusNotFound {
 			t.Errorf("new request for a removed operation: %d", s)
 		}
@@ -119,12 +119,12 @@
 		}
 
 		// An attempt with an idempotency key, then one with the same key under a book that makes the operation a safe lookup.
-		in.bring(n, base)
+		in.activateBook(n, base)
 		idem := fmt.Sprint("idem", round)
 		ask(n, in.keys[0], fmt.Sprintf("err%d-a", round), idem, "/loans")
 		list := append([]routebook.Route(nil), base.Book.Routes()...)
 		list[1].Class, list[1].Repeat = "holdings-lookup", routebook.Safe
-		in.bring(n, in.revisionOf(t, fmt.Sprintf("lookup%d", round), list))
+		in.activateBook(n, in.compileBook(t, fmt.Sprintf("lookup%d", round), list))
 		ask(n, in.keys[0], fmt.Sprintf("err%d-b", round), idem, "/loans")
 		ask(n, in.keys[0], fmt.Sprintf("err%d-c", round), "fresh"+idem, "/loans")
 		mu.Lock()
@@ -135,8 +135,8 @@
 		}
 
 		// API keys of two libraries in one request.
-		two := in.revisionOf(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
-		in.bring(n, two)
+		two := in.compileBook(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
+		in.activateBook(n, two)
 		if s, _ := ask(n, in.keys[0], fmt.Sprintf("two%d", round), "x", "/loans?k="+in.keys[1]); s != http.StatusBadRequest {
 			t.Errorf("keys of two libraries: %d", s)
 		}
--- a/internal/dataplane/node/traffic.go
+++ b/internal/dataplane/node/traffic.go
@@ -89,7 +89,7 @@
 // ConfirmedAge returns the time since the current configuration was last confirmed to be the newest. It is long if there was
 // no confirmation yet.
 func (e *ManagedNode) ConfirmedAge() time.Duration {
-	return e.managed.clock.now() - time.Duration(e.managed.confirmed.Load())
+	return e.managed.clock.now() - time.Duration(e.managed.confirmedAt.Load())
 }
 
 // DisconnectedClients returns the number of requests whose client disconnected before the answer.
@@ -97,5 +97,5 @@
 
 // RequestsByHost returns the request counts of the hosts of which some routes are bound to regions.
 func (e *ManagedNode) RequestsByHost() []homing.Heads {
-	return e.managed.heads.Top(e.managed.clock.now())
+	return e.managed.hostTraffic.Top(e.managed.clock.now())
 }
