--- a/policy/values.go
+++ b/policy/values.go
@@ -54,8 +54,8 @@
 	trialBackoffStep, maxTrialBackoff = time.Second, 8 * time.Second // between trials of an ejected server
 
 	maxEjectedShare  = 0.7  // if more servers are ejected, ejections are ignored
-	maxLateness      = 0.4  // mean latency over target from which requests are refused
-	maxRootsLateness = 0.35 // the same, where gateways don't see each other's load
+	maxLateness      = 0.4  // mean latency over target from which a share of the requests is refused
+	maxRootsLateness = 0.35 // the same, where gateways use roots and don't see each other's load
 
 	admissionCutTime, admissionRecoveryTime = 3 * time.Second, 8 * time.Second // to 1/e; from 0 to 1
 
