--- a/internal/dataplane/node/bodyreader.go
+++ b/internal/dataplane/node/bodyreader.go
@@ -14,7 +14,7 @@
 type bodyRemainder struct {
 	bytesLeft     int  // unread bytes of the body or of its current chunk
 	chunkBytes    int  // total size of the chunks announced so far
-	isChunked     bool // further chunks may follow
+	moreChunks    bool // further chunks may follow
 	chunkEndRead  bool // the line break after the last chunk has been read
 	lastChunkRead bool // the last chunk's size line has been read, but not yet the trailer
 	hasDiscarded  bool // part of the body is no longer buffered
@@ -22,7 +22,7 @@
 
 // hasUnreadBody reports whether part of the body has not arrived yet.
 func (s *messageReader) hasUnreadBody() bool {
-	return s.remainder.bytesLeft > 0 || s.remainder.isChunked
+	return s.remainder.bytesLeft > 0 || s.remainder.moreChunks
 }
 
 // grow makes room in the buffer. If the reader owns the buffer, it reuses the space of consumed bytes. Otherwise it
@@ -45,13 +45,13 @@
 	r := &s.remainder
 	for r.bytesLeft == 0 {
 		switch {
-		case !r.isChunked:
+		case !r.moreChunks:
 			return nil, nil
 		case r.lastChunkRead:
 			if err := s.skipTrailer(); err != nil {
 				return nil, err
 			}
-			r.isChunked = false
+			r.moreChunks = false
 			return nil, nil
 		}
 		if err := s.startNextChunk(); err != nil {
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -187,7 +187,7 @@
 
 // isQuiet reports whether nothing has arrived on an idle connection: neither its end nor unexpected bytes.
 func isQuiet(c *upConn) bool {
-	return c.in.buffered() == 0 && world.Peek(c.Conn) == world.PeekQuiet
+	return c.input.buffered() == 0 && world.Peek(c.Conn) == world.PeekQuiet
 }
 
 // uid returns a server's identifier on the wire, or an empty string if the server is unknown.
--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -12,7 +12,7 @@
 )
 
 // Retune applies new limits at once, without affecting requests in progress and without changing addresses.
-func TestEstateRetuned(t *testing.T) {
+func TestRetuneManagedNode(t *testing.T) {
 	runManaged(t, true, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 			time.Sleep(time.Second)
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -28,7 +28,7 @@
 
 // A repeat of an attempt that may have run must be written while the servers still recognize the key. Their window
 // counts from when the first attempt was asked for.
-func TestKeyedRepeatHasToBeWrittenInTheWindow(t *testing.T) {
+func TestKeyedRepeatMustBeWrittenWithinWindow(t *testing.T) {
 	l, c, now := loopWithRequest(t)
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -31,7 +31,7 @@
 	ready    atomic.Bool
 	draining atomic.Bool
 	resting  atomic.Bool // managed protocol: control has ordered this proxy to rest
-	tune     atomic.Pointer[Tuning]
+	tuning   atomic.Pointer[Tuning]
 
 	mu            sync.Mutex
 	maxConns      int // limit on open connections
@@ -52,7 +52,7 @@
 func newServer(c clock, settings policy.Settings, up *upstream, events chan<- any, maxConns int) *server {
 	s := &server{clock: c, settings: settings, upstream: up, events: events, maxConns: maxConns, conns: map[*clientConn]struct{}{}}
 	def := DefaultTuning()
-	s.tune.Store(&def)
+	s.tuning.Store(&def)
 	return s
 }
 
@@ -95,7 +95,7 @@
 	defer s.removeConnection(cc)
 	for first := true; ; first = false {
 		cc.input.startMessage()
-		tune := s.tune.Load()
+		tune := s.tuning.Load()
 		idleTimeout, requestTimeout := tune.ClientIdle, tune.WholeRequest
 		if first && s.managed == nil {
 			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect; under the managed protocol a connection may be idle before its first request
@@ -137,9 +137,9 @@
 	if targetPath(r.target) == "/healthz" && string(r.method) == "GET" {
 		s.ignoreActivity(cc)
 		if !s.ready.Load() || s.draining.Load() {
-			return s.reply(cc, 503, s.tune.Load().healthFields(), "not ready")
+			return s.reply(cc, 503, s.tuning.Load().healthFields(), "not ready")
 		}
-		return s.reply(cc, 200, s.tune.Load().healthFields(), "")
+		return s.reply(cc, 200, s.tuning.Load().healthFields(), "")
 	}
 	if s.watch != nil && targetPath(r.target) == ViewPath && string(r.method) == "GET" {
 		s.ignoreActivity(cc)
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	large                  = 300_001
+	largeBodyBytes         = 300_001
 	configuredMaxBodyBytes = 4 << 20 // as configured
 	longDeadlineField      = "Deadline-Ms: 1900\r\n"
 )
@@ -174,7 +174,7 @@
 }
 
 // Bodies of any size pass unchanged in both directions, and the connections stay usable afterwards.
-func TestBodiesPass(t *testing.T) {
+func TestBodiesPassUnchanged(t *testing.T) {
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
 			h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
@@ -240,7 +240,7 @@
 
 // If one side stops reading, the other can send only as much as two sockets and the proxy's windows hold. A side that
 // never reads must not block a request beyond its deadline.
-func TestBodiesWait(t *testing.T) {
+func TestBodiesBackpressure(t *testing.T) {
 	const socketBytes, proxyBytes = 2 * 64 << 10, 4 * bodyWindowBytes
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		t.Run("server", func(t *testing.T) {
@@ -249,14 +249,14 @@
 				h := r.startScriptedServers(func(net.Conn, *http.Request) bool { <-stuck; return true }, nil)
 				c := &countedConn{Conn: r.dial()}
 				defer c.Close()
-				go func() { _, _ = c.Write(uploadRequest("/act/", content(large), chunked)) }()
+				go func() { _, _ = c.Write(uploadRequest("/act/", content(largeBodyBytes), chunked)) }()
 				time.Sleep(time.Second)
 				assert.Assert(t, c.written() > socketBytes && c.written() < socketBytes+proxyBytes, "%d", c.written())
 				began := time.Now()
 				close(stuck)
 				assert.Equal(t, r.readAnswer(c).body, "yes")
 				assert.Assert(t, time.Since(began) < 900*time.Millisecond)
-				assert.Equal(t, len(h.received()[0].body), large)
+				assert.Equal(t, len(h.received()[0].body), largeBodyBytes)
 			})
 		})
 		t.Run("client", func(t *testing.T) {
@@ -265,7 +265,7 @@
 				var writeErr error // how the server's write ended
 				h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
 					serverConn = &countedConn{Conn: c}
-					_, err := serverConn.Write(serverAnswer(q, "200 OK", content(large), chunked))
+					_, err := serverConn.Write(serverAnswer(q, "200 OK", content(largeBodyBytes), chunked))
 					writeErr = err
 					return err == nil
 				})
@@ -280,7 +280,7 @@
 				open, _ := r.ManagedNode.node.server.connectionActivity()
 				assert.Equal(t, open, 0)
 				n, err := readAnswerBody(c)
-				assert.Assert(t, err != nil && n < large, "%d bytes: %v", n, err)
+				assert.Assert(t, err != nil && n < largeBodyBytes, "%d bytes: %v", n, err)
 			})
 		})
 	})
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -100,7 +100,7 @@
 		"unfit request":     {standin.Answer("400 No", "", ""), policy.NoRetry, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newApp(t, c.do)
+			a := newAppServer(t, c.do)
 			u := newTestUpstream(a.Addr())
 			_, do := u.newAttempt(time.Minute)
 			r, body := do()
@@ -129,7 +129,7 @@
 // A request that was written and not answered may still run. Its connection must be closed before the policy learns
 // of the outcome, or two attempts could run at once.
 func TestTimeoutClosesFirst(t *testing.T) {
-	a := newApp(t, standin.Deaf)
+	a := newAppServer(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
 	_, do := u.newAttempt(50 * time.Millisecond)
 	r, _ := do()
@@ -141,7 +141,7 @@
 
 // The same holds for an attempt that the policy cancels.
 func TestCancelClosesFirst(t *testing.T) {
-	a := newApp(t, standin.Deaf)
+	a := newAppServer(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(time.Hour)
 	go func() {
@@ -159,7 +159,7 @@
 
 // An attempt that is cancelled before it is written has not run.
 func TestCancelBeforeWriting(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", ""))
+	a := newAppServer(t, standin.Answer("200 OK", "", ""))
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(time.Hour)
 	at.cancel()
@@ -170,9 +170,9 @@
 
 // An app server closes idle connections. A request written to one would end with a reset, after which a keyed request
 // has fewer attempts left.
-func TestNoticesCloseWhileIdle(t *testing.T) {
+func TestNoticesServerCloseWhileIdle(t *testing.T) {
 	var answers atomic.Int32
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		standin.Answer("200 OK", "", "hits")(c, r)
 		return answers.Add(1) > 1
 	})
@@ -192,7 +192,7 @@
 
 // Connections are reused, the newest first, and closed before the server closes them.
 func TestPoolReusesAndExpires(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	for range 3 {
 		_, do := u.newAttempt(testTimeout)
@@ -212,7 +212,7 @@
 // the next request.
 func TestLateCopy(t *testing.T) {
 	copied := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		standin.Answer("200 OK", "", "hits")(c, r)
 		<-copied
 		return standin.Answer("200 OK", "", "copy")(c, r)
@@ -266,9 +266,9 @@
 }
 
 // A connection beyond the learned age is not reused, even if it seems open.
-func TestOldConnectionsAreLeftWhenTheyBreak(t *testing.T) {
+func TestOldConnectionsAreNotReusedOnceTheyBreak(t *testing.T) {
 	served := atomic.Int32{}
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		if served.Add(1)%2 == 0 { // the second request on a connection breaks it
 			return false
 		}
@@ -301,8 +301,8 @@
 
 // An idle connection must outlive the deadline of its previous attempt. If it were taken as dead, most connections
 // would be dialed anew, which costs the app server work.
-func TestReusesAfterTheDeadlineBefore(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+func TestReusesAfterPreviousDeadline(t *testing.T) {
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(time.Second)
 	if r, _ := do(); r.Code() != policy.OK {
@@ -319,7 +319,7 @@
 // A draining server gets no new request once its grace period has ended, even one that was decided earlier and
 // delayed by its dial.
 func TestDrainedServerGetsNothing(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	drains := servingTarget("s-00000001", a.Addr())
 	drains.State = "DRAINING"
@@ -337,7 +337,7 @@
 // The idle connections of a removed server are closed. A server that has restarted or moved gets none of the old
 // connections.
 func TestConnectionsGoWithTheServer(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	for name, l := range map[string]*serverList{
 		"gone":      {Targets: nil},
 		"restarted": {Targets: []target{{UID: "s-00000001", Endpoint: a.Addr(), State: "SERVING", BootMS: 5}}},
@@ -359,7 +359,7 @@
 // A keyed repeat that is written after the servers have forgotten the first attempt would run twice. A slow dial can
 // cause such a delay.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(testTimeout)
 	at.writeBy = at.requestedAt
@@ -370,7 +370,7 @@
 
 // The number of connections is limited: idle ones to other servers are closed first to make room.
 func TestConnectionBound(t *testing.T) {
-	a, b := newApp(t, standin.Answer("200 OK", "", "hits")), newApp(t, standin.Deaf)
+	a, b := newAppServer(t, standin.Answer("200 OK", "", "hits")), newAppServer(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
 	u.maxConns = 1
 	u.update(&serverList{Targets: []target{servingTarget("s-00000002", b.Addr())}}, false)
--- a/internal/dataplane/node/waitedbefore_test.go
+++ b/internal/dataplane/node/waitedbefore_test.go
@@ -12,7 +12,7 @@
 // A client that has tried before is recognized by its shorter deadline: the difference to the longest deadline of its
 // route is the time it has waited. A longest deadline that is no longer announced, from one unusual client or from
 // clients of the past, must decay.
-func TestSpentIsToldByWhatIsLeft(t *testing.T) {
+func TestWaitedBeforeFromDeadline(t *testing.T) {
 	p := &routeconfig.Configuration{Routes: []routeconfig.Route{{Name: "a"}, {Name: "b"}}}
 	e := &managedState{}
 	e.activate(p)
