--- a/internal/dataplane/routing/doc.go
+++ b/internal/dataplane/routing/doc.go
@@ -1,4 +1,4 @@
-// Package routing reads a client's request under a route book: which operation
-// it is, of which member library, what it costs, whether it may run again and
-// how long its client waits. It does no I/O, and equal input gives equal output.
+// Package routing resolves a client's request by a route book: its operation, the
+// member library that sent it, its cost in units, whether it may be repeated, and
+// its deadline. The package does no I/O and is deterministic.
 package routing
--- a/internal/dataplane/routing/read.go
+++ b/internal/dataplane/routing/resolve.go
@@ -14,52 +14,56 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Fields finds a header field: its first value, and how often it is there.
+// HeaderFields looks up a header field. One returns the field's first value and
+// the number of times that the field occurs.
 type Fields interface {
 	One(name string) (value []byte, n int)
 }
 
-// Request is a client's request as it came.
+// Request is a client's request as received.
 type Request struct {
 	Method, Target string
 	Fields         Fields
-	Body           int // bytes
+	Body           int // length in bytes
 }
 
-// Ticket is what a request is served by, from its reading to its answer: a
-// book that comes into force meanwhile changes nothing of it.
+// ResolvedRequest is a request with everything that the proxy needs to serve it.
+// It keeps the table that it was resolved by, so a route book that is loaded
+// before the response doesn't affect it.
 type Ticket struct {
 	Table  *Table
 	Route  *routebook.Route
 	Class  *policy.Class
-	Effect policy.Effect // the more careful of the class's and the operation's
+	Effect policy.Effect // the stricter of the class's and the operation's
 	keyring.Library
 	Units    float64
-	Deadline time.Duration // how long its client waits
-	ID       string        // empty: the client sent none
-	Key      string        // Idempotency-Key; empty: none
+	Deadline time.Duration // time from the request's arrival within which the client needs the response
+	ID       string        // X-Request-Id; empty if the client sent none
+	Key      string        // Idempotency-Key; empty if the client sent none
 	Retry    bool
-	Target   string // as loan servers get it
-	keyed    bool   // a key named the library
+	Target   string // request target as sent to servers
+	keyed    bool   // the library was identified by an API key
 }
 
-// Turned is a request that is not served. It took no units.
+// Rejection is the response to a request that is not served. The request consumed
+// no units.
 type Turned struct {
 	Status int
-	Why    string // for the client; it never holds what a key might be
-	Allow  string // with 405
+	Why    string // error text for the client; never contains a possible API key
+	Allow  string // value of the Allow field, only with status 405
 }
 
-// Bounds of what clients send.
+// Limits on header field values.
 const (
-	mostID  = 64  // bytes of a request's id
-	mostKey = 128 // of an Idempotency-Key
+	mostID  = 64  // of X-Request-Id
+	mostKey = 128 // of Idempotency-Key
 )
 
-// once are the fields that must not stand there twice.
+// singleFields are the header fields that a request may contain only once.
 var once = [...]string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key", "X-Call-Terms", "X-Retry", "Content-Type"}
 
-// Read finds what a request is. Exactly one of the two is not nil.
+// Resolve matches a request to an operation and validates it. Exactly one of the
+// two results is not nil.
 func (t *Table) Read(r Request) (*Ticket, *Turned) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	route, at, found := t.Book.Match(r.Method, path)
@@ -95,8 +99,8 @@
 	errTwo     = errors.New("keys of two libraries")
 )
 
-// identify finds the library, by a key or by the front's fields, and takes the
-// key out of what goes on.
+// identifyLibrary finds the library by an API key or by the front end's fields.
+// Unless keys are forwarded, it removes a key from the target sent to servers.
 func (t *Table) identify(k *Ticket, r Request, path, query string) error {
 	found, any := keyring.Library{}, false
 	if t.Clients != ByFront {
@@ -136,7 +140,8 @@
 	return k.front(r.Fields, t)
 }
 
-// place looks for a key where a security scheme has it.
+// findKey looks for an API key at the place that a security scheme defines. It
+// returns the key and the number of times that the parameter occurs.
 func place(p routebook.KeyPlace, f Fields, query string) (key string, n int) {
 	switch p.In {
 	case "header":
@@ -155,8 +160,8 @@
 	return Cookie(string(v), p.Name)
 }
 
-// Cookie finds a cookie's value, and how often it is there (RFC 6265,
-// 4.2.1).
+// Cookie returns the first value of a cookie and the number of times that the
+// cookie occurs (RFC 6265, 4.2.1).
 func Cookie(all, name string) (value string, n int) {
 	for pair := range strings.SplitSeq(all, ";") {
 		if k, v, _ := strings.Cut(strings.Trim(pair, " \t"), "="); k == name {
@@ -168,7 +173,7 @@
 	return value, n
 }
 
-// without is a query text without a parameter.
+// removeParameter returns a query string without the named parameter.
 func without(query, name string) string {
 	var rest []string
 	for pair := range strings.SplitSeq(query, "&") {
@@ -179,8 +184,8 @@
 	return strings.Join(rest, "&")
 }
 
-// agrees checks the front's fields, where an ordinary client sends any, against
-// what its key says.
+// checkFrontFields returns an error if a client that uses an API key also sends
+// the front end's fields and they contradict the key.
 func (k *Ticket) agrees(f Fields) error {
 	if v, n := f.One("X-Tier"); n > 0 && wire.Word(string(v)) != wire.Word(k.Plan) {
 		return errors.New("X-Tier: not the plan of the key's library")
@@ -192,7 +197,8 @@
 	return nil
 }
 
-// cookieKey tells whether a security scheme has its key in the front's cookie.
+// hasCookieKey reports whether a security scheme reads its key from the cookie
+// that the front end uses.
 func (t *Table) cookieKey() bool {
 	for _, p := range t.places {
 		if p.In == "cookie" && p.Name == "key" && t.Clients != ByFront {
@@ -202,8 +208,8 @@
 	return false
 }
 
-// front reads the library from the front's fields (PROTOCOL, "Clients to edge
-// nodes").
+// readFrontFields reads the library from the fields that the platform's front end
+// sends (PROTOCOL, "Clients to edge nodes").
 func (k *Ticket) front(f Fields, t *Table) error {
 	v, n := f.One("X-Tier")
 	if k.Plan = wire.Word(string(v)); n == 0 || !t.plans[k.Plan] {
@@ -222,7 +228,8 @@
 	return nil
 }
 
-// read takes in what else a client may say, as far as the book lets it.
+// readHeaderFields reads the remaining header fields and checks them against the
+// route book.
 func (k *Ticket) read(r Request) error {
 	f := r.Fields
 	if v, n := f.One("X-Class"); n > 0 && wire.Word(string(v)) != k.Class.Name {
@@ -246,18 +253,18 @@
 	if v, _ := f.One("X-Retry"); string(v) == "1" {
 		k.Retry = true
 	}
-	most := deadline(k.Route, k.Class)
-	k.Deadline = most
+	longest := deadline(k.Route, k.Class)
+	k.Deadline = longest
 	if v, n := f.One("X-Deadline-Ms"); n > 0 {
 		ms, err := strconv.ParseUint(string(v), 10, 31)
-		if err != nil || time.Duration(ms)*time.Millisecond > most+time.Millisecond {
-			return fmt.Errorf("X-Deadline-Ms: not whole milliseconds up to the operation's %v", most)
+		if err != nil || time.Duration(ms)*time.Millisecond > longest+time.Millisecond {
+			return fmt.Errorf("X-Deadline-Ms: not whole milliseconds up to the operation's %v", longest)
 		}
 		k.Deadline = time.Duration(ms) * time.Millisecond
 	}
 	k.Effect = max(k.Class.Effect, effectOf(k.Route.Repeat))
 	if k.Effect == policy.Keyed && k.Key == "" {
-		k.Effect = policy.Unsafe // no rack could drop its repeat
+		k.Effect = policy.Unsafe // without a key no server could detect a duplicate
 	}
 	if v, n := f.One("X-Call-Terms"); n > 0 {
 		return k.terms(string(v))
@@ -265,8 +272,9 @@
 	return nil
 }
 
-// terms reads X-Call-Terms: units must be the book's, and the set of edge nodes
-// the key's; the front tells the set of a library that it names itself.
+// readCallTerms reads X-Call-Terms. The units must equal the route book's. With an
+// API key, the set of proxies (first and spread) must equal the key's; without
+// one, the front end chooses the set.
 func (k *Ticket) terms(text string) error {
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ",") {
--- a/internal/dataplane/routing/read_test.go
+++ b/internal/dataplane/routing/routing_test.go
@@ -14,7 +14,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// What is drawn is the same in every run, unless -rapid.seed says otherwise.
+// Property tests use a fixed seed, unless -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var settings = policy.Settings{Gateways: 4, MaxRequestUnits: 6,
@@ -62,7 +62,7 @@
 	return tab
 }
 
-// header is a head as text, a field a line.
+// header implements HeaderFields on text with one field per line.
 type header string
 
 func (h header) One(name string) (value []byte, n int) {
@@ -81,7 +81,7 @@
 	for _, c := range []struct {
 		name, method, target, fields string
 		body                         int
-		want                         string // what it is read as, or the answer
+		want                         string // prefix of the resolved request or of the rejection, see outcome
 	}{
 		{"a search", "GET", "/holdings?limit=20", withKey, 0, "search 0000000000000001 municipal 3 units safe 600ms set 1+2 /holdings?limit=20"},
 		{"units are whole", "GET", "/holdings?limit=0", withKey, 0, "search 0000000000000001 municipal 1 units safe 600ms set 1+2 /holdings?limit=0"},
@@ -142,8 +142,8 @@
 		[]string{"safe", "keyed", "never"}[k.Effect], k.Deadline, k.First, k.Spread, k.Target)
 }
 
-// The platform's front names libraries itself where the operator lets it; costs
-// and classes are the book's all the same.
+// The platform's front end may identify libraries itself if the operator allows
+// it. Units and classes still come from the route book.
 func TestFront(t *testing.T) {
 	fields := "Cookie: key=00000000b4d65521\nX-Tier: municipal\nX-Call-Terms: units=1,spread=3,first=2"
 	want := "place 00000000b4d65521 municipal 1 units never 4s set 2+3 /loans"
@@ -174,7 +174,7 @@
 	}
 }
 
-// What does not fit the settings is named, all at once.
+// NewTable reports all incompatibilities with the settings in one error.
 func TestTableThatDoesNotFit(t *testing.T) {
 	list := routes()
 	list[0].Class, list[1].Units.Base, list[1].Units.Most, list[2].Class = "none", 7, 7, "holdings-lookup"
@@ -200,8 +200,8 @@
 	}
 }
 
-// Careful against a plain list of all tries: the most careful one within the
-// rack's memory decides.
+// KeyHistory agrees with a model that lists all attempts: the strictest effect
+// within the servers' deduplication window applies.
 func TestCarefulAgreesWithPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type try struct {
@@ -220,11 +220,11 @@
 				Library: keyring.Library{Number: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "library")}}
 			want := k.Effect
 			if k.Key != "" {
-				other, reach := false, time.Duration(0) // a live trace is carried on by each try that adds to it
+				other, reach := false, time.Duration(0) // each attempt extends an entry that is still valid
 				for _, p := range past {
 					if p.key == k.Number+k.Key && now < p.until {
 						want, reach = max(want, p.effect), max(reach, p.until)
-						other = p.class != k.Class.Name // the last try's
+						other = p.class != k.Class.Name // class of the last attempt
 					}
 				}
 				if other && want == policy.Keyed {
@@ -241,7 +241,7 @@
 	})
 }
 
-// The oldest keys give way, and no more are remembered than bound.
+// The history drops the oldest keys and never holds more than its limit.
 func TestCarefulIsBounded(t *testing.T) {
 	c := NewCareful(3)
 	hold := func(key string, e policy.Effect) policy.Effect {
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -13,26 +13,26 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Clients says who names the library of a request.
+// ClientMode defines how the library of a request is identified.
 type Clients string
 
-// Who may.
+// The client modes.
 const (
-	ByKey   Clients = "keys"  // ordinary clients, by an API key
-	ByFront Clients = "front" // the platform's front, by its own fields
-	ByBoth  Clients = "both"  // a request with a key by that, any other by the front's fields
+	ByKey   Clients = "keys"  // by the client's API key
+	ByFront Clients = "front" // by the fields that the platform's front end sends
+	ByBoth  Clients = "both"  // by the API key if the request has one, else by the front end's fields
 )
 
-// Options are an operator's choices beside book and keys.
+// Options are the operator's settings other than the route book and the keys.
 type Options struct {
 	Clients Clients
-	Pass    []string // header fields that go on to loan servers beside those of the protocol
-	PassKey bool     // keys go on too
-	Tell    bool     // answers and attempts name revision, operation and units
+	Pass    []string // header fields forwarded to servers in addition to the protocol's
+	PassKey bool     // also forward API keys
+	Tell    bool     // add revision, operation and units to responses and to requests to servers
 }
 
-// Table is a book in force with all that requests are read by. It never
-// changes: a request keeps what it was read under.
+// Table holds a route book and the settings that requests are resolved by. It is
+// immutable, so a request can keep the table that it was resolved by.
 type Table struct {
 	Options
 	Book     *routebook.Book
@@ -43,21 +43,21 @@
 	gateways int
 }
 
-// fields that this edge node writes itself, or that belong to one connection
-// (RFC 9110, 7.6.1): none is passed on by name.
+// ownFields are the fields that the proxy writes itself and the hop-by-hop fields
+// (RFC 9110, 7.6.1). ForwardFields must not contain any of them.
 var ownFields = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host", "Cookie", "X-Request-Id", "Idempotency-Key", "X-Class",
 	"X-Deadline-Ms", "X-Tier", "X-Call-Terms", "X-Retry", OperationField, BookField, UnitsField}
 
-// The fields that tell what a request was read as, where Options.Tell says so.
+// The fields that describe a resolved request, added if Options.ExposeRouting is set.
 const (
 	OperationField = "Pepperfall-Operation"
 	BookField      = "Pepperfall-Book"
 	UnitsField     = "Pepperfall-Units"
 )
 
-// NewTable puts a book in force under a node's settings. The error names every
-// route, key and field that does not fit them.
+// NewTable combines a route book with a proxy's settings. The error lists every
+// route, key and header field that is incompatible with them.
 func NewTable(set *policy.Settings, b *routebook.Book, ring *keyring.Ring, libraries []keyring.Library, o Options) (*Table, error) {
 	t := &Table{Options: o, Book: b, ring: ring, places: b.Keys, classes: map[string]*policy.Class{}, plans: map[string]bool{}, gateways: set.Gateways}
 	if o.Clients == "" {
@@ -73,12 +73,12 @@
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
 	for _, r := range b.Routes() {
 		c := t.classes[wire.Word(r.Class)]
-		most := max(set.MaxRequestUnits, 1)
+		maxUnits := max(set.MaxRequestUnits, 1)
 		switch {
 		case c == nil:
 			fault("%s: operation %s: the settings have no class %q", r.Place, r.Operation, r.Class)
-		case r.Units.Base > most || r.Units.Param != "" && r.Units.Most > most:
-			fault("%s: operation %s: units of up to %v, the settings' largest are %v", r.Place, r.Operation, max(r.Units.Base, r.Units.Most), most)
+		case r.Units.Base > maxUnits || r.Units.Param != "" && r.Units.Most > maxUnits:
+			fault("%s: operation %s: units of up to %v, the settings' largest are %v", r.Place, r.Operation, max(r.Units.Base, r.Units.Most), maxUnits)
 		case r.Repeat != routebook.Safe && c.Effect == policy.Safe:
 			fault("%s: operation %s: class %s is safe to repeat, the operation is not marked so", r.Place, r.Operation, r.Class)
 		}
@@ -113,7 +113,7 @@
 	return t, nil
 }
 
-// Name is the revision of the table's book; "none" where there is no table.
+// Revision returns the revision of the route book, or "none" for a nil table.
 func (t *Table) Name() string {
 	if t == nil {
 		return "none"
@@ -121,7 +121,7 @@
 	return t.Book.Generation
 }
 
-// effectOf is the decision module's word for a repeat.
+// policyEffect converts a route's repeat rule to the policy package's effect.
 func effectOf(r routebook.Repeat) policy.Effect {
 	switch r {
 	case routebook.Safe:
@@ -132,7 +132,7 @@
 	return policy.Unsafe
 }
 
-// deadline is how long a client of an operation may wait.
+// maxDeadline returns the longest deadline that a client of an operation may set.
 func deadline(r *routebook.Route, c *policy.Class) time.Duration {
 	if r.Deadline > 0 {
 		return min(r.Deadline, c.Deadline)
--- a/internal/dataplane/serverhealth/baseline.go
+++ b/internal/dataplane/serverhealth/baseline.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// A server is judged by comparison with the others of its keeper: with what is usual among them lately and for long, and
-// with a control group, which is what they showed in the very seconds from which the evidence against it stems.
+// A server is compared with the other servers of the same control replica: with their usual share of failures, recent and
+// long-term, and with a control group, which is the others' outcomes in the same seconds as the evidence against the server.
 const (
-	leastOthers   = 3   // servers of which enough was seen lately, for what is usual lately
-	strata        = 7   // of the evidence: one for each of so many spans, what lies in it and in no shorter one
-	longSpan      = 6   // index in spans of what is usual for long
-	pseudoAgainst = 2.0 // outcomes that are added to those of a control group, so that few of them prove little:
+	leastOthers   = 3   // servers with enough recent evidence, before a recent usual share is used
+	strata        = 7   // stratum i holds the evidence that lies in spans[i] but in no shorter span
+	longSpan      = 6   // index in spans for the long-term usual share
+	pseudoAgainst = 2.0 // outcomes added to those of a control group, so that a small group carries little weight:
 	pseudoAll     = 4.0 // the "plus four" estimate of a share (Agresti and Coull, 1998)
 )
 
-// latelySpans are indices in spans.
+// recentSpans are the indices in spans for the recent usual share.
 var latelySpans = [...]int{1, 3}
 
-// evidence is what speaks against a server and for it, in outcomes.
+// evidence holds the weights against and for a server, in outcomes.
 type evidence struct{ bad, good float64 }
 
 func (e evidence) share() float64 {
@@ -30,27 +30,27 @@
 	return e.bad / (e.bad + e.good)
 }
 
-// baseline is how all servers of a keeper did, by server.
+// baseline summarizes the evidence on all servers of a control replica, by server.
 type baseline struct {
-	shares  [strata]map[string]float64  // in each span, of those of which enough was seen
+	shares  [strata]map[string]float64  // share of failures in each span, for servers with enough evidence
 	stratum [strata]map[string]evidence // in each stratum
 }
 
-// baseline looks at all servers' evidence up to a moment.
+// computeBaseline summarizes all servers' evidence up to a time.
 func (f *Floor) baseline(kind Kind, until time.Duration) *baseline {
 	b := &baseline{}
 	for i := range strata {
 		b.shares[i], b.stratum[i] = map[string]float64{}, map[string]evidence{}
 	}
 	for id := range f.cells {
-		voices := map[string]*voice{}
+		totals := map[string]*voice{}
 		for i, list := range f.statements(id, kind, until-spans[longSpan], until, 0)[:strata] {
 			if len(list) > 0 {
 				r := f.join(add(map[string]*voice{}, list), barOf(0))
 				b.stratum[i][id] = evidence{r.bad, r.good}
 			}
-			add(voices, list)
-			if r := f.join(voices, barOf(0)); r.bad+r.good >= need {
+			add(totals, list)
+			if r := f.join(totals, barOf(0)); r.bad+r.good >= need {
 				b.shares[i][id] = r.plain
 			}
 		}
@@ -58,7 +58,7 @@
 	return b
 }
 
-// usual is the share against the middle one of a server's others, for long or lately, whichever is more.
+// usual returns the median share of failures of the other servers, long-term or recent, whichever is higher.
 func (b *baseline) usual(server string) float64 {
 	usual := 0.0
 	for i, shares := range b.shares {
@@ -68,16 +68,16 @@
 				others = append(others, x)
 			}
 		}
-		lately := slices.Contains(latelySpans[:], i) && len(others) >= leastOthers
-		if i == longSpan || lately {
+		isRecent := slices.Contains(latelySpans[:], i) && len(others) >= leastOthers
+		if i == longSpan || isRecent {
 			usual = max(usual, middle(others))
 		}
 	}
 	return usual
 }
 
-// control is the share against the better half of a server's others in one stratum: the worse half may be ill too. It
-// is guarded against chance where little was seen of them.
+// control returns the share of failures of the healthier half of the other servers in one stratum; the worse half may be
+// unhealthy too. The added pseudo-outcomes limit the effect of chance when there is little evidence.
 func (b *baseline) control(server string, stratum int) float64 {
 	var others []evidence
 	for id, e := range b.stratum[min(stratum, strata-1)] {
@@ -96,8 +96,8 @@
 	return (group.bad + pseudoAgainst) / (group.bad + group.good + pseudoAll)
 }
 
-// standard is what the control group's shares come to if they are weighted by the seconds from which a server's own
-// outcomes stem (direct standardization). So what befalls all at once condemns none, whichever shows it first.
+// standardizedShare is the control group's share of failures, weighted by the strata of the server's own outcomes (direct
+// standardization). So a fault that affects all servers at once makes none unfit, whichever server shows it first.
 type standard struct{ expected, number float64 }
 
 func (s *standard) add(outcomes, share float64) {
@@ -112,14 +112,15 @@
 	return s.expected / s.number
 }
 
-// bar is what evidence is held against.
+// threshold holds the shares of failures that evidence on a server is compared with.
 type bar struct {
-	share float64 // against a server, that condemns it
-	usual float64 // of outcomes that are unclear anyway, with something to spare
-	ill   float64 // of those of an ill server
+	share float64 // at or above which a server is unfit
+	usual float64 // expected of a healthy server, with a margin
+	ill   float64 // expected of an unhealthy server
 }
 
-// proof is how much likelier outcomes against and for a server are of an ill one than of a usual one, in e-folds.
+// logLikelihoodRatio returns the natural logarithm of how much likelier the outcomes are for an unhealthy server than for a
+// healthy one.
 func (b bar) proof(bad, good float64) float64 {
 	return bad*math.Log(b.ill/b.usual) + good*math.Log((1-b.ill)/(1-b.usual))
 }
--- a/internal/dataplane/serverhealth/doc.go
+++ b/internal/dataplane/serverhealth/doc.go
@@ -1,3 +1,3 @@
-// Package serverhealth tells servers that complete requests safely from those that only seem to: it joins what all proxies
-// saw of each life of a server, for all tenants together, into one verdict. It does no I/O.
+// Package serverhealth detects servers that accept requests but don't complete them reliably. It combines the outcomes that
+// all proxies observed for each incarnation of a server, over all tenants, into one verdict. It does no I/O.
 package serverhealth
--- a/internal/dataplane/serverhealth/join.go
+++ b/internal/dataplane/serverhealth/evaluate.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// Thresholds of a judgement. Weights are in outcomes.
+// Thresholds of an evaluation. Weights are in outcomes; logarithms of likelihood ratios are natural.
 const (
-	need       = 4.0        // against a server, after all caps, that condemn it
-	groupBad   = 0.6 * need // at most of one tenant group, ...
-	witnessBad = 0.6 * need // ... and of one proxy: neither can condemn alone
-	groupMass  = 6.0        // at most of one group, for and against
-	illWorth   = 0.25       // of what one saw who was ill itself
-	leastShare = 0.25       // against a server, of all, that condemn it; and twice what is usual
+	need       = 4.0        // weight against a server, after all caps, that makes it unfit
+	groupBad   = 0.6 * need // cap on one tenant group's weight against a server, ...
+	witnessBad = 0.6 * need // ... and on one proxy's: neither alone can make a server unfit
+	groupMass  = 6.0        // cap on one group's weight, for and against together
+	illWorth   = 0.25       // weight of an observation by a proxy that was itself unreliable
+	leastShare = 0.25       // share against a server that makes it unfit; the usual share times usualFactor, within these limits
 	mostShare  = 0.6
 	usualTimes = 2.0
-	proof      = 12.0 // in e-folds, that condemns
+	proof      = 12.0 // that makes a server unfit
 	leastUsual = 0.02
 	mostUsual  = 0.45
 	spare      = 1.3
 	leastIll   = 0.5
 	mostIll    = 0.9
-	usualEvery = 5 * time.Second // what is usual changes slowly, and takes a look at all
-	restProof  = 4.0             // in e-folds, that is left without the region that speaks most against a server: see rest
-	lately     = 16 * Span       // for so long a zone that has used a server has a say in it
-	enoughSeen = 3               // servers that a proxy must have tried to be compared
-	zoneGood   = 2.0             // for a server, without one group, that let a zone speak for it
-	fullExcess = 0.75            // servers failing at it beyond what is usual among proxies, at which its statement counts nothing
+	usualEvery = 5 * time.Second // baselines change slowly, and computing them reads all evidence
+	restProof  = 4.0             // without the region with the strongest evidence against a server: see remainingRatio
+	lately     = 16 * Span       // a zone that used a server within this time counts as one of its failure domains
+	enoughSeen = 3               // servers that a proxy must have tried before its failing share is used
+	zoneGood   = 2.0             // weight for a server, without the zone's largest group, at which a zone counts for it
+	fullExcess = 0.75            // excess of a proxy's failing share over the median of proxies at which its evidence has no weight
 )
 
-// spans are the last parts of the window that are looked at, the shortest first: what was good before a server fell ill
-// does not hide it.
+// spans are the periods before the evaluation that are examined, shortest first, so that good outcomes from before a fault
+// don't hide it.
 var spans = []time.Duration{Span, 2 * Span, 4 * Span, 8 * Span, 16 * Span, 32 * Span, 64 * Span, Window}
 
-// reading is the evaluation of the evidence on one server and kind in one span.
+// evaluation is the result of combining the evidence on one server and kind in one span.
 type reading struct {
 	bad, good     float64
-	share         float64 // against it, without the group that speaks for it most
-	plain         float64 // share of all
-	proof         float64 // logarithm of how much likelier it is of an ill server than of a usual one
-	number        int
-	against, for_ int // witnesses
+	share         float64 // against the server, without the group with the most weight for it
+	plain         float64 // share against the server, with all groups
+	proof         float64 // natural logarithm of the likelihood of the outcomes for an unhealthy server over that for a healthy one
+	number        int     // attempts
+	against, for_ int     // proxies
 	zonesAgainst  int
 	zonesFor      int
-	zones         map[string]*tally // what each said
-	bar           bar               // that it was held against
-	condemns      bool              // also beside the control group
+	zones         map[string]*tally // evidence by zone
+	bar           bar               // that the evidence was compared with
+	condemns      bool              // also when compared with the control group
 }
 
-// credit returns the weight of a proxy's statement about a server, 0 to 1. It is small if the proxy's attempts fail at
-// many other servers too, beyond the median of all proxies.
+// proxyWeight returns the weight of a proxy's evidence on a server, 0 to 1. It is small if the proxy's attempts also fail at
+// many other servers, beyond the median of all proxies.
 func (f *Floor) credit(w *witness, server string, usual float64) float64 {
 	if f.fault == "trusts all" {
 		return 1
@@ -60,7 +60,7 @@
 	return 1 - min(1, max(0, w.failsBeside(server)-usual)/fullExcess)
 }
 
-// failsBeside returns the share of other servers that fail for a proxy; 0 if it has tried too few.
+// failingShareExcept returns the share of other servers that fail for a proxy, or 0 if it has tried too few.
 func (w *witness) failsBeside(server string) float64 {
 	tried, fails := w.tried, w.fails
 	if w.failing[server] {
@@ -90,14 +90,14 @@
 	return all[(len(all)-1)/2]
 }
 
-// voice holds one proxy's weighted statements, by group.
+// proxyTotals holds one proxy's weighted evidence, by group.
 type voice struct {
 	zone  string
 	count int
-	by    [Groups][2]int64 // against, for
+	by    [Groups][2]int64 // weights against and for, in units of 1/weightUnit
 }
 
-// statement is the weighted evidence of one cell.
+// weightedCell is the weighted evidence of one cell.
 type statement struct {
 	name, zone string
 	group      uint8
@@ -105,8 +105,8 @@
 	bad, good  int64
 }
 
-// statements returns the evidence on a server from spans that began between two moments, sorted into the shortest of spans
-// that it falls in, counted back from until.
+// weightedCells returns the evidence on a server from bins that began between since and until. Element i holds the cells
+// whose shortest span, counted back from until, is spans[i].
 func (f *Floor) statements(server string, kind Kind, since, until time.Duration, usual float64) (all [][]statement) {
 	all = make([][]statement, len(spans))
 	credit := map[*witness]float64{}
@@ -123,44 +123,44 @@
 			continue
 		}
 		w := c.from
-		worth, ok := credit[w]
+		weight, ok := credit[w]
 		if !ok {
-			worth = f.credit(w, server, usual)
-			credit[w] = worth
+			weight = f.credit(w, server, usual)
+			credit[w] = weight
 		}
-		worth *= math.Exp2(-float64(max(0, f.now-at)) / float64(half))
+		weight *= math.Exp2(-float64(max(0, f.now-at)) / float64(half))
 		if c.ill && f.fault != "hears the ill" {
-			worth *= illWorth
+			weight *= illWorth
 		}
 		bad, good := c.counts.weigh()
-		all[i] = append(all[i], statement{k.name, w.zone, k.group, c.counts.number(), int64(float64(bad) * worth), int64(float64(good) * worth)})
+		all[i] = append(all[i], statement{k.name, w.zone, k.group, c.counts.number(), int64(float64(bad) * weight), int64(float64(good) * weight)})
 	}
 	return all
 }
 
-// add adds statements to voices, by proxy's name.
-func add(voices map[string]*voice, statements ...[]statement) map[string]*voice {
+// addCells adds weighted cells to the totals of their proxies, by proxy name.
+func add(totals map[string]*voice, statements ...[]statement) map[string]*voice {
 	for _, list := range statements {
 		for _, x := range list {
-			v := voices[x.name]
+			v := totals[x.name]
 			if v == nil {
 				v = &voice{zone: x.zone}
-				voices[x.name] = v
+				totals[x.name] = v
 			}
 			v.count += x.number
 			v.by[x.group][0] += x.bad
 			v.by[x.group][1] += x.good
 		}
 	}
-	return voices
+	return totals
 }
 
-// join makes one reading of all voices: by group first, each with a cap, then by proxy, each with a cap.
-func (f *Floor) join(voices map[string]*voice, b bar) (r reading) {
+// combine evaluates the totals of all proxies. It caps the weight of each group first, then the weight of each proxy.
+func (f *Floor) join(totals map[string]*voice, b bar) (r reading) {
 	var group [Groups][2]float64
-	for _, v := range voices {
+	for _, v := range totals {
 		for g, x := range v.by {
-			group[g][0] += float64(x[0]) / one // whole multiples of 1/4096: exact in any order
+			group[g][0] += float64(x[0]) / one // whole multiples of 1/4096, so the sum is exact in any order
 			group[g][1] += float64(x[1]) / one
 		}
 	}
@@ -176,8 +176,8 @@
 		}
 	}
 	all, zones := &tally{}, map[string]*tally{}
-	for _, name := range slices.Sorted(maps.Keys(voices)) {
-		v, t := voices[name], &tally{}
+	for _, name := range slices.Sorted(maps.Keys(totals)) {
+		v, t := totals[name], &tally{}
 		for g, x := range v.by {
 			t.bad += float64(x[0]) / one * scale[g][0]
 			t.good[g] = float64(x[1]) / one * scale[g][1]
@@ -191,9 +191,9 @@
 		all.add(t)
 		zones[v.zone].add(t)
 		r.number += v.count
-		good, apart := t.sums()
+		good, withoutLargest := t.sums()
 		switch {
-		case t.against(apart, b):
+		case t.against(withoutLargest, b):
 			r.against++
 		case good > 0:
 			r.for_++
@@ -201,26 +201,26 @@
 	}
 	r.bar, r.zones = b, zones
 	for _, z := range zones {
-		switch _, apart := z.sums(); {
-		case z.against(apart, b):
+		switch _, withoutLargest := z.sums(); {
+		case z.against(withoutLargest, b):
 			r.zonesAgainst++
-		case apart >= zoneGood:
+		case withoutLargest >= zoneGood:
 			r.zonesFor++
 		}
 	}
 	r.bad = all.bad
-	good, apart := all.sums()
+	good, withoutLargest := all.sums()
 	if r.good = good; r.bad > 0 {
-		r.plain, r.share = r.bad/(r.bad+good), r.bad/(r.bad+apart)
+		r.plain, r.share = r.bad/(r.bad+good), r.bad/(r.bad+withoutLargest)
 		if f.fault == "one group absolves" {
-			r.share, apart = r.plain, good
+			r.share, withoutLargest = r.plain, good
 		}
-		r.proof = b.proof(r.bad, apart)
+		r.proof = b.proof(r.bad, withoutLargest)
 	}
 	return r
 }
 
-// tally is what speaks against a server, and for it by group.
+// tally holds the weight against a server, and the weight for it by group.
 type tally struct {
 	bad  float64
 	good [Groups]float64
@@ -233,41 +233,41 @@
 	}
 }
 
-// sums are what speaks for it, with and without the group that does so most: so none can absolve alone.
-func (t *tally) sums() (all, apart float64) {
+// goodSums returns the weight for the server, with and without its largest group, so that no group alone can clear a server.
+func (t *tally) sums() (all, withoutLargest float64) {
 	for _, x := range t.good {
 		all += x
 	}
 	return all, all - slices.Max(t.good[:])
 }
 
-// proof is what it adds to the proof against a server, in e-folds.
+// logLikelihoodRatio returns the tally's contribution to the log-likelihood ratio, without its largest group for the server.
 func (t *tally) proof(b bar) float64 {
-	_, apart := t.sums()
-	return b.proof(t.bad, apart)
+	_, withoutLargest := t.sums()
+	return b.proof(t.bad, withoutLargest)
 }
 
-func (t *tally) against(apart float64, b bar) bool {
-	return t.bad > 0 && t.bad >= b.share*(t.bad+apart)
+func (t *tally) against(withoutLargest float64, b bar) bool {
+	return t.bad > 0 && t.bad >= b.share*(t.bad+withoutLargest)
 }
 
-// read looks at all spans of a server's evidence from one moment to another, and gives the one that speaks most
-// against it.
+// evaluateServer evaluates a server's evidence from since to until over all spans. It returns the first evaluation that
+// makes the server unfit, else the first that makes it doubtful, else the first one with evidence.
 func (f *Floor) read(server string, kind Kind, since, until time.Duration) (worst reading) {
 	if !f.anyBad(server, kind) {
 		return worst
 	}
 	base := f.base[kind]
 	usual, group := base.usual(server), standard{}
-	voices := map[string]*voice{}
+	totals := map[string]*voice{}
 	for i, list := range f.statements(server, kind, since, until, f.usualFails(server)) {
 		if len(list) > 0 {
 			own := f.join(add(map[string]*voice{}, list), barOf(usual))
 			group.add(own.bad+own.good, base.control(server, i))
 		}
-		add(voices, list)
-		r := f.join(voices, barOf(usual))
-		if r.bad >= need && f.condemns(server, f.join(voices, f.controlBar(usual, group.share()))) {
+		add(totals, list)
+		r := f.join(totals, barOf(usual))
+		if r.bad >= need && f.condemns(server, f.join(totals, f.controlBar(usual, group.share()))) {
 			r.condemns = true
 			return r
 		}
@@ -278,7 +278,7 @@
 	return worst
 }
 
-// controlBar is what condemns a server is held against; what makes it doubtful needs no control group.
+// controlThreshold returns the threshold for an unfit server. The threshold for a doubtful one uses no control group.
 func (f *Floor) controlBar(usual, control float64) bar {
 	if f.fault == "no control group" {
 		return barOf(usual)
@@ -295,7 +295,7 @@
 	return false
 }
 
-// condemns tells whether a reading makes a server unfit.
+// isUnfit reports whether an evaluation makes a server unfit.
 func (f *Floor) condemns(server string, r reading) bool {
 	if r.bad < need || r.share < r.bar.share || r.proof < proof || r.against < 2 {
 		return false
@@ -306,18 +306,18 @@
 	return r.zonesAgainst > r.zonesFor && r.zonesAgainst > 1 && f.rest(server, r) >= restProof
 }
 
-// rest is the proof against a server that is left, in e-folds, without what one region saw of it: the region whose statements
-// weighs most. Bad ways between a region and a server explain all but that. Where all who lately used the server are in
-// one region, it is what is left without one zone.
+// remainingRatio returns the lowest log-likelihood ratio that remains when the evidence of one region is left out. A faulty
+// network path between a region and the server can explain that region's evidence, but not the remainder. If all zones that
+// recently used the server are in one region, single zones are left out instead.
 func (f *Floor) rest(server string, r reading) float64 {
 	if f.fault == "no rest asked" {
 		return restProof
 	}
 	least := math.Inf(1)
-	for _, apart := range f.failureDomains(server) {
+	for _, domain := range f.failureDomains(server) {
 		left := &tally{}
 		for zone, t := range r.zones {
-			if !slices.Contains(apart, zone) {
+			if !slices.Contains(domain, zone) {
 				left.add(t)
 			}
 		}
@@ -326,7 +326,8 @@
 	return least
 }
 
-// failureDomains are the zones of witnesses that lately used a server, by region, or each zone where there is one region.
+// failureDomains returns the zones of proxies that recently used a server, grouped by region, or each zone by itself if
+// there is only one region.
 func (f *Floor) failureDomains(server string) [][]string {
 	regions, zones := map[string][]string{}, map[string]bool{}
 	for k, c := range f.cells[server] {
@@ -348,12 +349,12 @@
 	return all
 }
 
-// doubts tells whether a reading makes a server doubtful.
+// isDoubtful reports whether an evaluation makes a server doubtful.
 func (f *Floor) doubts(r reading) bool {
 	return r.bad >= need/2 && r.share >= r.bar.share && r.proof >= proof/2 && r.zonesAgainst > r.zonesFor
 }
 
-// zones are in how many zones there are proxies that told something.
+// zoneCount returns the number of zones with proxies that have reported.
 func (f *Floor) zones() int {
 	all := map[string]bool{}
 	for _, w := range f.witnesses {
--- a/internal/dataplane/serverhealth/explore_test.go
+++ b/internal/dataplane/serverhealth/explore_test.go
@@ -8,31 +8,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// path is three proxies that tell one replica, as far as a row of steps has brought them.
+// exploredState is the state of three proxies and one replica after a sequence of steps.
 type path struct {
 	floor   *Floor
 	fault   string
 	proxies [3]*Recorder
 	told    [3]uint64
-	way     [3]*Report // sent and not arrived
+	way     [3]*Report // sent, not yet arrived
 	seen    [3]int
-	late    *Report // a copy that comes once more
+	late    *Report // a duplicate that is still to arrive
 	lost    int
 	again   int
 	starts  int
-	level   Level // the highest told
-	pardon  bool  // by a replica that began anew
+	level   Level // highest level so far
+	pardon  bool  // a restart of the replica lowered the level
 	servers []Server
 }
 
 const pathNow = time.Hour
 
-// mostSeen are the outcomes that each proxy may see, mostTroubles what may go wrong in all.
+// maxOutcomes limits the outcomes that each proxy observes, maxDisruptions the losses, duplicates and restarts in total.
 var mostSeen = [3]int{2, 2, 1}
 
 const mostTroubles = 1
 
-// step is one of what may happen: what, at a proxy.
+// step is one event, at one proxy.
 type step struct {
 	what  byte
 	proxy int
@@ -51,7 +51,7 @@
 	return p
 }
 
-// hearOthers has the floor hear that the other servers do well: those that s0 is compared with.
+// reportOthers reports good outcomes of the other servers, which s0 is compared with.
 func (p *path) hearOthers() {
 	b := NewRecorder("other", "z0", 1)
 	for _, s := range p.servers[1:] {
@@ -61,12 +61,12 @@
 			}
 		}
 	}
-	told, _ := b.Tell(pathNow, 0, func(string) bool { return true })
-	p.floor.Hear(pathNow, told)
+	report, _ := b.Tell(pathNow, 0, func(string) bool { return true })
+	p.floor.Hear(pathNow, report)
 }
 
-// steps are what may happen next: a proxy sees an outcome, tells, its word arrives, arrives and comes again later, or
-// is lost with its connection; the late copy comes; the replica starts anew.
+// steps returns the events that may happen next: a proxy observes an outcome (s), sends a report (t), its report arrives (d),
+// arrives and will be duplicated (a), or is lost with its connection (l); the duplicate arrives (c); the replica restarts (r).
 func (p *path) steps() (all []step) {
 	well := p.again+p.lost+p.starts < mostTroubles
 	for g := range p.proxies {
@@ -95,7 +95,7 @@
 	return all
 }
 
-// do takes a step; look: the verdict is looked at after it.
+// apply executes a step. With look, it evaluates the verdict afterwards.
 func (p *path) do(s step, look bool) {
 	g := s.proxy
 	switch s.what {
@@ -110,7 +110,7 @@
 		}
 		p.way[g] = nil
 	case 'l':
-		p.way[g], p.told[g], p.lost = nil, 0, 1 // the connection is a new one
+		p.way[g], p.told[g], p.lost = nil, 0, 1 // a new connection starts with a complete report
 		if p.fault == "goes on after a loss" {
 			p.told[g] = p.proxies[g].no
 		}
@@ -146,7 +146,7 @@
 	return n
 }
 
-// key tells states apart that may go on differently.
+// key returns a text that differs between states with different possible continuations.
 func (p *path) key() string {
 	way := [3]int{}
 	for g, s := range p.way {
@@ -164,14 +164,14 @@
 	return fmt.Sprint(p.seen, p.told, way, p.held(), late, p.lost, p.again, p.starts, p.level)
 }
 
-// wrong is what is wrong with a state, now or once all that is owed has been told.
+// violation returns the invariant that a state violates, now or after all pending reports have arrived; "" if none.
 func (p *path) wrong() string {
 	if p.pardon {
-		return "a replica that began anew pardons"
+		return "a restart of the replica cleared a verdict"
 	}
 	for g, n := range p.held() {
 		if n > p.seen[g] {
-			return fmt.Sprintf("of %d outcomes at g%d %d are held", p.seen[g], g, n)
+			return fmt.Sprintf("g%[2]d observed %[1]d outcomes, the replica holds %[3]d", p.seen[g], g, n)
 		}
 	}
 	for g := range p.proxies {
@@ -182,7 +182,7 @@
 		p.floor.Hear(pathNow, s)
 	}
 	if held := p.held(); held != p.seen {
-		return fmt.Sprintf("%v were seen, %v are held in the end", p.seen, held)
+		return fmt.Sprintf("%v outcomes were observed, the replica finally holds %v", p.seen, held)
 	}
 	is := p.is()
 	if all := p.seen[0] + p.seen[1] + p.seen[2]; is < UnfitRecord && (all > 4 || p.level >= UnfitRecord) {
@@ -191,7 +191,7 @@
 	return ""
 }
 
-// explore goes through all orders of steps, each state once.
+// explore visits all states reachable by any order of steps, each once.
 func explore(fault string) (states int, wrong string) {
 	known := map[string]bool{}
 	var walk func(done []step, level Level) string
@@ -199,7 +199,7 @@
 		p := newPath(fault)
 		for i, s := range done {
 			if i == len(done)-1 {
-				p.level = level // as it was found before
+				p.level = level // as found on the way to this state
 			}
 			p.do(s, i == len(done)-1)
 		}
@@ -223,7 +223,8 @@
 	return len(known), wrong
 }
 
-// Whatever is lost, doubled, late, or begun anew: in the end a replica holds what was seen, never more, and pardons nobody.
+// With lost, duplicated and late reports and restarts of the replica, the replica finally holds exactly the observed outcomes,
+// and a restart never clears a verdict.
 func TestExplore(t *testing.T) {
 	states, wrong := explore("")
 	assert.Equal(t, wrong, "")
--- a/internal/dataplane/serverhealth/measure_test.go
+++ b/internal/dataplane/serverhealth/measure_test.go
@@ -16,12 +16,12 @@
 	calmFor = flag.Duration("serverhealth.calm", time.Hour, "how long false verdicts are counted")
 )
 
-// alone is a proxy's own judging of one server, as policy/judge.go does it, but that nothing wears off: so it is better
-// here than there where outcomes are few.
+// localJudge is a proxy's own ejection of one server, a simplified form of the policy package's. Here errors don't decay with
+// time, so it performs better than the policy package when outcomes are few.
 type alone struct {
 	errs  float64
-	till  time.Duration // out of use
-	first time.Duration // when it first was; 0: never
+	till  time.Duration // ejected until then
+	first time.Duration // time of the first ejection; 0 if none
 	falls int
 }
 
@@ -43,15 +43,15 @@
 	}
 }
 
-// large is 90 proxies in four zones before 40 servers of 8 services.
+// largeFleet has 90 proxies in four zones and 40 servers of 8 services.
 type large struct {
 	*yard
 	rnd  *rand.Rand
-	rate float64 // records a second at each server, over all proxies
-	loss float64 // unclear by the network
+	rate float64 // at-most-once requests per second at each server, over all proxies
+	loss float64 // share of outcomes made unclear by the network
 	own  map[[2]int]*alone
 	cost time.Duration
-	done bool // the floor is not asked any more
+	done bool // skip further evaluations
 }
 
 func newLarge(seed uint64, rate, loss float64) *large {
@@ -65,7 +65,7 @@
 	return &large{y, rand.New(rand.NewPCG(seed, 1)), rate, loss, map[[2]int]*alone{}, 0, false}
 }
 
-// second plays one, and gives how many records server 0 lost to both, to the floor's proxies and to those alone.
+// second simulates one second. It returns how many unclear outcomes server 0 caused with combined and with local verdicts.
 func (l *large) second(bad bool) (fleet, apart int) {
 	for s := range l.servers {
 		n := int(l.rate)
@@ -182,34 +182,34 @@
 	}
 }
 
-// TestBytes prints what telling costs on held connections: 90 proxies of one outcome a second each, and one verdict.
+// TestBytes prints the bytes sent on open connections for 90 proxies with one outcome per second each, and one verdict.
 func TestBytes(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("a measurement")
 	}
 	l := newLarge(1, 90./40, 0.02)
 	var up, down bytes.Buffer
-	tell, say, told, was := gob.NewEncoder(&up), gob.NewEncoder(&down), uint64(0), (*Verdicts)(nil)
+	reportEncoder, verdictEncoder, sequence, previous := gob.NewEncoder(&up), gob.NewEncoder(&down), uint64(0), (*Verdicts)(nil)
 	began, first := l.now, 0
 	for l.now-began < 5*time.Minute {
 		l.second(l.now-began > time.Minute)
-		s, no := l.proxies[0].Tell(l.now, told, func(string) bool { return true })
-		if told = no; s.Observations != nil && tell.Encode(s) != nil {
+		s, no := l.proxies[0].Tell(l.now, sequence, func(string) bool { return true })
+		if sequence = no; s.Observations != nil && reportEncoder.Encode(s) != nil {
 			t.Fatal("not encoded")
 		}
 		if first == 0 {
 			first = up.Len()
 		}
-		if p := l.last.Since(was); p != nil && say.Encode(p) != nil {
+		if p := l.last.Since(previous); p != nil && verdictEncoder.Encode(p) != nil {
 			t.Fatal("not encoded")
 		}
-		was = l.last
+		previous = l.last
 	}
 	fmt.Printf("a proxy tells %d bytes a second, and %d at first; it is told %d of verdicts in %v\n", (up.Len()-first)/300, first, down.Len(), l.now-began)
 }
 
-// TestReturn prints what it costs that a server that lost half of its records for half a minute, or for good, returns by
-// trials: a ninth of the proxies in each round, each with the first record of the service that it has.
+// TestReturn prints the cost of trials for a server that fails half of its at-most-once requests, for half a minute or for
+// good. A ninth of the proxies run trials in each round, each with its first at-most-once request for the service.
 func TestReturn(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("a measurement")
--- a/internal/dataplane/serverhealth/word.go
+++ b/internal/dataplane/serverhealth/override.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Word is an operator's judgement of a server.
+// Override is a level that an operator set for a server.
 type Word struct {
 	Level Level
 	Why   string
 }
 
-// Overrule replaces verdicts by operators' judgements, which hold regardless of Bound, and returns a new list.
-func Overrule(servers []Server, list []Verdict, words map[string]Word) []Verdict {
-	if len(words) == 0 {
+// ApplyOverrides replaces verdicts by operators' overrides, to which LimitExcluded does not apply, and returns a new list.
+func Overrule(servers []Server, list []Verdict, overrides map[string]Word) []Verdict {
+	if len(overrides) == 0 {
 		return list
 	}
 	all := index(list)
 	for _, s := range servers {
-		w, ok := words[s.ID]
+		w, ok := overrides[s.ID]
 		if !ok {
 			continue
 		}
@@ -30,15 +30,15 @@
 	return sorted(all)
 }
 
-// Testimony sums up what one proxy observed of a server with requests of one kind.
+// ProxyEvidence sums up what one proxy observed of a server with requests of one kind.
 type Testimony struct {
 	Witness, Zone string
 	Kind          Kind
 	Counts        [outcomes]int
-	Worth         float64 // of its statements, 0 to 1
+	Worth         float64 // of the proxy's evidence, 0 to 1
 }
 
-// Testimonies returns the evidence on a server by proxy and kind, summed over the lives of a proxy.
+// EvidenceByProxy returns the evidence on a server by proxy and kind, summed over the incarnations of each proxy.
 func (f *Floor) Testimonies(server string) (list []Testimony) {
 	type key struct {
 		name string
--- a/internal/dataplane/serverhealth/pack.go
+++ b/internal/dataplane/serverhealth/pack.go
@@ -11,19 +11,19 @@
 
 // Limits of reports.
 const (
-	MostReport = 16 << 10 // bytes of one packed
-	MostTold   = 24       // observations of a usual Report, ...
-	MostWhole  = 256      // ... and of a whole one
-	mostText   = 256      // bytes of a name
+	MostReport = 16 << 10 // size of a packed report
+	MostTold   = 24       // observations in a report of changes, ...
+	MostWhole  = 256      // ... and in a complete report
+	mostText   = 256      // of the name of a proxy, zone or server
 )
 
 const packVersion = 1
 
-// Thin drops observations beyond a number. Which ones stay depends on server, group and span, never on how attempts ended,
-// so that the remaining evidence is an unbiased sample. Observations of records are preferred to those of searches, which
-// are many.
-func (s *Report) Thin(most int) {
-	if len(s.Observations) <= most {
+// Sample reduces the observations to the given number. The choice depends on server, group and bin, never on outcomes, so
+// the remaining evidence is an unbiased sample. Observations of at-most-once requests are preferred to those of repeatable
+// requests, which are far more frequent.
+func (s *Report) Thin(limit int) {
+	if len(s.Observations) <= limit {
 		return
 	}
 	rank := func(e *Observation) uint64 {
@@ -31,7 +31,7 @@
 		_, _ = h.Write([]byte(s.Witness + "\x00" + e.Server))
 		_, _ = h.Write(binary.AppendVarint([]byte{e.Group}, int64(e.Bin)))
 		v := h.Sum64()
-		v = (v ^ v>>31) * 0x9e3779b97f4a7c15 // sums of like texts are near each other
+		v = (v ^ v>>31) * 0x9e3779b97f4a7c15 // FNV hashes of similar inputs are close to each other
 		if e.Kind == Record {
 			v /= recordsBefore
 		}
@@ -51,13 +51,13 @@
 		}
 		return 0
 	})
-	s.Observations = kept[:most]
+	s.Observations = kept[:limit]
 }
 
-// recordsBefore is the factor by which observations of records are preferred to those of searches.
+// atMostOncePreference is the factor by which observations of at-most-once requests are preferred to those of repeatable ones.
 const recordsBefore = 4
 
-// Accuses tells whether a report holds evidence against a server.
+// HasFailures reports whether a report holds evidence against any server.
 func (s *Report) Accuses() bool {
 	return slices.ContainsFunc(s.Observations, func(e Observation) bool {
 		bad, _ := e.Counts.weigh()
@@ -65,8 +65,8 @@
 	})
 }
 
-// Part returns a report with the observations of some servers only. One without observations still tells up to when its
-// witness has reported.
+// ForServers returns a copy of the report with only the observations of the selected servers. A report without observations
+// still shows up to what time its proxy has reported.
 func (s *Report) Part(mine func(server string) bool) *Report {
 	p := *s
 	p.Observations = nil
@@ -78,7 +78,7 @@
 	return &p
 }
 
-// Pack returns the compact form of a report, in which each server is named once.
+// Pack encodes a report compactly; each server name is written once.
 func (s *Report) Pack() []byte {
 	var names []string
 	at := map[string]int{}
@@ -128,9 +128,9 @@
 	return append(b, tail...)
 }
 
-var errPacked = errors.New("serverhealth: not the form of a report")
+var errPacked = errors.New("serverhealth: malformed report")
 
-// unpacker reads what Pack wrote; after the first thing that is wrong all it reads is zero.
+// unpacker decodes the output of Pack. After the first error, every read returns a zero value.
 type unpacker struct {
 	b   []byte
 	bad bool
@@ -140,7 +140,7 @@
 
 func (u *unpacker) signed() int64 { return variable(u, binary.Varint) }
 
-// variable reads a number of variable length.
+// readVarint reads a variable-length integer.
 func variable[N uint64 | int64](u *unpacker, read func([]byte) (N, int)) N {
 	v, n := read(u.b)
 	if u.bad = u.bad || n <= 0; u.bad {
@@ -150,10 +150,10 @@
 	return v
 }
 
-// below reads a number that is no higher than the most.
-func (u *unpacker) below(most uint64) int {
+// numberUpTo reads an integer; one above the limit is an error.
+func (u *unpacker) below(limit uint64) int {
 	v := u.number()
-	if u.bad = u.bad || v > most; u.bad {
+	if u.bad = u.bad || v > limit; u.bad {
 		return 0
 	}
 	return int(v)
@@ -178,7 +178,7 @@
 	return t
 }
 
-// Unpack reads a packed report. Malformed and oversized ones are errors.
+// Unpack decodes a packed report. It returns an error for a malformed report and for one larger than MaxReportBytes.
 func Unpack(b []byte) (*Report, error) {
 	u := &unpacker{b: b}
 	if len(b) > MostReport || u.octet() != packVersion {
@@ -225,4 +225,4 @@
 	return s, nil
 }
 
-const mostAhead = 1 << 20 // spans by which an observation may lie ahead of its report; what lies so far is never taken in
+const mostAhead = 1 << 20 // limit on the bins by which a decoded observation is later than its report; AddReport ignores such observations
--- a/internal/dataplane/serverhealth/pack_test.go
+++ b/internal/dataplane/serverhealth/pack_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// What is packed comes out as it was, what is spoilt is an error and no more, and a thinned report is a fair part.
+// Unpack restores a packed report, a damaged report causes no panic, and Sample keeps an unbiased share of outcomes.
 func TestPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Report{Witness: rapid.String().Draw(t, "name"), Life: rapid.Int64().Draw(t, "life"), Zone: "a", Now: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "now")),
@@ -64,7 +64,7 @@
 	assert.Assert(t, len(s.Pack()) <= 500, "%d bytes", len(s.Pack()))
 }
 
-// Each region of a service has its own bound, and what is closed counts neither way.
+// Each region of a service has its own limit, and closed servers count neither as excluded nor as capacity.
 func TestBoundByRegion(t *testing.T) {
 	servers := []Server{{ID: "a", Service: "loans", Region: "n"}, {ID: "b", Service: "loans", Region: "n"}, {ID: "e", Service: "loans", Region: "n"}, {ID: "c", Service: "loans", Region: "s"},
 		{ID: "d", Service: "loans", Region: "n", Closed: true}}
--- a/internal/dataplane/serverhealth/recorder.go
+++ b/internal/dataplane/serverhealth/recorder.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Bounds of memory.
+// Limits and thresholds of a recorder.
 const (
-	mostObservations = 8192 // at a proxy
+	mostObservations = 8192 // kept by a proxy
 	triedFor         = time.Minute
-	failsFrom        = 0.25 // of what a proxy tried at a server
-	illBins          = 2    // before the one in which a proxy finds itself ill: it notices late
+	failsFrom        = 0.25 // share of failures at which a server is reported as failing
+	illBins          = 2    // bins before the current one that are marked too: a proxy detects its own trouble late
 	countLimit       = math.MaxUint16
 )
 
@@ -27,26 +27,27 @@
 type held struct {
 	counts Counts
 	ill    bool
-	no     uint64 // of its last change
+	no     uint64 // recorder's sequence number at the last change
 }
 
-// Recorder collects a proxy's observations of servers. Times are those of the proxy's monotonic clock.
+// Recorder collects a proxy's observations of servers. Times are those of the proxy's monotonic clock. It is not safe for
+// concurrent use.
 type Recorder struct {
 	name, zone   string
 	life         int64
 	observations map[observationKey]*held
 	ill          map[int32]bool
-	no           uint64 // of the last change
+	no           uint64 // incremented by each change
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder for one incarnation of a proxy.
 func NewRecorder(name, zone string, life int64) *Recorder {
 	return &Recorder{name: name, zone: zone, life: life, observations: map[observationKey]*held{}, ill: map[int32]bool{}}
 }
 
 func binOf(now time.Duration) int32 { return int32(now / Span) }
 
-// Add records the outcome of an attempt.
+// Add records the outcome of an attempt. It ignores unknown kinds and outcomes.
 func (b *Recorder) Add(now time.Duration, server string, kind Kind, group uint8, o Outcome) {
 	if kind >= kinds || o >= outcomes {
 		return
@@ -67,8 +68,8 @@
 	}
 }
 
-// Ill records that the proxy itself is starved, cut off or leaving, so that its observations of this moment say little
-// about servers.
+// MarkUnreliable records that the proxy itself is short of CPU, disconnected or shutting down, so its current observations
+// say little about servers.
 func (b *Recorder) Ill(now time.Duration) {
 	b.no++
 	for bin := binOf(now) - illBins; bin <= binOf(now); bin++ {
@@ -81,7 +82,7 @@
 	}
 }
 
-// shed drops what is too old, and of too much the older half.
+// expire drops observations older than the window, and the older half if there are too many.
 func (b *Recorder) shed(now time.Duration) {
 	oldest := binOf(now - Window)
 	if len(b.observations) >= mostObservations {
@@ -104,8 +105,9 @@
 	}
 }
 
-// Tell returns a report of what has changed since a number, for one replica, and the number to pass the next time. 0 stands
-// for all, as for a new replica or connection. Observations are of servers that mine selects; Tried and Fails are of all.
+// ReportSince returns a report for one replica of what has changed after a sequence number, and the sequence number to pass
+// the next time. 0 selects everything, as for a new replica or connection. The report has observations only of servers that
+// mine selects, but ServersTried and FailingCount cover all servers.
 func (b *Recorder) Tell(now time.Duration, after uint64, mine func(server string) bool) (*Report, uint64) {
 	b.shed(now)
 	s := &Report{Witness: b.name, Life: b.life, Zone: b.zone, Now: now, No: b.no}
--- a/internal/dataplane/serverhealth/report.go
+++ b/internal/dataplane/serverhealth/report.go
@@ -5,77 +5,77 @@
 	"time"
 )
 
-// Kind tells whether a request may be repeated.
+// Kind is whether a request may run more than once.
 type Kind uint8
 
 // The kinds.
 const (
-	Search Kind = iota // may run more than once
-	Record             // at most once: loans, payments, holds, reservations
+	Search Kind = iota // may run more than once, such as a search
+	Record             // must run at most once: loans, payments, holds, reservations
 	kinds
 )
 
-// Outcome is how one attempt at a server ended, as its proxy saw it.
+// Outcome is the result of one attempt at a server, as observed by the proxy.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Confirmed  Outcome = iota // a whole answer under its id and seal, in time
-	TurnedAway                // it said that it has not run
-	Unclear                   // reset, silence, cut short, garbled, without a seal: it may have run
-	Late                      // confirmed, but long after its aim
-	WrongID                   // another request's answer
+	Confirmed  Outcome = iota // complete response with the request's id and a valid seal, in time
+	TurnedAway                // the server stated that it did not run the request
+	Unclear                   // reset, timeout, truncated, malformed or unsealed response: the request may have run
+	Late                      // confirmed, but long after the latency target
+	WrongID                   // response to another request
 	outcomes
 )
 
-// Groups is the number of tenant groups. A tenant is always in the same group.
+// Groups is the number of tenant groups. Each tenant is always in the same group.
 const Groups = 16
 
-// Group returns the group of a tenant, the same at all proxies. Requests without a tenant are in that of the empty name.
+// Group returns the group of a tenant, the same at all proxies. Requests without a tenant are in the group of the empty name.
 func Group(tenant string) uint8 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(tenant))
 	return uint8(h.Sum32() % Groups)
 }
 
-// Spans of evidence.
+// Times of evidence.
 const (
-	Span   = 2 * time.Second   // of one bin
-	Window = 300 * time.Second // what is older counts no more
-	half   = 150 * time.Second // after so long it counts half
+	Span   = 2 * time.Second   // length of one bin
+	Window = 300 * time.Second // older evidence is ignored
+	half   = 150 * time.Second // of the weight of evidence
 )
 
-// Report holds a proxy's observations of servers. Reports may be joined in any order and repeatedly; a lost one is made up
-// for by the next complete one.
+// Report holds a proxy's observations of servers. Reports may be combined in any order and more than once; the next complete
+// report replaces a lost one.
 type Report struct {
-	Witness      string        // the proxy's name
-	Life         int64         // of the proxy's process
-	Zone         string        // the proxy's
-	Now          time.Duration // its own steady clock; it means nothing to others but as an origin of bins
-	No           uint64        // of the proxy's last change; a later Report has a later Now or a higher No
-	Tried        int           // servers, of whatever service, tried in the last minute
-	Failing      []string      // those of them at which a quarter or more was unclear; at most MostFailing, by name
-	Fails        int           // how many those are, named or not
+	Witness      string        // name of the proxy
+	Life         int64         // of the proxy
+	Zone         string        // zone of the proxy
+	Now          time.Duration // proxy's monotonic clock; other processes use it only to locate bins
+	No           uint64        // of the recorder's last change; a later report has a later Now or a higher Sequence
+	Tried        int           // servers of all services with attempts in the last minute
+	Failing      []string      // those with a failure share of 1/4 or more; at most MaxFailing, sorted by name
+	Fails        int           // number of failing servers, listed or not
 	Observations []Observation
 }
 
-// MostFailing is the most names in Report.Failing.
+// MaxFailing is the maximum number of names in Report.Failing.
 const MostFailing = 64
 
-// Observation is what a proxy saw of one server, of one kind and group of tenants, in one span.
+// Observation holds a proxy's outcomes at one server, for one kind and tenant group, in one bin.
 type Observation struct {
-	Server string // its life
+	Server string // incarnation of the server
 	Kind   Kind
 	Group  uint8
-	Bin    int32 // the witness's steady clock by Span
-	Ill    bool  // the witness itself was starved, cut off or leaving
+	Bin    int32 // proxy's monotonic clock divided by BinDuration
+	Ill    bool  // the proxy itself was short of CPU, disconnected or shutting down
 	Counts Counts
 }
 
-// Counts holds the numbers of attempts by outcome. Those of one Observation never fall.
+// Counts holds the numbers of attempts by outcome. The counts of one observation never decrease.
 type Counts [outcomes]uint16
 
-// onto joins the counts of one observation that were sent at two times.
+// mergeMax merges another report of the same observation. Counts only grow, so the higher value is the newer one.
 func (c *Counts) onto(o Counts) {
 	for i := range c {
 		c[i] = max(c[i], o[i])
@@ -89,10 +89,10 @@
 	return n
 }
 
-// one is the weight of one outcome. Weights are integers, so that sums do not depend on their order.
+// weightUnit is the weight of one outcome. Weights are integers, so sums don't depend on their order.
 const one = 1 << 12
 
-// weights are the weights of outcomes against a server and for it. Turning away is honest and counts for neither.
+// weights are the weights of outcomes against and for a server. A rejection is a valid response and counts for neither.
 var weights = [outcomes]struct{ bad, good int64 }{
 	Confirmed: {0, one}, TurnedAway: {0, 0}, Unclear: {one, 0}, Late: {one / 4, one / 2}, WrongID: {one, 0},
 }
--- a/internal/dataplane/serverhealth/stories_test.go
+++ b/internal/dataplane/serverhealth/scenarios_test.go
@@ -9,13 +9,13 @@
 )
 
 var stories = map[string]func(y *yard) string{
-	"one tenant condemns none": func(y *yard) string {
+	"one tenant cannot make a server unfit": func(y *yard) string {
 		for g := range y.proxies {
 			y.see(g, 0, Record, 3, Unclear, 40)
 		}
 		return y.want(Fit, Doubtful)
 	},
-	"one tenant absolves none": func(y *yard) string {
+	"one tenant cannot clear a server": func(y *yard) string {
 		for g := range y.proxies {
 			y.see(g, 0, Record, uint8(g%4), Unclear, 3)
 			y.see(g, 0, Record, uint8(g%4), Confirmed, 6)
@@ -26,7 +26,7 @@
 		}
 		return y.want(UnfitRecord)
 	},
-	"a path condemns for nobody": func(y *yard) string {
+	"one faulty network path does not make a server unfit": func(y *yard) string {
 		for range 2 {
 			y.all(func(g, s, _ int) Outcome {
 				if g%3 == 0 && s == 0 {
@@ -37,7 +37,7 @@
 		}
 		return y.want(Fit, Doubtful)
 	},
-	"a bad recorder serves searches": func(y *yard) string {
+	"a server that fails at-most-once requests keeps repeatable ones": func(y *yard) string {
 		lost := 0
 		for n := 0; y.last == nil || y.verdict(0).Level < UnfitRecord; n++ {
 			if y.see(n%len(y.proxies), 0, Record, uint8(n%5), Outcome(n%2*int(Unclear)), 1); n%2 == 1 {
@@ -46,7 +46,7 @@
 			y.see(n%len(y.proxies), 0, Search, uint8(n%5), Confirmed, 1)
 			y.othersWell(Record)
 			if y.step(); lost > 8 {
-				return "not condemned by the eighth unclear outcome"
+				return "not unfit after the eighth unclear outcome"
 			}
 		}
 		if v := y.verdict(0); !v.Level.Serves(Search) || v.Level.Serves(Record) || v.Against < 2 {
@@ -54,7 +54,7 @@
 		}
 		return ""
 	},
-	"one proxy condemns none": func(y *yard) string {
+	"one proxy cannot make a server unfit": func(y *yard) string {
 		for group := range uint8(8) {
 			y.see(0, 0, Record, group, Unclear, 10)
 		}
@@ -63,19 +63,19 @@
 		if wrong := y.want(Fit, Doubtful); wrong != "" {
 			return wrong
 		}
-		for _, g := range y.proxies { // nor where there is no second zone that would have to agree
+		for _, g := range y.proxies { // nor if there is no second zone to confirm it
 			g.zone = "a"
 		}
 		return y.want(Fit, Doubtful)
 	},
-	"one region condemns none": func(y *yard) string {
+	"one region cannot make a server unfit": func(y *yard) string {
 		y.floor.Place(map[string]string{"a": "north", "b": "north", "c": "south", "d": "south"})
 		for i, g := range y.proxies {
 			g.zone = string(rune('a' + i%4))
 			y.see(i, 0, Record, uint8(i), Confirmed, 1)
 		}
 		y.step()
-		y.now += 2 * Span // lately the south has not been at server 0
+		y.now += 2 * Span // the south has not used server 0 recently
 		for i := range y.proxies {
 			if i%4 < 2 {
 				y.see(i, 0, Record, uint8(i), Unclear, 2)
@@ -84,10 +84,10 @@
 		y.othersWell(Record)
 		return y.want(Fit, Doubtful)
 	},
-	"who accuses does not go before who has nothing to tell": func(y *yard) string {
+	"reports of failures are not evaluated before the other proxies have reported": func(y *yard) string {
 		y.all(func(int, int, int) Outcome { return Confirmed })
 		y.step()
-		accuses := func(g int) bool { return g < 3 } // one in each zone
+		accuses := func(g int) bool { return g < 3 } // one proxy in each zone
 		for range 3 {
 			for g := range y.proxies {
 				o, times := Confirmed, 2
@@ -99,12 +99,12 @@
 			y.othersWell(Record)
 			y.stepWith(accuses)
 			if y.verdict(0).Level >= UnfitRecord {
-				return fmt.Sprint("before the others have told: ", y.verdict(0))
+				return fmt.Sprint("unfit before the other proxies have reported: ", y.verdict(0))
 			}
 		}
 		return y.want(Fit, Doubtful)
 	},
-	"a proxy that has fallen silent holds up no verdict": func(y *yard) string {
+	"a silent proxy does not delay verdicts": func(y *yard) string {
 		y.all(func(int, int, int) Outcome { return Confirmed })
 		y.step()
 		for range int(SilentAfter/time.Second) + 2 {
@@ -116,17 +116,17 @@
 		}
 		return y.want(UnfitRecord)
 	},
-	"proxies that fail at all condemn none": func(y *yard) string {
+	"proxies that fail at all servers make none unfit": func(y *yard) string {
 		y.all(func(g, s, _ int) Outcome { return Confirmed })
 		for _, g := range []int{0, 1, 3, 4} {
-			y.proxies[g].observations = map[observationKey]*held{} // it has seen these four alone
+			y.proxies[g].observations = map[observationKey]*held{} // the proxy has used only these four servers
 			for s := range 4 {
 				y.see(g, s, Record, uint8(g), Unclear, 5)
 			}
 		}
 		return y.want(Fit)
 	},
-	"ill proxies count little": func(y *yard) string {
+	"unreliable proxies have little weight": func(y *yard) string {
 		for g := range 6 {
 			y.see(g, 0, Record, uint8(g), Unclear, 1)
 			y.proxies[g].Ill(y.now - time.Duration(g)*time.Minute/7)
@@ -138,7 +138,7 @@
 		}
 		return y.want(Fit)
 	},
-	"half of a service stays": func(y *yard) string {
+	"half of a service stays in use": func(y *yard) string {
 		for range 20 {
 			y.all(func(_, s, _ int) Outcome { return Outcome(s % 2 * int(Unclear)) })
 			y.all(func(_, s, _ int) Outcome { return Confirmed })
@@ -151,11 +151,11 @@
 			}
 		}
 		if out == 0 {
-			return "none is out"
+			return "no server is excluded"
 		}
 		return y.wrong
 	},
-	"doubled evidence counts once": func(y *yard) string {
+	"duplicated reports count once": func(y *yard) string {
 		y.times = 3
 		for g := range 3 {
 			y.see(g, 0, Record, uint8(g), Unclear, 1)
@@ -163,12 +163,12 @@
 		y.othersWell(Record)
 		return y.want(Fit, Doubtful)
 	},
-	"what all show condemns not the first to show it": func(y *yard) string {
+	"a fault of all servers does not make the first one unfit": func(y *yard) string {
 		for range 3 {
 			y.all(func(int, int, int) Outcome { return Confirmed })
 			y.step()
 		}
-		y.now += 2 * Span // of the others nothing is seen in the seconds in which this one falls ill
+		y.now += 2 * Span // the other servers have no outcomes in the seconds in which this one fails
 		for g := range y.proxies {
 			y.see(g, 0, Record, uint8(g%4), Unclear, 1)
 		}
@@ -178,7 +178,7 @@
 		y.all(func(int, int, int) Outcome { return Unclear })
 		return y.want(Fit, Doubtful)
 	},
-	"relapses slow the return": func(y *yard) string {
+	"relapses delay the return": func(y *yard) string {
 		trials, _, lost := y.mill(time.Hour, 4*time.Minute)
 		if len(trials) < 3 || lost > 60 {
 			return fmt.Sprint("trials at ", trials, ", lost ", lost)
@@ -190,13 +190,13 @@
 		}
 		return y.wrong
 	},
-	"a mended one returns": func(y *yard) string {
+	"a repaired server returns": func(y *yard) string {
 		if _, fit, _ := y.mill(6*time.Second, 40*time.Second); fit == 0 {
-			return fmt.Sprint("it does not: ", y.verdict(0))
+			return fmt.Sprint("it has not returned: ", y.verdict(0))
 		}
 		return y.wrong
 	},
-	"a server that fails at all goes": func(y *yard) string {
+	"a server that fails repeatable requests is unfit for all": func(y *yard) string {
 		for g := range y.proxies {
 			y.see(g, 0, Search, uint8(g%4), Unclear, 2)
 		}
@@ -213,11 +213,11 @@
 
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for fault, name := range map[string]string{
-		"no group cap": "one tenant condemns none", "one group absolves": "one tenant absolves none",
-		"one zone condemns": "a path condemns for nobody", "no witness cap": "one proxy condemns none",
-		"trusts all": "proxies that fail at all condemn none", "hears the ill": "ill proxies count little",
-		"no rest asked": "one region condemns none", "no watermark": "who accuses does not go before who has nothing to tell",
-		"no control group": "what all show condemns not the first to show it", "no bound": "half of a service stays", "adds": "doubled evidence counts once", "forgives": "relapses slow the return",
+		"no group cap": "one tenant cannot make a server unfit", "one group absolves": "one tenant cannot clear a server",
+		"one zone condemns": "one faulty network path does not make a server unfit", "no witness cap": "one proxy cannot make a server unfit",
+		"trusts all": "proxies that fail at all servers make none unfit", "hears the ill": "unreliable proxies have little weight",
+		"no rest asked": "one region cannot make a server unfit", "no watermark": "reports of failures are not evaluated before the other proxies have reported",
+		"no control group": "a fault of all servers does not make the first one unfit", "no bound": "half of a service stays in use", "adds": "duplicated reports count once", "forgives": "relapses delay the return",
 	} {
 		t.Run(fault, func(t *testing.T) { assert.Assert(t, stories[name](newYard(fault, 12, 12)) != "") })
 	}
--- a/internal/dataplane/serverhealth/serverhealth_test.go
+++ b/internal/dataplane/serverhealth/serverhealth_test.go
@@ -13,10 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-// What is drawn is the same in every run, unless -rapid.seed says otherwise.
+// Property tests use a fixed seed, unless -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// yard is a fleet of proxies in three zones, two services of servers, and one floor that hears all proxies each second.
+// fleetFixture has proxies in three zones, servers of two services, and one evaluator that gets all proxies' reports each
+// second.
 type yard struct {
 	floor   *Floor
 	proxies []*Recorder
@@ -25,7 +26,7 @@
 	now     time.Duration
 	last    *Verdicts
 	wrong   string
-	times   int // each report is heard so often
+	times   int // number of times that each report is delivered
 }
 
 func newYard(fault string, proxies, servers int) *yard {
@@ -42,11 +43,11 @@
 
 func (y *yard) see(proxy, server int, kind Kind, group uint8, o Outcome, times int) {
 	for range times {
-		y.proxies[proxy].Add(y.now-time.Duration(proxy)*time.Minute/7, y.servers[server].ID, kind, group, o) // clocks differ
+		y.proxies[proxy].Add(y.now-time.Duration(proxy)*time.Minute/7, y.servers[server].ID, kind, group, o) // the proxies' clocks differ
 	}
 }
 
-// tell has the floor hear a proxy.
+// report delivers a proxy's report to the evaluator.
 func (y *yard) tell(i int) {
 	s, no := y.proxies[i].Tell(y.now-time.Duration(i)*time.Minute/7, y.told[i], func(string) bool { return true })
 	y.told[i] = no
@@ -57,7 +58,7 @@
 
 func (y *yard) step() { y.stepWith(func(int) bool { return true }) }
 
-// stepWith is a second in which some proxies tell.
+// stepWith simulates one second in which only some proxies report.
 func (y *yard) stepWith(tells func(proxy int) bool) {
 	for i := range y.proxies {
 		if tells(i) {
@@ -74,14 +75,14 @@
 	}
 	for s, n := range out {
 		if n > len(y.servers)/4 {
-			y.wrong = fmt.Sprint(n, " servers of ", s, " are out at once")
+			y.wrong = fmt.Sprint(n, " servers of ", s, " are excluded at once")
 		}
 	}
 }
 
 func (y *yard) verdict(server int) Verdict { return index(y.last.List)[y.servers[server].ID] }
 
-// othersWell has all proxies see all servers but the first do well: those that it is compared with.
+// observeOthersHealthy records good outcomes of all proxies at all servers but the first, which is compared with them.
 func (y *yard) othersWell(kind Kind) {
 	for g := range y.proxies {
 		for s := range y.servers[1:] {
@@ -90,7 +91,7 @@
 	}
 }
 
-// want says what is wrong where server 0 isn't of one of the levels.
+// wantLevel returns an error text if server 0 has none of the given levels, else the fixture's violation.
 func (y *yard) want(levels ...Level) string {
 	y.step()
 	v := y.verdict(0)
@@ -102,7 +103,7 @@
 	return fmt.Sprintf("%s %v", v.Level, v)
 }
 
-// all has every proxy see some at each server, of four groups.
+// observeAll records outcomes of every proxy at each server, from four groups.
 func (y *yard) all(o func(proxy, server, group int) Outcome) {
 	for g := range y.proxies {
 		for s := range y.servers {
@@ -112,8 +113,8 @@
 	}
 }
 
-// mill plays a server that loses every second record from the start till it is mended, and gives the moments at which
-// its trials begin, and the one at which it is fit again; trials go by three proxies a round.
+// runFaultyServer simulates a server that fails every second at-most-once request until it is mended. It returns the starts
+// of its trials, the time at which it is fit again, and the number of failures. Three proxies run trials in each round.
 func (y *yard) mill(mended, till time.Duration) (trials []time.Duration, fit time.Duration, lost int) {
 	var names []string
 	for _, g := range y.proxies {
@@ -152,7 +153,7 @@
 	return trials, fit, lost
 }
 
-// Evidence in any order, doubled, and lost and made good by a whole one comes to the same.
+// Reports in any order, duplicated, or lost and followed by a complete report give the same verdicts.
 func TestFolding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		y := newYard("", 6, 6)
@@ -186,7 +187,7 @@
 	})
 }
 
-// Whatever one tenant sees, it neither condemns one of whom all others speak well nor absolves one whom they condemn.
+// Outcomes of one tenant neither make a server unfit that all others find healthy, nor clear one that the others find unfit.
 func TestNoTenantAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		good := rapid.Bool().Draw(t, "good")
@@ -216,7 +217,7 @@
 	})
 }
 
-// Lists of verdicts fold as they were, age, and keep to the part of a service when two replicas' are joined.
+// Partial verdicts restore the complete list, levels age, and merged lists stay within the limit of excluded servers.
 func TestVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := newYard("", 1, 8).servers
@@ -256,7 +257,7 @@
 	assert.Equal(t, Doubtful.Aged(Expired+1), Fit)
 }
 
-// A replica that becomes a server's keeper pardons nothing, and memory has bounds.
+// A replica that becomes responsible for a server clears no verdict, and memory stays bounded.
 func TestAdoptAndBounds(t *testing.T) {
 	y := newYard("", 12, 12)
 	_, _, _ = y.mill(time.Hour, time.Minute)
@@ -266,7 +267,7 @@
 	assert.Equal(t, v.Level, w.Level)
 	assert.Equal(t, v.Relapses, w.Relapses)
 	assert.Assert(t, w.Age >= v.Age)
-	y = newYard("", 12, 4) // and one that has just started hears of what was before
+	y = newYard("", 12, 4) // a replica that has just started uses evidence from before its start
 	for g := range y.proxies {
 		y.see(g, 0, Record, uint8(g), Unclear, 2)
 	}
@@ -282,7 +283,7 @@
 		b.Add(y.now+time.Duration(i)*time.Millisecond*30, fmt.Sprint("x", i%9000), Record, uint8(i), Unclear)
 		assert.Assert(t, len(b.observations) <= mostObservations)
 	}
-	for i := range 3 * mostCells { // with all the others a full one has fewer
+	for i := range 3 * mostCells { // with many servers, each keeps fewer cells
 		y.floor.Hear(y.now, &Report{Witness: "g00", Now: Window, Observations: []Observation{{Server: "s00", Bin: int32(i % 150), Group: uint8(i % 16)}, {Server: fmt.Sprint(i)}}, Life: int64(i / 1000)})
 	}
 	assert.Assert(t, len(y.floor.cells["s00"]) <= 2*mostAll/mostServers && len(y.floor.cells) <= mostServers)
--- a/internal/dataplane/serverhealth/record.go
+++ b/internal/dataplane/serverhealth/serverstate.go
@@ -11,18 +11,18 @@
 
 // Conditions under which a server returns to use.
 const (
-	calm       = 5 * time.Second  // without doubt, before a doubtful one is fit
-	doubtWait  = time.Second      // before trials of a doubtful one, from which a verdict may follow
-	firstWait  = 5 * time.Second  // before the first trials; twice as long after each relapse
-	mostWait   = 5 * time.Minute  // at most
-	trialFor   = 30 * time.Second // in which trials must end, if anything in them was unclear
-	trialNeed  = 5.0              // confirmed, ...
-	trialGroup = 3.0              // ... at most so many of one group, ...
-	trialTimes = 8.0              // ... and so many for each unclear one
-	trialFail  = 1.5              // unclear, at most 1 of one group: a relapse
-	absolved   = 10 * time.Minute // fit for so long takes one relapse away; and so long without a statement ends a verdict
+	calm       = 5 * time.Second  // without evidence against a doubtful server, before it is fit
+	doubtWait  = time.Second      // before trials of a doubtful server, whose outcomes allow a verdict
+	firstWait  = 5 * time.Second  // before the first trials; doubled by each relapse
+	mostWait   = 5 * time.Minute  // limit of that delay
+	trialFor   = 30 * time.Second // after which trials with any weight against the server have failed
+	trialNeed  = 5.0              // weight of confirmed trials that ends them, ...
+	trialGroup = 3.0              // ... counting at most this much of one group, ...
+	trialTimes = 8.0              // ... and at least this much for each unclear one
+	trialFail  = 1.5              // weight of unclear trials, counting at most 1 of one group, that is a relapse
+	absolved   = 10 * time.Minute // each such time as fit removes one relapse; such a time of trials without any outcome ends a verdict
 	mostRelaps = 6
-	round      = time.Second // of trials
+	round      = time.Second // duration of a round of trials
 )
 
 // Reasons given for levels.
@@ -35,19 +35,19 @@
 	whyFew     = "some unclear outcomes"
 )
 
-// never is before all spans: those of a proxy that runs longer than its replica began before the replica's clock did.
+// never is earlier than all bins. Bins of a proxy that has run longer than the replica have negative times.
 const never = time.Duration(math.MinInt64)
 
-// record is what a floor holds of one server.
+// serverState is an evaluator's state of one server.
 type record struct {
 	level    Level
 	why      string
-	since    time.Duration // of the level
-	trial    time.Duration // when trials began; 0: none
-	good     time.Duration // since when nothing speaks against it
+	since    time.Duration // start of the level
+	trial    time.Duration // start of trials; 0 if there are none
+	good     time.Duration // start of the time without evidence against the server
 	last     reading
 	relapses int
-	returned time.Duration // when it last came back, or never; evidence from before counts no more
+	returned time.Duration // time of the last return to use, or never; earlier evidence is ignored
 }
 
 func (s *record) to(now time.Duration, l Level, why string) {
@@ -59,7 +59,7 @@
 
 func (s *record) wait() time.Duration { return min(mostWait, firstWait<<s.relapses) }
 
-// Step joins all reports into verdicts on the given servers. The caller sets By and Stamp.
+// Evaluate computes verdicts on the given servers from all reports. The caller sets By and Stamp.
 func (f *Floor) Step(now time.Duration, servers []Server) *Verdicts {
 	f.now, f.servers = max(f.now, now), servers
 	f.forget()
@@ -89,18 +89,18 @@
 	return &Verdicts{List: Bound(servers, list)}
 }
 
-// lookAround takes what is usual anew.
+// updateBaselines recomputes the baselines of both kinds.
 func (f *Floor) lookAround() {
 	f.base, f.baseAt = [kinds]*baseline{f.baseline(Search, f.settled), f.baseline(Record, f.settled)}, f.now
 }
 
-// readings are what is settled of a server: what was seen up to the moment to which all proxies that are there have told.
+// evaluateComplete evaluates a server's evidence up to the time to which all active proxies have reported.
 func (f *Floor) readings(id string, s *record) (search, record reading) {
 	return f.read(id, Search, s.returned, f.settled), f.read(id, Record, s.returned, f.settled)
 }
 
-// doubted tells whether what is settled, or else what only some have told yet, makes a server doubtful. Proxies tell more
-// often while there is a doubt, so that more is settled soon.
+// evaluateDoubt reports whether a server is doubtful by the complete evidence, or else by evidence that only some proxies
+// have reported yet. Proxies report more often while a server is doubtful, so the evidence is complete sooner.
 func (f *Floor) doubted(id string, s *record, search, record reading) (reading, bool) {
 	switch {
 	case f.doubts(record):
@@ -130,7 +130,7 @@
 	search, record := f.readings(id, s)
 	doubt, doubted := f.doubted(id, s, search, record)
 	worse := doubted && s.level == Fit || search.condemns || record.condemns
-	if worse && f.baseAt != f.now { // what speaks against it may be new to all
+	if worse && f.baseAt != f.now { // the failures may have begun at all servers since the last baseline
 		f.lookAround()
 		search, record = f.readings(id, s)
 		doubt, doubted = f.doubted(id, s, search, record)
@@ -147,10 +147,10 @@
 			s.to(f.now, Doubtful, whyFew)
 		}
 		if s.trial == 0 && f.now-s.since >= doubtWait {
-			s.trial = f.now // records go elsewhere: without trials nothing more would be heard of it
+			s.trial = f.now // at-most-once requests go elsewhere, so only trials give further evidence
 		}
 	case record.bad >= need/4 && record.share >= record.bar.share/2:
-		s.good = f.now // neither: as it was
+		s.good = f.now // too little to be doubtful, too much to be fit: keep the level
 	case s.level == Doubtful && f.now-s.good >= calm:
 		s.to(f.now, Fit, "")
 	}
@@ -164,7 +164,7 @@
 	s.last = r
 }
 
-// tryAgain lets a server that is out come back by its trials.
+// updateTrials returns an unfit server to use if its trials succeed.
 func (f *Floor) tryAgain(id string, s *record) {
 	if s.trial == 0 {
 		if f.now-s.good >= s.wait() {
@@ -195,10 +195,10 @@
 	}
 }
 
-// trialsOf sums trials, with a cap for each group.
-func trialsOf(voices map[string]*voice) (good, bad float64) {
+// trialOutcomes sums the outcomes of trials, with a cap for each group.
+func trialsOf(totals map[string]*voice) (good, bad float64) {
 	var group [Groups][2]float64
-	for _, v := range voices {
+	for _, v := range totals {
 		for g, x := range v.by {
 			group[g][0] += float64(x[0]) / one
 			group[g][1] += float64(x[1]) / one
@@ -211,8 +211,8 @@
 	return good, bad
 }
 
-// Adopt takes over another replica's verdicts on servers on which this one has none, so that a change of the keeping
-// replica does not clear them.
+// Adopt takes over another replica's verdicts on servers for which this evaluator has none, so that a change of the
+// responsible replica does not clear them.
 func (f *Floor) Adopt(now time.Duration, list []Verdict) {
 	f.now = max(f.now, now)
 	for _, v := range list {
@@ -224,9 +224,9 @@
 	}
 }
 
-// Trialists selects the proxies that may send one trial each in a round of a verdict: at most a number of them, others in
-// each round.
-func Trialists(v *Verdict, proxies []string, most int) []string {
+// TrialProxies selects the proxies that may send one trial request each in a verdict's current round, at most the given
+// number. The selection changes with each round.
+func Trialists(v *Verdict, proxies []string, limit int) []string {
 	type ranked struct {
 		name   string
 		weight uint64
@@ -249,7 +249,7 @@
 		return strings.Compare(a.name, b.name)
 	})
 	var names []string
-	for _, r := range all[:min(most, len(all))] {
+	for _, r := range all[:min(limit, len(all))] {
 		names = append(names, r.name)
 	}
 	return names
--- a/internal/dataplane/serverhealth/verdict.go
+++ b/internal/dataplane/serverhealth/verdict.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// Level is how far a server is trusted. A higher level is stricter.
+// Level is the restriction on a server's use. A higher level is stricter.
 type Level uint8
 
 // The levels.
 const (
 	Fit         Level = iota
-	Doubtful          // what may not be repeated goes elsewhere first
-	UnfitRecord       // nothing that may not be repeated, but for trials
-	UnfitAll          // nothing, but for trials
+	Doubtful          // at-most-once requests prefer other servers
+	UnfitRecord       // no at-most-once requests, except trials
+	UnfitAll          // no requests, except trials
 )
 
 func (l Level) String() string {
 	return [...]string{"fit", "doubtful", "unfit for recording", "unfit for all"}[min(l, UnfitAll)]
 }
 
-// Serves tells whether a server at this level gets requests of the kind, trials aside.
+// Serves reports whether a server at this level gets requests of the kind, apart from trials.
 func (l Level) Serves(k Kind) bool { return l < UnfitRecord || l == UnfitRecord && k == Search }
 
-// Verdict is the verdict on one life of a server.
+// Verdict is the health verdict on one incarnation of a server.
 type Verdict struct {
 	Server   string
 	Service  string
 	Level    Level
 	Why      string
-	Age      time.Duration // for how long the level stands
-	Share    float64       // of outcomes that were against it when the level began, 0 to 1
-	Number   int           // outcomes that were joined
-	For      int           // witnesses
+	Age      time.Duration // time since the level began
+	Share    float64       // share of outcomes against the server when the level began, 0 to 1
+	Number   int           // outcomes that were combined
+	For      int           // proxies whose evidence was for the server
 	Against  int
 	Relapses int
-	Trial    bool // a few requests may try it: see Trialists
+	Trial    bool // a few trial requests may be sent to the server: see TrialProxies
 	Round    uint32
 }
 
-// Verdicts are the verdicts of one replica, by Server; those of fit servers without relapses are left out.
+// Verdicts are the verdicts of one replica, sorted by Server. Fit servers without relapses are left out.
 type Verdicts struct {
 	By    string
-	Stamp int64 // nanoseconds of Unix time: of one replica's the higher holds
-	Part  bool  // what is in neither List nor Gone is as this connection told it last
+	Stamp int64 // Unix time in nanoseconds; among one replica's verdicts the highest is current
+	Part  bool  // verdicts in neither List nor Gone are unchanged since the last message on this connection
 	List  []Verdict
-	Gone  []string // with Part: those that need no verdict any more
+	Gone  []string // with Part: servers that no longer have a verdict
 }
 
-// Ages of a verdict that is not renewed.
+// Ages of verdicts that are not renewed.
 const (
-	Stale   = 10 * time.Second // from then on it counts as Doubtful at most
-	Expired = time.Minute      // from then on it no longer holds
+	Stale   = 10 * time.Second // past this age a level counts as Doubtful at most
+	Expired = time.Minute      // past this age a verdict is ignored
 )
 
-// Aged returns what is left of a level at a proxy that has heard nothing for silent. After Expired it goes by its own
-// outcomes alone.
+// Aged returns the level that a proxy applies when it has received no verdicts for the time silent. After ExpiredAfter the
+// proxy uses only its own outcomes.
 func (l Level) Aged(silent time.Duration) Level {
 	switch {
 	case silent > Expired:
@@ -68,27 +68,27 @@
 	return l
 }
 
-// differs tells whether y has to be sent to a receiver that has v. A change of age or counts alone need not.
+// differs reports whether y has to be sent to a receiver that has v. Changes of age or counts alone are not sent.
 func (v Verdict) differs(y Verdict) bool {
 	v.Age, y.Age = 0, 0
 	v.Number, y.Number, v.For, y.For, v.Against, y.Against = 0, 0, 0, 0, 0, 0
 	return v != y
 }
 
-// Since returns the part that a receiver of old lacks; nil: it lacks nothing.
+// DiffFrom returns what a receiver of old needs to be up to date, or nil if nothing has changed.
 func (s *Verdicts) Since(old *Verdicts) *Verdicts {
 	if old == nil || old.By != s.By {
 		return s
 	}
 	p := &Verdicts{By: s.By, Stamp: s.Stamp, Part: true}
-	was := index(old.List)
+	previous := index(old.List)
 	for _, v := range s.List {
-		if o, ok := was[v.Server]; !ok || o.differs(v) {
+		if o, ok := previous[v.Server]; !ok || o.differs(v) {
 			p.List = append(p.List, v)
 		}
-		delete(was, v.Server)
+		delete(previous, v.Server)
 	}
-	for id := range was {
+	for id := range previous {
 		p.Gone = append(p.Gone, id)
 	}
 	slices.Sort(p.Gone)
@@ -98,8 +98,8 @@
 	return p
 }
 
-// Onto returns the complete verdicts after s is applied to old. If s is not newer, that is old; if s is a part and old
-// is not of the same replica, it is nil.
+// ApplyTo returns the complete verdicts after s is applied to old. It returns old if s is not newer, and nil if s is partial
+// and old is nil or from another replica.
 func (s *Verdicts) Onto(old *Verdicts) *Verdicts {
 	if old != nil && old.By == s.By && old.Stamp >= s.Stamp {
 		return old
@@ -137,26 +137,26 @@
 	return list
 }
 
-// Server is a server in the list.
+// Server is an entry of the server list.
 type Server struct {
 	ID       string
 	Service  string
-	Region   string // homes bind requests to regions: each region of a service has its own bound
+	Region   string // requests may be bound to a region, so LimitExcluded works by region of a service
 	Capacity int
-	Closed   bool // it drains, or its zone does: it is neither out nor in
+	Closed   bool // it or its zone is draining: counted neither as excluded nor as capacity
 }
 
-// Parts of a service's capacity in a region that are out at once at most.
+// Maximum shares of a service's capacity in a region that may be excluded at once.
 const (
 	mostOutRecord = 1. / 2
 	mostOutAll    = 1. / 3
 )
 
-// leastBad is the reason given for a server that serves only because of Bound.
+// whyLeastBad is the reason given for a server that stays in use only because of LimitExcluded.
 const leastBad = "enough of its service is out: the least bad serve"
 
-// Join merges the verdicts of several replicas into one list. Where they differ the stricter one holds, within the limits
-// of Bound.
+// MergeVerdicts merges the verdicts of several replicas into one list. Where they differ, the stricter one applies, within
+// the limits of LimitExcluded.
 func Join(servers []Server, lists ...[]Verdict) []Verdict {
 	all := map[string]Verdict{}
 	for _, list := range lists {
@@ -170,29 +170,29 @@
 	return Bound(servers, sorted(all))
 }
 
-// Bound limits how much of a service's capacity in a region is out: beyond that the least bad servers serve. It changes
-// the given list.
+// LimitExcluded limits the share of a service's capacity in a region that is excluded. Beyond the limit, the servers with
+// the least evidence against them stay in use. It modifies and returns the given list.
 func Bound(servers []Server, list []Verdict) []Verdict {
-	type field struct{ service, region string }
-	size, of, total := map[string]int{}, map[string]field{}, map[field]int{}
+	type serviceRegion struct{ service, region string }
+	capacity, regionOf, total := map[string]int{}, map[string]serviceRegion{}, map[serviceRegion]int{}
 	for _, s := range servers {
 		if !s.Closed {
-			size[s.ID], of[s.ID] = max(1, s.Capacity), field{s.Service, s.Region}
-			total[of[s.ID]] += size[s.ID]
+			capacity[s.ID], regionOf[s.ID] = max(1, s.Capacity), serviceRegion{s.Service, s.Region}
+			total[regionOf[s.ID]] += capacity[s.ID]
 		}
 	}
 	worst := make([]*Verdict, 0, len(list))
 	for i := range list {
-		if size[list[i].Server] > 0 && list[i].Level >= UnfitRecord {
+		if capacity[list[i].Server] > 0 && list[i].Level >= UnfitRecord {
 			worst = append(worst, &list[i])
 		}
 	}
 	slices.SortFunc(worst, func(a, b *Verdict) int {
 		return cmp.Or(cmp.Compare(b.Level, a.Level), cmp.Compare(b.Share, a.Share), cmp.Compare(b.Age, a.Age), strings.Compare(a.Server, b.Server))
 	})
-	outRecord, outAll := map[field]int{}, map[field]int{}
+	outRecord, outAll := map[serviceRegion]int{}, map[serviceRegion]int{}
 	for _, v := range worst {
-		n, in := size[v.Server], of[v.Server]
+		n, in := capacity[v.Server], regionOf[v.Server]
 		all := float64(total[in])
 		if v.Level == UnfitAll && float64(outAll[in]+n) > all*mostOutAll {
 			v.Level = UnfitRecord
