--- a/internal/dataplane/node/dropped_conn_test.go
+++ b/internal/dataplane/node/dropped_conn_test.go
@@ -11,22 +11,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// useForgetfulServers uses servers that drop a connection silently after it was idle for the time after. They answer the next
-// byte on it with a reset, late by the given time.
-func (r *managedFixture) useForgetfulServers(after, late time.Duration) *scriptedServers {
+// useForgetfulServers replaces the servers by ones that silently drop a connection after it was idle for idleLimit. They answer
+// the next byte on it with a reset, resetDelay later.
+func (r *managedFixture) useForgetfulServers(idleLimit, resetDelay time.Duration) *scriptedServers {
 	h := r.startScriptedServers(nil, nil)
 	for i := range r.list {
 		ln, err := r.net.Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(r.t, err)
 		r.t.Cleanup(func() { ln.Close() })
 		r.list[i].Address = ln.Addr().String()
-		go h.accept(&forgetfulListener{ln, after, late}, nil, nil)
+		go h.accept(&forgetfulListener{ln, idleLimit, resetDelay}, nil, nil)
 	}
 	r.SetServers(2, r.list)
 	return h
 }
 
-// forgetfulListener accepts connections that are dropped after being idle for the time after.
+// forgetfulListener accepts connections that are dropped silently after being idle for idleLimit.
 type forgetfulListener struct {
 	net.Listener
 	after, late time.Duration
@@ -37,7 +37,7 @@
 	return &forgetfulConn{Conn: c, forgetfulListener: d, last: time.Now()}, err
 }
 
-// forgetfulConn resets its connection at the first byte after a long idle time.
+// forgetfulConn is reset at the first byte that arrives after it was idle for too long.
 type forgetfulConn struct {
 	net.Conn
 	*forgetfulListener
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -200,16 +200,16 @@
 	if n != 1 {
 		return nil
 	}
-	var figures []float64
+	var values []float64
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		v, digits := parseDecimal(bytes.TrimSpace(part))
 		if digits == 0 || v > maxLoadValue {
 			return nil
 		}
-		figures = append(figures, float64(v))
+		values = append(values, float64(v))
 	}
-	if len(figures) != 3 {
+	if len(values) != 3 {
 		return nil
 	}
-	return figures
+	return values
 }
--- a/internal/dataplane/node/framing_test.go
+++ b/internal/dataplane/node/framing_test.go
@@ -84,7 +84,7 @@
 		"absolute target":        "GET http://a/lookup HTTP/1.1\r\n\r\n" + get,
 		"chunk without size":     post + "Transfer-Encoding: chunked\r\n\r\n\r\n" + get,
 		"chunk of a bad size":    post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n" + get,
-		"chunk longer than told": post + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + get,
+		"chunk longer than size": post + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + get,
 		"chunk ended by LF":      post + "Transfer-Encoding: chunked\r\n\r\n1\r\na\n0\r\n\r\n" + get,
 	} {
 		c := dial(t, n)
--- a/internal/dataplane/node/leave_test.go
+++ b/internal/dataplane/node/leave_test.go
@@ -150,16 +150,16 @@
 	runManagedIn(t, false, func(n *sim.Net) world.World { d.Net = n; return d }, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{servedAnswer}
 		r.configure()
-		var moments []time.Duration // since the stop
+		var delays []time.Duration // since the stop
 		for _, from := range []time.Duration{0, 1800, 2900, 3000, 3100, 3200, 3700} {
 			for i := range time.Duration(10) {
-				moments = append(moments, from*time.Millisecond+i*10*time.Millisecond)
+				delays = append(delays, from*time.Millisecond+i*10*time.Millisecond)
 			}
 		}
 		var jobs sync.WaitGroup
 		var answers, unread atomic.Int64
 		stop := time.Now().Add(5 * time.Second)
-		for i, at := range moments {
+		for i, at := range delays {
 			text, kept := requestText("/act/", ""), i%3 > 0
 			ask := func(c net.Conn, before int) {
 				_, err := io.WriteString(c, text)
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// addRequest takes in a new request, or rejects it if an open request has the same client id.
+// addRequest adds a new request, or rejects it if an open request has the same client id.
 func (l *loop) addRequest(c *openRequest) {
 	if l.requestsByClientID[c.clientID] != nil {
 		c.commands <- command{clientErrorStatus: statusConflict} // the open request with this id continues
--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -61,8 +61,8 @@
 	// OnRequestFailed, unless nil, is called for each request that may have run and got no server's answer.
 	OnRequestFailed func(id string, why verdict.Verdict)
 
-	// OnUnitsTransferred, unless nil, is called when the proxy has handed over its quota units: of so many, units were
-	// acknowledged by peers.
+	// OnUnitsTransferred, unless nil, is called when the proxy has handed over its quota units. Peers have acknowledged units
+	// of them, out of the number given by of.
 	OnUnitsTransferred func(units, of int)
 }
 
@@ -163,7 +163,7 @@
 // answer.
 func (e *ManagedNode) SetResting(rest bool) { e.node.server.resting.Store(rest) }
 
-// ConfirmConfiguration records that control's statements were confirmed to be the newest so long ago.
+// ConfirmConfiguration records that control's statements were confirmed to be the newest at the time ago before now.
 func (e *ManagedNode) ConfirmConfiguration(ago time.Duration) {
 	at := int64(e.node.loop.clock.now() - ago)
 	for {
@@ -232,15 +232,15 @@
 // SetPeers sets the peers: the index of this proxy, into how many shares quotas are divided, and the peers' addresses and
 // regions by index. Of its own share the proxy leaves the part unusedShare unused.
 func (e *ManagedNode) SetPeers(self, shares int, unusedShare float64, addrs []netip.AddrPort, regions []string) {
-	numbers := max(len(addrs), self+1, shares)
+	peerCount := max(len(addrs), self+1, shares)
 	shares = max(shares, 1)
-	known := make([]netip.AddrPort, numbers)
-	copy(known, addrs)
-	known[self] = netip.AddrPort{}
-	e.node.peers.setAddresses(known)
+	byIndex := make([]netip.AddrPort, peerCount)
+	copy(byIndex, addrs)
+	byIndex[self] = netip.AddrPort{}
+	e.node.peers.setAddresses(byIndex)
 	e.managed.gatewayCount.Store(int64(shares))
 	e.runOnLoop(func(l *loop) {
-		e.handover.peers = policy.GatewaySet{Me: self, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: unusedShare}
+		e.handover.peers = policy.GatewaySet{Me: self, Gateways: peerCount, CeilingParts: shares, Regions: regions, UnusedShare: unusedShare}
 		e.updateShares(l)
 		e.updateServers(l)
 	})
--- a/internal/dataplane/node/managed_test.go
+++ b/internal/dataplane/node/managed_test.go
@@ -102,10 +102,10 @@
 
 func (r *managedFixture) serve(c net.Conn, q *standin.Request) bool {
 	r.mu.Lock()
-	do := r.behaviors[min(len(r.received), len(r.behaviors)-1)]
+	behave := r.behaviors[min(len(r.received), len(r.behaviors)-1)]
 	r.received = append(r.received, q)
 	r.mu.Unlock()
-	return do(c, q)
+	return behave(c, q)
 }
 
 func (r *managedFixture) receivedRequests() []*standin.Request {
@@ -226,7 +226,7 @@
 		"failed":               {"/act/", []serverBehavior{respond("500 Failed", sealField, "oh"), servedAnswer}, 500, 1},
 		"failed, repeatable":   {"/get/", []serverBehavior{respond("500 Failed", sealField, "oh"), servedAnswer}, 200, 2},
 		"failed, then not run": {"/get/", []serverBehavior{respond("500 Failed", sealField, "oh"), notRunAnswer}, 500, 3},
-		"503 without a word":   {"/act/", []serverBehavior{respond("503 Busy", sealField, "no"), servedAnswer}, 502, 1},
+		"503, may have run":    {"/act/", []serverBehavior{respond("503 Busy", sealField, "no"), servedAnswer}, 502, 1},
 		"its own 404":          {"/act/", []serverBehavior{respond("404 Not Found", sealField, "no")}, 404, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dataplane/node/swap_cases_test.go
+++ b/internal/dataplane/node/swap_cases_test.go
@@ -46,7 +46,7 @@
 	var load sync.WaitGroup
 	load.Go(func() { front.Run(ctx) })
 
-	ask := func(i int, key, id, idem, target string) (status int, book string) {
+	post := func(i int, key, id, idempotencyKey, target string) (status int, book string) {
 		r, err := http.NewRequest(http.MethodPost, in.nodes[i].url+target, strings.NewReader("x"))
 		if err != nil {
 			t.Error(err)
@@ -54,14 +54,14 @@
 		}
 		r.Header.Set("X-Api-Key", key)
 		r.Header.Set("X-Request-Id", id)
-		r.Header.Set("Idempotency-Key", idem)
+		r.Header.Set("Idempotency-Key", idempotencyKey)
 		r.Close = true
 		if strings.HasPrefix(id, "err") { // the class that the request was read as decides whether it may be repeated
 			class := "loan-request"
 			if !strings.HasSuffix(id, "a") {
 				class = "holdings-lookup"
 			}
-			in.ledger.Note(audit.Asked{Request: id, Node: in.addrs[i].Name, Customer: in.libraries[0].Number, Plan: in.libraries[0].Plan, Class: class, Key: idem,
+			in.ledger.Note(audit.Asked{Request: id, Node: in.addrs[i].Name, Customer: in.libraries[0].Number, Plan: in.libraries[0].Plan, Class: class, Key: idempotencyKey,
 				Deadline: 5 * time.Second, Operation: "place"})
 			defer func() { in.ledger.Note(audit.Answered{Request: id, Status: status}) }()
 		}
@@ -88,7 +88,7 @@
 		for k := range 3 {
 			id := fmt.Sprintf("slow%d-%d", round, k)
 			go func() {
-				s, b := ask(n, in.keys[3], id, id, "/loans")
+				s, b := post(n, in.keys[3], id, id, "/loans")
 				answers <- answer{s, b}
 			}()
 			eventually(t, "the first request is in flight, the others are held", func() bool {
@@ -99,17 +99,17 @@
 			})
 		}
 		// A request with the id of an open request is a conflict.
-		if s, _ := ask(n, in.keys[3], fmt.Sprintf("slow%d-0", round), "x", "/loans"); s != http.StatusConflict {
+		if s, _ := post(n, in.keys[3], fmt.Sprintf("slow%d-0", round), "x", "/loans"); s != http.StatusConflict {
 			t.Errorf("duplicate id: %d", s)
 		}
 		// The operation and all keys are removed.
-		gone := in.compileBook(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
-		keyless, err := routing.NewTable(&in.nodes[0].cfg.Settings, gone.Book, nil, nil, gone.Options)
+		removed := in.compileBook(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
+		keyless, err := routing.NewTable(&in.nodes[0].cfg.Settings, removed.Book, nil, nil, removed.Options)
 		if err != nil {
 			t.Fatal(err)
 		}
 		in.activateBook(n, keyless)
-		if s, _ := ask(n, in.keys[3], fmt.Sprintf("new%d", round), "x", "/loans"); s != http.StatusNotFound {
+		if s, _ := post(n, in.keys[3], fmt.Sprintf("new%d", round), "x", "/loans"); s != http.StatusNotFound {
 			t.Errorf("new request for a removed operation: %d", s)
 		}
 		for range 3 {
@@ -120,13 +120,13 @@
 
 		// An attempt with an idempotency key, then one with the same key under a book that makes the operation a safe lookup.
 		in.activateBook(n, base)
-		idem := fmt.Sprint("idem", round)
-		ask(n, in.keys[0], fmt.Sprintf("err%d-a", round), idem, "/loans")
+		idempotencyKey := fmt.Sprint("idem", round)
+		post(n, in.keys[0], fmt.Sprintf("err%d-a", round), idempotencyKey, "/loans")
 		list := append([]routebook.Route(nil), base.Book.Routes()...)
 		list[1].Class, list[1].Repeat = "holdings-lookup", routebook.Safe
 		in.activateBook(n, in.compileBook(t, fmt.Sprintf("lookup%d", round), list))
-		ask(n, in.keys[0], fmt.Sprintf("err%d-b", round), idem, "/loans")
-		ask(n, in.keys[0], fmt.Sprintf("err%d-c", round), "fresh"+idem, "/loans")
+		post(n, in.keys[0], fmt.Sprintf("err%d-b", round), idempotencyKey, "/loans")
+		post(n, in.keys[0], fmt.Sprintf("err%d-c", round), "fresh"+idempotencyKey, "/loans")
 		mu.Lock()
 		a, b, c := count[fmt.Sprintf("err%d-a", round)], count[fmt.Sprintf("err%d-b", round)], count[fmt.Sprintf("err%d-c", round)]
 		mu.Unlock()
@@ -135,9 +135,9 @@
 		}
 
 		// API keys of two libraries in one request.
-		two := in.compileBook(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
-		in.activateBook(n, two)
-		if s, _ := ask(n, in.keys[0], fmt.Sprintf("two%d", round), "x", "/loans?k="+in.keys[1]); s != http.StatusBadRequest {
+		twoKeys := in.compileBook(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
+		in.activateBook(n, twoKeys)
+		if s, _ := post(n, in.keys[0], fmt.Sprintf("two%d", round), "x", "/loans?k="+in.keys[1]); s != http.StatusBadRequest {
 			t.Errorf("keys of two libraries: %d", s)
 		}
 	}
