--- a/internal/dataplane/node/managed_test.go
+++ b/internal/dataplane/node/managed_test.go
@@ -199,10 +199,10 @@
 func TestManagedAnswers(t *testing.T) {
 	sealed := "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: s\r\n"
 	for name, c := range map[string]struct {
-		path     string
-		acts     []serverBehavior
-		status   int
-		attempts int
+		path      string
+		behaviors []serverBehavior
+		status    int
+		attempts  int
 	}{
 		"served":               {"/act/", []serverBehavior{servedAnswer}, 200, 1},
 		"foreign answer first": {"/act/", []serverBehavior{respondRaw(foreignAnswer + sealed + "Content-Length: 3\r\n\r\nyes")}, 200, 1},
@@ -220,7 +220,7 @@
 		"reset":                {"/act/", []serverBehavior{reset, servedAnswer}, 502, 1},
 		"reset, repeatable":    {"/get/", []serverBehavior{reset, servedAnswer}, 200, 2},
 		"not run":              {"/act/", []serverBehavior{notRunAnswer, servedAnswer}, 200, 2},
-		"misled":               {"/act/", []serverBehavior{misdirectedAnswer, misdirectedAnswer, servedAnswer}, 200, 3},
+		"misdirected":          {"/act/", []serverBehavior{misdirectedAnswer, misdirectedAnswer, servedAnswer}, 200, 3},
 		"never run":            {"/act/", []serverBehavior{notRunAnswer, misdirectedAnswer, notRunAnswer, servedAnswer}, 503, 3},
 		"not run, then reset":  {"/act/", []serverBehavior{notRunAnswer, reset, servedAnswer}, 502, 2},
 		"failed":               {"/act/", []serverBehavior{respond("500 Failed", sealField, "oh"), servedAnswer}, 500, 1},
@@ -231,7 +231,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
-				r.behaviors = c.acts
+				r.behaviors = c.behaviors
 				r.configure()
 				a := r.request(c.path+"a?q=1", "")
 				assert.Equal(t, a.StatusCode, c.status, a.body)
