--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -19,7 +19,7 @@
 // standalone protocol an attempt in flight is not cancelled.
 func TestClientGone(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1")
-	g, err := policy.New(cfg.Settings, cfg.Seed)
+	gateway, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	l := newLoop(newClock(world.Real{}), g, newTestUpstream(refusingAddress(t)))
+	l := newLoop(newClock(world.Real{}), gateway, newTestUpstream(refusingAddress(t)))
 	waiting, sent := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
 	waiting.ID, sent.ID, sent.inFlight = 1, 2, &attempt{id: 2}
 	waiting.answerBy, sent.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -64,13 +64,13 @@
 		}
 		e.runOnLoop(func(l *loop) { e.enterStage(l, stage) })
 		if stage == handover.Answering && e.cfg.OnUnitsTransferred != nil {
-			units, offered := 0, 0
+			taken, total := 0, 0
 			e.runOnLoop(func(*loop) {
 				if g := e.handover.giver; g != nil {
-					units, offered = g.Taken()
+					taken, total = g.Taken()
 				}
 			})
-			e.cfg.OnUnitsTransferred(units, offered)
+			e.cfg.OnUnitsTransferred(taken, total)
 		}
 	}
 }
--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -53,17 +53,17 @@
 	EnforceRevocation         bool          // revoked keys must be refused within RevocationLimit
 	RevocationLimit           time.Duration // of their acknowledgement, also while control is unreachable
 	RetryRatio, RetrySlack    float64       // allowed retries: per request of a service, and in addition
-	QuotaExcess, QuotaSlack   float64
-	QuotaWindow               time.Duration
-	WarmupExcess, WarmupSlack float64
-	ListLag                   time.Duration
+	QuotaExcess, QuotaSlack   float64       // allowed excess over a quota: as a part of it, and in addition, in units
+	QuotaWindow               time.Duration // period that the excess is measured over
+	WarmupExcess, WarmupSlack float64       // the same for the limit on requests to cold servers
+	ListLag                   time.Duration // how late the server list may be
 
 	// OnRequestFailed, unless nil, is called for each request that may have run and got no server's answer.
 	OnRequestFailed func(id string, why verdict.Verdict)
 
-	// OnUnitsTransferred, unless nil, is called when the proxy has handed over its quota units. Peers have acknowledged units
-	// of them, out of the number given by of.
-	OnUnitsTransferred func(units, of int)
+	// OnUnitsTransferred, unless nil, is called when the proxy has handed over its quota units: peers have acknowledged taken
+	// of total units.
+	OnUnitsTransferred func(taken, total int)
 }
 
 // ManagedNode is a proxy that control configures through its agent. It has the same loop, sockets and decisions as Node, but
