--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -183,14 +183,14 @@
 // ticks of a large fleet are longer.
 func TestRetryAfterWithoutRateQuota(t *testing.T) {
 	for _, c := range []struct {
-		plan string
-		max  time.Duration
+		plan  string
+		limit time.Duration
 	}{{"open", 120 * ms}, {"rate", 500 * ms}} {
 		w := newManyGateways(t, 100, testServers(10))
 		g := w.gateways[0]
 		r := &request{customer: g.addCustomer(keyOf("k"), g.plans[c.plan], 0, 100), units: 1}
-		if got := g.retryAfter(r); got > c.max || got <= 0 {
-			t.Errorf("plan %s: advised after %v, want %v at most", c.plan, got, c.max)
+		if got := g.retryAfter(r); got > c.limit || got <= 0 {
+			t.Errorf("plan %s: advised after %v, want %v at most", c.plan, got, c.limit)
 		}
 	}
 }
