--- a/policy/buckets_test.go
+++ b/policy/buckets_test.go
@@ -20,7 +20,7 @@
 		tell func(w *testGateway)
 		most int
 	}{
-		{"told", func(w *testGateway) {
+		{"reported", func(w *testGateway) {
 			w.report(1, 1, 2, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 		}, 2},
 		{"repeated", func(w *testGateway) {
@@ -28,7 +28,7 @@
 				w.report(1, 1, 2, true, customerEntry{hash: hashOf("c"), passed: 4, bucketFill: unknownFill})
 			}
 		}, 6},
-		{"lost, then told", func(w *testGateway) {
+		{"lost, then reported", func(w *testGateway) {
 			w.report(1, 1, 9, true, customerEntry{hash: hashOf("c"), passed: 8, bucketFill: unknownFill})
 			w.report(1, 1, 3, true, customerEntry{hash: hashOf("c"), passed: 4, bucketFill: unknownFill})
 		}, 2},
@@ -146,7 +146,8 @@
 	seq := uint32(0)
 	receive := func(passed byte, newTotal bool) float64 {
 		seq++
-		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: newTotal, bucketFill: unknownFill}}}
+		m := report{incarnation: 9, seq: seq, complete: true,
+			customers: []customerEntry{{hash: c.hash, passed: passed, newTotal: newTotal, bucketFill: unknownFill}}}
 		w.g.advance(c)
 		before := c.bucket
 		w.do(PeerMessage{From: 1, Data: m.encode()})
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -43,7 +43,8 @@
 		}
 	}
 	g.advance(c)
-	return (c.plan.Rate == 0 || c.bucket >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.parts)
+	return (c.plan.Rate == 0 || c.bucket >= c.plan.Burst) &&
+		(c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.parts)
 }
 
 // removeHash removes a customer from the table of short hashes. If exactly one other customer
@@ -73,8 +74,8 @@
 func newGateway(s Settings, seed uint64) *Gateway {
 	g := &Gateway{cfg: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, plans: map[string]*planState{}, customers: map[uint64]*customer{},
-		pendingAsks:     map[uint32]*request{},
-		customersByHash: map[uint32]*customer{}, retryBudgets: map[string]float64{}, requests: map[RequestID]*request{}, servers: map[ServerID]*server{}}
+		pendingAsks: map[uint32]*request{}, customersByHash: map[uint32]*customer{},
+		retryBudgets: map[string]float64{}, requests: map[RequestID]*request{}, servers: map[ServerID]*server{}}
 	g.incarnation, g.reportTicks = g.rng.Uint32(), 1
 	for i, p := range s.Plans {
 		g.plans[p.Name] = &planState{Plan: p, index: byte(i)}
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -15,7 +15,7 @@
 		lost  int // one of this many messages is lost
 		least int // requests that must pass
 	}{
-		{"far above", 2, 1 << 30, 85}, {"far above, mail lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
+		{"far above", 2, 1 << 30, 85}, {"far above, messages lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newManyGateways(t, 300, testServers(40))
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -32,7 +32,8 @@
 
 func newManyGateways(t *testing.T, n int, servers []Server) *manyGateways {
 	t.Helper()
-	c := &manyGateways{t: t, now: 10 * time.Second, attemptTime: 50 * ms, endedAttempts: map[RequestID]int{}, dropMessage: func(int, int) bool { return false }}
+	c := &manyGateways{t: t, now: 10 * time.Second, attemptTime: 50 * ms,
+		endedAttempts: map[RequestID]int{}, dropMessage: func(int, int) bool { return false }}
 	for i := range n {
 		s := testSettings()
 		s.Me, s.Gateways = i, n
@@ -92,7 +93,8 @@
 				code = c.code(c.endedSends)
 			}
 			c.endedAttempts[s.ID]++
-			c.do(c.sentFrom[c.endedSends], Outcome{ID: s.ID, Attempt: c.endedAttempts[s.ID] - 1, Server: s.Server, Code: code, Latency: c.attemptTime, Final: code == OK})
+			c.do(c.sentFrom[c.endedSends], Outcome{ID: s.ID, Attempt: c.endedAttempts[s.ID] - 1, Server: s.Server, Code: code,
+				Latency: c.attemptTime, Final: code == OK})
 		}
 		if step != nil {
 			step(c.now)
--- a/policy/multiservice_test.go
+++ b/policy/multiservice_test.go
@@ -18,14 +18,17 @@
 func multiServiceSettings() Settings {
 	return Settings{Gateways: 1, Zone: "a", Resolution: ms, CanCancel: true, CanMessagePeers: true, MessagesPerSecond: 40,
 		MaxRequestUnits: 1, MaxRetryAfter: time.Second,
-		MultiService: &MultiService{RetryBudgetPerAttempt: 0.14, MaxRetryBudget: func(string) float64 { return 3 }, ColdShare: 0.5, ColdWindow: 1150 * ms, ReportInterval: 250 * ms}}
+		MultiService: &MultiService{RetryBudgetPerAttempt: 0.14, MaxRetryBudget: func(string) float64 { return 3 },
+			ColdShare: 0.5, ColdWindow: 1150 * ms, ReportInterval: 250 * ms}}
 }
 
+// multiServiceConfig returns an update with two classes, safe and unsafe, and the plans.
 func multiServiceConfig(plans ...Plan) ConfigUpdate {
 	return ConfigUpdate{Plans: plans, Classes: []Class{{Name: "safe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second},
 		{Name: "once", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Effect: Unsafe}}}
 }
 
+// makeServers returns n servers of a service, with slots for all requests of a test.
 func makeServers(n int, service string) (l []Server) {
 	for i := range n {
 		l = append(l, Server{ID: ServerID(len(service)*100 + i), Zone: "a", Region: "r", Service: service, Slots: 1000})
@@ -44,22 +47,24 @@
 	const maxDelay = 300 * ms
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Plan {
-			return limitedPlan(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"), rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
+			return limitedPlan(rapid.SampledFrom([]float64{10, 60, 400}).Draw(t, "rate"),
+				rapid.SampledFrom([]float64{1, 30, 120}).Draw(t, "burst"))
 		}
 		type limitPeriod struct {
 			Plan
 			from, to time.Duration
 		}
 		limits := []limitPeriod{{draw(), 0, time.Hour}}
-		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"), rapid.Uint64().Draw(t, "seed"), makeServers(4, "s"), limits[0].Plan)
-		m.now += time.Minute // all stores are full
+		m := newServiceGateways(rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "gateways"),
+			rapid.Uint64().Draw(t, "seed"), makeServers(4, "s"), limits[0].Plan)
+		m.now += time.Minute // all buckets are full
 		for range rapid.IntRange(2, 6).Draw(t, "phases") {
 			m.lossRate = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "lost")
-			at := rapid.IntRange(0, len(m.gateways)).Draw(t, "at") // the last: at all alike
+			at := rapid.IntRange(0, len(m.gateways)).Draw(t, "at") // the last value: at all gateways evenly
 			times := rapid.SampledFrom([]float64{20, 3, 0.5}).Draw(t, "times the rate")
 			switch rapid.IntRange(0, 3).Draw(t, "what comes") {
 			case 1:
-				for range rapid.IntRange(1, len(m.gateways)).Draw(t, "started anew") {
+				for range rapid.IntRange(1, len(m.gateways)).Draw(t, "restarted") {
 					m.start(m.rng.IntN(len(m.gateways)), maxDelay)
 				}
 			case 2:
@@ -144,7 +149,7 @@
 
 // A new limit applies to tenants that sent requests before it.
 func TestLimitComesIntoForce(t *testing.T) {
-	for name, before := range map[string][]Plan{"not told": nil, "none": {{Name: "t"}}, "higher": {limitedPlan(1000, 1000)}} {
+	for name, before := range map[string][]Plan{"not known": nil, "none": {{Name: "t"}}, "higher": {limitedPlan(1000, 1000)}} {
 		t.Run(name, func(t *testing.T) {
 			m := newServiceGateways(2, 1, makeServers(4, "s"), before...)
 			flood := func() {
@@ -172,15 +177,17 @@
 		byID := map[ServerID]Server{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
 			s := Server{ID: ServerID(i), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Slots: 2,
-				Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"), Region: rapid.SampledFrom([]string{"r", "q"}).Draw(t, "region"),
-				State: rapid.SampledFrom([]State{Running, Running, Draining}).Draw(t, "state")}
+				Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"),
+				Region:  rapid.SampledFrom([]string{"r", "q"}).Draw(t, "region"),
+				State:   rapid.SampledFrom([]State{Running, Running, Draining}).Draw(t, "state")}
 			servers, byID[s.ID] = append(servers, s), s
 		}
 		m := newServiceGateways(2, rapid.Uint64().Draw(t, "seed"), servers, Plan{Name: "t"})
 		m.code = func(Send) Code { return Code(m.rng.IntN(int(NoRetry))) }
 		asked := map[RequestID]Request{}
 		m.pass(4*time.Second, func() {
-			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rng.IntN(2)], Service: []string{"s", "t"}[m.rng.IntN(2)],
+			r := Request{Customer: "t", Plan: "t", Class: []string{"safe", "once"}[m.rng.IntN(2)],
+				Service: []string{"s", "t"}[m.rng.IntN(2)],
 				Regions: [][]string{nil, {"r"}, {"r", "q"}}[m.rng.IntN(3)], MaxAttempts: 1 + m.rng.IntN(3)}
 			asked[m.lastID+1] = r
 			m.ask(m.rng.IntN(2), r)
@@ -274,7 +281,8 @@
 	m := newServiceGateways(1, 1, makeServers(4, "s"))
 	var added ConfigUpdate
 	for i := range 12 {
-		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i), LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
+		added.Classes = append(added.Classes, Class{Name: fmt.Sprint("late", i),
+			LatencyTarget: 500 * ms, Deadline: 2 * time.Second})
 	}
 	m.do(0, added)
 	m.code = func(s Send) Code {
@@ -333,7 +341,8 @@
 	for _, change := range []struct {
 		GatewaySet
 		others []int
-	}{{GatewaySet{Me: 2, Gateways: 4}, []int{0, 1, 3}}, {GatewaySet{Me: 1, Gateways: 3}, []int{0, 2}}, {GatewaySet{Me: 0, Gateways: 2}, []int{1}}} {
+	}{{GatewaySet{Me: 2, Gateways: 4}, []int{0, 1, 3}},
+		{GatewaySet{Me: 1, Gateways: 3}, []int{0, 2}}, {GatewaySet{Me: 0, Gateways: 2}, []int{1}}} {
 		g.Handle(m.now, change.GatewaySet, nil)
 		var peers []int
 		for _, v := range c.views {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -24,7 +24,8 @@
 			c.Class = cl
 			continue
 		}
-		g.classes[cl.Name] = &class{Class: cl, index: len(g.cfg.Classes), mean: cl.LatencyTarget.Seconds() / initialLatencyDivisor}
+		g.classes[cl.Name] = &class{Class: cl, index: len(g.cfg.Classes),
+			mean: cl.LatencyTarget.Seconds() / initialLatencyDivisor}
 		g.cfg.Classes = append(g.cfg.Classes, cl)
 		g.minTarget = min(g.minTarget, cl.LatencyTarget.Seconds())
 	}
@@ -45,10 +46,12 @@
 func (g *Gateway) onGatewaySet(ev GatewaySet) {
 	g.cfg.Me, g.cfg.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
 	g.gatewayRegions = ev.Regions
-	g.ceilingParts, g.unusedShare, g.noColdSends = ev.CeilingParts, ev.UnusedShare, ev.NoColdSends || ev.UnusedShare > 0
+	g.ceilingParts, g.unusedShare = ev.CeilingParts, ev.UnusedShare
+	g.noColdSends = ev.NoColdSends || ev.UnusedShare > 0
 	g.regions = slices.Compact(slices.Sorted(slices.Values(ev.Regions)))
 	g.regions = slices.DeleteFunc(g.regions, func(r string) bool { return r == "" })
-	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > borrowBeyondGateways && len(g.regions) > 0
+	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > borrowBeyondGateways &&
+		len(g.regions) > 0
 	for len(g.peers) < g.cfg.Gateways {
 		g.peers = append(g.peers, nil)
 	}
@@ -146,7 +149,9 @@
 		}
 		return 1
 	}
-	slices.SortFunc(r.customer.views, func(a, b *peerView) int { return cmp.Or(distance(a)-distance(b), cmp.Compare(a.demand, b.demand)) })
+	slices.SortFunc(r.customer.views, func(a, b *peerView) int {
+		return cmp.Or(distance(a)-distance(b), cmp.Compare(a.demand, b.demand))
+	})
 	for _, v := range r.customer.views {
 		if !g.isSilent(v.peer) && len(list) < maxLenders {
 			list = append(list, v.peer.index)
@@ -181,7 +186,8 @@
 
 // isNotPeer reports whether a number no longer belongs to a peer: it is this gateway's, or unused.
 func (g *Gateway) isNotPeer(p *peer) bool {
-	return p.index == g.cfg.Me || p.index >= g.cfg.Gateways || len(g.gatewayRegions) > p.index && g.gatewayRegions[p.index] == ""
+	return p.index == g.cfg.Me || p.index >= g.cfg.Gateways ||
+		len(g.gatewayRegions) > p.index && g.gatewayRegions[p.index] == ""
 }
 
 // ceilingPartCount returns the number of parts into which ceilings are divided.
--- a/policy/report.go
+++ b/policy/report.go
@@ -126,8 +126,9 @@
 		if len(b) < entryBytes {
 			return m, false
 		}
-		e := customerEntry{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), inFlight: b[3] >> 4, held: b[3] & maxReportedHeld,
-			passed: b[4], lent: b[5], rate: b[6] & maxRateCode, newTotal: b[6]&flagNewTotal != 0, bucketFill: b[7]}
+		e := customerEntry{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]),
+			inFlight: b[3] >> 4, held: b[3] & maxReportedHeld, passed: b[4], lent: b[5],
+			rate: b[6] & maxRateCode, newTotal: b[6]&flagNewTotal != 0, bucketFill: b[7]}
 		b = b[entryBytes:]
 		m.customers = append(m.customers, e)
 	}
@@ -136,9 +137,9 @@
 
 // applyEntry stores an entry's figures and returns the units passed and lent since the last one. isNew reports
 // whether the sender's totals were unknown or have restarted from 0; the units passed then count from there.
-func (v *peerView) applyEntry(e customerEntry, inc uint32, now time.Duration) (passed, lent float64, isNew bool) {
+func (v *peerView) applyEntry(e customerEntry, incarnation uint32, now time.Duration) (passed, lent float64, isNew bool) {
 	outdated := now-v.reportedAt > newTotalSpan
-	if isNew = !v.reported || v.incarnation != inc || e.newTotal && outdated; isNew {
+	if isNew = !v.reported || v.incarnation != incarnation || e.newTotal && outdated; isNew {
 		v.passedUnits, v.borrowedTotal = 0, e.lent
 		if !v.reported && !e.newTotal {
 			v.passedUnits = e.passed
@@ -150,7 +151,7 @@
 	} else {
 		lent = float64(e.lent-v.borrowedTotal) / loanScale
 	}
-	v.reported, v.incarnation, v.passedUnits, v.borrowedTotal = true, inc, e.passed, e.lent
+	v.reported, v.incarnation, v.passedUnits, v.borrowedTotal = true, incarnation, e.passed, e.lent
 	v.reportedAt, v.demand = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandDecay.Seconds()
 	v.inFlight, v.held = math.Pow(float64(e.inFlight)/inFlightScale, 2), float64(e.held)
 	return passed, lent, isNew
--- a/policy/reporting.go
+++ b/policy/reporting.go
@@ -27,8 +27,9 @@
 		g.advance(c)
 		e := customerEntry{hash: c.hash, held: byte(min(len(c.held), maxReportedHeld)),
 			inFlight: byte(min(math.Round(inFlightScale*math.Sqrt(c.meanInFlight)), 15)),
-			passed:   byte(c.passedUnits), lent: v.lentTotal, bucketFill: unknownFill, newTotal: g.now-c.createdAt < newTotalSpan,
-			rate: min(maxRateCode, toByte(rateScale*math.Log2(1+c.demand/demandDecay.Seconds())))}
+			passed:   byte(c.passedUnits), lent: v.lentTotal, bucketFill: unknownFill,
+			newTotal: g.now-c.createdAt < newTotalSpan,
+			rate:     min(maxRateCode, toByte(rateScale*math.Log2(1+c.demand/demandDecay.Seconds())))}
 		if c.bucketKnown && c.plan.Burst > 0 {
 			e.bucketFill = toByte(250 * max(c.bucket, 0) / c.plan.Burst)
 		}
@@ -71,7 +72,9 @@
 			changed = append(changed, c)
 		}
 	}
-	slices.SortStableFunc(changed, func(a, b *customer) int { return cmp.Compare(b.reportPriority, a.reportPriority) })
+	slices.SortStableFunc(changed, func(a, b *customer) int {
+		return cmp.Compare(b.reportPriority, a.reportPriority)
+	})
 	for _, p := range g.peers {
 		if p == nil || p.index == g.cfg.Me || g.usesRoots && len(p.views) == 0 {
 			continue
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -148,7 +148,8 @@
 	}
 	w.advance(idleExpiry + 2*time.Second)
 	if len(w.g.serverList) != 2 || len(w.g.servers) != 2 || w.g.runningServers != 2 || w.g.meanWeight != 1 {
-		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.serverList), len(w.g.servers), w.g.runningServers, w.g.meanWeight)
+		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1",
+			len(w.g.serverList), len(w.g.servers), w.g.runningServers, w.g.meanWeight)
 	}
 }
 
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -40,7 +40,8 @@
 const answerLost Code = -1 // returned by serviceGateways.code: the answer is lost
 
 func newServiceGateways(n int, seed uint64, servers []Server, plans ...Plan) *serviceGateways {
-	m := &serviceGateways{now: time.Second, rng: rand.New(rand.NewPCG(seed, 1)), servers: servers, plans: plans, attemptTime: 30 * ms,
+	m := &serviceGateways{now: time.Second, rng: rand.New(rand.NewPCG(seed, 1)), servers: servers,
+		plans: plans, attemptTime: 30 * ms,
 		attempts: map[RequestID]int{}, cancelledAt: map[RequestID]time.Duration{}, code: func(Send) Code { return OK }}
 	m.gateways, m.knownGateways = make([]*Gateway, n), make([]int, n)
 	for i := range n {
@@ -80,7 +81,8 @@
 		switch a := a.(type) {
 		case SendPeer:
 			if m.gateways[a.To] != nil && m.rng.Float64() >= m.lossRate {
-				m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(40 * ms), m.gateways[a.To], PeerMessage{From: i, Data: a.Data}})
+				m.inTransit = append(m.inTransit, delayedEvent{m.randomTimeWithin(40 * ms), m.gateways[a.To],
+					PeerMessage{From: i, Data: a.Data}})
 			}
 		case Send:
 			attempt := m.attempts[a.ID]
@@ -90,8 +92,9 @@
 			if code == answerLost {
 				continue
 			}
-			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i], Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
-				Code: code, Latency: m.attemptTime, Final: code == OK}})
+			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i],
+				Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
+					Code: code, Latency: m.attemptTime, Final: code == OK}})
 		case Cancel:
 			m.cancelledAt[a.ID] = m.now
 		}
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -31,14 +31,18 @@
 		handle(multiServiceConfig(Plan{Name: "p"}))
 		handle(GatewaySet{Gateways: 1})
 		handle(ServerList{Kind: CompleteList, Servers: servers})
-		trust := TrustUpdate{Servers: map[ServerID]Trust{servers[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")}, servers[1].ID: {Level: Suspect}}}
+		trust := TrustUpdate{Servers: map[ServerID]Trust{
+			servers[0].ID: {Level: TrustLevel(rapid.IntRange(0, 3).Draw(t, "level")), Trial: rapid.Bool().Draw(t, "try")},
+			servers[1].ID: {Level: Suspect},
+		}}
 		handle(trust)
 		tested := trust.Servers[servers[0].ID]
 		trials := 0
 		for range 40 {
 			class := rapid.SampledFrom([]string{"safe", "once"}).Draw(t, "class")
 			id++
-			for _, s := range handle(Request{ID: id, Customer: "c", Plan: "p", Class: class, Units: 1, Remaining: 2 * time.Second, Service: "desk"}) {
+			for _, s := range handle(Request{ID: id, Customer: "c", Plan: "p", Class: class, Units: 1,
+				Remaining: 2 * time.Second, Service: "desk"}) {
 				mustNotRepeat := class == "once"
 				switch {
 				case s.Server == servers[0].ID && (tested.Level == TrialsOnly || tested.Level == SafeOnly && mustNotRepeat):
--- a/policy/values.go
+++ b/policy/values.go
@@ -6,15 +6,15 @@
 const (
 	reportIntakeShare = 0.75 // share of a gateway's message intake that reports may use
 	minTick, maxTick  = 25 * time.Millisecond, 250 * time.Millisecond
-	staleAfterReports = 6    // report intervals after which a peer's report is no longer used
-	minSilentWeight   = 0.33 // a silent peer's demand decays to this share of it
-	idleExpiry        = 10 * time.Second
-	demandDecay       = 2 * time.Second       // decay of the demand rates
+	staleAfterReports = 6                     // report intervals after which a peer's report is outdated
+	minSilentWeight   = 0.33                  // a silent peer's demand decays to this share of it
+	idleExpiry        = 10 * time.Second      // until unused entries expire; decay of a silent peer's demand
+	demandDecay       = 2 * time.Second       // time constant by which demand rates decay
 	reportTransitTime = 25 * time.Millisecond // transit time of a report
 	reportAgeWeight   = 0.01                  // urgency that a customer gains with each tick without a report
 	reportsPerChange  = 3                     // a change is included in this many reports
 
-	assumedDemandShare, minAssumedDemand = 0.02, 0.05 // assumed of each gateway: of the rate, units a second
+	assumedDemandShare, minAssumedDemand = 0.02, 0.05 // demand assumed of a gateway: of the rate, and units/s
 
 	arrivalSlack, releaseSlack = 0.5, 0.25 // part of a request allowed over a cap, at arrival and later
 
@@ -27,15 +27,15 @@
 	minInFlightWhenFull       = 2.5  // but not below this many attempts in flight
 	retryReserve              = 0.3  // share of the bucket that retries leave to first requests
 
-	serverShortageSpan = 200 * time.Millisecond // retries are refused after a shortage
+	serverShortageSpan = 200 * time.Millisecond // retries are refused so long after a server shortage
 
 	holdShare             = 0.25 // a request is held for this share of its latency target
 	initialLatencyDivisor = 8.0  // a class's initial mean latency is its target over this
 
 	learningRate, meanLearningRate = 0.1, 0.03 // weight of an outcome in a slowdown, in a class's mean
 
-	healthDecayTime = 10 * time.Second       // time constant of old health figures
-	rejectionPause  = 2 * time.Second        // for a plan that a server rejected
+	healthDecayTime = 10 * time.Second       // time constant by which old health figures decay
+	rejectionPause  = 2 * time.Second        // before a server gets a plan again that it rejected
 	queueFullPause  = 150 * time.Millisecond // short: a full queue soon has room again
 	newTotalSpan    = 2 * time.Second        // a total is marked as restarted from 0
 
@@ -47,7 +47,7 @@
 	overdueFactor    = 4.0 // and when this many times as old as predicted
 	lostAnswerFactor = 6.0 // or this many times, if its server has answered others since
 
-	failureWeight, ejectionThreshold = 0.2, 0.45 // of a failure; failure average that ejects a server
+	failureWeight, ejectionThreshold = 0.2, 0.45 // weight of a failure; average that ejects a server
 
 	failureShareAfterTrial = 0.6 // share of the failure average left after a good trial
 
@@ -57,13 +57,14 @@
 	maxLateness      = 0.4  // mean latency over target from which a share of the requests is refused
 	maxRootsLateness = 0.35 // the same, where gateways use roots and don't see each other's load
 
-	admissionCutTime, admissionRecoveryTime = 3 * time.Second, 8 * time.Second // to 1/e; from 0 to 1
+	// Times in which the share of requests admitted falls to 1/e, and rises from 0 to 1 again.
+	admissionCutTime, admissionRecoveryTime = 3 * time.Second, 8 * time.Second
 
-	minAdmission = 0.25 // enough to notice a recovery
+	minAdmission = 0.25 // minimum share of requests admitted: enough to notice a recovery
 
-	latenessDecayTime = 12 * time.Second // time constant of the lateness
+	latenessDecayTime = 12 * time.Second // time constant by which the lateness decays
 
-	latenessWeight = 0.15 // of an outcome or a root's reply
+	latenessWeight = 0.15 // weight of an outcome or a root's reply in the lateness
 
 	// Where reports from all gateways to all exceed the message rate.
 	useRootsTickFactor = 2   // roots are used if reports need ticks above maxTick by this factor
@@ -72,13 +73,13 @@
 	rootReportTicks    = 2   // ticks between the reports of a customer's roots to each other
 	rootAsks           = 3   // times a root is asked before its deputy is
 
-	peerPause = time.Second // for a peer that left as many asks unanswered
+	peerPause = time.Second // before a peer is asked again that left rootAsks asks unanswered
 
 	restartedBucketFill    = 0.8  // share of a bucket that a root assumes after its start
 	deputyCeilingShare     = 0.1  // share of a hard ceiling that the deputy holds
 	dealtCeilingShare      = 0.6  // share divided evenly among all gateways, and used first
-	isolatedCautionFactor  = 0.25 // of what an isolated gateway passes: for retries and under caps
-	unansweredPassExponent = 4.0  // of the share of asks answered: chance to pass without a reply
+	isolatedCautionFactor  = 0.25 // factor on what an isolated gateway passes, for retries and under caps
+	unansweredPassExponent = 4.0  // chance to pass without a reply: share of asks answered, to this power
 	isolatedAfterAsks      = 4    // unanswered asks in a row after which a gateway is isolated
 
 	minReplyWait = 30 * time.Millisecond // minimum wait for a reply
@@ -87,7 +88,7 @@
 
 	askShareSpan = 20 * time.Second // a root's reply on the share to ask for is used this long
 
-	minAskShare          = 0.1   // of a cap, asked for at a root whose message intake is full
+	minAskShare          = 0.1   // minimum share of a cap asked for at a root with full intake
 	leaseMeanLatencies   = 8.0   // lease of an attempt with no reported end, in mean latencies
 	maxSlowdown          = 12.0  // maximum slowdown recorded of a server
 	minSlowdown          = 0.1   // minimum slowdown in a verdict
@@ -105,7 +106,7 @@
 	loanTransitTime  = 300 * time.Millisecond // time in which a loan of ceiling units arrives
 	unlentDemandSpan = 500 * time.Millisecond // this gateway's demand of this time is not lent
 
-	lendThresholdShare = 0.5 // of its part, which a peer uses before it gets loans: bursts come on top
+	lendThresholdShare = 0.5 // share of its part that a peer must use to get loans: bursts come on top
 	maxLoan            = 2.0 // maximum loan, as a multiple of the demand beyond a part
 
 	// Where gateways serve many services.
@@ -119,14 +120,14 @@
 	serverLoadDecayTime  = 400 * time.Millisecond // time constant of a load that a server reported
 	usualLoadDecayTime   = 2 * time.Second        // the same, in its service's average in a region
 
-	minDealtUnits, minCeilingShare = 2.0, 1e-9 // minimum of a gateway's even part; of a share of the ceiling
+	minDealtUnits, minCeilingShare = 2.0, 1e-9 // minimum units of an even part; minimum share of a ceiling
 
 	maxSlotWaitShare        = 0.5 // a server is full if a slot's wait exceeds this share of the target
 	maxLateSlotWaitShare    = 0.2 // the same, for a request that misses its target anyway
-	regionBoundPenaltyShare = 0.5 // of its target that an unbound request leaves room to bound ones
+	regionBoundPenaltyShare = 0.5 // penalty, as a share of the target, for room that bound requests need
 	holdMargin              = 20 * time.Millisecond
 	multiServiceTick        = 50 * time.Millisecond
-	beyondQuotaAdvice       = 250 * time.Millisecond // advised wait beyond the quota: units may be there
+	beyondQuotaAdvice       = 250 * time.Millisecond // advised wait beyond the quota, for new units
 	suspectCostSeconds      = 1e3                    // penalty that puts suspect servers last
 	noServerAdvice          = 60 * time.Millisecond  // advised wait after finding no server
 )
--- a/policy/waitorder_test.go
+++ b/policy/waitorder_test.go
@@ -180,7 +180,8 @@
 		id, arrivedAt := b.ask(Request{Service: "s"}), b.now
 		b.pass(130 * ms)
 		refusedAt, refused := b.refused[id]
-		assert.Assert(t, refused && refusedAt-arrivedAt <= 110*ms && refusedAt-arrivedAt >= 100*ms, "after %s", refusedAt-arrivedAt)
+		assert.Assert(t, refused && refusedAt-arrivedAt <= 110*ms && refusedAt-arrivedAt >= 100*ms,
+			"after %s", refusedAt-arrivedAt)
 	}
 }
 
