--- a/internal/dataplane/node/act.go
+++ b/internal/dataplane/node/act.go
@@ -25,8 +25,8 @@
 	case policy.Send:
 		l.sendAttempt(a)
 	case policy.Cancel:
-		if c := l.requests[a.ID]; c != nil && c.inFlight != nil && c.inFlight.num == a.Attempt {
-			c.inFlight.recall()
+		if c := l.requests[a.ID]; c != nil && c.inFlight != nil && c.inFlight.number == a.Attempt {
+			c.inFlight.cancelIfNotPinned()
 		}
 	case policy.Refuse:
 		if c := l.requests[a.ID]; c != nil {
@@ -66,11 +66,11 @@
 		l.queue = append(l.queue, notSent)
 		return
 	}
-	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, sent: now, deadline: c.answerBy}
+	a := &attempt{id: s.ID, number: c.attempts - 1, server: s.Server, requestedAt: now, deadline: c.answerBy}
 	if s.Timeout > 0 {
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
-	a.writeBy, a.once = a.deadline, c.effect == policy.Unsafe
+	a.writeBy, a.atMostOnce = a.deadline, c.effect == policy.Unsafe
 	if c.mayHaveRunSince > 0 && c.effect == policy.Keyed {
 		a.writeBy = min(a.writeBy, c.mayHaveRunSince+c.class.DedupWindow)
 	}
--- a/internal/dataplane/node/asked.go
+++ b/internal/dataplane/node/asked.go
@@ -37,7 +37,7 @@
 // requestCounter keeps snapshots of the request counts of the current configuration.
 type requestCounter struct {
 	mu        sync.Mutex
-	current   *tilled
+	current   *activeConfiguration
 	snapshots []countSnapshot // oldest first
 }
 
@@ -49,7 +49,7 @@
 
 // countRecent returns the last minute's requests by route, or nil if there is no configuration yet. The counts cover a whole
 // minute only if it is called about every requestCountInterval.
-func (m *requestCounter) countRecent(current *tilled, now time.Duration) *RequestCounts {
+func (m *requestCounter) countRecent(current *activeConfiguration, now time.Duration) *RequestCounts {
 	if current == nil {
 		return nil
 	}
@@ -91,5 +91,5 @@
 
 // RequestCounts returns the last minute's requests by route, or nil if there is no configuration yet.
 func (e *ManagedNode) RequestCounts() *RequestCounts {
-	return e.requests.countRecent(e.managed.tilled.Load(), e.node.server.clock.now())
+	return e.requests.countRecent(e.managed.active.Load(), e.node.server.clock.now())
 }
--- a/internal/dataplane/node/asked_test.go
+++ b/internal/dataplane/node/asked_test.go
@@ -13,16 +13,16 @@
 
 // Counts cover the last minute, start from zero with a new configuration, and list the busiest routes.
 func TestRecentRequestCounts(t *testing.T) {
-	configure := func(gen int) *tilled {
+	configure := func(gen int) *activeConfiguration {
 		var routes []string
 		for i := range maxCountedRoutes + 2 {
 			routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h","prefix":"/%d/","kind":"mutating","timeout_ms":10,"backend":"s"}`, i, i))
 		}
 		p, err := routeconfig.Parse([]byte(fmt.Sprintf(`{"gen":"r%d","routes":[%s],"backends":[{"name":"s"}]}`, gen, strings.Join(routes, ","))))
 		assert.NilError(t, err)
-		e := &estate{}
-		e.till(p)
-		return e.tilled.Load()
+		e := &managedState{}
+		e.activate(p)
+		return e.active.Load()
 	}
 	m, first := &requestCounter{}, configure(1)
 	assert.Assert(t, m.countRecent(nil, 0) == nil)
--- a/internal/dataplane/node/bench_test.go
+++ b/internal/dataplane/node/bench_test.go
@@ -187,7 +187,7 @@
 				runtime.ReadMemStats(&held)
 				used := held.HeapAlloc + held.StackInuse - before.HeapAlloc - before.StackInuse
 				b.ReportMetric(float64(used)/open/1024, "KB/body")
-				b.ReportMetric(float64(e.node.upstream.open), "out")
+				b.ReportMetric(float64(e.node.upstream.openConns), "out")
 				for _, c := range clients {
 					c.Close()
 				}
--- a/internal/dataplane/node/booked.go
+++ b/internal/dataplane/node/booked.go
@@ -34,7 +34,7 @@
 	r.ticket, r.id = nil, ""
 	table := s.tune.Load().Routes
 	if table == nil {
-		c, err := s.parse(r)
+		c, err := s.parseStandaloneRequest(r)
 		if err != nil {
 			return nil, &rejection{status: 400, text: err.Error()}
 		}
@@ -54,7 +54,7 @@
 	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1), class: ticket.Class, budget: ticket.Deadline}
 	r.ticket = ticket
 	var err error
-	if c.clientID, c.effect, err = s.booked.identify(c, ticket); err != nil {
+	if c.clientID, c.effect, err = s.bookReader.identify(c, ticket); err != nil {
 		return nil, &rejection{status: 503, text: "no id could be made for the request"}
 	}
 	r.id = c.clientID
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -63,7 +63,7 @@
 }
 
 // setRoutes makes the table the current one.
-func (r *running) setRoutes(tab *routing.Table) {
+func (r *runningNode) setRoutes(tab *routing.Table) {
 	t := r.Tuning()
 	t.Routes = tab
 	r.Tune(t)
@@ -102,7 +102,7 @@
 		defer mu.Unlock()
 		return seen[len(seen)-1]
 	}
-	resp, body := ask(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey+"&q=x", "", "Cookie", "session="+townKey+"; a=b", "Accept-Language", "ro", "Authorization", "Bearer x"))
+	resp, body := sendTestRequest(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey+"&q=x", "", "Cookie", "session="+townKey+"; a=b", "Accept-Language", "ro", "Authorization", "Bearer x"))
 	if resp.StatusCode != 200 || body != "answer" || resp.Header.Get(routing.BookField) != "rev1" || resp.Header.Get(routing.UnitsField) != "1" {
 		t.Fatalf("%d %q %v", resp.StatusCode, body, resp.Header)
 	}
@@ -115,21 +115,21 @@
 		t.Errorf("forwarded fields: %v", r.Header)
 	}
 	first := r.Header.Get("X-Request-Id")
-	ask(t, newClientRequest("GET", n.url+"/v1/holdings", ""))
+	sendTestRequest(t, newClientRequest("GET", n.url+"/v1/holdings", ""))
 	if again := last().Header.Get("X-Request-Id"); again == first || len(again) != 32 {
 		t.Errorf("ids %q, %q", first, again)
 	}
-	ask(t, newClientRequest("POST", n.url+"/v1/loans", "book=7", "X-Request-Id", "mine", "Idempotency-Key", "k1"))
+	sendTestRequest(t, newClientRequest("POST", n.url+"/v1/loans", "book=7", "X-Request-Id", "mine", "Idempotency-Key", "k1"))
 	if r := last(); r.Header.Get("X-Request-Id") != "mine" || r.Header.Get("Idempotency-Key") != "k1" || r.Content != "book=7" {
 		t.Errorf("%v %q", r.Header, r.Content)
 	}
-	ask(t, newClientRequest("DELETE", n.url+"/v1/loans/7", ""))
+	sendTestRequest(t, newClientRequest("DELETE", n.url+"/v1/loans/7", ""))
 	if r := last(); r.Method != "DELETE" || r.URL.Path != "/v1/loans/7" {
 		t.Errorf("%s %s", r.Method, r.URL)
 	}
 	// Answers to HEAD have a length and no body, from server and proxy, and the connections stay open.
 	for range 3 {
-		resp, body = ask(t, newClientRequest("HEAD", n.url+"/v1/holdings", ""))
+		resp, body = sendTestRequest(t, newClientRequest("HEAD", n.url+"/v1/holdings", ""))
 		if resp.StatusCode != 200 || body != "" {
 			t.Errorf("HEAD: %d %q", resp.StatusCode, body)
 		}
@@ -138,7 +138,7 @@
 		o.PassKey, o.Tell = true, false
 		return l
 	}))
-	resp, _ = ask(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey, "", "Cookie", "session="+townKey+"; a=b"))
+	resp, _ = sendTestRequest(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey, "", "Cookie", "session="+townKey+"; a=b"))
 	if r := last(); r.Header.Get("X-Api-Key") != townKey || r.URL.RawQuery != "api_key="+townKey || r.Header.Get("Cookie") != "session="+townKey {
 		t.Errorf("with keys passed on: %s %v", r.URL, r.Header)
 	}
@@ -166,7 +166,7 @@
 		{newClientRequest("GET", n.url+"/v1/holdings", "body"), 400, "", ""},
 	} {
 		c.r.Close = true // one connection per request: repeated bad requests on one are slowed down
-		resp, body := ask(t, c.r)
+		resp, body := sendTestRequest(t, c.r)
 		if resp.StatusCode != c.status || c.field != "" && resp.Header.Get(c.field) != c.value {
 			t.Errorf("%s %s: %d %v %q, want %d", c.r.Method, c.r.URL, resp.StatusCode, resp.Header, body, c.status)
 		}
@@ -175,7 +175,7 @@
 		t.Errorf("%d attempts", app.Seen.Load())
 	}
 	n.setRoutes(nil)
-	if resp, _ := ask(t, request(n.url, "lookup", time.Second)); resp.StatusCode != 200 {
+	if resp, _ := sendTestRequest(t, newTestRequest(n.url, "lookup", time.Second)); resp.StatusCode != 200 {
 		t.Errorf("without a book again: %d", resp.StatusCode)
 	}
 }
@@ -205,7 +205,7 @@
 		{"c", "POST", "/v1/loans", nil, 502, 1}, // without a key no server can detect a repeat
 		{"d", "DELETE", "/v1/loans/4", []string{"Idempotency-Key", "k2"}, 502, 1},
 	} {
-		resp, _ := ask(t, newClientRequest(c.method, n.url+c.path, "", append(c.fields, "X-Request-Id", c.id)...))
+		resp, _ := sendTestRequest(t, newClientRequest(c.method, n.url+c.path, "", append(c.fields, "X-Request-Id", c.id)...))
 		mu.Lock()
 		if resp.StatusCode != c.status || count[c.id] != c.sent {
 			t.Errorf("%s %s: %d after %d attempts, want %d after %d", c.method, c.path, resp.StatusCode, count[c.id], c.status, c.sent)
@@ -234,7 +234,7 @@
 		mu.Lock()
 		count = 0
 		mu.Unlock()
-		ask(t, newClientRequest("POST", n.url+"/v1/loans", "", "Idempotency-Key", key))
+		sendTestRequest(t, newClientRequest("POST", n.url+"/v1/loans", "", "Idempotency-Key", key))
 		mu.Lock()
 		defer mu.Unlock()
 		return count
@@ -267,7 +267,7 @@
 		}
 		return writeAnswer(c, r, "200 OK", "", "x")
 	})
-	cfg := testConfig(t, newRegistry(t, serving("s-00000001", app.Addr())).Addr())
+	cfg := testConfig(t, newDiscoveryFixture(t, servingTarget("s-00000001", app.Addr())).Addr())
 	cfg.Settings.Plans[0].MaxInFlight = 1 // the second waits for the first
 	n := start(t, cfg)
 	n.setRoutes(newTestTable(t, cfg, "rev1", nil))
@@ -294,12 +294,12 @@
 	n.setRoutes(withdrawn)
 	withOldKey := newClientRequest("GET", n.url+"/v1/holdings", "")
 	withOldKey.Close = true
-	if resp, _ := ask(t, withOldKey); resp.StatusCode != 401 {
+	if resp, _ := sendTestRequest(t, withOldKey); resp.StatusCode != 401 {
 		t.Errorf("a new request with the withdrawn key: %d", resp.StatusCode)
 	}
 	removed := newClientRequest("POST", n.url+"/v1/loans", "x")
 	removed.Close = true
-	if resp, _ := ask(t, removed); resp.StatusCode != 404 {
+	if resp, _ := sendTestRequest(t, removed); resp.StatusCode != 404 {
 		t.Errorf("a new request for the operation that is removed: %d", resp.StatusCode)
 	}
 	close(release)
@@ -311,7 +311,7 @@
 }
 
 // openRequests returns the number of connections whose request is being processed.
-func (r *running) openRequests() (n int) {
+func (r *runningNode) openRequests() (n int) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	for cc := range r.server.conns {
@@ -323,7 +323,7 @@
 }
 
 // hasOpenRequest reports whether a request with this client id is open.
-func (r *running) hasOpenRequest(id string) (open bool) {
+func (r *runningNode) hasOpenRequest(id string) (open bool) {
 	done := make(chan struct{})
 	r.loop.events <- func() {
 		open = r.loop.requestsByClientID[id] != nil
@@ -353,14 +353,14 @@
 		done <- resp.StatusCode
 	}()
 	eventually(t, "the first is out", func() bool { return app.Seen.Load() == 1 })
-	if resp, _ := ask(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 409 {
+	if resp, _ := sendTestRequest(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 409 {
 		t.Errorf("the same id at once: %d", resp.StatusCode)
 	}
 	close(release)
 	if status := <-done; status != 200 {
 		t.Errorf("the first: %d", status)
 	}
-	if resp, _ := ask(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 200 {
+	if resp, _ := sendTestRequest(t, newClientRequest("GET", n.url+"/v1/holdings", "", "X-Request-Id", "same")); resp.StatusCode != 200 {
 		t.Errorf("the same id afterwards: %d", resp.StatusCode)
 	}
 }
--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -24,7 +24,7 @@
 }
 
 // cutPoints are the places where a message is interrupted: bytes from its start, or from its end if negative.
-var cutPoints = map[string]int{"window": 5000, "window's end": bodyWindow, "beyond": bodyWindow + 4000, "middle": large / 2, "last": -1}
+var cutPoints = map[string]int{"window": 5000, "window's end": bodyWindowBytes, "beyond": bodyWindowBytes + 4000, "middle": large / 2, "last": -1}
 
 // cutAt returns the bytes before the place.
 func cutAt(b []byte, place int) []byte {
@@ -37,13 +37,13 @@
 // If a client disconnects or stalls anywhere in a request body, no server sees a complete request, and a client that is still
 // connected gets 408, which promises that the request has not run.
 func TestInterruptedUpload(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
-			h := r.open(nil, nil)
+			h := r.startScriptedServers(nil, nil)
 			for place, n := range cutPoints {
 				for how, end := range disconnects {
 					c := r.dial()
-					_, err := c.Write(cutAt(upload("/act/", content(large), chunked), n))
+					_, err := c.Write(cutAt(uploadRequest("/act/", content(large), chunked), n))
 					assert.NilError(t, err)
 					end(c)
 					if how == "stall" {
@@ -53,12 +53,12 @@
 					}
 					time.Sleep(2 * time.Second)
 					c.Close()
-					assert.Equal(t, h.complete(), 0, "%s, %s", place, how)
+					assert.Equal(t, h.countComplete(), 0, "%s, %s", place, how)
 				}
 			}
 			assert.Equal(t, r.request("/act/", "").StatusCode, 200)
 			open, _ := r.ManagedNode.node.server.connectionActivity()
-			assert.Assert(t, open <= 1 && r.ManagedNode.node.upstream.open <= 1)
+			assert.Assert(t, open <= 1 && r.ManagedNode.node.upstream.openConns <= 1)
 		})
 	})
 }
@@ -66,13 +66,13 @@
 // If a server disconnects in the middle of a request body, the request has not run and its client gets 503 at once. If the
 // whole body was written, the request may have run and the client gets 502. It is not sent again in either case.
 func TestServerDisconnectsDuringUpload(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		for _, path := range []string{"/act/", "/get/"} {
 			for name, status := range map[string]int{"window": 503, "middle": 503, "last": 502} {
 				for _, how := range []string{"close", "reset"} {
 					t.Run(name+how+path, func(t *testing.T) {
 						runManaged(t, false, func(r *managedFixture) {
-							h := r.open(func(c net.Conn, q *http.Request) bool {
+							h := r.startScriptedServers(func(c net.Conn, q *http.Request) bool {
 								n := cutPoints[name]
 								if n < 0 {
 									n += large
@@ -83,7 +83,7 @@
 								disconnects[how](c)
 								return false
 							}, nil)
-							c := r.send(upload(path, content(large), chunked))
+							c := r.sendInBackground(uploadRequest(path, content(large), chunked))
 							defer c.Close()
 							a := r.readAnswer(c)
 							assert.Equal(t, a.StatusCode, status, a.body)
@@ -101,15 +101,15 @@
 // If a server's answer is interrupted, the client gets exactly one answer: an incomplete one if the proxy has begun to stream
 // it, otherwise a complete 502 or 504.
 func TestInterruptedAnswer(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		for place, n := range cutPoints {
 			for how, end := range disconnects {
 				t.Run(place+how, func(t *testing.T) {
 					runManaged(t, false, func(r *managedFixture) {
 						stays := make(chan bool)
 						defer close(stays)
-						h := r.open(nil, func(c net.Conn, q *http.Request) bool {
-							_, err := c.Write(cutAt(told(q, "200 OK", content(large), chunked), n))
+						h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
+							_, err := c.Write(cutAt(serverAnswer(q, "200 OK", content(large), chunked), n))
 							assert.Check(t, err)
 							if how == "reset" {
 								time.Sleep(20 * time.Millisecond)
@@ -123,14 +123,14 @@
 						if within {
 							path = "/act/"
 						}
-						c := r.send([]byte(requestText(path, patient)))
+						c := r.sendInBackground([]byte(requestText(path, longDeadlineField)))
 						defer c.Close()
 						began := time.Now()
 						b, err := io.ReadAll(io.LimitReader(c, 2*large))
 						took := time.Since(began)
 						text := string(b[:min(len(b), 12)])
 						assert.Equal(t, bytes.Count(b, []byte("HTTP/1.1 ")), 1)
-						assert.Equal(t, len(h.seen()), 1)
+						assert.Equal(t, len(h.received()), 1)
 						r.runOnLoop(func(l *loop) { assert.Equal(t, len(l.requests), 0) })
 						if within {
 							want := "HTTP/1.1 502"
@@ -142,8 +142,8 @@
 						}
 						assert.NilError(t, err)
 						assert.Equal(t, text, "HTTP/1.1 200")
-						assert.Assert(t, len(b) < len(cutAt(told(h.seen()[0].Request, "200 OK", content(large), chunked), n))+200)
-						_, err = read(bytes.NewReader(b))
+						assert.Assert(t, len(b) < len(cutAt(serverAnswer(h.received()[0].Request, "200 OK", content(large), chunked), n))+200)
+						_, err = readAnswerBody(bytes.NewReader(b))
 						assert.Equal(t, err, io.ErrUnexpectedEOF)
 						assert.Equal(t, how == "stall", took > 1500*time.Millisecond, "%v", took)
 					})
@@ -169,15 +169,15 @@
 	}{
 		"no route":      {path: "/none/", n: large, status: 404},
 		"no such key":   {path: "/act/", key: "nobody's", n: large, status: 401},
-		"too long":      {path: "/act/", n: mostBytes + 1, status: 413, conns: [2]int{0, 1}},
-		"not too long":  {path: "/act/", n: mostBytes, status: 200, conns: [2]int{1, 1}},
+		"too long":      {path: "/act/", n: configuredMaxBodyBytes + 1, status: 413, conns: [2]int{0, 1}},
+		"not too long":  {path: "/act/", n: configuredMaxBodyBytes, status: 200, conns: [2]int{1, 1}},
 		"by the server": {path: "/act/", n: large, status: 503, conns: [2]int{1, 1}, before: over},
 	} {
 		t.Run(name, func(t *testing.T) {
-			framings(t, func(t *testing.T, chunked bool) {
+			runForEachFraming(t, func(t *testing.T, chunked bool) {
 				runManaged(t, false, func(r *managedFixture) {
-					h := r.open(c.before, nil)
-					b := upload(c.path, content(c.n), chunked)
+					h := r.startScriptedServers(c.before, nil)
+					b := uploadRequest(c.path, content(c.n), chunked)
 					if c.key != "" {
 						b = bytes.Replace(b, []byte("X-Api-Key: k1"), []byte("X-Api-Key: "+c.key), 1)
 					}
@@ -195,7 +195,7 @@
 					time.Sleep(time.Second)
 					synctest.Wait()
 					assert.NilError(t, <-all)
-					assert.Equal(t, h.complete() == 1, c.status == 200)
+					assert.Equal(t, h.countComplete() == 1, c.status == 200)
 					assert.Equal(t, len(h.conns), c.conns[map[bool]int{true: 1}[chunked]])
 				})
 			})
@@ -206,7 +206,7 @@
 // Interim answers and answers to other requests that a server sends during the upload have no effect. An early final answer
 // ends the upload.
 func TestEarlyServerResponses(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		for name, c := range map[string]struct {
 			text   string
 			status int
@@ -224,12 +224,12 @@
 		} {
 			t.Run(name, func(t *testing.T) {
 				runManaged(t, false, func(r *managedFixture) {
-					r.open(func(s net.Conn, q *http.Request) bool {
+					r.startScriptedServers(func(s net.Conn, q *http.Request) bool {
 						_, err := io.WriteString(s, strings.ReplaceAll(c.text, "ID", q.Header.Get(fieldID)))
 						time.Sleep(300 * time.Millisecond)
 						return err == nil
 					}, nil)
-					conn := r.send(upload("/act/", content(large), chunked))
+					conn := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
 					defer conn.Close()
 					a := r.readAnswer(conn)
 					assert.Equal(t, a.StatusCode, c.status, a.body)
@@ -242,33 +242,35 @@
 // A request with a large body is sent to another server if none of the streamed body has been dropped from memory. A large
 // answer is requested again if none of it has been forwarded.
 func TestLargeBodiesRetryElsewhere(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		for name, firstAnswer := range map[string]func(q *http.Request) []byte{
-			"cut":    func(q *http.Request) []byte { return told(q, "200 OK", content(large), chunked)[:bodyWindow] },
-			"failed": func(q *http.Request) []byte { return told(q, "500 No", content(large), chunked) },
+			"cut": func(q *http.Request) []byte {
+				return serverAnswer(q, "200 OK", content(large), chunked)[:bodyWindowBytes]
+			},
+			"failed": func(q *http.Request) []byte { return serverAnswer(q, "500 No", content(large), chunked) },
 		} {
 			runManaged(t, false, func(r *managedFixture) {
 				times := 0
-				h := r.open(nil, func(c net.Conn, q *http.Request) bool {
+				h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
 					if times++; times == 1 {
 						_, _ = c.Write(firstAnswer(q))
 						return false
 					}
-					_, err := c.Write(told(q, "200 OK", content(large), chunked))
+					_, err := c.Write(serverAnswer(q, "200 OK", content(large), chunked))
 					return err == nil
 				})
-				c := r.send([]byte(requestText("/get/", patient)))
+				c := r.sendInBackground([]byte(requestText("/get/", longDeadlineField)))
 				defer c.Close()
-				n, err := read(c)
+				n, err := readAnswerBody(c)
 				assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
-				assert.Equal(t, h.complete(), 2)
+				assert.Equal(t, h.countComplete(), 2)
 				r.list[0].Address = "127.0.0.1:1" // nothing listens there
 				r.SetServers(2, r.list)
 				for i := range 9 {
-					c := r.send(upload("/act/", content(large), chunked))
-					n, err := read(c)
+					c := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
+					n, err := readAnswerBody(c)
 					assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
-					assert.Equal(t, len(h.seen()[2+i].body), large)
+					assert.Equal(t, len(h.received()[2+i].body), large)
 					c.Close()
 				}
 			})
@@ -280,11 +282,11 @@
 // client gets it unchanged.
 func TestLargeFailuresAreReturned(t *testing.T) {
 	long := func(c net.Conn, q *http.Request) bool {
-		_, err := c.Write(told(q, "500 No", content(large), true))
+		_, err := c.Write(serverAnswer(q, "500 No", content(large), true))
 		return err == nil
 	}
 	short := func(c net.Conn, q *http.Request) bool {
-		_, err := c.Write(told(q, "502 No", content(3), false))
+		_, err := c.Write(serverAnswer(q, "502 No", content(3), false))
 		return err == nil
 	}
 	none := func(net.Conn, *http.Request) bool { return false }
@@ -307,8 +309,8 @@
 		t.Run(name, func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
 				times := 0
-				h := r.open(nil, func(s net.Conn, q *http.Request) bool { times++; return c.acts[times-1](s, q) })
-				conn := r.send([]byte(strings.Replace(requestText("/get/", patient), c.from, c.to, 1)))
+				h := r.startScriptedServers(nil, func(s net.Conn, q *http.Request) bool { times++; return c.acts[times-1](s, q) })
+				conn := r.sendInBackground([]byte(strings.Replace(requestText("/get/", longDeadlineField), c.from, c.to, 1)))
 				defer conn.Close()
 				a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				assert.NilError(t, err)
@@ -316,7 +318,7 @@
 				assert.NilError(t, err)
 				assert.Equal(t, fmt.Sprintf("%d %d %s", a.StatusCode, len(body), a.Header.Get(fieldSeal)), c.want)
 				assert.Assert(t, len(body) < large || bytes.Equal(body, content(large)))
-				assert.Equal(t, h.complete(), len(c.acts))
+				assert.Equal(t, h.countComplete(), len(c.acts))
 				time.Sleep(10 * time.Millisecond)
 				synctest.Wait()
 				r.runOnLoop(func(l *loop) { // no connection is held for a large answer any more
@@ -326,7 +328,7 @@
 					for _, s := range l.upstream.servers {
 						idle += len(s.idle)
 					}
-					assert.Equal(t, l.upstream.open, idle)
+					assert.Equal(t, l.upstream.openConns, idle)
 				})
 			})
 		})
@@ -346,10 +348,10 @@
 			}
 			return true
 		}
-		h := r.open(nil, func(c net.Conn, q *http.Request) bool {
-			b := told(q, "200 OK", content(3), true)
+		h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
+			b := serverAnswer(q, "200 OK", content(3), true)
 			if q.URL.RawQuery == "long" {
-				return slow(c, told(q, "200 OK", content(large), false))
+				return slow(c, serverAnswer(q, "200 OK", content(large), false))
 			}
 			_, err := c.Write(b)
 			return err == nil
@@ -357,15 +359,15 @@
 		for range 40 {
 			assert.Equal(t, r.request("/get/", "").StatusCode, 200)
 		}
-		c := r.send([]byte(requestText("/get/?long", patient)))
+		c := r.sendInBackground([]byte(requestText("/get/?long", longDeadlineField)))
 		defer c.Close()
-		n, err := read(c)
+		n, err := readAnswerBody(c)
 		assert.Assert(t, err == nil && n == large, "%d bytes, %v", n, err)
 		c = r.dial()
 		defer c.Close()
-		go slow(c, bytes.Replace(upload("/get/", content(large), false), []byte("GET"), []byte("PUT"), 1))
-		n, err = read(c)
+		go slow(c, bytes.Replace(uploadRequest("/get/", content(large), false), []byte("GET"), []byte("PUT"), 1))
+		n, err = readAnswerBody(c)
 		assert.Assert(t, err == nil && n == 3, "%d bytes, %v", n, err)
-		assert.Equal(t, h.complete(), 42)
+		assert.Equal(t, h.countComplete(), 42)
 	})
 }
--- a/internal/dataplane/node/call.go
+++ b/internal/dataplane/node/call.go
@@ -19,13 +19,13 @@
 	budget   time.Duration // how long the client waits, from arrived
 	commands chan command  // of capacity one: the next command is sent after the last is done
 
-	answerBy        time.Duration // when the answer has to be decided
-	deadlineTimer   *timer        // answers the request if it is still open shortly after answerBy
-	attempts        int           // attempts that the policy has asked for
-	mayHaveRunSince time.Duration // when the first attempt that may have run was sent; 0: none
-	inFlight        *attempt      // nil: no attempt is in flight
-	pendingAnswer   *command      // the decided answer, sent when the attempt in flight has ended
-	managed         *passing      // state under the managed protocol; nil under the standalone protocol
+	answerBy        time.Duration   // when the answer has to be decided
+	deadlineTimer   *timer          // answers the request if it is still open shortly after answerBy
+	attempts        int             // attempts that the policy has asked for
+	mayHaveRunSince time.Duration   // when the first attempt that may have run was sent; 0: none
+	inFlight        *attempt        // nil: no attempt is in flight
+	pendingAnswer   *command        // the decided answer, sent when the attempt in flight has ended
+	managed         *managedRequest // state under the managed protocol; nil under the standalone protocol
 }
 
 // command is an attempt to carry out or, if attempt is nil, the final answer.
@@ -60,6 +60,6 @@
 	case c.effect == policy.Safe:
 		c.inFlight.cancel()
 	default:
-		c.inFlight.withdraw()
+		c.inFlight.cancelIfUnsent()
 	}
 }
--- a/internal/dataplane/node/clientconn.go
+++ b/internal/dataplane/node/clientconn.go
@@ -40,13 +40,13 @@
 func (s *server) addConnection(c net.Conn) *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns)-s.shut >= s.most && !s.evictOne() {
+	if len(s.conns)-s.closingConns >= s.maxConns && !s.evictOne() {
 		c.Close()
 		return nil
 	}
 	cc := &clientConn{Conn: c, stateSince: s.clock.now()}
-	if s.estate != nil {
-		cc.input.window = bodyWindow
+	if s.managed != nil {
+		cc.input.window = bodyWindowBytes
 	}
 	cc.lastActivity = cc.stateSince
 	cc.input.src = c
@@ -68,11 +68,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if cc.closedByProxy {
-		s.shut--
+		s.closingConns--
 	}
-	s.active = max(s.active, cc.lastActivity)
+	s.lastRequestAt = max(s.lastRequestAt, cc.lastActivity)
 	if cc.isUnused(s.clock.now()) {
-		s.reuse.note(false)
+		s.reuse.record(false)
 	}
 	delete(s.conns, cc)
 }
@@ -80,13 +80,13 @@
 // shouldCloseAfterAnswer reports whether the connection should be closed after its first answer, because clients rarely
 // reuse their connections and few connections are free.
 func (s *server) shouldCloseAfterAnswer(cc *clientConn) bool {
-	if cc.requestCount != 1 || !s.tune.Load().EndUnused { // only this connection's goroutine changes requestCount
+	if cc.requestCount != 1 || !s.tune.Load().CloseUnused { // only this connection's goroutine changes requestCount
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
-	return s.reuse.over(now, len(s.conns)-s.shut, s.most, func() (n int) {
+	return s.reuse.shouldClose(now, len(s.conns)-s.closingConns, s.maxConns, func() (n int) {
 		for o := range s.conns {
 			if o.isUnused(now) {
 				n++
@@ -98,7 +98,7 @@
 
 // isUnused reports whether the connection has been idle for so long after its first answer that it counts as not reused.
 func (cc *clientConn) isUnused(now time.Duration) bool {
-	return cc.requestCount == 1 && cc.state == connIdle && now-cc.stateSince >= churnStood
+	return cc.requestCount == 1 && cc.state == connIdle && now-cc.stateSince >= unusedAfter
 }
 
 // evictOne closes one connection that is not busy: preferably one whose request was rejected, then one without a valid
@@ -133,8 +133,8 @@
 // read is left for the client to send again.
 func (s *server) closeConnection(cc *clientConn) {
 	cc.closedByProxy = true
-	s.shut++
-	if s.estate == nil || cc.SetReadDeadline(s.clock.Now()) != nil {
+	s.closingConns++
+	if s.managed == nil || cc.SetReadDeadline(s.clock.Now()) != nil {
 		cc.Close()
 	}
 }
@@ -167,7 +167,7 @@
 func (s *server) connectionActivity() (open int, quiet time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.active
+	last := s.lastRequestAt
 	for cc := range s.conns {
 		last = max(last, cc.lastActivity)
 	}
@@ -191,16 +191,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if cc.closedByProxy {
-		if s.estate == nil {
+		if s.managed == nil {
 			return false
 		}
 		cc.closedByProxy = false
-		s.shut--
+		s.closingConns--
 	}
 	cc.state, cc.hadValidRequest = connBusy, true
-	s.active, cc.lastActivity = max(s.active, cc.lastActivity), 0
+	s.lastRequestAt, cc.lastActivity = max(s.lastRequestAt, cc.lastActivity), 0
 	if cc.requestCount++; cc.requestCount == 2 {
-		s.reuse.note(true)
+		s.reuse.record(true)
 	}
 	return true
 }
--- a/internal/dataplane/node/clientrequest.go
+++ b/internal/dataplane/node/clientrequest.go
@@ -13,7 +13,7 @@
 	head
 	method, target []byte
 	body           []byte
-	managed        *passing        // state under the managed protocol
+	managed        *managedRequest // state under the managed protocol
 	ticket         *routing.Ticket // its match in the book; nil under the standalone protocol
 	id             string          // if ticket is set: the id from the client or a generated one
 }
@@ -27,7 +27,7 @@
 	if err := cc.input.readHead(&r.head, ""); err != nil {
 		return err
 	}
-	if err := r.startLine(); err != nil {
+	if err := r.parseStartLine(); err != nil {
 		return err
 	}
 	if _, n := r.valueAndCount("Expect"); n > 0 && (r.length > cc.input.buffered() || r.length == -1 && cc.input.window > 0 && cc.input.buffered() == 0) {
--- a/internal/dataplane/node/configured_test.go
+++ b/internal/dataplane/node/configured_test.go
@@ -17,12 +17,12 @@
 // Changes of the server list take effect. While discovery fails the current list stays in use, and calls are repeated soon.
 func TestDiscovery(t *testing.T) {
 	a, b := newApp(t, standin.Answer("200 OK", "", "a")), newApp(t, standin.Answer("200 OK", "", "b"))
-	first, second := serving("s-00000001", a.Addr()), serving("s-00000002", b.Addr())
-	g := newRegistry(t, first)
+	first, second := servingTarget("s-00000001", a.Addr()), servingTarget("s-00000002", b.Addr())
+	g := newDiscoveryFixture(t, first)
 	n := start(t, testConfig(t, g.Addr()))
 	serves := func(want string) func() bool {
 		return func() bool {
-			resp, body := ask(t, request(n.url, "lookup", patience))
+			resp, body := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout))
 			return resp.StatusCode == 200 && body == want
 		}
 	}
@@ -45,8 +45,8 @@
 // GW_DISCOVERY set the old one. An invalid file changes nothing and is read again.
 func TestReload(t *testing.T) {
 	a, b := newApp(t, standin.Answer("200 OK", "", "a")), newApp(t, standin.Answer("200 OK", "", "b"))
-	older := newRegistry(t, serving("s-00000001", a.Addr()))
-	newer := newRegistry(t, serving("s-00000002", b.Addr()))
+	older := newDiscoveryFixture(t, servingTarget("s-00000001", a.Addr()))
+	newer := newDiscoveryFixture(t, servingTarget("s-00000002", b.Addr()))
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, discovery, testSettings)
@@ -72,18 +72,18 @@
 	}
 	n.hup <- syscall.SIGHUP
 	eventually(t, "the half-written file read again", func() bool { return reads.Load() > 2 })
-	if _, body := ask(t, request(n.url, "lookup", patience)); body != "a" {
+	if _, body := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); body != "a" {
 		t.Errorf("%q while the new file can't be used", body)
 	}
 	write(newer.Addr())
 	eventually(t, "an answer of the server that the new discovery lists", func() bool {
-		resp, body := ask(t, request(n.url, "lookup", patience))
+		resp, body := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout))
 		return resp.StatusCode == 200 && body == "b"
 	})
 	calls := older.Calls()
-	older.set(false, serving("s-00000001", a.Addr())) // an open watch would report this
+	older.set(false, servingTarget("s-00000001", a.Addr())) // an open watch would report this
 	eventually(t, "a watch at the new address", func() bool { return newer.Calls() > 1 })
-	if _, body := ask(t, request(n.url, "lookup", patience)); body != "b" || older.Calls() != calls {
+	if _, body := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); body != "b" || older.Calls() != calls {
 		t.Errorf("%q; %d calls at the old address after the new one was set", body, older.Calls()-calls)
 	}
 }
@@ -91,10 +91,10 @@
 // If discovery does not answer at the start, the proxy serves from the cached list.
 func TestCachedListServesWhileDiscoveryFails(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	cfg := testConfig(t, refusing(t))
-	cfg.CachedList = &serverList{Rev: 4, All: true, Targets: []target{serving("s-00000001", a.Addr())}}
+	cfg := testConfig(t, refusingAddress(t))
+	cfg.CachedList = &serverList{Rev: 4, All: true, Targets: []target{servingTarget("s-00000001", a.Addr())}}
 	n := start(t, cfg)
-	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
+	if resp, _ := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 }
--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	l := newLoop(newClock(world.Real{}), g, pool(refusing(t)))
+	l := newLoop(newClock(world.Real{}), g, newTestUpstream(refusingAddress(t)))
 	held, out := &openRequest{conn: conn, commands: make(chan command, 1)}, &openRequest{conn: conn, commands: make(chan command, 1)}
 	held.ID, out.ID, out.inFlight = 1, 2, &attempt{id: 2}
 	held.answerBy, out.answerBy = l.clock.now()+time.Hour, l.clock.now()+time.Hour
@@ -48,11 +48,11 @@
 	}
 	client.Close()
 	eventually(t, "notice of the close", func() bool { l.checkDisconnects(); return len(l.requests) == 0 })
-	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
-		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
+	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.isCancelled {
+		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.isCancelled)
 	}
 	l.sendAttempt(policy.Send{ID: 2, Server: 1})
-	l.endAttempt(outcome{out, out.inFlight, ended(verdict.Failed, nil)})
+	l.endAttempt(outcome{out, out.inFlight, endedResult(verdict.Failed, nil)})
 	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
@@ -61,7 +61,7 @@
 // A connection that brings no request, or half of one, is let go within the 3 s
 // that such a client is owed.
 func TestSilentClientsAreDisconnected(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := nodeWith(t, refusingAddress(t))
 	silent, half := dial(t, n), dial(t, n)
 	_, _ = half.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a"))
 	began := time.Now()
@@ -71,7 +71,7 @@
 	if all, err := io.ReadAll(half); err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
 		t.Errorf("half a request: %q, %v", all, err)
 	}
-	if firstRequest > 2500*time.Millisecond || time.Since(began) > patience-time.Second {
+	if defaultFirstRequestTimeout > 2500*time.Millisecond || time.Since(began) > testTimeout-time.Second {
 		t.Errorf("let go after %v", time.Since(began))
 	}
 }
@@ -84,16 +84,16 @@
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
-	n.server.most = 4
+	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	useful := dial(t, n)
-	writeRequest(t, useful, request(n.url, "lookup", patience))()
+	writeRequest(t, useful, newTestRequest(n.url, "lookup", testTimeout))()
 	for range 40 {
 		dial(t, n)
 	}
 	silent := dial(t, n)
 	eventually(t, "room made", func() bool { open, _ := n.server.connectionActivity(); return open <= 4 })
-	if resp := writeRequest(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, useful, newTestRequest(n.url, "lookup", testTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	silent.Close()
@@ -108,28 +108,28 @@
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
 	n := nodeWith(t, a.Addr())
-	first := writeRequest(t, dial(t, n), request(n.url, "loan", patience))
+	first := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the first at the app server", func() bool { return a.Seen.Load() == 1 })
-	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != http.StatusConflict {
+	if resp := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))(); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the second: %d", resp.StatusCode)
 	}
 	close(release)
 	if resp := first(); resp.StatusCode != 200 || a.Seen.Load() != 1 {
 		t.Errorf("the first: %d, %d attempts", resp.StatusCode, a.Seen.Load())
 	}
-	if resp := writeRequest(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("once it is free again: %d", resp.StatusCode)
 	}
 }
 
-func dial(t *testing.T, n *running) net.Conn {
+func dial(t *testing.T, n *runningNode) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -162,10 +162,10 @@
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
-	n.server.most = 2
+	n.server.maxConns = 2
 	n.server.mu.Unlock()
 	busy := dial(t, n)
-	held := writeRequest(t, busy, request(n.url, "loan", patience))
+	held := writeRequest(t, busy, newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 1 })
 	idle := dial(t, n)
 	eventually(t, "two connections", func() bool { open, _ := n.server.connectionActivity(); return open == 2 })
@@ -182,7 +182,7 @@
 // A request that crossed the closing of its idle connection is sent again by
 // the client: worked on here too it would have its effect twice.
 func TestRequestOnClosedConnectionIsNotProcessed(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := nodeWith(t, refusingAddress(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
 	c := n.server.addConnection(pipe)
@@ -209,7 +209,7 @@
 	n := nodeWith(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	n.server.mu.Lock()
-	n.server.most = 4
+	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	first := dial(t, n)
 	if _, err := first.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")); err != nil {
@@ -219,7 +219,7 @@
 		_, _ = dial(t, n).Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")) // may be closed already
 	}
 	c := dial(t, n)
-	if resp := writeRequest(t, c, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, c, newTestRequest(n.url, "lookup", testTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	// At its read time-out it would get an answer that says so.
--- a/internal/dataplane/node/estate.go
+++ b/internal/dataplane/node/estate.go
@@ -71,7 +71,7 @@
 	services   *policy.MultiService
 	serverList *serverlist.ServerList // the loop's
 
-	managed  *estate
+	managed  *managedState
 	ready    atomic.Bool
 	handover handoverState // the loop's
 	requests requestCounter
@@ -89,16 +89,16 @@
 	}
 	w := cfg.World
 	clk := newClock(w)
-	up := &upstream{clock: clk, network: w, limit: managedDialTimeout, idleFor: managedConnIdle, grace: managedDrainGrace, rest: restFor,
-		most: int(serverSocketShare * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, estate: true}
+	up := &upstream{clock: clk, network: w, dialTimeout: managedDialTimeout, idleTimeout: managedConnIdle, drainGrace: managedDrainGrace, reuseDelay: defaultReuseDelay,
+		maxConns: int(serverSocketShare * float64(cfg.Sockets)), servers: map[policy.ServerID]*appServer{}, isManaged: true}
 	n := &Node{world: w, upstream: up, loop: newLoop(clk, g, up)}
 	n.loop.disconnectInterval = managedDisconnectInterval
 	n.server = newServer(clk, set, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
-	e := &ManagedNode{node: n, cfg: cfg, services: field, serverList: &serverlist.ServerList{Terms: serverListTerms(&cfg)}}
+	e := &ManagedNode{node: n, cfg: cfg, services: field, serverList: &serverlist.ServerList{Terms: serverListOptions(&cfg)}}
 	field.MaxRetryBudget = e.retryCap
-	e.managed = &estate{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
-	e.managed.freshFor.Store(int64(freshFor(&cfg)))
-	n.server.estate, n.server.over, n.server.failed = e.managed, n.loop.stopped, cfg.OnRequestFailed
+	e.managed = &managedState{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
+	e.managed.maxStatementAge.Store(int64(maxStatementAge(&cfg)))
+	n.server.managed, n.server.loopStopped, n.server.onRequestFailed = e.managed, n.loop.stopped, cfg.OnRequestFailed
 	if n.peers, err = listenPeers(w, cfg.Peer, nil, netip.AddrPort{}, func(from int, data []byte) {
 		select {
 		case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
@@ -107,10 +107,10 @@
 	}); err != nil {
 		return nil, err
 	}
-	n.loop.sendPeer = n.peers.tell
+	n.loop.sendPeer = n.peers.sendMessage
 	e.handover.taker.Life = handover.Life(max(cfg.Seed, 1))
 	n.loop.onUnitsOffered = e.recordOfferedUnits
-	n.peers.handed = e.receiveHandover
+	n.peers.onHandover = e.receiveHandover
 	if n.listener, err = w.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
 		n.closePeers()
 		return nil, errors.WithMessage(err, "listen")
@@ -129,7 +129,7 @@
 	defer n.closePeers()
 	go n.loop.run(ctx.Done())
 	go n.sweep(ctx)
-	go n.peers.send(ctx.Done())
+	go n.peers.writeQueued(ctx.Done())
 	go n.peers.receive()
 	served := make(chan error, 1)
 	go func() { served <- n.server.serve(n.listener) }()
@@ -163,8 +163,8 @@
 func (e *ManagedNode) ConfirmConfiguration(ago time.Duration) {
 	at := int64(e.node.loop.clock.now() - ago)
 	for {
-		old := e.managed.confirmed.Load()
-		if at <= old || e.managed.confirmed.CompareAndSwap(old, at) {
+		old := e.managed.confirmedAt.Load()
+		if at <= old || e.managed.confirmedAt.CompareAndSwap(old, at) {
 			return
 		}
 	}
@@ -172,10 +172,10 @@
 
 // SetConfiguration puts a configuration in force. It is in force when Configuration returns.
 func (e *ManagedNode) SetConfiguration(p *routeconfig.Configuration) {
-	classes := e.managed.till(p)
+	classes := e.managed.activate(p)
 	t := DefaultTuning()
 	t.FirstRequest, t.WholeRequest = p.Limits.HeaderTimeout, 2*p.Limits.HeaderTimeout
-	t.ClientIdle, t.EndUnused = p.Limits.IdleTimeout, false
+	t.ClientIdle, t.CloseUnused = p.Limits.IdleTimeout, false
 	t.BodyStall = p.Limits.HeaderTimeout
 	e.node.server.tune.Store(&t)
 	services := map[string]serverlist.Service{}
@@ -233,8 +233,8 @@
 	to := make([]netip.AddrPort, numbers)
 	copy(to, at)
 	to[me] = netip.AddrPort{}
-	e.node.peers.meet(to)
-	e.managed.shares.Store(int64(shares))
+	e.node.peers.setAddresses(to)
+	e.managed.gatewayCount.Store(int64(shares))
 	e.runOnLoop(func(l *loop) {
 		e.handover.peers = policy.GatewaySet{Me: me, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: less}
 		e.updateShares(l)
@@ -265,7 +265,7 @@
 	for _, s := range e.serverList.Lives() {
 		t := target{UID: s.ID, Endpoint: s.Address, State: "SERVING"}
 		if s.MostOut > 0 {
-			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MostOut)/float64(max(1, e.managed.shares.Load()))))
+			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MostOut)/float64(max(1, e.managed.gatewayCount.Load()))))
 		}
 		m := policy.Server{ID: serverID(s.ID), Zone: s.Zone, Region: s.Region, Service: s.Service, Slots: max(1, s.Slots),
 			ColdUntil: s.ColdUntil, ColdSendRate: s.ColdSends}
@@ -286,5 +286,5 @@
 	if len(e.health.trust) > 0 {
 		e.applyTrust(l) // of servers that are new to the module
 	}
-	e.ready.Store(e.managed.tilled.Load() != nil && e.managed.shares.Load() > 0)
+	e.ready.Store(e.managed.active.Load() != nil && e.managed.gatewayCount.Load() > 0)
 }
--- a/internal/dataplane/node/figures.go
+++ b/internal/dataplane/node/figures.go
@@ -87,7 +87,7 @@
 
 // ConfirmedAge is how long ago what is in force was last confirmed to be the newest; long where it never was.
 func (e *ManagedNode) ConfirmedAge() time.Duration {
-	return e.managed.clock.now() - time.Duration(e.managed.confirmed.Load())
+	return e.managed.clock.now() - time.Duration(e.managed.confirmedAt.Load())
 }
 
 // DisconnectedClients is how many requests' clients have left before their answer.
@@ -95,5 +95,5 @@
 
 // RequestsByHost tells of the requests by host, where some routes are bound to regions.
 func (e *ManagedNode) RequestsByHost() []homing.Heads {
-	return e.managed.heads.Top(e.managed.clock.now())
+	return e.managed.hostTraffic.Top(e.managed.clock.now())
 }
--- a/internal/dataplane/node/fit.go
+++ b/internal/dataplane/node/fit.go
@@ -92,28 +92,28 @@
 func serverOutcome(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
 	aim := o.request.class.LatencyTarget
 	switch {
-	case o.fault != nil || o.End == verdict.Unfit: // the client's fault
+	case o.clientFault != nil || o.End == verdict.Unfit: // the client's fault
 		return 0, false
-	case o.begun && !o.whole && o.End == verdict.Served: // and here, who has gone or reads too slowly
+	case o.isStreamed && !o.isComplete && o.End == verdict.Served: // and here, who has gone or reads too slowly
 		return 0, false
 	}
 	switch o.Code() {
 	case policy.OK:
-		if took := max(o.latency, 0); took > lateTargetFactor*aim || took == 0 && now-o.attempt.sent > lateTargetFactor*aim {
+		if took := max(o.latency, 0); took > lateTargetFactor*aim || took == 0 && now-o.attempt.requestedAt > lateTargetFactor*aim {
 			return serverhealth.Late, true
 		}
 		return serverhealth.Confirmed, true
 	case policy.Full:
 		return serverhealth.TurnedAway, true
 	case policy.TimedOut, policy.Reset, policy.Error:
-		if o.stray {
+		if o.hasStrayAnswers {
 			return serverhealth.WrongID, true
 		}
 		// Who was given less time than is usual may find any server silent.
-		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.sent >= aim
+		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.requestedAt >= aim
 	case policy.Cancelled:
 		// It was called back since it was overdue, unless its client had gone.
-		return serverhealth.Late, o.request.pendingAnswer == nil && !o.begun && !o.spent
+		return serverhealth.Late, o.request.pendingAnswer == nil && !o.isStreamed && !o.cannotRepeat
 	}
 	return 0, false
 }
--- a/internal/dataplane/node/flood_test.go
+++ b/internal/dataplane/node/flood_test.go
@@ -59,9 +59,9 @@
 // A flood of wrong keys touches no quota and keeps none from being served: a
 // library within its quota is answered all the same.
 func TestWrongKeysUseNoQuota(t *testing.T) {
-	in := install(t, 1, nil)
-	in.bring(0, in.revision(t, 0))
-	front := in.front(t, 20)
+	in := startInstallation(t, 1, nil)
+	in.activateBook(0, in.testBook(t, 0))
+	front := in.newFront(t, 20)
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
 	var refused int64
@@ -85,8 +85,8 @@
 	if *floodPairs == 0 {
 		t.Skip("needs -flood.pairs")
 	}
-	in := install(t, 1, nil)
-	in.bring(0, in.revision(t, 0))
+	in := startInstallation(t, 1, nil)
+	in.activateBook(0, in.testBook(t, 0))
 	run := func(wrong int) (median, tail time.Duration, refused int64) {
 		front, err := in.site.NewFront(standin.FrontConfig{Nodes: in.addrs, Settings: in.settings, Seed: 5,
 			Customers: []standin.Customer{{Key: in.libraries[0].Number, Plan: "free", Rate: 200, Spread: 1, APIKey: in.keys[0]}},
--- a/internal/dataplane/node/forgot_test.go
+++ b/internal/dataplane/node/forgot_test.go
@@ -13,8 +13,8 @@
 
 // useForgetfulServers has servers reset a connection that stood idle for long at the first byte that comes then, some time later
 // and without a packet before.
-func (r *managedFixture) useForgetfulServers(after, late time.Duration) *hall {
-	h := r.open(nil, nil)
+func (r *managedFixture) useForgetfulServers(after, late time.Duration) *scriptedServers {
+	h := r.startScriptedServers(nil, nil)
 	for i := range r.list {
 		ln, err := r.net.Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(r.t, err)
@@ -67,8 +67,8 @@
 				assert.Assert(t, a.took < 60*time.Millisecond, "%v", a.took)
 				time.Sleep(400 * time.Millisecond)
 			}
-			assert.Equal(t, len(h.seen()), n)
-			assert.Assert(t, r.ManagedNode.node.upstream.open <= 3)
+			assert.Equal(t, len(h.received()), n)
+			assert.Assert(t, r.ManagedNode.node.upstream.openConns <= 3)
 		})
 	}
 }
@@ -76,21 +76,21 @@
 // A connection that its server still knows is used again, for what may run once too, and a request that goes there in
 // two parts is the same as in one.
 func TestProbedConnectionsAreReused(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
-			h := r.open(nil, nil)
+			h := r.startScriptedServers(nil, nil)
 			for i := range 12 {
-				c := r.send(upload("/act/", content(large), chunked))
+				c := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
 				a := r.readAnswer(c)
 				c.Close()
 				assert.Equal(t, a.StatusCode, 200, "%d: %s", i, a.body)
 				time.Sleep(300 * time.Millisecond)
 			}
-			assert.Equal(t, h.complete(), 12)
+			assert.Equal(t, h.countComplete(), 12)
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			assert.Assert(t, len(h.conns) <= 3, "%d connections", len(h.conns))
-			for _, v := range h.visits {
+			for _, v := range h.requests {
 				assert.Equal(t, fmt.Sprint(v.Method, len(v.body)), fmt.Sprint(http.MethodPost, large))
 			}
 		})
@@ -111,6 +111,6 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		assert.Equal(t, lost, 1)
-		assert.Equal(t, len(h.seen()), n-1)
+		assert.Equal(t, len(h.received()), n-1)
 	})
 }
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -61,14 +61,14 @@
 		b = append(b, "\r\n"+fieldTenant+": "...)
 		b = append(b, req.managed.tenant...)
 	}
-	if req.managed.front.unread() {
-		b = appendFrame(b, &req.head)
+	if req.managed.client.hasUnreadBody() {
+		b = appendFramingField(b, &req.head)
 	} else if m := string(req.method); m != "GET" && m != "HEAD" || len(req.body) > 0 {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	if req.managed.front.unread() {
+	if req.managed.client.hasUnreadBody() {
 		return appendPiece(b, &req.head, req.body)
 	}
 	return append(b, req.body...)
@@ -85,8 +85,8 @@
 // written anew.
 func buildClientAnswer(h *head, status int, body []byte, bare, more bool) []byte {
 	b := make([]byte, 0, 256+len(body))
-	b = append(b, answerStart...)
-	b = append(b, h.firstLine[len(answerStart):]...)
+	b = append(b, answerPrefix...)
+	b = append(b, h.firstLine[len(answerPrefix):]...)
 	b = append(b, "\r\n"...)
 	named := h.get("Connection")
 	for i := range h.fields {
@@ -98,7 +98,7 @@
 		b = appendField(b, f)
 	}
 	if more {
-		b = append(appendFrame(b[:len(b)-2], h), "\r\n\r\n"...)
+		b = append(appendFramingField(b[:len(b)-2], h), "\r\n\r\n"...)
 		return appendPiece(b, h, body)
 	}
 	if !bare && status != 204 && status != 304 {
@@ -115,22 +115,22 @@
 func (u *upstream) forward(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
 	server := u.uid(a.server)
 	if server == "" || c.SetDeadline(u.clock.time(a.deadline)) != nil {
-		return ended(verdict.Unsent, errNoWay), false
+		return endedResult(verdict.Unsent, errNoConnection), false
 	}
-	msg := buffers.Get().(*[]byte)
-	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.front.s.estate.workFor(left, u.clock.now()))
-	n, err := c.Write(b[c.ahead:])
-	whole := c.ahead+n == len(b)
-	c.ahead = 0
+	msg := requestBuffers.Get().(*[]byte)
+	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.client.server.managed.workDuration(left, u.clock.now()))
+	n, err := c.Write(b[c.probedBytes:])
+	whole := c.probedBytes+n == len(b)
+	c.probedBytes = 0
 	if *msg = b; cap(b) <= 4*minBufferBytes {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 	}
 	if !whole {
-		return ended(verdict.Unsent, err), false
+		return endedResult(verdict.Unsent, err), false
 	}
 	bare, written := string(req.method) == "HEAD", u.clock.now()
 	stray := false
-	status, body, framed, unsent := 0, []byte(nil), false, req.managed.front.unread()
+	status, body, framed, unsent := 0, []byte(nil), false, req.managed.client.hasUnreadBody()
 	for range maxForeignAnswers {
 		if err != nil {
 			break
@@ -142,35 +142,35 @@
 			}
 			written = u.clock.now()
 		}
-		if status, body, framed, err = c.answer(bare, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
+		if status, body, framed, err = c.readAnswer(bare, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
 			break
 		}
 		if !framed {
 			err = errFraming
 		}
-		for p := []byte{0}; len(p) > 0 && err == nil && c.in.unread(); {
-			p, err = c.in.piece()
+		for p := []byte{0}; len(p) > 0 && err == nil && c.in.hasUnreadBody(); {
+			p, err = c.in.nextPiece()
 		}
 		c.in.startMessage() // it answers another request
 		status, stray = 0, true
 	}
-	spent := req.managed.front.spent()
+	spent := req.managed.client.hasDiscardedBody()
 	if err != nil || status == 0 {
-		r := u.unanswered(a, err)
-		if unsent && !req.managed.front.ending() { // and never will be sent
-			r = ended(verdict.Unsent, err)
+		r := u.errorResult(a, err)
+		if unsent && !req.managed.client.hasBegunLastChunk() { // and never will be sent
+			r = endedResult(verdict.Unsent, err)
 		}
-		r.spent, r.stray = spent, stray
+		r.cannotRepeat, r.hasStrayAnswers = spent, stray
 		return r, false
 	}
 	r := classifyAnswer(c, status, body, framed, bare)
-	if r.spent = spent; spent || c.in.unread() {
+	if r.cannotRepeat = spent; spent || c.in.hasUnreadBody() {
 		r.latency = max(1, u.clock.now()-written)
 	}
-	if c.in.unread() {
+	if c.in.hasUnreadBody() {
 		u.download(a, c, req, &r)
 	}
-	reuse := framed && !stray && !unsent && !c.in.unread() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	reuse := framed && !stray && !unsent && !c.in.hasUnreadBody() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	if r.held == nil {
 		c.in.startMessage()
 	}
@@ -183,9 +183,9 @@
 	count := func(field string) int { _, n := h.valueAndCount(field); return n }
 	v, pass := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
 		Coded: count("Content-Encoding") > 0, Framed: framed})
-	r := result{Verdict: v, load: parseServerLoad(h)}
+	r := result{Verdict: v, loadReport: parseServerLoad(h)}
 	if pass {
-		r.answer = buildClientAnswer(h, status, body, bare, c.in.unread())
+		r.answer = buildClientAnswer(h, status, body, bare, c.in.hasUnreadBody())
 	}
 	return r
 }
@@ -199,7 +199,7 @@
 	var out []float64
 	for part := range bytes.SplitSeq(text, []byte(",")) {
 		v, digits := parseDecimal(bytes.TrimSpace(part))
-		if digits == 0 || v > mostLoad {
+		if digits == 0 || v > maxLoadValue {
 			return nil
 		}
 		out = append(out, float64(v))
--- a/internal/dataplane/node/framing_test.go
+++ b/internal/dataplane/node/framing_test.go
@@ -30,9 +30,9 @@
 		{"lookup", "X-Request-Id", strings.Repeat("9", 65)}, {"lookup", "X-Class", "loan"}, {"loan", "X-Class", "lookup"},
 		{"loan", "Idempotency-Key", ""}, {"loan", "Idempotency-Key", strings.Repeat("k", 129)},
 	} {
-		r := request(n.url, c.class, patience)
+		r := newTestRequest(n.url, c.class, testTimeout)
 		r.Header.Set(c.header, c.value)
-		if resp, _ := ask(t, r); resp.StatusCode != http.StatusBadRequest {
+		if resp, _ := sendTestRequest(t, r); resp.StatusCode != http.StatusBadRequest {
 			t.Errorf("%s %q: %d", c.header, c.value, resp.StatusCode)
 		}
 	}
@@ -44,7 +44,7 @@
 	if a.Seen.Load() != 0 {
 		t.Errorf("%d of them were sent on", a.Seen.Load())
 	}
-	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
+	if resp, _ := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); resp.StatusCode != 200 {
 		t.Errorf("a good one after them: %d", resp.StatusCode)
 	}
 }
@@ -108,7 +108,7 @@
 // Huge bodies and endless heads are refused when their size is told or passed,
 // not when they have come, and the refusal reaches a client that still sends.
 func TestOversizedMessages(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := nodeWith(t, refusingAddress(t))
 	for name, c := range map[string]struct{ head, more, want string }{
 		"60 MB":        {"POST /loan HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", strings.Repeat("b", 1<<20), "HTTP/1.1 413 "},
 		"huge length":  {"POST /loan HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "b", "HTTP/1.1 400 "},
@@ -135,7 +135,7 @@
 	c := dial(t, n)
 	var text, want strings.Builder
 	for i := range 300 {
-		r := request(n.url, "lookup", patience)
+		r := newTestRequest(n.url, "lookup", testTimeout)
 		r.Header.Set("X-Request-Id", fmt.Sprint(i))
 		if i == 299 {
 			r.Header.Set("Connection", "close")
@@ -159,8 +159,8 @@
 	c = dial(t, n)
 	bad := strings.Repeat("GET /none HTTP/1.1\r\nX-Request-Id: 1\r\nX-Class: none\r\n\r\n", 50)
 	_, _ = io.WriteString(c, bad)
-	if all, _ := io.ReadAll(c); strings.Count(string(all), "HTTP/1.1 400 ") != mostBad {
-		t.Errorf("%d answers to useless requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), mostBad)
+	if all, _ := io.ReadAll(c); strings.Count(string(all), "HTTP/1.1 400 ") != maxInvalidRequests {
+		t.Errorf("%d answers to useless requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), maxInvalidRequests)
 	}
 }
 
@@ -171,10 +171,10 @@
 	})
 	n := nodeWith(t, a.Addr())
 	want := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
-	r := request(n.url, "loan", patience)
+	r := newTestRequest(n.url, "loan", testTimeout)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBodyBytes
 	r.Header.Set("X-Padding", strings.Repeat("p", 8<<10))
-	if resp, body := ask(t, r); resp.StatusCode != 200 || body != want {
+	if resp, body := sendTestRequest(t, r); resp.StatusCode != 200 || body != want {
 		t.Errorf("%d, %d bytes", resp.StatusCode, len(body))
 	}
 }
--- a/internal/dataplane/node/gone_test.go
+++ b/internal/dataplane/node/gone_test.go
@@ -132,14 +132,14 @@
 		var stopped atomic.Int64
 		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 			head := "HTTP/1.1 200 OK\r\nAttempt-Id: " + q.Header.Get("Attempt-Id") + "\r\n" + sealField + "Content-Length: 100000\r\n\r\n"
-			_, _ = c.Write(slices.Concat([]byte(head), content(bodyWindow+4000)))
+			_, _ = c.Write(slices.Concat([]byte(head), content(bodyWindowBytes+4000)))
 			return workUntilDisconnect(1200*time.Millisecond, &stopped)(c, q)
 		}}
 		r.configure()
 		c := r.dial()
 		_, err := io.WriteString(c, requestText("/get/", ""))
 		assert.NilError(t, err)
-		_, err = io.ReadFull(c, make([]byte, bodyWindow))
+		_, err = io.ReadFull(c, make([]byte, bodyWindowBytes))
 		assert.NilError(t, err)
 		time.Sleep(100 * time.Millisecond)
 		c.Close()
--- a/internal/dataplane/node/guard_test.go
+++ b/internal/dataplane/node/guard_test.go
@@ -212,10 +212,10 @@
 }
 
 func TestSplitWeights(t *testing.T) {
-	e := &estate{rnd: rand.New(rand.NewPCG(1, 2))}
+	e := &managedState{rnd: rand.New(rand.NewPCG(1, 2))}
 	n := map[string]int{}
 	for range 2000 {
-		n[e.draw(&routeconfig.Route{Split: []routeconfig.Share{{Backend: "x", Weight: 70}, {Backend: "y"}, {Backend: "z", Weight: 30}}})]++
+		n[e.pickService(&routeconfig.Route{Split: []routeconfig.Share{{Backend: "x", Weight: 70}, {Backend: "y"}, {Backend: "z", Weight: 30}}})]++
 	}
 	assert.Assert(t, n["x"] > 1300 && n["x"] < 1500 && n["y"] == 0 && n["x"]+n["z"] == 2000, "%v", n)
 }
--- a/internal/dataplane/node/hard_test.go
+++ b/internal/dataplane/node/hard_test.go
@@ -22,11 +22,11 @@
 // sent twice, and keys of two libraries. The audit judges what is asked beside
 // them.
 func TestRouteSwapCasesUnderLoad(t *testing.T) {
-	in := install(t, 3, func(s *standin.Settings) {
+	in := startInstallation(t, 3, func(s *standin.Settings) {
 		s.Plans = append(s.Plans, standin.Plan{Name: "single", Parallel: 1})
 	})
 	in.libraries[3].Plan = "single"
-	in.rekey(t)
+	in.buildKeyRing(t)
 	var mu sync.Mutex
 	count := map[string]int{}
 	in.script = func(r *standin.Request) standin.Fault {
@@ -39,11 +39,11 @@
 		}
 		return standin.NoFault
 	}
-	base := in.revision(t, 0)
+	base := in.testBook(t, 0)
 	for i := range in.nodes {
-		in.bring(i, base)
+		in.activateBook(i, base)
 	}
-	front := in.front(t, 40)
+	front := in.newFront(t, 40)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	load.Go(func() { front.Run(ctx) })
@@ -79,7 +79,7 @@
 
 	for round := range 5 {
 		n := round % 3
-		in.bring(n, base)
+		in.activateBook(n, base)
 
 		// Held behind a slow one of its library's, whose plan has one place.
 		type answer struct {
@@ -105,12 +105,12 @@
 			t.Errorf("an id twice: %d", s)
 		}
 		// Its operation and every key go.
-		gone := in.revisionOf(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
+		gone := in.compileBook(t, fmt.Sprintf("gone%d", round), base.Book.Routes()[:1])
 		keyless, err := routing.NewTable(&in.nodes[0].cfg.Settings, gone.Book, nil, nil, gone.Options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in.bring(n, keyless)
+		in.activateBook(n, keyless)
 		if s, _ := ask(n, in.keys[3], fmt.Sprintf("new%d", round), "x", "/loans"); s != http.StatusNotFound {
 			t.Errorf("a new request for what is gone: %d", s)
 		}
@@ -121,12 +121,12 @@
 		}
 
 		// A keyed try, then one with its key under a book that calls it a safe lookup.
-		in.bring(n, base)
+		in.activateBook(n, base)
 		idem := fmt.Sprint("idem", round)
 		ask(n, in.keys[0], fmt.Sprintf("err%d-a", round), idem, "/loans")
 		list := append([]routebook.Route(nil), base.Book.Routes()...)
 		list[1].Class, list[1].Repeat = "holdings-lookup", routebook.Safe
-		in.bring(n, in.revisionOf(t, fmt.Sprintf("lookup%d", round), list))
+		in.activateBook(n, in.compileBook(t, fmt.Sprintf("lookup%d", round), list))
 		ask(n, in.keys[0], fmt.Sprintf("err%d-b", round), idem, "/loans")
 		ask(n, in.keys[0], fmt.Sprintf("err%d-c", round), "fresh"+idem, "/loans")
 		mu.Lock()
@@ -137,8 +137,8 @@
 		}
 
 		// Keys of two libraries.
-		two := in.revisionOf(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
-		in.bring(n, two)
+		two := in.compileBook(t, fmt.Sprintf("two%d", round), base.Book.Routes(), routebook.KeyPlace{In: "query", Name: "k"})
+		in.activateBook(n, two)
 		if s, _ := ask(n, in.keys[0], fmt.Sprintf("two%d", round), "x", "/loans?k="+in.keys[1]); s != http.StatusBadRequest {
 			t.Errorf("keys of two libraries: %d", s)
 		}
--- a/internal/dataplane/node/harness_test.go
+++ b/internal/dataplane/node/harness_test.go
@@ -15,11 +15,11 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-const patience = 10 * time.Second // how long a test waits for a condition
+const testTimeout = 10 * time.Second // how long a test waits for a condition
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never came: %s", what)
 		}
@@ -37,8 +37,8 @@
 	return a
 }
 
-// refusing returns an address where nothing listens.
-func refusing(t *testing.T) string {
+// refusingAddress returns an address where nothing listens.
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	addr, err := standin.Refusing(world.Real{})
 	if err != nil {
@@ -47,34 +47,34 @@
 	return addr
 }
 
-// registry is a discovery agent and the roster that it tells of.
-type registry struct {
+// discoveryFixture is a discovery agent and the roster that it tells of.
+type discoveryFixture struct {
 	*standin.Agent
 	roster *standin.Roster
 }
 
-func newRegistry(t *testing.T, list ...target) *registry {
+func newDiscoveryFixture(t *testing.T, list ...target) *discoveryFixture {
 	t.Helper()
-	r := standin.NewSite(world.Real{}, standin.Nobody{}).NewRoster(inRoster(list)...)
+	r := standin.NewSite(world.Real{}, standin.Nobody{}).NewRoster(rosterTargets(list)...)
 	a, err := r.StartAgent("n0", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	return &registry{a, r}
+	return &discoveryFixture{a, r}
 }
 
 // set changes lines of the roster, and whether the agent answers.
-func (g *registry) set(down bool, list ...target) {
+func (g *discoveryFixture) set(down bool, list ...target) {
 	status := 0
 	if down {
 		status = http.StatusInternalServerError
 	}
-	g.roster.Put(inRoster(list)...)
+	g.roster.Put(rosterTargets(list)...)
 	g.Fail(status)
 }
 
-func inRoster(list []target) (out []standin.Target) {
+func rosterTargets(list []target) (out []standin.Target) {
 	for _, t := range list {
 		out = append(out, standin.Target{UID: t.UID, Endpoint: t.Endpoint, Zone: t.Zone, Group: t.Cell, State: t.State,
 			Weight: t.Weight, BootMS: t.BootMS})
@@ -82,7 +82,7 @@
 	return out
 }
 
-func serving(uid, addr string) target {
+func servingTarget(uid, addr string) target {
 	return target{UID: uid, Endpoint: addr, Zone: "a", State: "SERVING", Weight: 1}
 }
 
@@ -103,8 +103,8 @@
 	return c
 }
 
-// running is an edge node under test.
-type running struct {
+// runningNode is an edge node under test.
+type runningNode struct {
 	*Node
 	url  string
 	stop context.CancelFunc
@@ -112,14 +112,14 @@
 	done chan error
 }
 
-func start(t *testing.T, cfg *Config) *running {
+func start(t *testing.T, cfg *Config) *runningNode {
 	t.Helper()
 	n, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{Node: n, url: "http://" + n.Addr().String(), stop: stop, hup: make(chan os.Signal, 1),
+	r := &runningNode{Node: n, url: "http://" + n.Addr().String(), stop: stop, hup: make(chan os.Signal, 1),
 		done: make(chan error, 1)}
 	go func() { r.done <- n.Run(ctx, r.hup) }()
 	t.Cleanup(func() {
@@ -138,17 +138,17 @@
 }
 
 // nodeWith starts an edge node that knows the app servers at the addresses.
-func nodeWith(t *testing.T, addrs ...string) *running {
+func nodeWith(t *testing.T, addrs ...string) *runningNode {
 	t.Helper()
 	var list []target
 	for i, a := range addrs {
-		list = append(list, serving(fmt.Sprintf("s-%08x", i+1), a))
+		list = append(list, servingTarget(fmt.Sprintf("s-%08x", i+1), a))
 	}
-	return start(t, testConfig(t, newRegistry(t, list...).Addr()))
+	return start(t, testConfig(t, newDiscoveryFixture(t, list...).Addr()))
 }
 
-// request makes a client's request; POST for the keyed class.
-func request(url, class string, deadline time.Duration) *http.Request {
+// newTestRequest makes a client's request; POST for the keyed class.
+func newTestRequest(url, class string, deadline time.Duration) *http.Request {
 	method, body := http.MethodGet, ""
 	if class == "loan" {
 		method, body = http.MethodPost, "order=17"
@@ -169,8 +169,8 @@
 	return r
 }
 
-// ask sends a request and returns the whole answer.
-func ask(t *testing.T, r *http.Request) (*http.Response, string) {
+// sendTestRequest sends a request and returns the whole answer.
+func sendTestRequest(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
--- a/internal/dataplane/node/idle.go
+++ b/internal/dataplane/node/idle.go
@@ -83,46 +83,48 @@
 // only once, else where one as old broke lately. A trial does not wait for resets that come late, so what may run once
 // takes none as old then.
 func (u *upstream) needsProbe(a *attempt, c *upConn) bool {
-	if !u.estate || c.used == 0 || c.probeWait() > maxProbeWait {
+	if !u.isManaged || c.idleSince == 0 || c.probeWait() > maxProbeWait {
 		return false
 	}
 	now := u.clock.now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return now-c.used >= probeMinIdle && (a.once || u.ages.brokeRecently(now-c.used, now))
+	return now-c.idleSince >= probeMinIdle && (a.atMostOnce || u.idleAges.brokeRecently(now-c.idleSince, now))
 }
 
 // probeWait is how long a trial takes: a reset is back by then, unless it comes late.
-func (c *upConn) probeWait() time.Duration { return c.reach + c.reach/4 + probeMargin }
+func (c *upConn) probeWait() time.Duration {
+	return c.fastestConnect + c.fastestConnect/4 + probeMargin
+}
 
 // probe tells whether a server still knows a connection that stood idle. One that dropped it without a packet resets it
 // at whatever comes next: so the request's first bytes go ahead, and the others follow when a reset would be here. A
 // request of which that is all has not run.
 func (u *upstream) probe(a *attempt, c *upConn, req *clientRequest) bool {
-	if !a.hold(c) {
+	if !a.setConn(c) {
 		return true // given up: the caller sees to it
 	}
-	age := u.clock.now() - c.used
+	age := u.clock.now() - c.idleSince
 	if c.SetDeadline(u.clock.time(a.deadline)) == nil {
 		n, err := c.Write(req.method)
-		if c.ahead = n; err == nil {
+		if c.probedBytes = n; err == nil {
 			world.Pause(u.clock, c.probeWait())
-			if alive(c) {
+			if isQuiet(c) {
 				return true
 			}
 		}
 	}
-	if a.hold(nil) {
+	if a.setConn(nil) {
 		u.mu.Lock()
-		u.ages.recordBreak(age, u.clock.now())
+		u.idleAges.recordBreak(age, u.clock.now())
 		if s := u.servers[a.server]; s != nil { // it may have forgotten all that are older
 			older := u.clock.now() - age
 			s.idle = slices.DeleteFunc(s.idle, func(o *upConn) bool {
-				if o.used > older {
+				if o.idleSince > older {
 					return false
 				}
 				o.Close()
-				u.open--
+				u.openConns--
 				return true
 			})
 		}
--- a/internal/dataplane/node/idle_test.go
+++ b/internal/dataplane/node/idle_test.go
@@ -13,13 +13,13 @@
 // A server takes so many connections from all edge nodes: no more than this one's part of them stand idle here.
 func TestIdleConnectionsPerServerAreBounded(t *testing.T) {
 	id := serverID("i-1")
-	u := &upstream{clock: newClock(world.Real{}), servers: map[policy.ServerID]*appServer{}, open: 3}
+	u := &upstream{clock: newClock(world.Real{}), servers: map[policy.ServerID]*appServer{}, openConns: 3}
 	u.update(&serverList{All: true, Targets: []target{{UID: "i-1", Endpoint: "pipe", State: "SERVING", maxIdleConns: 2}}}, true)
 	for range 3 {
 		c, other := net.Pipe()
 		defer other.Close()
-		u.keep(id, &upConn{Conn: c, up: u})
+		u.returnConnection(id, &upConn{Conn: c, up: u})
 	}
 	assert.Equal(t, len(u.servers[id].idle), 2)
-	assert.Equal(t, u.open, 2)
+	assert.Equal(t, u.openConns, 2)
 }
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -39,7 +39,7 @@
 	e.runOnLoop(func(loop *loop) {
 		e.handover.taker.Leaving = true
 		l.Grace = e.cfg.Grace // as told last
-		e.managed.workEnds.Store(int64(loop.clock.now() + l.WorkEnds()))
+		e.managed.workDeadline.Store(int64(loop.clock.now() + l.WorkEnds()))
 	})
 	handed := false
 	for {
@@ -93,7 +93,7 @@
 	e.runOnLoop(func(l *loop) {
 		g, now := e.handover.giver, l.clock.now()
 		for _, m := range g.Step(now) {
-			e.node.peers.tell(m.To, m.Encode())
+			e.node.peers.sendMessage(m.To, m.Encode())
 		}
 		over = g.Done(now)
 	})
@@ -135,6 +135,6 @@
 		l.decide(policy.UnitsReceived{Customer: s.Key, Units: s.Units})
 	}
 	if answer != nil {
-		e.node.peers.tell(from, answer.Encode())
+		e.node.peers.sendMessage(from, answer.Encode())
 	}
 }
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -66,7 +66,7 @@
 	defer l.timer.Stop()
 	l.checkDisconnects()
 	for {
-		l.arm()
+		l.armTimer()
 		select {
 		case <-done:
 			return
@@ -75,7 +75,7 @@
 		case <-l.timer.C():
 			l.timerAt = 0
 		}
-		l.fire()
+		l.fireTimers()
 	}
 }
 
@@ -86,7 +86,7 @@
 	case outcome:
 		l.endAttempt(ev)
 	case started:
-		l.decide(policy.Started{ID: ev.attempt.id, Attempt: ev.attempt.num, Server: ev.attempt.server})
+		l.decide(policy.Started{ID: ev.attempt.id, Attempt: ev.attempt.number, Server: ev.attempt.server})
 	case policy.PeerMessage:
 		l.decide(ev)
 	case listUpdate:
@@ -109,7 +109,7 @@
 	}
 	c.Remaining = max(0, c.answerBy-l.clock.now())
 	l.requests[c.ID], l.requestsByClientID[c.clientID] = c, c
-	c.deadlineTimer = &timer{at: c.answerBy + backstopDelay, call: c}
+	c.deadlineTimer = &timer{at: c.answerBy + backstopDelay, request: c}
 	heap.Push(&l.timers, c.deadlineTimer)
 	l.decide(c.Request)
 }
@@ -117,8 +117,8 @@
 // endAttempt takes in an attempt's end. A whole answer is on its way to the client
 // already.
 func (l *loop) endAttempt(o outcome) {
-	c, ev := o.request, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.num, Server: o.attempt.server, Code: o.Code(),
-		Latency: l.clock.now() - o.attempt.sent, Load: o.load}
+	c, ev := o.request, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.number, Server: o.attempt.server, Code: o.Code(),
+		Latency: l.clock.now() - o.attempt.requestedAt, Load: o.loadReport}
 	c.inFlight = nil
 	if l.onOutcome != nil {
 		l.onOutcome(o)
@@ -127,16 +127,16 @@
 		ev.Latency = o.latency
 	}
 	if c.mayHaveRunSince == 0 && !o.Run().Never() {
-		c.mayHaveRunSince = o.attempt.sent
+		c.mayHaveRunSince = o.attempt.requestedAt
 	}
 	switch {
-	case o.End == verdict.Served || o.begun || o.fault != nil:
+	case o.End == verdict.Served || o.isStreamed || o.clientFault != nil:
 		l.removeRequest(c)
 	case o.End == verdict.Unfit && c.pendingAnswer == nil:
 		l.answer(c, command{clientErrorStatus: statusBadRequest})
 	case c.pendingAnswer != nil:
 		l.answer(c, *c.pendingAnswer)
-	case o.spent: // there is nothing to send again
+	case o.cannotRepeat: // there is nothing to send again
 		l.answer(c, command{retryAfter: refusalRetryAfter})
 	}
 	ev.Final = l.requests[c.ID] == nil
@@ -178,7 +178,7 @@
 		l.disconnectedClients.Add(1)
 		l.decide(policy.ClientGone{ID: id})
 	}
-	heap.Push(&l.timers, &timer{at: l.clock.now() + l.disconnectInterval, look: true})
+	heap.Push(&l.timers, &timer{at: l.clock.now() + l.disconnectInterval, isDisconnectCheck: true})
 }
 
 // finish gives a request its final answer, after calling back an attempt that
@@ -209,8 +209,8 @@
 	if l.requestsByClientID[c.clientID] == c {
 		delete(l.requestsByClientID, c.clientID)
 	}
-	if c.deadlineTimer != nil && c.deadlineTimer.place >= 0 {
-		heap.Remove(&l.timers, c.deadlineTimer.place)
+	if c.deadlineTimer != nil && c.deadlineTimer.heapIndex >= 0 {
+		heap.Remove(&l.timers, c.deadlineTimer.heapIndex)
 	}
 }
 
--- a/internal/dataplane/node/message.go
+++ b/internal/dataplane/node/message.go
@@ -31,12 +31,12 @@
 type messageReader struct {
 	src        io.Reader
 	buf        []byte
-	off        int       // what comes before has been used
-	maxBody    int       // bytes of a body; 0: maxBodyBytes
-	maxHead    int       // bytes of a head; 0: maxHeadBytes
-	window     int       // bytes of a body that are read whole, the others in pieces; 0: all
-	remainder  remainder // of a body longer than the window
-	ownsBuffer bool      // nobody needs what has been used of buf
+	off        int           // what comes before has been used
+	maxBody    int           // bytes of a body; 0: maxBodyBytes
+	maxHead    int           // bytes of a head; 0: maxHeadBytes
+	window     int           // bytes of a body that are read whole, the others in pieces; 0: all
+	remainder  bodyRemainder // of a body longer than the window
+	ownsBuffer bool          // nobody needs what has been used of buf
 }
 
 // bodyLimit is the most bytes that a body may have.
@@ -65,13 +65,13 @@
 	} else {
 		s.buf = s.buf[:copy(s.buf, rest)]
 	}
-	s.off, s.remainder, s.ownsBuffer = 0, remainder{}, false
+	s.off, s.remainder, s.ownsBuffer = 0, bodyRemainder{}, false
 }
 
 // fill reads what comes next, at least a byte.
 func (s *messageReader) fill() error {
 	if len(s.buf) == cap(s.buf) {
-		s.widen()
+		s.grow()
 	}
 	n, err := s.src.Read(s.buf[len(s.buf):cap(s.buf)])
 	s.buf = s.buf[:len(s.buf)+n]
@@ -86,7 +86,7 @@
 
 // readBytes returns the next n bytes.
 func (s *messageReader) readBytes(n int) ([]byte, error) {
-	if s.window > 0 && n > mostDoubled && s.off+n > cap(s.buf) {
+	if s.window > 0 && n > maxDoublingBytes && s.off+n > cap(s.buf) {
 		s.buf, s.off = append(make([]byte, 0, n), s.buf[s.off:]...), 0
 	}
 	for s.buffered() < n {
@@ -219,7 +219,7 @@
 	}
 	if h.length >= 0 {
 		n := min(h.length, window)
-		s.remainder.left = h.length - n
+		s.remainder.bytesLeft = h.length - n
 		return s.readBytes(n)
 	}
 	var body []byte
@@ -233,7 +233,7 @@
 		}
 		if len(body)+n > window {
 			part, err := s.readBytes(window - len(body))
-			s.remainder = remainder{left: n - len(part), total: len(body) + n, chunks: true}
+			s.remainder = bodyRemainder{bytesLeft: n - len(part), chunkBytes: len(body) + n, isChunked: true}
 			return append(body, part...), err
 		}
 		chunk, err := s.readBytes(n + 2)
--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -67,12 +67,12 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		// Not through upConn.Read, which sets deadlines on a socket.
 		c := upConn{in: messageReader{src: bytes.NewReader(data)}}
-		status, body, framed, err := c.answer(false, false)
+		status, body, framed, err := c.readAnswer(false, false)
 		if err != nil || !framed {
 			return
 		}
 		br := bufio.NewReader(bytes.NewReader(data))
-		for range mostInterim + 1 {
+		for range maxInterimAnswers + 1 {
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
 				t.Fatalf("taken here, elsewhere: %v", err)
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -62,16 +62,16 @@
 		machine = world.Real{}
 	}
 	clk := newClock(machine)
-	up := &upstream{clock: clk, network: machine, limit: cfg.DialTimeout,
-		idleFor: time.Duration(idlePart * float64(cfg.ConnIdle)), grace: cfg.DrainGrace,
-		most: int(serverSocketShare * float64(cfg.Sockets)), fields: cfg.Settings.LoadReportNames,
+	up := &upstream{clock: clk, network: machine, dialTimeout: cfg.DialTimeout,
+		idleTimeout: time.Duration(idleTimeoutShare * float64(cfg.ConnIdle)), drainGrace: cfg.DrainGrace,
+		maxConns: int(serverSocketShare * float64(cfg.Sockets)), loadFields: cfg.Settings.LoadReportNames,
 		servers: map[policy.ServerID]*appServer{}}
 	n := &Node{cfg: cfg, world: machine, upstream: up, loop: newLoop(clk, gateway, up), configuredDiscovery: cfg.Discovery,
 		drainSchedule: drainSchedule{drainCloseIdleAfter, drainStopAcceptAfter, drainTimeout}}
 	n.server = newServer(clk, cfg.Settings, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
-	n.server.booked.random = cfg.Random
+	n.server.bookReader.random = cfg.Random
 	if cfg.Random == nil {
-		n.server.booked.random = rand.Reader
+		n.server.bookReader.random = rand.Reader
 	}
 	n.loop.reportWatchFailures = cfg.Settings.MustWatch
 	n.loop.onList = func(kind policy.ServerListKind) {
@@ -99,9 +99,9 @@
 		if err != nil {
 			return nil, err
 		}
-		n.loop.sendPeer = n.peers.tell
+		n.loop.sendPeer = n.peers.sendMessage
 		if t := cfg.Membership; t != nil {
-			if n.peers.watch, err = newWatch(cfg, *t, clk, n.peers, cfg.Seed); err != nil {
+			if n.peers.watch, err = newFleetWatch(cfg, *t, clk, n.peers, cfg.Seed); err != nil {
 				n.closePeers()
 				return nil, err
 			}
@@ -112,7 +112,7 @@
 		n.closePeers()
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	up.tune(DefaultTuning())
+	up.applyTuning(DefaultTuning())
 	if cached := cfg.CachedList; cached != nil {
 		if len(cached.Targets) == 0 {
 			cfg.CachedList = nil
@@ -153,7 +153,7 @@
 	go n.reload(ctx, hup)
 	go n.sweep(ctx)
 	if n.peers != nil {
-		go n.peers.send(ctx.Done())
+		go n.peers.writeQueued(ctx.Done())
 		go n.peers.receive()
 		if watch := n.peers.watch; watch != nil {
 			watchDone := make(chan struct{})
@@ -198,6 +198,6 @@
 // sweep runs the periodic cleanup of server connections until ctx ends.
 func (n *Node) sweep(ctx context.Context) {
 	for world.Sleep(ctx, n.world, sweepInterval) {
-		n.upstream.sweep()
+		n.upstream.closeStaleConnections()
 	}
 }
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -29,7 +29,7 @@
 		"lookup": "GET/lookup?q=19b1f03aa5c7e2d41",
 		"loan":   "POST/loan?q=1order=179b1f03aa5c7e2d415c0f6e1a2b3d4c59a8b7c6d5e4f30211",
 	} {
-		resp, body := ask(t, request(n.url, class, patience))
+		resp, body := sendTestRequest(t, newTestRequest(n.url, class, testTimeout))
 		if resp.StatusCode != 200 || body != "placed\x00" || got.Load() != want {
 			t.Errorf("%s: %d %q, sent on %q, want %q", class, resp.StatusCode, body, got.Load(), want)
 		}
@@ -42,9 +42,9 @@
 // An attempt that did not run is retried at another server; the client gets one answer.
 func TestRetriesOnAnotherServer(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, refusing(t), a.Addr())
+	n := nodeWith(t, refusingAddress(t), a.Addr())
 	for range 20 {
-		if resp, body := ask(t, request(n.url, "loan", patience)); resp.StatusCode != 200 || body != "hits" {
+		if resp, body := sendTestRequest(t, newTestRequest(n.url, "loan", testTimeout)); resp.StatusCode != 200 || body != "hits" {
 			t.Fatalf("%d %q", resp.StatusCode, body)
 		}
 	}
@@ -55,10 +55,10 @@
 func TestKeyedMayHaveRun(t *testing.T) {
 	breaks := func(net.Conn, *standin.Request) bool { return false }
 	a, b := newApp(t, breaks), newApp(t, breaks)
-	other := serving("s-00000002", b.Addr())
+	other := servingTarget("s-00000002", b.Addr())
 	other.Cell = 1
-	n := start(t, testConfig(t, newRegistry(t, serving("s-00000001", a.Addr()), other).Addr()))
-	resp, _ := ask(t, request(n.url, "loan", patience))
+	n := start(t, testConfig(t, newDiscoveryFixture(t, servingTarget("s-00000001", a.Addr()), other).Addr()))
+	resp, _ := sendTestRequest(t, newTestRequest(n.url, "loan", testTimeout))
 	if resp.StatusCode != http.StatusBadGateway || a.Seen.Load()+b.Seen.Load() != 1 {
 		t.Errorf("%d after %d and %d attempts", resp.StatusCode, a.Seen.Load(), b.Seen.Load())
 	}
@@ -68,7 +68,7 @@
 func TestAnswersBeforeTheDeadline(t *testing.T) {
 	a := newApp(t, standin.Deaf)
 	n := nodeWith(t, a.Addr())
-	resp, _ := ask(t, request(n.url, "loan", 300*time.Millisecond))
+	resp, _ := sendTestRequest(t, newTestRequest(n.url, "loan", 300*time.Millisecond))
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%d", resp.StatusCode)
 	}
@@ -77,12 +77,12 @@
 
 // A request that the policy refuses is answered at once, with the retry time that the policy returned.
 func TestRefusesAtOnce(t *testing.T) {
-	n := nodeWith(t, refusing(t))
-	r := request(n.url, "loan", patience)
+	n := nodeWith(t, refusingAddress(t))
+	r := newTestRequest(n.url, "loan", testTimeout)
 	r.Header.Set("X-Tier", "tiny") // the plan's token bucket holds less than the request costs
 	began := time.Now()
-	resp, _ := ask(t, r)
-	if time.Since(began) > patience/2 {
+	resp, _ := sendTestRequest(t, r)
+	if time.Since(began) > testTimeout/2 {
 		t.Error("held back")
 	}
 	if resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") != "1.5" {
@@ -95,13 +95,13 @@
 func TestBackstop(t *testing.T) {
 	c := newClock(world.Real{})
 	l := newLoop(c, nil, nil)
-	out := &attempt{id: 1, cancelled: false}
+	out := &attempt{id: 1, isCancelled: false}
 	open := &openRequest{commands: make(chan command, 1), inFlight: out}
 	open.ID = 1
 	l.requests[1] = open
 	l.finish(open, command{refused: true})
-	if !out.cancelled || len(open.commands) != 0 {
-		t.Fatalf("cancelled %v, answers %d", out.cancelled, len(open.commands))
+	if !out.isCancelled || len(open.commands) != 0 {
+		t.Fatalf("cancelled %v, answers %d", out.isCancelled, len(open.commands))
 	}
 	l.finish(open, command{}) // finishing it again has no effect
 	open.inFlight = nil
@@ -116,7 +116,7 @@
 	a := newApp(t, standin.Answer("400 No", "", ""))
 	n := nodeWith(t, a.Addr())
 	for i := range 5 {
-		if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 400 || int(a.Seen.Load()) != i+1 {
+		if resp, _ := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); resp.StatusCode != 400 || int(a.Seen.Load()) != i+1 {
 			t.Fatalf("%d after %d attempts", resp.StatusCode, a.Seen.Load())
 		}
 	}
@@ -134,15 +134,15 @@
 	})
 	n := nodeWith(t, a.Addr())
 	old, open, idle := dial(t, n), dial(t, n), dial(t, n)
-	writeRequest(t, old, request(n.url, "lookup", patience))()
-	writeRequest(t, idle, request(n.url, "lookup", patience))()
-	held := writeRequest(t, open, request(n.url, "loan", patience))
+	writeRequest(t, old, newTestRequest(n.url, "lookup", testTimeout))()
+	writeRequest(t, idle, newTestRequest(n.url, "lookup", testTimeout))()
+	held := writeRequest(t, open, newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the open request at the app server", func() bool { return a.Seen.Load() == 3 })
 	n.stop()
 	eventually(t, "the stop", n.server.draining.Load)
 	fresh := dial(t, n)
-	refused := request(n.url, "lookup", patience)
-	again := request(n.url, "lookup", patience)
+	refused := newTestRequest(n.url, "lookup", testTimeout)
+	again := newTestRequest(n.url, "lookup", testTimeout)
 	again.Header.Set("X-Request-Id", "again") // the first request still uses the default id
 	refused.Header.Set("X-Request-Id", "refused")
 	refused.Header.Set("X-Tier", "tiny")
@@ -176,7 +176,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("did not stop once all was answered")
 	}
 }
@@ -208,23 +208,23 @@
 	defer close(done)
 	defer p.conn.Close()
 	go p.receive()
-	go p.send(done)
+	go p.writeQueued(done)
 	me := p.conn.Addr()
 	for _, d := range []struct {
 		c    *net.UDPConn
 		text string
-	}{{stranger, "hello"}, {peer, strings.Repeat("x", mostDatagram+1)}, {peer, strings.Repeat("y", mostDatagram)}} {
+	}{{stranger, "hello"}, {peer, strings.Repeat("x", maxDatagramBytes+1)}, {peer, strings.Repeat("y", maxDatagramBytes)}} {
 		if _, err := d.c.WriteToUDPAddrPort([]byte(d.text), me); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if m := <-received; m.from != 0 || m.text != strings.Repeat("y", mostDatagram) {
+	if m := <-received; m.from != 0 || m.text != strings.Repeat("y", maxDatagramBytes) {
 		t.Errorf("received %d bytes from %d", len(m.text), m.from)
 	}
-	p.tell(0, make([]byte, mostDatagram+1)) // exceeds the size limit, which would invalidate a test run: must not be sent
-	p.tell(5, []byte("nobody"))
-	p.tell(-1, []byte("all"))
-	_ = peer.SetReadDeadline(time.Now().Add(patience))
+	p.sendMessage(0, make([]byte, maxDatagramBytes+1)) // exceeds the size limit, which would invalidate a test run: must not be sent
+	p.sendMessage(5, []byte("nobody"))
+	p.sendMessage(-1, []byte("all"))
+	_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
 	buf := make([]byte, 1000)
 	if n, err := peer.Read(buf); err != nil || string(buf[:n]) != "all" {
 		t.Errorf("%q %v", buf[:n], err)
@@ -233,12 +233,12 @@
 
 // The policy package ignores malformed messages of peers.
 func TestGarbageFromPeers(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := nodeWith(t, refusingAddress(t))
 	for _, data := range []string{"", "\x04", "\x03\x00", strings.Repeat("\xff", 256), "\x04" + strings.Repeat("\xff", 255)} {
 		n.loop.events <- policy.PeerMessage{From: 0, Data: []byte(data)}
 		n.loop.events <- policy.PeerMessage{From: 99, Data: []byte(data)}
 	}
-	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode == 0 {
+	if resp, _ := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); resp.StatusCode == 0 {
 		t.Error("no answer")
 	}
 }
@@ -272,7 +272,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("a proxy with a health check every few milliseconds has not stopped")
 	}
 	close(stop)
--- a/internal/dataplane/node/pace_test.go
+++ b/internal/dataplane/node/pace_test.go
@@ -175,9 +175,9 @@
 	t.Cleanup(app.Close)
 	cfg := testConfig(t, strings.TrimPrefix(agent.URL, "http://"))
 	cfg.Settings.MustWatch, cfg.Settings.Gateways = true, 1
-	cfg.CachedList = &serverList{Rev: 41, All: true, Targets: []target{serving("s-00000001", strings.TrimPrefix(app.URL, "http://"))}}
+	cfg.CachedList = &serverList{Rev: 41, All: true, Targets: []target{servingTarget("s-00000001", strings.TrimPrefix(app.URL, "http://"))}}
 	n := start(t, cfg)
-	if resp, body := ask(t, request(n.url, "lookup", time.Second)); resp.StatusCode != http.StatusOK || body != "a" {
+	if resp, body := sendTestRequest(t, newTestRequest(n.url, "lookup", time.Second)); resp.StatusCode != http.StatusOK || body != "a" {
 		t.Errorf("got %d %q", resp.StatusCode, body)
 	}
 	if q := <-asked; !strings.HasPrefix(q, "since=41&") {
--- a/internal/dataplane/node/pieces.go
+++ b/internal/dataplane/node/pieces.go
@@ -6,26 +6,28 @@
 	// A body up to here is held whole, so that it may be sent again; of a longer one no more is held at a time.
 	// It is what an edge node's memory bears for each of its connections to servers at once, and far above what most
 	// bodies have.
-	bodyWindow  = 16 << 10
-	mostDoubled = 8 << 10 // a body beyond gets room of its size
+	bodyWindowBytes  = 16 << 10
+	maxDoublingBytes = 8 << 10 // a body beyond gets room of its size
 )
 
-// remainder is what is to come of a body beyond the window.
-type remainder struct {
-	left   int  // bytes of the body, or of its chunk
-	total  int  // bytes of all chunks that were told
-	chunks bool // more chunks may follow
-	parted bool // the line's end behind the last one has been passed over
-	ended  bool // the last one has come, and its trailer not yet
-	taken  bool // some of it is held no more
+// bodyRemainder is what is to come of a body beyond the window.
+type bodyRemainder struct {
+	bytesLeft     int  // bytes of the body, or of its chunk
+	chunkBytes    int  // bytes of all chunks that were told
+	isChunked     bool // more chunks may follow
+	chunkEndRead  bool // the line's end behind the last one has been passed over
+	lastChunkRead bool // the last one has come, and its trailer not yet
+	hasDiscarded  bool // some of it is held no more
 }
 
-// unread tells whether something of the body has not come yet.
-func (s *messageReader) unread() bool { return s.remainder.left > 0 || s.remainder.chunks }
+// hasUnreadBody tells whether something of the body has not come yet.
+func (s *messageReader) hasUnreadBody() bool {
+	return s.remainder.bytesLeft > 0 || s.remainder.isChunked
+}
 
-// widen makes room. What has been used is let go where nobody needs it there; who still has a slice keeps the old
+// grow makes room. What has been used is let go where nobody needs it there; who still has a slice keeps the old
 // buffer.
-func (s *messageReader) widen() {
+func (s *messageReader) grow() {
 	rest := s.buf[s.off:]
 	switch {
 	case s.ownsBuffer && s.off > 0:
@@ -37,43 +39,43 @@
 	}
 }
 
-// piece returns what comes next of the rest, and no bytes at its end. They hold until the next call. After a
+// nextPiece returns what comes next of the rest, and no bytes at its end. They hold until the next call. After a
 // time-out it may be called again.
-func (s *messageReader) piece() ([]byte, error) {
+func (s *messageReader) nextPiece() ([]byte, error) {
 	r := &s.remainder
-	for r.left == 0 {
+	for r.bytesLeft == 0 {
 		switch {
-		case !r.chunks:
+		case !r.isChunked:
 			return nil, nil
-		case r.ended:
+		case r.lastChunkRead:
 			if err := s.skipTrailer(); err != nil {
 				return nil, err
 			}
-			r.chunks = false
+			r.isChunked = false
 			return nil, nil
 		}
-		if err := s.chunkEnd(); err != nil {
+		if err := s.startNextChunk(); err != nil {
 			return nil, err
 		}
 	}
 	if s.buffered() == 0 {
 		if !s.ownsBuffer {
-			s.buf, s.ownsBuffer = make([]byte, 0, bodyWindow), true
+			s.buf, s.ownsBuffer = make([]byte, 0, bodyWindowBytes), true
 		}
 		s.buf, s.off = s.buf[:0], 0
 		if err := s.fill(); err != nil {
 			return nil, err
 		}
 	}
-	n := min(r.left, s.buffered())
-	r.left, r.taken, s.off = r.left-n, true, s.off+n
+	n := min(r.bytesLeft, s.buffered())
+	r.bytesLeft, r.hasDiscarded, s.off = r.bytesLeft-n, true, s.off+n
 	return s.buf[s.off-n : s.off], nil
 }
 
-// chunkEnd passes over the end of a chunk and reads the size of the next one.
-func (s *messageReader) chunkEnd() error {
+// startNextChunk passes over the end of a chunk and reads the size of the next one.
+func (s *messageReader) startNextChunk() error {
 	r := &s.remainder
-	if !r.parted {
+	if !r.chunkEndRead {
 		b, err := s.readBytes(2)
 		switch {
 		case err != nil:
@@ -81,12 +83,12 @@
 		case string(b) != "\r\n":
 			return errFraming
 		}
-		r.parted = true
+		r.chunkEndRead = true
 	}
-	n, err := s.readChunkSize(r.total)
+	n, err := s.readChunkSize(r.chunkBytes)
 	if err != nil {
 		return err
 	}
-	r.left, r.total, r.parted, r.ended = n, r.total+n, false, n == 0
+	r.bytesLeft, r.chunkBytes, r.chunkEndRead, r.lastChunkRead = n, r.chunkBytes+n, false, n == 0
 	return nil
 }
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -12,14 +12,14 @@
 
 // appServer is one server with its idle connections, newest last.
 type appServer struct {
-	uid   string
-	addr  string
-	boot  float64
-	state policy.State
-	since time.Duration // when this edge node heard that it drains
-	idle  []*upConn
-	most  int           // idle ones kept; 0: any number
-	reach time.Duration // the least time in which a connection came up; 0: none has
+	uid             string
+	addr            string
+	bootMS          float64
+	state           policy.State
+	notRunningSince time.Duration // when this edge node heard that it drains
+	idle            []*upConn
+	maxIdle         int           // idle ones kept; 0: any number
+	fastestConnect  time.Duration // the least time in which a connection came up; 0: none has
 }
 
 // update takes over the list or changes to it.
@@ -34,15 +34,15 @@
 		listed[id] = true
 		s := u.servers[id]
 		if s == nil {
-			s = &appServer{uid: t.UID, addr: t.Endpoint, boot: t.BootMS}
+			s = &appServer{uid: t.UID, addr: t.Endpoint, bootMS: t.BootMS}
 			u.servers[id] = s
 		}
-		if t.State != "DELETED" && (s.addr != t.Endpoint || s.boot != t.BootMS) {
+		if t.State != "DELETED" && (s.addr != t.Endpoint || s.bootMS != t.BootMS) {
 			u.dropIdle(s) // they lead to the process before
-			s.addr, s.boot, s.reach = t.Endpoint, t.BootMS, 0
+			s.addr, s.bootMS, s.fastestConnect = t.Endpoint, t.BootMS, 0
 		}
-		s.most = t.maxIdleConns
-		u.become(s, targetStates[t.State], now)
+		s.maxIdle = t.maxIdleConns
+		u.setState(s, targetStates[t.State], now)
 	}
 	// What is gone is forgotten: an attempt that is out has its connection, and
 	// nothing new finds a way there.
@@ -54,9 +54,9 @@
 	}
 }
 
-func (u *upstream) become(s *appServer, state policy.State, now time.Duration) {
+func (u *upstream) setState(s *appServer, state policy.State, now time.Duration) {
 	if s.state == policy.Running && state != policy.Running {
-		s.since = now
+		s.notRunningSince = now
 	}
 	s.state = state
 }
@@ -65,69 +65,69 @@
 	for _, c := range s.idle {
 		c.Close()
 	}
-	u.open -= len(s.idle)
+	u.openConns -= len(s.idle)
 	s.idle = nil
 }
 
-// closed tells whether new work to the server is over. It is so before the
+// isClosedToWork tells whether new work to the server is over. It is so before the
 // grace runs out: the bytes have a way to go yet.
-func (u *upstream) closed(id policy.ServerID) bool {
+func (u *upstream) isClosedToWork(id policy.ServerID) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.servers[id]
-	return s == nil || s.state != policy.Running && u.clock.now()-s.since >= max(0, u.grace-graceMargin)
+	return s == nil || s.state != policy.Running && u.clock.now()-s.notRunningSince >= max(0, u.drainGrace-drainGraceMargin)
 }
 
-// take returns the newest idle connection that is still good, or else the
+// takeConnection returns the newest idle connection that is still good, or else the
 // address to dial; ok is false when there are too many connections or no such
 // server. What may run once gets none on a system's wire as old as one that
 // broke lately.
-func (u *upstream) take(id policy.ServerID, once bool) (c *upConn, addr string, ok bool) {
+func (u *upstream) takeConnection(id policy.ServerID, once bool) (c *upConn, addr string, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.servers[id]
 	if s == nil {
 		return nil, "", false
 	}
-	now, most := u.clock.now(), u.ages.maxUsableAge(u.idleFor)
+	now, most := u.clock.now(), u.idleAges.maxUsableAge(u.idleTimeout)
 	for i := len(s.idle) - 1; i >= 0; i-- {
 		c := s.idle[i]
-		if now-c.used < u.rest {
+		if now-c.idleSince < u.reuseDelay {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
-		if now-c.used < most && alive(c) && !(once && u.estate && u.ages.brokeRecently(now-c.used, now)) {
+		if now-c.idleSince < most && isQuiet(c) && !(once && u.isManaged && u.idleAges.brokeRecently(now-c.idleSince, now)) {
 			return c, "", true
 		}
 		c.Close()
-		u.open--
+		u.openConns--
 	}
-	if u.open >= u.most && !u.dropOldest() {
+	if u.openConns >= u.maxConns && !u.dropOldest() {
 		return nil, "", false
 	}
-	u.open++
+	u.openConns++
 	return nil, s.addr, true
 }
 
-// reached takes in how long a connection took to come up, and returns the least such time.
-func (u *upstream) reached(id policy.ServerID, took time.Duration) time.Duration {
+// recordConnectTime takes in how long a connection took to come up, and returns the least such time.
+func (u *upstream) recordConnectTime(id policy.ServerID, took time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.servers[id]
 	if s == nil {
 		return took
 	}
-	if s.reach == 0 || took < s.reach {
-		s.reach = took
+	if s.fastestConnect == 0 || took < s.fastestConnect {
+		s.fastestConnect = took
 	}
-	return s.reach
+	return s.fastestConnect
 }
 
 // dropOldest closes the connection that is idle for longest.
 func (u *upstream) dropOldest() bool {
 	var from *appServer
 	for _, s := range u.servers {
-		if len(s.idle) > 0 && (from == nil || s.idle[0].used < from.idle[0].used) {
+		if len(s.idle) > 0 && (from == nil || s.idle[0].idleSince < from.idle[0].idleSince) {
 			from = s
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 	from.idle[0].Close()
 	from.idle = slices.Delete(from.idle, 0, 1)
-	u.open--
+	u.openConns--
 	return true
 }
 
@@ -147,49 +147,49 @@
 		c.Close()
 	}
 	u.mu.Lock()
-	u.open--
+	u.openConns--
 	u.mu.Unlock()
 }
 
-// keep puts a connection back.
-func (u *upstream) keep(id policy.ServerID, c *upConn) {
+// returnConnection puts a connection back.
+func (u *upstream) returnConnection(id policy.ServerID, c *upConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.servers[id]
 	if s == nil || s.addr != c.RemoteAddr().String() {
 		c.Close()
-		u.open--
+		u.openConns--
 		return
 	}
-	if c.used = u.clock.now(); s.most > 0 && len(s.idle) >= s.most {
+	if c.idleSince = u.clock.now(); s.maxIdle > 0 && len(s.idle) >= s.maxIdle {
 		c.Close() // the server takes so many from all
-		u.open--
+		u.openConns--
 		return
 	}
 	s.idle = append(s.idle, c)
 }
 
-// sweep closes connections that are idle for long or that the server closed.
-func (u *upstream) sweep() {
+// closeStaleConnections closes connections that are idle for long or that the server closed.
+func (u *upstream) closeStaleConnections() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, most := u.clock.now(), u.ages.maxUsableAge(u.idleFor)
-	u.ages.decay()
+	now, most := u.clock.now(), u.idleAges.maxUsableAge(u.idleTimeout)
+	u.idleAges.decay()
 	for _, s := range u.servers {
 		s.idle = slices.DeleteFunc(s.idle, func(c *upConn) bool {
-			if now-c.used < most && alive(c) {
+			if now-c.idleSince < most && isQuiet(c) {
 				return false
 			}
 			c.Close()
-			u.open--
+			u.openConns--
 			return true
 		})
 	}
 }
 
-// alive tells whether nothing has come on an idle connection: neither its end
+// isQuiet tells whether nothing has come on an idle connection: neither its end
 // nor bytes that nobody asked for.
-func alive(c *upConn) bool {
+func isQuiet(c *upConn) bool {
 	return c.in.buffered() == 0 && world.Peek(c.Conn) == world.PeekQuiet
 }
 
--- a/internal/dataplane/node/reload.go
+++ b/internal/dataplane/node/reload.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	reloadPause = 50 * time.Millisecond // a file that can't be used may be half written: it is read again
-	reloadTries = 40
+	reloadPause    = 50 * time.Millisecond // a file that can't be used may be half written: it is read again
+	maxReloadTries = 40
 )
 
 // reload takes over the configuration file's addresses whenever hup says that
@@ -30,7 +30,7 @@
 				n.apply(cfg)
 				break
 			}
-			if try == reloadTries {
+			if try == maxReloadTries {
 				slog.Error("new configuration passed over; the old one stays in force", "err", err)
 				break
 			}
@@ -49,7 +49,7 @@
 	n.tuningMu.Lock()
 	defer n.tuningMu.Unlock()
 	n.configuredDiscovery = cfg.Discovery
-	addr := n.discoveryOf(n.Tuning())
+	addr := n.discoveryAddress(n.Tuning())
 	slog.Info("new configuration", "discovery", addr)
 	n.discovery.moveTo(addr)
 }
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	mostName     = 64  // bytes of a request's id
-	mostKey      = 128 // of an Idempotency-Key
-	customerHex  = 16
-	customerBits = 33
+	maxIDBytes             = 64  // bytes of a request's id
+	maxIdempotencyKeyBytes = 128 // of an Idempotency-Key
+	customerHexDigits      = 16
+	customerBits           = 33
 )
 
-// startLine splits the first line.
-func (r *clientRequest) startLine() error {
+// parseStartLine splits the first line.
+func (r *clientRequest) parseStartLine() error {
 	var version []byte
 	var ok, whole bool
 	r.method, version, ok = bytes.Cut(r.firstLine, []byte(" "))
 	r.target, version, whole = bytes.Cut(version, []byte(" "))
-	if !ok || !whole || !isToken(r.method) || len(r.target) == 0 || r.target[0] != '/' || !visible(r.target) {
+	if !ok || !whole || !isToken(r.method) || len(r.target) == 0 || r.target[0] != '/' || !isVisibleASCII(r.target) {
 		return errSyntax
 	}
 	if v := string(version); v != "HTTP/1.1" && (v != "HTTP/1.0" || r.length == -1) {
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// over tells whether the client wants its connection closed.
-func (r *clientRequest) over() bool {
+// wantsClose tells whether the client wants its connection closed.
+func (r *clientRequest) wantsClose() bool {
 	return r.hasToken("Connection", "close") || bytes.HasSuffix(r.firstLine, []byte("1.0")) && !r.hasToken("Connection", "keep-alive")
 }
 
-func visible(b []byte) bool {
+func isVisibleASCII(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
 			return false
@@ -51,15 +51,15 @@
 	return true
 }
 
-func path(target []byte) string {
+func targetPath(target []byte) string {
 	p, _, _ := bytes.Cut(target, []byte("?"))
 	return string(p)
 }
 
-// parse checks a client's request: what is not as agreed is turned away before
+// parseStandaloneRequest checks a client's request: what is not as agreed is turned away before
 // the module sees it, so that it neither makes nor changes a customer's counts.
 // The errors go to the client.
-func (s *server) parse(r *clientRequest) (*openRequest, error) {
+func (s *server) parseStandaloneRequest(r *clientRequest) (*openRequest, error) {
 	c := &openRequest{arrived: s.clock.now(), commands: make(chan command, 1)}
 	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key",
 		"X-Call-Terms", "X-Retry", "Content-Type"} {
@@ -68,11 +68,11 @@
 		}
 	}
 	id := r.get("X-Request-Id")
-	if len(id) == 0 || len(id) > mostName || !visible(id) {
+	if len(id) == 0 || len(id) > maxIDBytes || !isVisibleASCII(id) {
 		return nil, errors.New("X-Request-Id: missing, too long or not plain")
 	}
 	c.clientID = string(id)
-	if err := s.class(c, r); err != nil {
+	if err := s.parseClass(c, r); err != nil {
 		return nil, err
 	}
 	c.Plan = wire.Word(string(r.get("X-Tier")))
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("X-Tier: unknown plan %q", c.Plan)
 	}
 	var err error
-	if c.Customer, err = customer(string(r.get("Cookie"))); err != nil {
+	if c.Customer, err = customerFromCookies(string(r.get("Cookie"))); err != nil {
 		return nil, err
 	}
 	ms, n := parseDecimal(r.get("X-Deadline-Ms"))
@@ -94,11 +94,11 @@
 	}
 	c.effect = c.class.Effect
 	c.Retry = string(r.get("X-Retry")) == "1"
-	return c, s.terms(&c.Request, string(r.get("X-Call-Terms")))
+	return c, s.parseCallTerms(&c.Request, string(r.get("X-Call-Terms")))
 }
 
-// class finds the request's class; method and path follow from it.
-func (s *server) class(c *openRequest, r *clientRequest) error {
+// parseClass finds the request's class; method and path follow from it.
+func (s *server) parseClass(c *openRequest, r *clientRequest) error {
 	c.Class = wire.Word(string(r.get("X-Class")))
 	for i := range s.settings.Classes {
 		if s.settings.Classes[i].Name == c.Class {
@@ -108,7 +108,7 @@
 	if c.class == nil {
 		return fmt.Errorf("X-Class: unknown class %q", c.Class)
 	}
-	first, _, _ := strings.Cut(path(r.target)[1:], "/")
+	first, _, _ := strings.Cut(targetPath(r.target)[1:], "/")
 	key := r.get("Idempotency-Key")
 	switch {
 	case wire.Word(first) != c.Class:
@@ -117,14 +117,14 @@
 		return fmt.Errorf("class %s: not GET without a body", c.Class)
 	case c.class.Effect != policy.Safe && string(r.method) != "POST":
 		return fmt.Errorf("class %s: not POST", c.Class)
-	case c.class.Effect == policy.Keyed && (len(key) == 0 || len(key) > mostKey || !visible(key)):
+	case c.class.Effect == policy.Keyed && (len(key) == 0 || len(key) > maxIdempotencyKeyBytes || !isVisibleASCII(key)):
 		return errors.New("Idempotency-Key: missing, too long or not plain")
 	}
 	return nil
 }
 
-// customer reads the customer from the cookies.
-func customer(cookies string) (string, error) {
+// customerFromCookies reads the customer from the cookies.
+func customerFromCookies(cookies string) (string, error) {
 	found := ""
 	for pair := range strings.SplitSeq(cookies, ";") {
 		if k, v, _ := strings.Cut(strings.Trim(pair, " \t"), "="); k == "key" {
@@ -134,14 +134,14 @@
 			found = v
 		}
 	}
-	if _, err := strconv.ParseUint(found, 16, customerBits); err != nil || len(found) != customerHex {
-		return "", fmt.Errorf("cookie key: not %d hexadecimal digits of a number below 2^%d", customerHex, customerBits)
+	if _, err := strconv.ParseUint(found, 16, customerBits); err != nil || len(found) != customerHexDigits {
+		return "", fmt.Errorf("cookie key: not %d hexadecimal digits of a number below 2^%d", customerHexDigits, customerBits)
 	}
 	return strings.ToLower(found), nil
 }
 
-// terms reads the units that a request takes and the customer's set.
-func (s *server) terms(r *policy.Request, text string) error {
+// parseCallTerms reads the units that a request takes and the customer's set.
+func (s *server) parseCallTerms(r *policy.Request, text string) error {
 	r.Units, r.GatewayCount = 1, s.settings.Gateways
 	if text == "" {
 		return nil
--- a/internal/dataplane/node/retune.go
+++ b/internal/dataplane/node/retune.go
@@ -7,12 +7,12 @@
 	"pepperfall.example/pepperfall/internal/dataplane/serverlist"
 )
 
-func serverListTerms(cfg *ManagedConfig) serverlist.Terms {
+func serverListOptions(cfg *ManagedConfig) serverlist.Terms {
 	return serverlist.Terms{Excess: cfg.WarmupExcess, Slack: cfg.WarmupSlack, Lag: cfg.ListLag, Regions: cfg.Regions}
 }
 
-// freshFor is how old control's statements may be for requests with a key; 0: any age.
-func freshFor(cfg *ManagedConfig) time.Duration {
+// maxStatementAge is how old control's statements may be for requests with a key; 0: any age.
+func maxStatementAge(cfg *ManagedConfig) time.Duration {
 	if !cfg.EnforceRevocation {
 		return 0
 	}
@@ -33,10 +33,10 @@
 		e.cfg = cfg
 		e.cfg.Listen, e.cfg.Peer, e.cfg.Zone, e.cfg.Region, e.cfg.Seed, e.cfg.Sockets, e.cfg.World = old.Listen, old.Peer, old.Zone, old.Region, old.Seed, old.Sockets, old.World
 		e.cfg.OnUnitsTransferred, e.cfg.OnRequestFailed = old.OnUnitsTransferred, old.OnRequestFailed
-		e.managed.freshFor.Store(int64(freshFor(&cfg)))
+		e.managed.maxStatementAge.Store(int64(maxStatementAge(&cfg)))
 		e.services.RetryBudgetPerAttempt = cfg.RetryRatio * retryBudgetShare
-		e.serverList.Retell(serverListTerms(&cfg))
-		if t := e.managed.tilled.Load(); t != nil {
+		e.serverList.Retell(serverListOptions(&cfg))
+		if t := e.managed.active.Load(); t != nil {
 			l.decide(e.configUpdate(t.configuration, t.classes))
 		}
 		e.updateServers(l)
--- a/internal/dataplane/node/reuse.go
+++ b/internal/dataplane/node/reuse.go
@@ -6,50 +6,50 @@
 // descriptors with connections that bring nothing more: the next client finds
 // no room. An answer then says "Connection: close".
 const (
-	churnRoom  = 0.25                   // part of the clients' room in use, below which none is ended for it
-	churnLeast = 8.0                    // connections that stood unused before a verdict
-	churnShare = 0.25                   // connections used again, of all, below which clients are held to churn
-	churnFade  = 0.98                   // what a connection more leaves of the counts: clients change
-	churnTrial = 16                     // one first answer in so many leaves its connection open all the same
-	churnStood = 500 * time.Millisecond // a connection unused for so long counts as one not used again
-	churnLook  = 100 * time.Millisecond // between two counts of those that still stand
+	minOccupancyToClose = 0.25                   // part of the clients' room in use, below which none is ended for it
+	minUnusedConns      = 8.0                    // connections that stood unused before a verdict
+	minReuseShare       = 0.25                   // connections used again, of all, below which clients are held to churn
+	reuseCountDecay     = 0.98                   // what a connection more leaves of the counts: clients change
+	reuseTrialInterval  = 16                     // one first answer in so many leaves its connection open all the same
+	unusedAfter         = 500 * time.Millisecond // a connection unused for so long counts as one not used again
+	unusedCountInterval = 100 * time.Millisecond // between two counts of those that still stand
 )
 
-// reuse learns whether clients use a connection again after its first answer.
+// reuseStats learns whether clients use a connection again after its first answer.
 // The zero value holds that they do.
-type reuse struct {
-	again, unused float64
-	standing      int           // connections that stand unused now, as last counted
-	counted       time.Duration // when that was
-	firsts        uint          // first answers while the clients churn
+type reuseStats struct {
+	reused, unused  float64
+	unusedOpen      int           // connections that stand unused now, as last counted
+	unusedCountedAt time.Duration // when that was
+	firstAnswers    uint          // first answers while the clients churn
 }
 
-// note takes in how a connection that was left open after its first answer
-// went: used again, or not for churnStood and then ended.
-func (u *reuse) note(again bool) {
-	u.again *= churnFade
-	u.unused *= churnFade
+// record takes in how a connection that was left open after its first answer
+// went: used again, or not for unusedAfter and then ended.
+func (u *reuseStats) record(again bool) {
+	u.reused *= reuseCountDecay
+	u.unused *= reuseCountDecay
 	if again {
-		u.again++
+		u.reused++
 	} else {
 		u.unused++
 	}
 }
 
-// over tells whether a connection's first answer, with so much of the room
+// shouldClose tells whether a connection's first answer, with so much of the room
 // taken, should be its last. Connections that stand unused now are counted by
-// standing, not more often than every churnLook.
-func (u *reuse) over(now time.Duration, taken, room int, standing func() int) bool {
-	if float64(taken) <= churnRoom*float64(room) {
+// standing, not more often than every unusedCountInterval.
+func (u *reuseStats) shouldClose(now time.Duration, taken, room int, standing func() int) bool {
+	if float64(taken) <= minOccupancyToClose*float64(room) {
 		return false
 	}
-	if now-u.counted >= churnLook {
-		u.counted, u.standing = now, standing()
+	if now-u.unusedCountedAt >= unusedCountInterval {
+		u.unusedCountedAt, u.unusedOpen = now, standing()
 	}
-	unused := u.unused + float64(u.standing)
-	if unused < churnLeast || u.again >= churnShare*(u.again+unused) {
+	unused := u.unused + float64(u.unusedOpen)
+	if unused < minUnusedConns || u.reused >= minReuseShare*(u.reused+unused) {
 		return false
 	}
-	u.firsts++
-	return u.firsts%churnTrial != 0
+	u.firstAnswers++
+	return u.firstAnswers%reuseTrialInterval != 0
 }
--- a/internal/dataplane/node/reuse_test.go
+++ b/internal/dataplane/node/reuse_test.go
@@ -29,58 +29,58 @@
 		{"one in eight is used again", 5, 40, 0, 90, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var u reuse
+			var u reuseStats
 			for i := range max(c.again, c.unused) {
 				if i < c.again {
-					u.note(true)
+					u.record(true)
 				}
 				if i < c.unused {
-					u.note(false)
+					u.record(false)
 				}
 			}
 			closed := 0
-			for range churnTrial {
-				if u.over(time.Second, c.taken, 100, func() int { return c.standing }) {
+			for range reuseTrialInterval {
+				if u.shouldClose(time.Second, c.taken, 100, func() int { return c.standing }) {
 					closed++
 				}
 			}
 			want := 0
 			if c.over {
-				want = churnTrial - 1 // one is left open to learn from
+				want = reuseTrialInterval - 1 // one is left open to learn from
 			}
 			if closed != want {
-				t.Errorf("%d of %d first answers end their connection, want %d", closed, churnTrial, want)
+				t.Errorf("%d of %d first answers end their connection, want %d", closed, reuseTrialInterval, want)
 			}
 		})
 	}
 	// Clients that keep connections again are found by the trials.
-	var u reuse
+	var u reuseStats
 	for range 200 {
-		u.note(false)
+		u.record(false)
 	}
 	for range 40 {
-		u.note(true)
+		u.record(true)
 	}
-	if u.over(0, 90, 100, none) {
+	if u.shouldClose(0, 90, 100, none) {
 		t.Error("clients that use connections again now are still held to churn")
 	}
 }
 
 // nodeWithSockets starts an edge node that may hold so many descriptors.
-func nodeWithSockets(t *testing.T, sockets int, app string) *running {
+func nodeWithSockets(t *testing.T, sockets int, app string) *runningNode {
 	t.Helper()
-	cfg := testConfig(t, newRegistry(t, serving("s-00000001", app)).Addr())
+	cfg := testConfig(t, newDiscoveryFixture(t, servingTarget("s-00000001", app)).Addr())
 	cfg.Sockets = sockets
 	return start(t, cfg)
 }
 
-// churn sends so many requests, each on a connection of its own that stays
+// sendOnNewConnections sends so many requests, each on a connection of its own that stays
 // open until the end, and tells how many answers ended theirs.
-func churn(t *testing.T, r *running, n int, pause time.Duration) (closed int) {
+func sendOnNewConnections(t *testing.T, r *runningNode, n int, pause time.Duration) (closed int) {
 	t.Helper()
 	for i := range n {
 		tr := &http.Transport{}
-		req := request(r.url, "lookup", 2*time.Second)
+		req := newTestRequest(r.url, "lookup", 2*time.Second)
 		req.Header.Set("X-Request-Id", pause.String()+time.Duration(n*i).String())
 		resp, err := tr.RoundTrip(req)
 		if err != nil {
@@ -102,7 +102,7 @@
 func TestUnusedConnectionsMakeRoom(t *testing.T) {
 	app := newApp(t, standin.Answer("200 OK", "", "ok"))
 	r := nodeWithSockets(t, 80, app.Addr()) // clients have half: 40
-	if n := churn(t, r, 10, time.Millisecond); n > 0 {
+	if n := sendOnNewConnections(t, r, 10, time.Millisecond); n > 0 {
 		t.Fatalf("%d connections ended with three quarters of the room free", n)
 	}
 	eventually(t, "connections that stood for long", func() bool {
@@ -114,9 +114,9 @@
 				n++
 			}
 		}
-		return n >= int(churnLeast)
+		return n >= int(minUnusedConns)
 	})
-	if n := churn(t, r, 20, 0); n < 15 {
+	if n := sendOnNewConnections(t, r, 20, 0); n < 15 {
 		t.Errorf("%d of 20 connections ended while clients leave theirs unused and room is short", n)
 	}
 }
@@ -133,7 +133,7 @@
 	}
 	for round := range 6 {
 		for i, tr := range conns {
-			req := request(r.url, "lookup", 2*time.Second)
+			req := newTestRequest(r.url, "lookup", 2*time.Second)
 			req.Header.Set("X-Request-Id", time.Duration(round*100+i).String())
 			resp, err := tr.RoundTrip(req)
 			if err != nil {
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -9,8 +9,8 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// sending makes a loop with one open request of a class with a window.
-func sending(t *testing.T) (*loop, *openRequest, time.Duration) {
+// loopWithRequest makes a loop with one open request of a class with a window.
+func loopWithRequest(t *testing.T) (*loop, *openRequest, time.Duration) {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1")
 	g, err := policy.New(cfg.Settings, 1)
@@ -29,7 +29,7 @@
 // A repeat of what may have run must be written while its rack still knows the
 // key: the window counts from when the first was asked for.
 func TestKeyedRepeatHasToBeWrittenInTheWindow(t *testing.T) {
-	l, c, now := sending(t)
+	l, c, now := loopWithRequest(t)
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
 		t.Errorf("a first attempt is to be written by %v, want the deadline, %v", a.writeBy-now, c.answerBy-now)
@@ -54,7 +54,7 @@
 		"an attempt is out":     func(c *openRequest, _ time.Duration) { c.inFlight = &attempt{} },
 		"its time is over":      func(c *openRequest, now time.Duration) { c.answerBy = now },
 	} {
-		l, c, now := sending(t)
+		l, c, now := loopWithRequest(t)
 		spoil(c, now)
 		l.sendAttempt(policy.Send{ID: 1, Server: 1})
 		select {
@@ -72,15 +72,15 @@
 // have run: a repeat that may have run too does not begin it anew, or a third
 // attempt could come when the rack has forgotten the first.
 func TestWindowBeginsWithTheFirstThatMayHaveRun(t *testing.T) {
-	l, c, now := sending(t)
+	l, c, now := loopWithRequest(t)
 	c.commands = make(chan command, 8)
-	l.attemptEnds(c, now-900*time.Millisecond, verdict.Unsent)
+	l.endTestAttempt(c, now-900*time.Millisecond, verdict.Unsent)
 	if c.mayHaveRunSince != 0 {
 		t.Fatalf("an attempt that never ran began the window at %v", c.mayHaveRunSince)
 	}
 	first := now - 800*time.Millisecond
-	l.attemptEnds(c, first, verdict.Broken)
-	l.attemptEnds(c, now-300*time.Millisecond, verdict.Broken)
+	l.endTestAttempt(c, first, verdict.Broken)
+	l.endTestAttempt(c, now-300*time.Millisecond, verdict.Broken)
 	if c.mayHaveRunSince != first {
 		t.Fatalf("the window began %v after the first attempt that may have run", c.mayHaveRunSince-first)
 	}
@@ -90,9 +90,9 @@
 	}
 }
 
-// attemptEnds has the loop take in the end of an attempt asked for at a time.
-func (l *loop) attemptEnds(c *openRequest, sent time.Duration, end verdict.End) {
-	c.inFlight = &attempt{id: c.ID, num: c.attempts, server: 1, sent: sent}
+// endTestAttempt has the loop take in the end of an attempt asked for at a time.
+func (l *loop) endTestAttempt(c *openRequest, sent time.Duration, end verdict.End) {
+	c.inFlight = &attempt{id: c.ID, number: c.attempts, server: 1, requestedAt: sent}
 	c.attempts++
-	l.endAttempt(outcome{request: c, attempt: c.inFlight, result: ended(end, nil)})
+	l.endAttempt(outcome{request: c, attempt: c.inFlight, result: endedResult(end, nil)})
 }
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	firstRequest = 2 * time.Second  // from the connect to the end of the first request
-	wholeRequest = 2 * time.Second  // from a later request's first byte to its last
-	clientIdle   = 10 * time.Second // between requests
-	writeTimeout = 5 * time.Second
-	acceptPause  = 5 * time.Millisecond
+	defaultFirstRequestTimeout = 2 * time.Second  // from the connect to the end of the first request
+	defaultRequestTimeout      = 2 * time.Second  // from a later request's first byte to its last
+	defaultClientIdleTimeout   = 10 * time.Second // between requests
+	defaultClientWriteTimeout  = 5 * time.Second
+	acceptPause                = 5 * time.Millisecond
 )
 
 // server is the clients' side: it reads their requests, hands them to the
@@ -26,31 +26,31 @@
 type server struct {
 	clock    clock
 	settings policy.Settings
-	up       *upstream
+	upstream *upstream
 	events   chan<- any
 	ready    atomic.Bool
 	draining atomic.Bool
 	resting  atomic.Bool // an estate's, told to rest
 	tune     atomic.Pointer[Tuning]
 
-	mu     sync.Mutex
-	most   int // connections kept open at once
-	conns  map[*clientConn]struct{}
-	shut   int           // of them, closed here and not yet let go
-	active time.Duration // when a request last came
-	reuse  reuse
+	mu            sync.Mutex
+	maxConns      int // connections kept open at once
+	conns         map[*clientConn]struct{}
+	closingConns  int           // of them, closed here and not yet let go
+	lastRequestAt time.Duration // when a request last came
+	reuse         reuseStats
 
-	booked bookReader
-	watch  *watch         // nil: no view of the fleet is kept
-	estate *estate        // nil: the platform's wire is spoken
-	counts trafficCounter // an estate's
-	failed func(id string, why verdict.Verdict)
-	over   <-chan struct{} // closed when an estate's loop has ended
+	bookReader      bookReader
+	watch           *fleetWatch    // nil: no view of the fleet is kept
+	managed         *managedState  // nil: the platform's wire is spoken
+	counts          trafficCounter // an estate's
+	onRequestFailed func(id string, why verdict.Verdict)
+	loopStopped     <-chan struct{} // closed when an estate's loop has ended
 }
 
 // newServer keeps at most so many connections open at once.
 func newServer(c clock, set policy.Settings, up *upstream, events chan<- any, most int) *server {
-	s := &server{clock: c, settings: set, up: up, events: events, most: most, conns: map[*clientConn]struct{}{}}
+	s := &server{clock: c, settings: set, upstream: up, events: events, maxConns: most, conns: map[*clientConn]struct{}{}}
 	def := DefaultTuning()
 	s.tune.Store(&def)
 	return s
@@ -63,11 +63,11 @@
 		switch {
 		case err == nil:
 			if cc := s.addConnection(c); cc != nil {
-				go s.talk(cc)
+				go s.serveConnection(cc)
 			}
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case passes(err):
+		case canKeepAccepting(err):
 			s.mu.Lock()
 			s.evictOne()
 			s.mu.Unlock()
@@ -78,9 +78,9 @@
 	}
 }
 
-// passes tells whether accepting may go on: descriptors or memory are short, or
+// canKeepAccepting tells whether accepting may go on: descriptors or memory are short, or
 // the connection broke before it was accepted.
-func passes(err error) bool {
+func canKeepAccepting(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED,
 		syscall.EINTR, syscall.EPROTO} {
 		if errors.Is(err, e) {
@@ -90,14 +90,14 @@
 	return false
 }
 
-// talk serves a connection, one request after another.
-func (s *server) talk(cc *clientConn) {
+// serveConnection serves a connection, one request after another.
+func (s *server) serveConnection(cc *clientConn) {
 	defer s.removeConnection(cc)
 	for first := true; ; first = false {
 		cc.input.startMessage()
 		tune := s.tune.Load()
 		wait, whole := tune.ClientIdle, tune.WholeRequest
-		if first && s.estate == nil {
+		if first && s.managed == nil {
 			wait, whole = tune.FirstRequest, 0 // from the connect; on the system's wire a connection may rest before it
 		} else if first {
 			whole = tune.FirstRequest
@@ -108,16 +108,16 @@
 			}
 		}
 		s.setState(cc, connReading)
-		if s.estate != nil {
-			cc.input.maxHead, cc.input.maxBody = s.estate.bounds()
+		if s.managed != nil {
+			cc.input.maxHead, cc.input.maxBody = s.managed.messageLimits()
 		}
 		if whole > 0 && s.setReadTimeout(cc, whole) != nil {
 			return
 		}
 		if err := cc.readRequest(); err != nil {
 			if status := statusForReadError(err); status != 0 {
-				o := unsent(status, 0, err.Error())
-				s.turnAway(cc, o.Status(), o.Fields(), o.Text())
+				o := unsentAnswer(status, 0, err.Error())
+				s.rejectAndClose(cc, o.Status(), o.Fields(), o.Text())
 			}
 			return
 		}
@@ -132,17 +132,17 @@
 // is over.
 func (s *server) handle(cc *clientConn) bool {
 	r := &cc.request
-	if s.estate != nil {
-		return s.pass(cc)
+	if s.managed != nil {
+		return s.serveManaged(cc)
 	}
-	if path(r.target) == "/healthz" && string(r.method) == "GET" {
+	if targetPath(r.target) == "/healthz" && string(r.method) == "GET" {
 		s.ignoreActivity(cc)
 		if !s.ready.Load() || s.draining.Load() {
-			return s.reply(cc, 503, s.tune.Load().health(), "not ready")
+			return s.reply(cc, 503, s.tune.Load().healthFields(), "not ready")
 		}
-		return s.reply(cc, 200, s.tune.Load().health(), "")
+		return s.reply(cc, 200, s.tune.Load().healthFields(), "")
 	}
-	if s.watch != nil && path(r.target) == ViewPath && string(r.method) == "GET" {
+	if s.watch != nil && targetPath(r.target) == ViewPath && string(r.method) == "GET" {
 		s.ignoreActivity(cc)
 		if v := s.watch.status.Load(); v != nil {
 			return s.reply(cc, 200, "Content-Type: application/json\r\n", *v)
@@ -151,7 +151,7 @@
 	}
 	c, err := s.readRequest(r)
 	if err != nil {
-		return s.bad(cc, err)
+		return s.rejectInvalid(cc, err)
 	}
 	if !s.beginRequest(cc) {
 		return false
@@ -160,9 +160,9 @@
 	s.events <- c
 	for cmd := range c.commands {
 		if cmd.attempt == nil {
-			return s.final(cc, cmd)
+			return s.answerUnserved(cc, cmd)
 		}
-		res := s.up.do(cmd.attempt, r)
+		res := s.upstream.do(cmd.attempt, r)
 		s.events <- outcome{c, cmd.attempt, res}
 		if res.End == verdict.Served {
 			cc.badRequests = 0
--- a/internal/dataplane/node/spent_test.go
+++ b/internal/dataplane/node/spent_test.go
@@ -13,17 +13,17 @@
 // any more, be it one odd client's or from before the route's clients changed, wears off.
 func TestSpentIsToldByWhatIsLeft(t *testing.T) {
 	p := &routeconfig.Configuration{Routes: []routeconfig.Route{{Name: "a"}, {Name: "b"}}}
-	e := &estate{}
-	e.till(p)
-	till, a, b := e.tilled.Load(), &p.Routes[0], &p.Routes[1]
-	assert.Equal(t, till.spent(a, 1000), time.Duration(0))
-	assert.Equal(t, till.spent(a, 600), 400*time.Millisecond)
-	assert.Equal(t, till.spent(a, 1000), time.Duration(0))
-	assert.Equal(t, till.spent(b, 500), time.Duration(0)) // another route's
-	till.spent(a, 9000)
+	e := &managedState{}
+	e.activate(p)
+	till, a, b := e.active.Load(), &p.Routes[0], &p.Routes[1]
+	assert.Equal(t, till.waitedBefore(a, 1000), time.Duration(0))
+	assert.Equal(t, till.waitedBefore(a, 600), 400*time.Millisecond)
+	assert.Equal(t, till.waitedBefore(a, 1000), time.Duration(0))
+	assert.Equal(t, till.waitedBefore(b, 500), time.Duration(0)) // another route's
+	till.waitedBefore(a, 9000)
 	for range 5000 {
-		till.spent(a, 1000)
+		till.waitedBefore(a, 1000)
 	}
-	got := till.spent(a, 1000)
+	got := till.waitedBefore(a, 1000)
 	assert.Assert(t, got < 10*time.Millisecond && got >= 0, "%s", got)
 }
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -15,50 +15,52 @@
 )
 
 const (
-	bodyStep  = 50 * time.Millisecond // while one side is waited for, the other is looked at so often
-	lastChunk = "0\r\n\r\n"
+	bodyPollInterval = 50 * time.Millisecond // while one side is waited for, the other is looked at so often
+	lastChunk        = "0\r\n\r\n"
 )
 
 var (
-	errSpoke  = errors.New("the server has said something before the request was whole")
-	errLate   = errors.New("the time is over")
-	errCalled = errors.New("the attempt was called back")
-	errNoWay  = errors.New("no connection to the server may be made")
-	errGone   = errors.New("the client takes no more")
+	errEarlyAnswer      = errors.New("the server has said something before the request was whole")
+	errDeadlinePassed   = errors.New("the time is over")
+	errAttemptCancelled = errors.New("the attempt was called back")
+	errNoConnection     = errors.New("no connection to the server may be made")
+	errClientGone       = errors.New("the client takes no more")
 )
 
-// front is the client's side of a request, for who carries an attempt out.
-type front struct {
-	s    *server
-	cc   *clientConn
-	call *openRequest
+// clientSide is the client's side of a request, for who carries an attempt out.
+type clientSide struct {
+	server  *server
+	conn    *clientConn
+	request *openRequest
 
 	pending []byte // of what goes to the server
-	last    bool   // nothing comes behind it
+	isLast  bool   // nothing comes behind it
 	buf     []byte
 }
 
-func (f *front) unread() bool { return f.cc != nil && f.cc.input.unread() }
+func (f *clientSide) hasUnreadBody() bool { return f.conn != nil && f.conn.input.hasUnreadBody() }
 
-// spent tells whether the request can't be sent again.
-func (f *front) spent() bool { return f.cc != nil && f.cc.input.remainder.taken }
+// hasDiscardedBody tells whether the request can't be sent again.
+func (f *clientSide) hasDiscardedBody() bool {
+	return f.conn != nil && f.conn.input.remainder.hasDiscarded
+}
 
-// ending tells whether some of the end of a body in chunks was written: it may be taken for whole.
-func (f *front) ending() bool {
-	return f.last && f.cc.request.length == -1 && len(f.pending) < len(lastChunk)
+// hasBegunLastChunk tells whether some of the end of a body in chunks was written: it may be taken for whole.
+func (f *clientSide) hasBegunLastChunk() bool {
+	return f.isLast && f.conn.request.length == -1 && len(f.pending) < len(lastChunk)
 }
 
 // pin rules out that the request is sent to another server for it.
-func (f *front) pin(a *attempt) bool {
+func (f *clientSide) pin(a *attempt) bool {
 	if !a.pin() {
 		return false
 	}
-	f.s.events <- started{f.call, a}
+	f.server.events <- started{f.request, a}
 	return true
 }
 
-// appendFrame writes how the end of a body in pieces is told.
-func appendFrame(b []byte, h *head) []byte {
+// appendFramingField writes how the end of a body in pieces is told.
+func appendFramingField(b []byte, h *head) []byte {
 	if h.length < 0 {
 		return append(b, "\r\nTransfer-Encoding: chunked"...)
 	}
@@ -77,8 +79,8 @@
 	return append(b, "\r\n"...)
 }
 
-// frame makes of a piece what is written next. Without bytes it is the end.
-func (f *front) frame(h *head, p []byte) []byte {
+// framePiece makes of a piece what is written next. Without bytes it is the end.
+func (f *clientSide) framePiece(h *head, p []byte) []byte {
 	switch {
 	case h.length >= 0:
 		return p
@@ -91,90 +93,90 @@
 }
 
 // write writes to the client.
-func (f *front) write(b []byte, by time.Time) error {
-	if err := f.cc.SetWriteDeadline(by); err != nil {
+func (f *clientSide) write(b []byte, by time.Time) error {
+	if err := f.conn.SetWriteDeadline(by); err != nil {
 		return err
 	}
-	_, err := f.cc.Write(b)
+	_, err := f.conn.Write(b)
 	return err
 }
 
 // upload passes on what of a request's body is beyond the window. It comes back before the end, and tells so, when
 // the server says something sooner; with an end when the attempt is over.
 func (u *upstream) upload(a *attempt, c *upConn, req *clientRequest) (unsent bool, end *result) {
-	f := &req.managed.front
+	f := &req.managed.client
 	if !f.pin(a) {
-		return true, stopped(verdict.Unsent, errCalled, false)
+		return true, stoppedResult(verdict.Unsent, errAttemptCancelled, false)
 	}
 	for {
 		if len(f.pending) == 0 {
-			if f.last {
+			if f.isLast {
 				return false, nil
 			}
-			p, err := u.next(a, c, f)
+			p, err := u.nextPiece(a, c, f)
 			switch {
-			case err == errSpoke:
+			case err == errEarlyAnswer:
 				return true, nil
-			case err == errCalled:
-				return true, stopped(verdict.Unsent, err, f.spent())
-			case err == errLate:
-				return true, stopped(verdict.Moot, err, f.spent())
+			case err == errAttemptCancelled:
+				return true, stoppedResult(verdict.Unsent, err, f.hasDiscardedBody())
+			case err == errDeadlinePassed:
+				return true, stoppedResult(verdict.Moot, err, f.hasDiscardedBody())
 			case err != nil:
-				return true, &result{Verdict: verdict.Of(verdict.Moot, err), fault: err}
+				return true, &result{Verdict: verdict.Of(verdict.Moot, err), clientFault: err}
 			}
 			req.body = nil // of no use any more
-			f.pending = f.frame(&req.head, p)
-			f.last = len(p) == 0 || !f.unread()
+			f.pending = f.framePiece(&req.head, p)
+			f.isLast = len(p) == 0 || !f.hasUnreadBody()
 		}
-		n, err := u.push(a, c, f.pending)
+		n, err := u.writePart(a, c, f.pending)
 		f.pending = f.pending[n:]
 		switch {
 		case err == nil || len(f.pending) == 0:
-		case err == errSpoke || world.Peek(c.Conn) == world.PeekBytes:
+		case err == errEarlyAnswer || world.Peek(c.Conn) == world.PeekBytes:
 			return true, nil
-		case f.ending():
-			return true, stopped(verdict.Broken, err, true)
+		case f.hasBegunLastChunk():
+			return true, stoppedResult(verdict.Broken, err, true)
 		default:
-			return true, stopped(verdict.Unsent, err, true)
+			return true, stoppedResult(verdict.Unsent, err, true)
 		}
 	}
 }
 
-// stopped is the end of an attempt in the middle of its request's body.
-func stopped(end verdict.End, cause error, spent bool) *result {
-	return &result{Verdict: verdict.Of(end, cause), spent: spent}
+// stoppedResult is the end of an attempt in the middle of its request's body.
+func stoppedResult(end verdict.End, cause error, spent bool) *result {
+	return &result{Verdict: verdict.Of(end, cause), cannotRepeat: spent}
 }
 
-// next waits for the client's next piece.
-func (u *upstream) next(a *attempt, c *upConn, f *front) ([]byte, error) {
-	stalled := u.clock.now() + f.s.tune.Load().BodyStall
+// nextPiece waits for the client's next piece.
+func (u *upstream) nextPiece(a *attempt, c *upConn, f *clientSide) ([]byte, error) {
+	stalled := u.clock.now() + f.server.tune.Load().BodyStall
 	for {
 		if c.in.buffered() > 0 || world.Peek(c.Conn) != world.PeekQuiet {
-			return nil, errSpoke
+			return nil, errEarlyAnswer
 		}
 		now := u.clock.now()
-		if err := f.cc.SetReadDeadline(u.clock.time(min(now+bodyStep, a.deadline, stalled))); err != nil {
+		if err := f.conn.SetReadDeadline(u.clock.time(min(now+bodyPollInterval, a.deadline, stalled))); err != nil {
 			return nil, err
 		}
-		p, err := f.cc.input.piece()
+		p, err := f.conn.input.nextPiece()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return p, err
 		}
 		switch now = u.clock.now(); {
 		case now >= a.deadline:
-			return nil, errLate
+			return nil, errDeadlinePassed
 		case now >= stalled:
 			return nil, err
-		case !a.hold(c):
-			return nil, errCalled
+		case !a.setConn(c):
+			return nil, errAttemptCancelled
 		}
 	}
 }
 
-// push writes to the server until it is done or the server says something; it tells how much is written.
-func (u *upstream) push(a *attempt, c *upConn, b []byte) (n int, err error) {
+// writePart writes to the server until it is done or the server says something; it tells how much is written.
+func (u *upstream) writePart(a *attempt, c *upConn, b []byte) (n int, err error) {
 	for {
-		if err := c.SetWriteDeadline(u.clock.time(min(u.clock.now()+bodyStep, a.deadline))); err != nil {
+		if err := c.SetWriteDeadline(u.clock.time(min(u.clock.now()+bodyPollInterval, a.deadline))); err != nil {
 			return n, err
 		}
 		k, err := c.Write(b[n:])
@@ -183,9 +185,9 @@
 		case err == nil || n == len(b) || !errors.Is(err, os.ErrDeadlineExceeded):
 			return n, err
 		case u.clock.now() >= a.deadline:
-			return n, errLate
+			return n, errDeadlinePassed
 		case world.Peek(c.Conn) != world.PeekQuiet:
-			return n, errSpoke
+			return n, errEarlyAnswer
 		}
 	}
 }
@@ -193,64 +195,64 @@
 // heldAnswer is a server's answer beyond its window that waits, there and on its connection, for what comes of the
 // request elsewhere.
 type heldAnswer struct {
-	a     *attempt
-	c     *upConn
-	begin []byte // what its client would get first
+	attempt    *attempt
+	conn       *upConn
+	firstBytes []byte // what its client would get first
 }
 
 // download passes on an answer that is longer than its window, or holds it where another server may do better.
 func (u *upstream) download(a *attempt, c *upConn, req *clientRequest, r *result) {
-	f := &req.managed.front
+	f := &req.managed.client
 	h := &heldAnswer{a, c, r.answer}
 	r.answer = nil
 	unknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // this client would not know its end
 	switch {
-	case h.begin == nil:
-	case r.End != verdict.Served && f.call.effect == policy.Safe:
+	case h.firstBytes == nil:
+	case r.End != verdict.Served && f.request.effect == policy.Safe:
 		if !unknown {
 			r.held = h
 		}
 	case unknown:
-		r.Verdict, r.spent = verdict.Of(verdict.Recalled, errGone), true
+		r.Verdict, r.cannotRepeat = verdict.Of(verdict.Recalled, errClientGone), true
 	case !f.pin(a):
-		r.Verdict = verdict.Of(verdict.Recalled, errCalled)
+		r.Verdict = verdict.Of(verdict.Recalled, errAttemptCancelled)
 	default:
-		u.flow(f, h, r)
+		u.streamAnswer(f, h, r)
 	}
 }
 
-// flow passes an answer on to its end. One that breaks off never gets its end.
-func (u *upstream) flow(f *front, h *heldAnswer, r *result) {
-	r.begun = true
-	answer, over := f.s.closing(f.cc, h.begin)
-	f.call.managed.over = over
+// streamAnswer passes an answer on to its end. One that breaks off never gets its end.
+func (u *upstream) streamAnswer(f *clientSide, h *heldAnswer, r *result) {
+	r.isStreamed = true
+	answer, over := f.server.markLastAnswer(f.conn, h.firstBytes)
+	f.request.managed.closeAfterAnswer = over
 	for {
-		by := min(u.clock.now()+f.s.tune.Load().ClientWrite, h.a.deadline)
+		by := min(u.clock.now()+f.server.tune.Load().ClientWrite, h.attempt.deadline)
 		if len(answer) > 0 && f.write(answer, u.clock.time(by)) != nil {
-			r.Verdict = verdict.Of(verdict.Recalled, errGone)
+			r.Verdict = verdict.Of(verdict.Recalled, errClientGone)
 			return
 		}
-		if !h.c.in.unread() {
-			r.whole = true
+		if !h.conn.in.hasUnreadBody() {
+			r.isComplete = true
 			return
 		}
-		p, err := h.c.in.piece()
+		p, err := h.conn.in.nextPiece()
 		if err != nil {
-			r.Verdict = u.unanswered(h.a, err).Verdict
+			r.Verdict = u.errorResult(h.attempt, err).Verdict
 			return
 		}
-		answer = f.frame(&h.c.head, p)
+		answer = f.framePiece(&h.conn.head, p)
 	}
 }
 
-// flows tells whether a held answer can still be passed on.
-func (u *upstream) flows(h *heldAnswer) bool {
-	return h != nil && u.clock.now() < h.a.deadline && (h.c.in.buffered() > 0 || world.Peek(h.c.Conn) != world.PeekEnd)
+// canStream tells whether a held answer can still be passed on.
+func (u *upstream) canStream(h *heldAnswer) bool {
+	return h != nil && u.clock.now() < h.attempt.deadline && (h.conn.in.buffered() > 0 || world.Peek(h.conn.Conn) != world.PeekEnd)
 }
 
-// drop lets go of a held answer; nil: there is none.
-func (u *upstream) drop(h *heldAnswer) {
+// dropHeldAnswer lets go of a held answer; nil: there is none.
+func (u *upstream) dropHeldAnswer(h *heldAnswer) {
 	if h != nil {
-		u.discard(h.c)
+		u.discard(h.conn)
 	}
 }
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	large     = 300_001
-	mostBytes = 4 << 20 // by the configuration
-	patient   = "Deadline-Ms: 1900\r\n"
+	large                  = 300_001
+	configuredMaxBodyBytes = 4 << 20 // by the configuration
+	longDeadlineField      = "Deadline-Ms: 1900\r\n"
 )
 
-var numbers = sync.OnceValue(func() (b []byte) {
+var contentSource = sync.OnceValue(func() (b []byte) {
 	for i := range 512 << 10 {
 		b = fmt.Appendf(b, "%07x ", i)
 	}
@@ -32,10 +32,10 @@
 })
 
 // content is a body in which no part looks like another.
-func content(n int) []byte { return numbers()[:n:n] }
+func content(n int) []byte { return contentSource()[:n:n] }
 
-// enframed is a body as it goes on the wire behind a head, with the fields that tell of it.
-func enframed(body []byte, chunked bool) (fields string, wire []byte) {
+// frameBody is a body as it goes on the wire behind a head, with the fields that tell of it.
+func frameBody(body []byte, chunked bool) (fields string, wire []byte) {
 	if !chunked {
 		return fmt.Sprintf("Content-Length: %d\r\n", len(body)), body
 	}
@@ -47,38 +47,38 @@
 	return "Transfer-Encoding: chunked\r\n", append(wire, "0\r\nA: b\r\n\r\n"...)
 }
 
-// upload is a request with such a body.
-func upload(path string, body []byte, chunked bool) []byte {
-	fields, wire := enframed(body, chunked)
-	head := requestText(path, patient)
+// uploadRequest is a request with such a body.
+func uploadRequest(path string, body []byte, chunked bool) []byte {
+	fields, wire := frameBody(body, chunked)
+	head := requestText(path, longDeadlineField)
 	head = strings.TrimSuffix(head, "Content-Length: 4\r\n\r\nbody")
 	return append([]byte(head+fields+"\r\n"), wire...)
 }
 
-// visit is a request as a server saw it.
-type visit struct {
+// receivedRequest is a request as a server saw it.
+type receivedRequest struct {
 	*http.Request
 	body []byte
 	err  error // before its end
 }
 
-// hall is servers whose connections a test plays itself.
-type hall struct {
-	mu     sync.Mutex
-	visits []visit
-	ended  int // connections that the edge node has ended
-	conns  []net.Conn
+// scriptedServers is servers whose connections a test plays itself.
+type scriptedServers struct {
+	mu          sync.Mutex
+	requests    []receivedRequest
+	closedConns int // connections that the edge node has ended
+	conns       []net.Conn
 }
 
-func (h *hall) seen() []visit {
+func (h *scriptedServers) received() []receivedRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.visits
+	return h.requests
 }
 
-// complete counts the requests that came whole.
-func (h *hall) complete() (n int) {
-	for _, v := range h.seen() {
+// countComplete counts the requests that came whole.
+func (h *scriptedServers) countComplete() (n int) {
+	for _, v := range h.received() {
 		if v.err == nil {
 			n++
 		}
@@ -86,10 +86,10 @@
 	return n
 }
 
-// open makes these the servers of the site, and the configuration with bounds. before is done when a request's head has
+// startScriptedServers makes these the servers of the site, and the configuration with bounds. before is done when a request's head has
 // come, after when all of it has, each till it is false; nil: nothing, and an answer.
-func (r *managedFixture) open(before, after func(c net.Conn, q *http.Request) bool) *hall {
-	h := &hall{}
+func (r *managedFixture) startScriptedServers(before, after func(c net.Conn, q *http.Request) bool) *scriptedServers {
+	h := &scriptedServers{}
 	r.t.Cleanup(func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -106,14 +106,14 @@
 	}
 	r.configure()
 	p, err := routeconfig.Parse([]byte(strings.Replace(managedConfiguration, `"gen":"r1",`, fmt.Sprintf(
-		`"gen":"r2","limits":{"max_body_bytes":%d,"header_timeout_ms":700},`, mostBytes), 1)))
+		`"gen":"r2","limits":{"max_body_bytes":%d,"header_timeout_ms":700},`, configuredMaxBodyBytes), 1)))
 	assert.NilError(r.t, err)
 	r.SetConfiguration(p)
 	return h
 }
 
 // accept serves with what a test does.
-func (h *hall) accept(ln net.Listener, before, after func(c net.Conn, q *http.Request) bool) {
+func (h *scriptedServers) accept(ln net.Listener, before, after func(c net.Conn, q *http.Request) bool) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -122,18 +122,18 @@
 		h.mu.Lock()
 		h.conns = append(h.conns, c)
 		h.mu.Unlock()
-		go h.talk(c, before, after)
+		go h.serveConnection(c, before, after)
 	}
 }
 
-func (h *hall) talk(c net.Conn, before, after func(c net.Conn, q *http.Request) bool) {
+func (h *scriptedServers) serveConnection(c net.Conn, before, after func(c net.Conn, q *http.Request) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
 		q, err := http.ReadRequest(in)
 		if err != nil {
 			h.mu.Lock()
-			h.ended++
+			h.closedConns++
 			h.mu.Unlock()
 			return
 		}
@@ -142,7 +142,7 @@
 		}
 		body, err := io.ReadAll(q.Body)
 		h.mu.Lock()
-		h.visits = append(h.visits, visit{q, body, err})
+		h.requests = append(h.requests, receivedRequest{q, body, err})
 		h.mu.Unlock()
 		if err != nil || after != nil && !after(c, q) {
 			return
@@ -153,20 +153,20 @@
 	}
 }
 
-// send writes a request without waiting for its end.
-func (r *managedFixture) send(b []byte) net.Conn {
+// sendInBackground writes a request without waiting for its end.
+func (r *managedFixture) sendInBackground(b []byte) net.Conn {
 	c := r.dial()
 	go func() { _, _ = c.Write(b) }()
 	return c
 }
 
-// told is an answer with a body, as a server writes it.
-func told(q *http.Request, status string, body []byte, chunked bool) []byte {
-	fields, wire := enframed(body, chunked)
+// serverAnswer is an answer with a body, as a server writes it.
+func serverAnswer(q *http.Request, status string, body []byte, chunked bool) []byte {
+	fields, wire := frameBody(body, chunked)
 	return append(fmt.Appendf(nil, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n%s\r\n", status, q.Header.Get(fieldID), fields), wire...)
 }
 
-func framings(t *testing.T, test func(t *testing.T, chunked bool)) {
+func runForEachFraming(t *testing.T, test func(t *testing.T, chunked bool)) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(map[bool]string{false: "length", true: "chunks"}[chunked], func(t *testing.T) { test(t, chunked) })
 	}
@@ -174,19 +174,19 @@
 
 // Bodies of any size go both ways unchanged, and the connections go on behind them.
 func TestBodiesPass(t *testing.T) {
-	framings(t, func(t *testing.T, chunked bool) {
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
-			h := r.open(nil, func(c net.Conn, q *http.Request) bool {
+			h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
 				n := int(q.ContentLength)
 				_, _ = fmt.Sscan(q.Header.Get("X-Want"), &n)
-				_, err := c.Write(told(q, "200 OK", content(n), chunked))
+				_, err := c.Write(serverAnswer(q, "200 OK", content(n), chunked))
 				return err == nil
 			})
 			c := r.dial()
 			defer c.Close()
 			in := bufio.NewReader(c)
-			for _, n := range []int{0, 1, bodyWindow - 1, bodyWindow, bodyWindow + 1, 2 * bodyWindow, 5*10007 + 1, 3<<20 + 5} {
-				b := bytes.Replace(upload("/act/", content(n), chunked), []byte("Deadline-Ms"), fmt.Appendf(nil, "X-Want: %d\r\nExpect: 100-continue\r\nDeadline-Ms", n), 1)
+			for _, n := range []int{0, 1, bodyWindowBytes - 1, bodyWindowBytes, bodyWindowBytes + 1, 2 * bodyWindowBytes, 5*10007 + 1, 3<<20 + 5} {
+				b := bytes.Replace(uploadRequest("/act/", content(n), chunked), []byte("Deadline-Ms"), fmt.Appendf(nil, "X-Want: %d\r\nExpect: 100-continue\r\nDeadline-Ms", n), 1)
 				head := bytes.Index(b, []byte("\r\n\r\n")) + 4
 				_, err := c.Write(b[:head])
 				assert.NilError(t, err)
@@ -199,14 +199,14 @@
 				assert.NilError(t, err)
 				body, err := io.ReadAll(a.Body)
 				assert.NilError(t, err, n)
-				v := h.seen()[len(h.seen())-1]
+				v := h.received()[len(h.received())-1]
 				assert.Assert(t, v.err == nil && bytes.Equal(v.body, content(n)), "%d bytes sent, %d came, %v", n, len(v.body), v.err)
 				assert.Assert(t, a.StatusCode == 200 && bytes.Equal(body, content(n)), "%d: %d bytes came back", n, len(body))
 				assert.Assert(t, !a.Close)
 			}
 			time.Sleep(10 * time.Millisecond)
 			synctest.Wait()
-			assert.Equal(t, h.ended, 0)
+			assert.Equal(t, h.closedConns, 0)
 		})
 	})
 }
@@ -240,53 +240,53 @@
 // Of what one side does not take the other can send no more than two sockets' and the edge node's windows, and a side that
 // takes nothing holds nobody for ever.
 func TestBodiesWait(t *testing.T) {
-	const sockets, held = 2 * 64 << 10, 4 * bodyWindow
-	framings(t, func(t *testing.T, chunked bool) {
+	const sockets, held = 2 * 64 << 10, 4 * bodyWindowBytes
+	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		t.Run("server", func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
 				stuck := make(chan bool)
-				h := r.open(func(net.Conn, *http.Request) bool { <-stuck; return true }, nil)
+				h := r.startScriptedServers(func(net.Conn, *http.Request) bool { <-stuck; return true }, nil)
 				c := &countedConn{Conn: r.dial()}
 				defer c.Close()
-				go func() { _, _ = c.Write(upload("/act/", content(large), chunked)) }()
+				go func() { _, _ = c.Write(uploadRequest("/act/", content(large), chunked)) }()
 				time.Sleep(time.Second)
 				assert.Assert(t, c.written() > sockets && c.written() < sockets+held, "%d", c.written())
 				began := time.Now()
 				close(stuck)
 				assert.Equal(t, r.readAnswer(c).body, "yes")
 				assert.Assert(t, time.Since(began) < 900*time.Millisecond)
-				assert.Equal(t, len(h.seen()[0].body), large)
+				assert.Equal(t, len(h.received()[0].body), large)
 			})
 		})
 		t.Run("client", func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
 				var out *countedConn
 				var let error // how the server's sending ended
-				h := r.open(nil, func(c net.Conn, q *http.Request) bool {
+				h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
 					out = &countedConn{Conn: c}
-					_, err := out.Write(told(q, "200 OK", content(large), chunked))
+					_, err := out.Write(serverAnswer(q, "200 OK", content(large), chunked))
 					let = err
 					return err == nil
 				})
-				c := r.send([]byte(requestText("/get/", patient)))
+				c := r.sendInBackground([]byte(requestText("/get/", longDeadlineField)))
 				defer c.Close()
 				time.Sleep(time.Second)
 				synctest.Wait()
 				assert.Assert(t, out.written() >= sockets && out.written() < sockets+held, "%d", out.written())
 				time.Sleep(2 * time.Second) // its time is over: the server is let go
 				synctest.Wait()
-				assert.Assert(t, h.complete() == 1 && let != nil)
+				assert.Assert(t, h.countComplete() == 1 && let != nil)
 				open, _ := r.ManagedNode.node.server.connectionActivity()
 				assert.Equal(t, open, 0)
-				n, err := read(c)
+				n, err := readAnswerBody(c)
 				assert.Assert(t, err != nil && n < large, "%d bytes: %v", n, err)
 			})
 		})
 	})
 }
 
-// read reads an answer's body; it fails where that is not complete.
-func read(c io.Reader) (int, error) {
+// readAnswerBody reads an answer's body; it fails where that is not complete.
+func readAnswerBody(c io.Reader) (int, error) {
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, err
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -28,7 +28,7 @@
 	ledger    *audit.Ledger
 	site      *standin.Site
 	loans     []*standin.LoanServer
-	nodes     []*running
+	nodes     []*runningNode
 	settings  standin.Settings
 	addrs     []standin.NodeAddr
 	libraries []keyring.Library
@@ -37,8 +37,8 @@
 	script    func(*standin.Request) standin.Fault // nil: no faults; set before requests come
 }
 
-// install starts so many edge nodes; settings may be shaped first.
-func install(t *testing.T, count int, shape func(s *standin.Settings)) *installation {
+// startInstallation starts so many edge nodes; settings may be shaped first.
+func startInstallation(t *testing.T, count int, shape func(s *standin.Settings)) *installation {
 	t.Helper()
 	in := &installation{settings: standin.SiteSettings(count)}
 	in.settings.Family["largest"] = 6
@@ -100,12 +100,12 @@
 		in.keys = append(in.keys, fmt.Sprintf("ppk_library%d", i))
 		in.libraries = append(in.libraries, keyring.Library{Number: fmt.Sprintf("%016x", i+1), Plan: plan, Spread: count})
 	}
-	in.rekey(t)
+	in.buildKeyRing(t)
 	return in
 }
 
-// rekey makes the table of keys.
-func (in *installation) rekey(t *testing.T) {
+// buildKeyRing makes the table of keys.
+func (in *installation) buildKeyRing(t *testing.T) {
 	t.Helper()
 	salt := keyring.Salt("0123456789abcdef")
 	var entries []keyring.Entry
@@ -118,9 +118,9 @@
 	}
 }
 
-// revision makes a book whose costs, repeats and operations follow from its
+// testBook makes a book whose costs, repeats and operations follow from its
 // number, and tells the audit of it.
-func (in *installation) revision(t *testing.T, number int) *routing.Table {
+func (in *installation) testBook(t *testing.T, number int) *routing.Table {
 	t.Helper()
 	units := func(n int) routebook.Units { return routebook.Units{Base: float64(n), Most: 6} }
 	list := []routebook.Route{
@@ -131,12 +131,12 @@
 	if number%5 != 4 { // now and then it is gone
 		list = append(list, routebook.Route{Operation: "end", Method: "DELETE", Template: "/loans/{id}", Class: "loan-request", Units: units(1 + (number+1)%2), Place: "f:3"})
 	}
-	return in.revisionOf(t, fmt.Sprintf("r%d", number), list)
+	return in.compileBook(t, fmt.Sprintf("r%d", number), list)
 }
 
-// revisionOf makes a book of routes, with keys in a header and whatever other
+// compileBook makes a book of routes, with keys in a header and whatever other
 // places, and tells the audit of it.
-func (in *installation) revisionOf(t *testing.T, name string, list []routebook.Route, places ...routebook.KeyPlace) *routing.Table {
+func (in *installation) compileBook(t *testing.T, name string, list []routebook.Route, places ...routebook.KeyPlace) *routing.Table {
 	t.Helper()
 	b, err := routebook.Compile(name, list)
 	if err != nil {
@@ -158,15 +158,15 @@
 	return tab
 }
 
-// bring puts a book in force at one edge node and tells the audit.
-func (in *installation) bring(i int, tab *routing.Table) {
+// activateBook puts a book in force at one edge node and tells the audit.
+func (in *installation) activateBook(i int, tab *routing.Table) {
 	in.ledger.Note(audit.Swapping{Node: in.addrs[i].Name, Revision: tab.Book.Generation})
 	in.nodes[i].setRoutes(tab)
 	in.ledger.Note(audit.Swapped{Node: in.addrs[i].Name, Revision: tab.Book.Generation})
 }
 
-// front makes the ordinary clients of all libraries.
-func (in *installation) front(t *testing.T, rate float64) *standin.Front {
+// newFront makes the ordinary clients of all libraries.
+func (in *installation) newFront(t *testing.T, rate float64) *standin.Front {
 	t.Helper()
 	var customers []standin.Customer
 	for i, l := range in.libraries {
@@ -188,25 +188,25 @@
 // lost, and none takes effect twice, though loan servers fail on the way.
 func TestSwapsUnderLoad(t *testing.T) {
 	const swaps = 200
-	in := install(t, 3, nil)
-	first := in.revision(t, 0)
+	in := startInstallation(t, 3, nil)
+	first := in.testBook(t, 0)
 	for i := range in.nodes {
-		in.bring(i, first)
+		in.activateBook(i, first)
 	}
-	front := in.front(t, 60)
+	front := in.newFront(t, 60)
 	ctx, stop := context.WithTimeout(context.Background(), *swapFor+500*time.Millisecond)
 	defer stop()
 	var swapping sync.WaitGroup
 	swapping.Go(func() {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		for n := 1; n <= swaps; n++ {
-			tab := in.revision(t, n)
+			tab := in.testBook(t, n)
 			var each sync.WaitGroup
 			for _, i := range rnd.Perm(len(in.nodes)) {
 				wait := time.Duration(rnd.Float64() * float64(*swapFor) / swaps)
 				each.Go(func() {
 					time.Sleep(wait)
-					in.bring(i, tab)
+					in.activateBook(i, tab)
 				})
 			}
 			if n%20 == 0 { // a break while attempts are out
@@ -247,13 +247,13 @@
 	if *swapPairs == 0 {
 		t.Skip("needs -swap.pairs")
 	}
-	in := install(t, 3, nil)
+	in := startInstallation(t, 3, nil)
 	number := 0
 	bring := func() {
 		number++
-		tab := in.revision(t, 5*number) // an operation that is gone would spoil the comparison
+		tab := in.testBook(t, 5*number) // an operation that is gone would spoil the comparison
 		for i := range in.nodes {
-			in.bring(i, tab)
+			in.activateBook(i, tab)
 		}
 	}
 	bring()
--- a/internal/dataplane/node/timers.go
+++ b/internal/dataplane/node/timers.go
@@ -7,7 +7,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-func (l *loop) arm() {
+func (l *loop) armTimer() {
 	if len(l.timers) == 0 || l.timerAt != 0 && l.timerAt <= l.timers[0].at {
 		return
 	}
@@ -15,14 +15,14 @@
 	l.timer.Reset(max(0, l.timerAt-l.clock.now()))
 }
 
-// fire tells of the timers that have run out.
-func (l *loop) fire() {
+// fireTimers tells of the timers that have run out.
+func (l *loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.clock.now() {
 		t := heap.Pop(&l.timers).(*timer)
 		switch {
-		case t.call != nil:
-			l.failOverdue(t.call)
-		case t.look:
+		case t.request != nil:
+			l.failOverdue(t.request)
+		case t.isDisconnectCheck:
 			l.checkDisconnects()
 		default:
 			l.decide(policy.Timer{Token: t.token})
@@ -32,11 +32,11 @@
 
 // timer is a timer of the module, or the backstop of a request.
 type timer struct {
-	at    time.Duration
-	token string
-	call  *openRequest
-	look  bool // for clients that have gone
-	place int  // in the heap; -1: it is out
+	at                time.Duration
+	token             string
+	request           *openRequest
+	isDisconnectCheck bool // for clients that have gone
+	heapIndex         int  // in the heap; -1: it is out
 }
 
 type timerHeap []*timer
@@ -46,19 +46,19 @@
 
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
-	t.place = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
-	old[len(old)-1], t.place = nil, -1
+	old[len(old)-1], t.heapIndex = nil, -1
 	*h = old[:len(old)-1]
 	return t
 }
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -19,55 +19,55 @@
 )
 
 const (
-	idlePart    = 0.6 // of the time after which app servers close idle connections
-	graceMargin = 50 * time.Millisecond
-	answerStart = "HTTP/1.1 "
-	answerStall = 250 * time.Millisecond // an answer that has begun and stops for so long is spoilt
-	mostInterim = 8                      // 1xx answers ahead of one
-	mostLoad    = 1e6                    // a figure beyond is none
+	idleTimeoutShare   = 0.6 // of the time after which app servers close idle connections
+	drainGraceMargin   = 50 * time.Millisecond
+	answerPrefix       = "HTTP/1.1 "
+	defaultAnswerStall = 250 * time.Millisecond // an answer that has begun and stops for so long is spoilt
+	maxInterimAnswers  = 8                      // 1xx answers ahead of one
+	maxLoadValue       = 1e6                    // a figure beyond is none
 
 	// An idle connection rests before it is used again: what comes behind an
 	// answer must not be taken for the next one.
-	restFor = 5 * time.Millisecond
+	defaultReuseDelay = 5 * time.Millisecond
 )
 
 // upstream keeps the connections to the app servers and carries attempts out.
 // Each attempt is written here, once: the stock clients send a request again
 // by themselves and don't tell whether its last byte was written.
 type upstream struct {
-	clock   clock
-	network world.Network
-	limit   time.Duration // for a connection to come up
-	idleFor time.Duration
-	grace   time.Duration
-	rest    time.Duration // before an idle connection is used again
-	most    int           // connections at once, to all servers
-	fields  []string      // of load reports, by the module's order
-	stall   atomic.Int64  // nanoseconds for which an answer may stop
-	estate  bool          // a system's wire is spoken
+	clock       clock
+	network     world.Network
+	dialTimeout time.Duration // for a connection to come up
+	idleTimeout time.Duration
+	drainGrace  time.Duration
+	reuseDelay  time.Duration // before an idle connection is used again
+	maxConns    int           // connections at once, to all servers
+	loadFields  []string      // of load reports, by the module's order
+	answerStall atomic.Int64  // nanoseconds for which an answer may stop
+	isManaged   bool          // a system's wire is spoken
 
-	mu      sync.Mutex
-	open    int
-	ages    idleAgeStats
-	servers map[policy.ServerID]*appServer
+	mu        sync.Mutex
+	openConns int
+	idleAges  idleAgeStats
+	servers   map[policy.ServerID]*appServer
 }
 
 // upConn is a connection to an app server.
 type upConn struct {
 	net.Conn
-	in   messageReader
-	head head
-	used time.Duration
-	up   *upstream
+	in        messageReader
+	head      head
+	idleSince time.Duration
+	up        *upstream
 
-	reach time.Duration // the least time in which a connection to its server came up
-	ahead int           // bytes of the request that were written to try it
+	fastestConnect time.Duration // the least time in which a connection to its server came up
+	probedBytes    int           // bytes of the request that were written to try it
 }
 
 // Read gives up an answer that has begun and stops.
 func (c *upConn) Read(b []byte) (int, error) {
-	if len(c.in.buf) > 0 && !c.up.estate {
-		if err := c.SetReadDeadline(c.up.clock.Now().Add(time.Duration(c.up.stall.Load()))); err != nil {
+	if len(c.in.buf) > 0 && !c.up.isManaged {
+		if err := c.SetReadDeadline(c.up.clock.Now().Add(time.Duration(c.up.answerStall.Load()))); err != nil {
 			return 0, err
 		}
 	}
@@ -76,26 +76,26 @@
 
 // attempt is one sending of a request to an app server.
 type attempt struct {
-	id       policy.RequestID
-	num      int
-	server   policy.ServerID
-	sent     time.Duration // when the module asked for it
-	deadline time.Duration // when it is given up
-	writeBy  time.Duration // written later it might run twice: its repeat would not be known as one
-	once     bool          // it can't be sent again where it may have run
+	id          policy.RequestID
+	number      int
+	server      policy.ServerID
+	requestedAt time.Duration // when the module asked for it
+	deadline    time.Duration // when it is given up
+	writeBy     time.Duration // written later it might run twice: its repeat would not be known as one
+	atMostOnce  bool          // it can't be sent again where it may have run
 
-	mu        sync.Mutex
-	cancelled bool
-	pinned    bool // it has no other after it: what it was made of, or what came of it, has been passed on
-	conn      *upConn
-	stopDial  context.CancelFunc
+	mu          sync.Mutex
+	isCancelled bool
+	isPinned    bool // it has no other after it: what it was made of, or what came of it, has been passed on
+	conn        *upConn
+	stopDial    context.CancelFunc
 }
 
 // cancel gives the attempt up; the goroutine that carries it out ends it.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cancelled = true
+	a.isCancelled = true
 	if a.stopDial != nil {
 		a.stopDial()
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-// withdraw is cancel where nothing has been sent yet.
-func (a *attempt) withdraw() {
+// cancelIfUnsent is cancel where nothing has been sent yet.
+func (a *attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	unsent := a.conn == nil
 	a.mu.Unlock()
@@ -114,10 +114,10 @@
 	}
 }
 
-// recall is cancel for the sake of another attempt.
-func (a *attempt) recall() {
+// cancelIfNotPinned is cancel for the sake of another attempt.
+func (a *attempt) cancelIfNotPinned() {
 	a.mu.Lock()
-	pinned := a.pinned
+	pinned := a.isPinned
 	a.mu.Unlock()
 	if !pinned {
 		a.cancel()
@@ -128,115 +128,115 @@
 func (a *attempt) pin() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pinned = true
-	return !a.cancelled
+	a.isPinned = true
+	return !a.isCancelled
 }
 
-// hold puts the attempt on a connection; it is false when it was cancelled.
-func (a *attempt) hold(c *upConn) bool {
+// setConn puts the attempt on a connection; it is false when it was cancelled.
+func (a *attempt) setConn(c *upConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	return !a.cancelled
+	return !a.isCancelled
 }
 
 // result is how an attempt ended.
 type result struct {
 	verdict.Verdict
-	load        []float64
-	contentType string // of a served answer
-	body        string
-	answer      []byte // on a system's wire: the app server's own, as it is passed on
-	stray       bool   // and there: answers to others came in its place
+	loadReport      []float64
+	contentType     string // of a served answer
+	body            string
+	answer          []byte // on a system's wire: the app server's own, as it is passed on
+	hasStrayAnswers bool   // and there: answers to others came in its place
 
 	// On a system's wire, of bodies beyond their window.
-	fault   error         // of the client's, in the middle of its body: nothing has run
-	spent   bool          // part of the request is held no more: it can't be sent again
-	begun   bool          // the answer was passed on as it came
-	held    *heldAnswer   // nil: no answer is kept at its server
-	whole   bool          // and has come to its end
-	latency time.Duration // without the time that the client took; 0: as the module counts
+	clientFault  error         // of the client's, in the middle of its body: nothing has run
+	cannotRepeat bool          // part of the request is held no more: it can't be sent again
+	isStreamed   bool          // the answer was passed on as it came
+	held         *heldAnswer   // nil: no answer is kept at its server
+	isComplete   bool          // and has come to its end
+	latency      time.Duration // without the time that the client took; 0: as the module counts
 }
 
-// ended is an attempt's end and no more.
-func ended(end verdict.End, cause error) result { return result{Verdict: verdict.Of(end, cause)} }
+// endedResult is an attempt's end and no more.
+func endedResult(end verdict.End, cause error) result { return result{Verdict: verdict.Of(end, cause)} }
 
-// unanswered is the end of an attempt that was written whole and met an error in place of its answer.
-func (u *upstream) unanswered(a *attempt, err error) result {
+// errorResult is the end of an attempt that was written whole and met an error in place of its answer.
+func (u *upstream) errorResult(a *attempt, err error) result {
 	if errors.Is(err, os.ErrDeadlineExceeded) && u.clock.now() >= a.deadline {
-		return ended(verdict.Silent, err)
+		return endedResult(verdict.Silent, err)
 	}
-	return ended(verdict.Broken, err)
+	return endedResult(verdict.Broken, err)
 }
 
 // do carries an attempt out. The connection of one that did not come to its end
 // is closed before do returns, but for that of an answer held.
 func (u *upstream) do(a *attempt, req *clientRequest) result {
-	c, addr, ok := u.take(a.server, a.once)
+	c, addr, ok := u.takeConnection(a.server, a.atMostOnce)
 	for ok && c != nil && u.needsProbe(a, c) && !u.probe(a, c, req) {
 		u.discard(c)
-		c, addr, ok = u.take(a.server, a.once)
+		c, addr, ok = u.takeConnection(a.server, a.atMostOnce)
 	}
 	if !ok {
-		return ended(verdict.Unsent, errNoWay)
+		return endedResult(verdict.Unsent, errNoConnection)
 	}
 	if c == nil {
 		began := u.clock.now()
-		conn, err := u.connect(a, addr)
+		conn, err := u.dial(a, addr)
 		if err != nil {
 			u.discard(nil)
-			return ended(verdict.Unsent, err)
+			return endedResult(verdict.Unsent, err)
 		}
 		c = &upConn{Conn: conn, up: u}
 		c.in.src = c
-		if u.estate {
-			c.in.maxBody, c.in.window = math.MaxInt, bodyWindow
-			c.reach = u.reached(a.server, u.clock.now()-began)
+		if u.isManaged {
+			c.in.maxBody, c.in.window = math.MaxInt, bodyWindowBytes
+			c.fastestConnect = u.recordConnectTime(a.server, u.clock.now()-began)
 		}
 	}
 	now := u.clock.now()
 	switch {
 	case now >= a.deadline:
 		u.discard(c)
-		return ended(verdict.Moot, errLate)
-	case !a.hold(c) || now >= a.writeBy || u.closed(a.server):
+		return endedResult(verdict.Moot, errDeadlinePassed)
+	case !a.setConn(c) || now >= a.writeBy || u.isClosedToWork(a.server):
 		u.discard(c)
-		return ended(verdict.Unsent, errCalled)
+		return endedResult(verdict.Unsent, errAttemptCancelled)
 	}
 	var r result
 	var reuse bool
-	if u.estate {
+	if u.isManaged {
 		r, reuse = u.forward(a, c, req, a.deadline-now)
 	} else {
 		r, reuse = u.exchange(a, c, req, a.deadline-now)
 	}
-	if c.used > 0 {
+	if c.idleSince > 0 {
 		u.mu.Lock()
-		u.ages.recordUse(now-c.used, u.clock.now(), u.clock.now()-now-c.reach, r.Code(), len(c.in.buf) > 0)
+		u.idleAges.recordUse(now-c.idleSince, u.clock.now(), u.clock.now()-now-c.fastestConnect, r.Code(), len(c.in.buf) > 0)
 		u.mu.Unlock()
 	}
-	if !a.hold(nil) { // cancelled: its connection is closed already
+	if !a.setConn(nil) { // cancelled: its connection is closed already
 		reuse = false
 		if r.End == verdict.Broken || r.End == verdict.Silent {
-			r.Verdict = verdict.Of(verdict.Recalled, errCalled)
+			r.Verdict = verdict.Of(verdict.Recalled, errAttemptCancelled)
 		}
 		r.held = nil
 	}
 	switch {
 	case r.held != nil: // it is let go of by who passes the answer on
 	case reuse:
-		u.keep(a.server, c)
+		u.returnConnection(a.server, c)
 	default:
 		u.discard(c)
 	}
 	return r
 }
 
-func (u *upstream) connect(a *attempt, addr string) (net.Conn, error) {
-	ctx, stop := world.WithTimeout(context.Background(), u.clock.Clock, min(u.limit, a.deadline-u.clock.now()))
+func (u *upstream) dial(a *attempt, addr string) (net.Conn, error) {
+	ctx, stop := world.WithTimeout(context.Background(), u.clock.Clock, min(u.dialTimeout, a.deadline-u.clock.now()))
 	defer stop()
 	a.mu.Lock()
-	if a.cancelled {
+	if a.isCancelled {
 		a.mu.Unlock()
 		return nil, context.Canceled
 	}
@@ -250,27 +250,27 @@
 // it may have.
 func (u *upstream) exchange(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
 	if err := c.SetDeadline(u.clock.time(a.deadline)); err != nil {
-		return ended(verdict.Unsent, err), false
+		return endedResult(verdict.Unsent, err), false
 	}
-	msg := buffers.Get().(*[]byte)
+	msg := requestBuffers.Get().(*[]byte)
 	b := appendRequest((*msg)[:0], req, left)
 	n, err := c.Write(b)
 	whole := n == len(b)
 	if *msg = b; cap(b) <= 4*minBufferBytes {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 	}
 	if !whole {
-		return ended(verdict.Unsent, err), false
+		return endedResult(verdict.Unsent, err), false
 	}
 	var r result
 	status, body, framed := 0, []byte(nil), false
 	if err == nil {
-		status, body, framed, err = c.answer(string(req.method) == "HEAD", false)
+		status, body, framed, err = c.readAnswer(string(req.method) == "HEAD", false)
 	}
 	if err != nil {
-		return u.unanswered(a, err), false
+		return u.errorResult(a, err), false
 	}
-	r.Verdict, r.load = verdict.Of(verdict.Failed, nil), u.load(&c.head)
+	r.Verdict, r.loadReport = verdict.Of(verdict.Failed, nil), u.parseLoadReport(&c.head)
 	switch {
 	case status == 200 && !framed:
 		r.Verdict = verdict.Of(verdict.Broken, errFraming) // its end can't be told from a break
@@ -287,16 +287,16 @@
 	return r, reuse
 }
 
-// answer reads an answer. One that only the end of the connection would end is
+// readAnswer reads an answer. One that only the end of the connection would end is
 // not framed, and its body is left unread. One to HEAD has none, whatever its
 // length says (RFC 9112, 6.3). One that only announces the answer is told where
 // some of the request is still to be sent.
-func (c *upConn) answer(bare, unsent bool) (status int, body []byte, framed bool, err error) {
-	for range mostInterim + 1 {
-		if err = c.in.readHead(&c.head, answerStart); err != nil {
+func (c *upConn) readAnswer(bare, unsent bool) (status int, body []byte, framed bool, err error) {
+	for range maxInterimAnswers + 1 {
+		if err = c.in.readHead(&c.head, answerPrefix); err != nil {
 			return 0, nil, false, err
 		}
-		code := c.head.firstLine[len(answerStart):]
+		code := c.head.firstLine[len(answerPrefix):]
 		status, n := parseDecimal(code[:min(3, len(code))])
 		switch {
 		case n != 3 || status < 100 || status > 599 || len(code) > 3 && code[3] != ' ':
@@ -319,9 +319,9 @@
 	return 0, nil, false, errSyntax
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-var passedOn = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
+var forwardedFieldNames = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
 
 // appendRequest writes what goes on to an app server.
 func appendRequest(b []byte, req *clientRequest, left time.Duration) []byte {
@@ -334,7 +334,7 @@
 	} else {
 		b = append(b, req.target...)
 		b = append(b, " HTTP/1.1"...)
-		for _, key := range passedOn {
+		for _, key := range forwardedFieldNames {
 			if v := req.get(key); len(v) > 0 {
 				b = append(b, "\r\n"...)
 				b = append(b, key...)
@@ -353,34 +353,34 @@
 	return append(b, req.body...)
 }
 
-// loadNames gives the names in a load report for the settings' own, where
+// loadFieldAliases gives the names in a load report for the settings' own, where
 // these differ.
-var loadNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
+var loadFieldAliases = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
 	"rps": "qps", "err_rps": "eps"}
 
-// load reads a load report: a word, then name=value pairs. One that lacks a
+// parseLoadReport reads a load report: a word, then name=value pairs. One that lacks a
 // field, or can't be meant, counts for nothing.
-func (u *upstream) load(h *head) []float64 {
+func (u *upstream) parseLoadReport(h *head) []float64 {
 	text, n := h.valueAndCount("X-Load")
-	if n != 1 || len(u.fields) == 0 {
+	if n != 1 || len(u.loadFields) == 0 {
 		return nil
 	}
-	out, found := make([]float64, len(u.fields)), 0
+	out, found := make([]float64, len(u.loadFields)), 0
 	_, rest, _ := strings.Cut(string(text), " ")
 	for pair := range strings.SplitSeq(rest, ",") {
 		k, v, _ := strings.Cut(strings.Trim(pair, " \t"), "=")
-		i := slices.IndexFunc(u.fields, func(f string) bool { return f == k || loadNames[f] == k })
+		i := slices.IndexFunc(u.loadFields, func(f string) bool { return f == k || loadFieldAliases[f] == k })
 		if i < 0 {
 			continue
 		}
 		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(x >= 0 && x <= mostLoad) { // NaN is neither
+		if err != nil || !(x >= 0 && x <= maxLoadValue) { // NaN is neither
 			return nil
 		}
 		out[i] = x
 		found++
 	}
-	if found < len(u.fields) {
+	if found < len(u.loadFields) {
 		return nil
 	}
 	return out
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -14,18 +14,18 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// pool makes an upstream that knows one app server, number 1.
-func pool(addr string) *upstream {
-	u := &upstream{clock: newClock(world.Real{}), network: world.Real{}, limit: patience, idleFor: time.Minute, most: 10,
-		grace: 250 * time.Millisecond, fields: []string{"cpu", "rps"}, servers: map[policy.ServerID]*appServer{}}
-	u.stall.Store(int64(answerStall))
-	u.update(&serverList{Targets: []target{serving("s-00000001", addr)}}, true)
+// newTestUpstream makes an upstream that knows one app server, number 1.
+func newTestUpstream(addr string) *upstream {
+	u := &upstream{clock: newClock(world.Real{}), network: world.Real{}, dialTimeout: testTimeout, idleTimeout: time.Minute, maxConns: 10,
+		drainGrace: 250 * time.Millisecond, loadFields: []string{"cpu", "rps"}, servers: map[policy.ServerID]*appServer{}}
+	u.answerStall.Store(int64(defaultAnswerStall))
+	u.update(&serverList{Targets: []target{servingTarget("s-00000001", addr)}}, true)
 	return u
 }
 
-func (u *upstream) try(deadline time.Duration) (*attempt, func() (result, string)) {
+func (u *upstream) newAttempt(deadline time.Duration) (*attempt, func() (result, string)) {
 	now := u.clock.now()
-	a := &attempt{id: 7, server: 1, sent: now, deadline: now + deadline, writeBy: now + deadline}
+	a := &attempt{id: 7, server: 1, requestedAt: now, deadline: now + deadline, writeBy: now + deadline}
 	return a, func() (result, string) {
 		in := clientConn{input: messageReader{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Request-Id: 9b1f03aa5c7e2d41\r\n\r\n")}}
@@ -101,14 +101,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newApp(t, c.do)
-			u := pool(a.Addr())
-			_, do := u.try(time.Minute)
+			u := newTestUpstream(a.Addr())
+			_, do := u.newAttempt(time.Minute)
 			r, body := do()
 			if r.Code() != c.want || r.Code() == policy.OK && body != "hits" {
 				t.Errorf("code %d, body %q, want code %d", r.Code(), body, c.want)
 			}
-			if kept := len(u.servers[1].idle) == 1; kept != c.kept || u.open != len(u.servers[1].idle) {
-				t.Errorf("connection kept %v, want %v; %d counted as open", kept, c.kept, u.open)
+			if kept := len(u.servers[1].idle) == 1; kept != c.kept || u.openConns != len(u.servers[1].idle) {
+				t.Errorf("connection kept %v, want %v; %d counted as open", kept, c.kept, u.openConns)
 			}
 			if n := a.Seen.Load(); n != 1 {
 				t.Errorf("written %d times", n)
@@ -119,10 +119,10 @@
 
 // A refused connection proves that nothing ran.
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	u := pool(refusing(t))
-	_, do := u.try(patience)
-	if r, _ := do(); r.Code() != policy.ConnectFailed || u.open != 0 {
-		t.Errorf("code %d, %d open", r.Code(), u.open)
+	u := newTestUpstream(refusingAddress(t))
+	_, do := u.newAttempt(testTimeout)
+	if r, _ := do(); r.Code() != policy.ConnectFailed || u.openConns != 0 {
+		t.Errorf("code %d, %d open", r.Code(), u.openConns)
 	}
 }
 
@@ -130,11 +130,11 @@
 // be closed before the module hears of it, or two attempts would be out.
 func TestTimeoutClosesFirst(t *testing.T) {
 	a := newApp(t, standin.Deaf)
-	u := pool(a.Addr())
-	_, do := u.try(50 * time.Millisecond)
+	u := newTestUpstream(a.Addr())
+	_, do := u.newAttempt(50 * time.Millisecond)
 	r, _ := do()
-	if r.Code() != policy.TimedOut || u.open != 0 {
-		t.Errorf("code %d, %d open", r.Code(), u.open)
+	if r.Code() != policy.TimedOut || u.openConns != 0 {
+		t.Errorf("code %d, %d open", r.Code(), u.openConns)
 	}
 	eventually(t, "the end of the connection", func() bool { return a.Ended.Load() == 1 })
 }
@@ -142,8 +142,8 @@
 // The same for an attempt that the module calls back.
 func TestCancelClosesFirst(t *testing.T) {
 	a := newApp(t, standin.Deaf)
-	u := pool(a.Addr())
-	at, do := u.try(time.Hour)
+	u := newTestUpstream(a.Addr())
+	at, do := u.newAttempt(time.Hour)
 	go func() {
 		for a.Seen.Load() == 0 {
 			time.Sleep(time.Millisecond)
@@ -151,8 +151,8 @@
 		at.cancel()
 	}()
 	r, _ := do()
-	if r.Code() != policy.Cancelled || u.open != 0 {
-		t.Errorf("code %d, %d open", r.Code(), u.open)
+	if r.Code() != policy.Cancelled || u.openConns != 0 {
+		t.Errorf("code %d, %d open", r.Code(), u.openConns)
 	}
 	eventually(t, "the end of the connection", func() bool { return a.Ended.Load() == 1 })
 }
@@ -160,8 +160,8 @@
 // What is called back before it is written never ran.
 func TestCancelBeforeWriting(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", ""))
-	u := pool(a.Addr())
-	at, do := u.try(time.Hour)
+	u := newTestUpstream(a.Addr())
+	at, do := u.newAttempt(time.Hour)
 	at.cancel()
 	if r, _ := do(); !r.Code().NeverRan() || a.Seen.Load() != 0 {
 		t.Errorf("code %d after %d requests", r.Code(), a.Seen.Load())
@@ -176,15 +176,15 @@
 		standin.Answer("200 OK", "", "hits")(c, r)
 		return answers.Add(1) > 1
 	})
-	u := pool(a.Addr())
-	_, do := u.try(patience)
+	u := newTestUpstream(a.Addr())
+	_, do := u.newAttempt(testTimeout)
 	do()
 	eventually(t, "the server's close on the idle connection", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return len(u.servers[1].idle) == 1 && !alive(u.servers[1].idle[0])
+		return len(u.servers[1].idle) == 1 && !isQuiet(u.servers[1].idle[0])
 	})
-	_, do = u.try(patience)
+	_, do = u.newAttempt(testTimeout)
 	if r, _ := do(); r.Code() != policy.OK || a.Accepted.Load() != 2 {
 		t.Errorf("code %d, %d connections", r.Code(), a.Accepted.Load())
 	}
@@ -193,18 +193,18 @@
 // Connections are used again, newest first, and closed before the server does.
 func TestPoolReusesAndExpires(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	u := pool(a.Addr())
+	u := newTestUpstream(a.Addr())
 	for range 3 {
-		_, do := u.try(patience)
+		_, do := u.newAttempt(testTimeout)
 		do()
 	}
 	if a.Accepted.Load() != 1 {
 		t.Errorf("%d connections for requests one after another", a.Accepted.Load())
 	}
-	u.idleFor = 0
-	u.sweep()
-	if u.open != 0 || len(u.servers[1].idle) != 0 {
-		t.Errorf("%d open after their time", u.open)
+	u.idleTimeout = 0
+	u.closeStaleConnections()
+	if u.openConns != 0 || len(u.servers[1].idle) != 0 {
+		t.Errorf("%d open after their time", u.openConns)
 	}
 }
 
@@ -217,22 +217,22 @@
 		<-copied
 		return standin.Answer("200 OK", "", "copy")(c, r)
 	})
-	u := pool(a.Addr())
-	u.rest = time.Hour
+	u := newTestUpstream(a.Addr())
+	u.reuseDelay = time.Hour
 	for i := range 2 {
-		_, do := u.try(patience)
+		_, do := u.newAttempt(testTimeout)
 		if r, body := do(); r.Code() != policy.OK || body != "hits" || int(a.Accepted.Load()) != i+1 {
 			t.Errorf("code %d, %q, %d connections: an idle one did not rest", r.Code(), body, a.Accepted.Load())
 		}
 	}
 	close(copied)
-	u.rest = 0
+	u.reuseDelay = 0
 	eventually(t, "the copies", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return !alive(u.servers[1].idle[0]) && !alive(u.servers[1].idle[1])
+		return !isQuiet(u.servers[1].idle[0]) && !isQuiet(u.servers[1].idle[1])
 	})
-	_, do := u.try(patience)
+	_, do := u.newAttempt(testTimeout)
 	if _, body := do(); body != "hits" || a.Accepted.Load() != 3 {
 		t.Errorf("%q, %d connections", body, a.Accepted.Load())
 	}
@@ -275,25 +275,25 @@
 		}
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
-	u := pool(a.Addr())
+	u := newTestUpstream(a.Addr())
 	for range 1000 {
-		_, do := u.try(patience)
+		_, do := u.newAttempt(testTimeout)
 		do()
 		u.mu.Lock()
 		for _, c := range u.servers[1].idle {
-			c.used -= 200 * time.Millisecond // as if it had stood for so long
+			c.idleSince -= 200 * time.Millisecond // as if it had stood for so long
 		}
-		full := u.ages.maxUsableAge(u.idleFor) < u.idleFor
+		full := u.idleAges.maxUsableAge(u.idleTimeout) < u.idleTimeout
 		u.mu.Unlock()
 		if full {
 			break
 		}
 	}
-	if u.ages.maxUsableAge(u.idleFor) > 200*time.Millisecond {
-		t.Fatalf("%v learned where those of 200ms break", u.ages.maxUsableAge(u.idleFor))
+	if u.idleAges.maxUsableAge(u.idleTimeout) > 200*time.Millisecond {
+		t.Fatalf("%v learned where those of 200ms break", u.idleAges.maxUsableAge(u.idleTimeout))
 	}
 	before := a.Accepted.Load()
-	_, do := u.try(patience)
+	_, do := u.newAttempt(testTimeout)
 	do()
 	if a.Accepted.Load() != before+1 {
 		t.Error("an old connection was used again")
@@ -304,14 +304,14 @@
 // dead, most connections would be dialled anew, at the app server's cost.
 func TestReusesAfterTheDeadlineBefore(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	u := pool(a.Addr())
-	at, do := u.try(time.Second)
+	u := newTestUpstream(a.Addr())
+	at, do := u.newAttempt(time.Second)
 	if r, _ := do(); r.Code() != policy.OK {
 		t.Fatalf("code %d", r.Code())
 	}
 	eventually(t, "the deadline", func() bool { return u.clock.now() > at.deadline })
-	u.sweep()
-	_, do = u.try(patience)
+	u.closeStaleConnections()
+	_, do = u.newAttempt(testTimeout)
 	if r, _ := do(); r.Code() != policy.OK || a.Accepted.Load() != 1 {
 		t.Errorf("code %d, %d connections", r.Code(), a.Accepted.Load())
 	}
@@ -321,15 +321,15 @@
 // before, but delayed by its dial, must not be written after.
 func TestDrainedServerGetsNothing(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	u := pool(a.Addr())
-	drains := serving("s-00000001", a.Addr())
+	u := newTestUpstream(a.Addr())
+	drains := servingTarget("s-00000001", a.Addr())
 	drains.State = "DRAINING"
 	u.update(&serverList{Targets: []target{drains}}, false)
-	if u.closed(1) {
+	if u.isClosedToWork(1) {
 		t.Error("closed before the grace is over")
 	}
-	u.servers[1].since -= u.grace
-	_, do := u.try(patience)
+	u.servers[1].notRunningSince -= u.drainGrace
+	_, do := u.newAttempt(testTimeout)
 	if r, _ := do(); r.Code() != policy.ConnectFailed || a.Seen.Load() != 0 {
 		t.Errorf("code %d after %d requests", r.Code(), a.Seen.Load())
 	}
@@ -342,17 +342,17 @@
 	for name, l := range map[string]*serverList{
 		"gone":      {Targets: nil},
 		"restarted": {Targets: []target{{UID: "s-00000001", Endpoint: a.Addr(), State: "SERVING", BootMS: 5}}},
-		"moved":     {Targets: []target{serving("s-00000001", "127.0.0.1:1")}},
+		"moved":     {Targets: []target{servingTarget("s-00000001", "127.0.0.1:1")}},
 	} {
-		u := pool(a.Addr())
-		_, do := u.try(patience)
+		u := newTestUpstream(a.Addr())
+		_, do := u.newAttempt(testTimeout)
 		do()
-		if u.open != 1 {
-			t.Fatalf("%s: %d open before", name, u.open)
+		if u.openConns != 1 {
+			t.Fatalf("%s: %d open before", name, u.openConns)
 		}
 		u.update(l, true)
-		if u.open != 0 {
-			t.Errorf("%s: %d open after", name, u.open)
+		if u.openConns != 0 {
+			t.Errorf("%s: %d open after", name, u.openConns)
 		}
 	}
 }
@@ -361,9 +361,9 @@
 // would run twice; a dial can take that long.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	u := pool(a.Addr())
-	at, do := u.try(patience)
-	at.writeBy = at.sent
+	u := newTestUpstream(a.Addr())
+	at, do := u.newAttempt(testTimeout)
+	at.writeBy = at.requestedAt
 	if r, _ := do(); r.Code() != policy.ConnectFailed || a.Seen.Load() != 0 {
 		t.Errorf("code %d after %d requests", r.Code(), a.Seen.Load())
 	}
@@ -372,17 +372,17 @@
 // The descriptors are bounded: idle connections to others make room first.
 func TestConnectionBound(t *testing.T) {
 	a, b := newApp(t, standin.Answer("200 OK", "", "hits")), newApp(t, standin.Deaf)
-	u := pool(a.Addr())
-	u.most = 1
-	u.update(&serverList{Targets: []target{serving("s-00000002", b.Addr())}}, false)
-	_, do := u.try(patience)
+	u := newTestUpstream(a.Addr())
+	u.maxConns = 1
+	u.update(&serverList{Targets: []target{servingTarget("s-00000002", b.Addr())}}, false)
+	_, do := u.newAttempt(testTimeout)
 	do()
-	at, do := u.try(time.Hour)
+	at, do := u.newAttempt(time.Hour)
 	at.server = 2
 	done := make(chan result)
 	go func() { r, _ := do(); done <- r }()
 	eventually(t, "the request at the second server", func() bool { return b.Seen.Load() == 1 })
-	_, do = u.try(patience)
+	_, do = u.newAttempt(testTimeout)
 	if r, _ := do(); r.Code() != policy.ConnectFailed {
 		t.Errorf("code %d over the bound", r.Code())
 	}
@@ -393,7 +393,7 @@
 // The module gets a report's values in the order of its settings, whichever of
 // the two spellings comes; half a report is none.
 func TestLoadReport(t *testing.T) {
-	u := pool("127.0.0.1:1")
+	u := newTestUpstream("127.0.0.1:1")
 	for text, want := range map[string][]float64{
 		"TEXT util=NaN, qps=1":              nil,
 		"TEXT util=0.61, qps=+Inf":          nil,
@@ -407,7 +407,7 @@
 		"TEXT":                              nil,
 		fmt.Sprintf("TEXT %0300d=,,,=,", 1): nil,
 	} {
-		if got := u.load(&head{fields: []field{{[]byte("X-Load"), []byte(text)}}}); !reflect.DeepEqual(got, want) {
+		if got := u.parseLoadReport(&head{fields: []field{{[]byte("X-Load"), []byte(text)}}}); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
--- a/internal/dataplane/node/watch.go
+++ b/internal/dataplane/node/watch.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	heardQueue = 256 // datagrams that wait to be taken in; more are lost
-	tellStatus = 200 * time.Millisecond
+	maxQueuedFromPeers = 256 // datagrams that wait to be taken in; more are lost
+	statusInterval     = 200 * time.Millisecond
 )
 
-// watch keeps this edge node's picture of the others, on a goroutine of its own:
+// fleetWatch keeps this edge node's picture of the others, on a goroutine of its own:
 // it waits for nothing but its clock and its mail.
-type watch struct {
-	fleet  *members.Fleet
-	clock  clock
-	peers  *peers
-	in     chan heard
-	status atomic.Pointer[string] // for healthz, as JSON
-	anew   bool
+type fleetWatch struct {
+	fleet        *members.Fleet
+	clock        clock
+	peers        *peers
+	incoming     chan receivedDatagram
+	status       atomic.Pointer[string] // for healthz, as JSON
+	hasNewEvents bool
 }
 
-type heard struct {
+type receivedDatagram struct {
 	from netip.AddrPort
 	data []byte
 }
 
-// newWatch begins a picture. Every edge node of a fleet gives the others' numbers
+// newFleetWatch begins a picture. Every edge node of a fleet gives the others' numbers
 // as the platform does; their addresses are this node's own for them.
-func newWatch(cfg *Config, t members.Timing, c clock, p *peers, seed uint64) (*watch, error) {
+func newFleetWatch(cfg *Config, t members.Timing, c clock, p *peers, seed uint64) (*fleetWatch, error) {
 	seeds := make([]members.Peer, 0, len(cfg.Peers))
 	for i, a := range cfg.Peers {
 		seeds = append(seeds, members.Peer{Name: members.Name(i), Addr: a})
@@ -51,19 +51,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &watch{fleet: f, clock: c, peers: p, in: make(chan heard, heardQueue)}, nil
+	return &fleetWatch{fleet: f, clock: c, peers: p, incoming: make(chan receivedDatagram, maxQueuedFromPeers)}, nil
 }
 
-// hear takes a datagram of another edge node; it never waits.
-func (w *watch) hear(from netip.AddrPort, data []byte) {
+// receive takes a datagram of another edge node; it never waits.
+func (w *fleetWatch) receive(from netip.AddrPort, data []byte) {
 	select {
-	case w.in <- heard{from, data}:
+	case w.incoming <- receivedDatagram{from, data}:
 	default:
 	}
 }
 
 // run goes on until ctx ends, and then tells the others that this edge node leaves.
-func (w *watch) run(ctx context.Context) {
+func (w *fleetWatch) run(ctx context.Context) {
 	t := w.clock.NewTimer(0)
 	defer t.Stop()
 	told := w.clock.now()
@@ -74,7 +74,7 @@
 				_, _ = w.peers.conn.WriteTo(d.Data, d.To)
 			}
 			return
-		case h := <-w.in:
+		case h := <-w.incoming:
 			out, err := w.fleet.Receive(w.clock.now(), h.from, h.data)
 			if err != nil {
 				slog.Debug("datagram passed over", "from", h.from, "err", err)
@@ -84,28 +84,28 @@
 			w.send(w.fleet.Tick(w.clock.now()))
 			t.Reset(max(0, w.fleet.Next()-w.clock.now()))
 		}
-		w.log()
-		if now := w.clock.now(); w.anew || now-told >= tellStatus {
-			told, w.anew = now, false
-			w.tell()
+		w.logEvents()
+		if now := w.clock.now(); w.hasNewEvents || now-told >= statusInterval {
+			told, w.hasNewEvents = now, false
+			w.publishStatus()
 		}
 	}
 }
 
-func (w *watch) send(out []members.Datagram) {
+func (w *fleetWatch) send(out []members.Datagram) {
 	for _, d := range out {
-		w.peers.queue(d.To, d.Data)
+		w.peers.enqueue(d.To, d.Data)
 	}
 }
 
-// log writes down what has happened.
-func (w *watch) log() {
+// logEvents writes down what has happened.
+func (w *fleetWatch) logEvents() {
 	list, dropped := w.fleet.Events()
 	if dropped > 0 {
 		slog.Warn("events of the fleet's view were dropped", "events", dropped)
 	}
 	for _, e := range list {
-		w.anew = true
+		w.hasNewEvents = true
 		switch e.Kind {
 		case members.Changed:
 			slog.Info("view changed", "epoch", e.Epoch, "joined", e.Joined, "lost", e.Lost)
@@ -121,8 +121,8 @@
 	}
 }
 
-// tell keeps the status for healthz.
-func (w *watch) tell() {
+// publishStatus keeps the status for healthz.
+func (w *fleetWatch) publishStatus() {
 	b, err := json.Marshal(fleetview.Of(w.fleet))
 	if err != nil {
 		slog.Error("view can't be told", "err", err)
--- a/internal/edgefleet/daemon/books.go
+++ b/internal/edgefleet/daemon/books.go
@@ -52,7 +52,7 @@
 	if why := b.waits(l, book); len(why) > 0 {
 		slog.Warn("a revision of the route book waits to be accepted; the old one stays in force", "in_force", b.force.Generation,
 			"revision", book.Generation, "why", strings.Join(why, "; "), "accept_with", fmt.Sprintf("routes.accept = [%q]", book.Generation))
-		t.Pending = book.Generation
+		t.PendingRevision = book.Generation
 		book = b.force
 	}
 	ring, libraries, err := l.Ring()
--- a/internal/edgefleet/daemon/reload.go
+++ b/internal/edgefleet/daemon/reload.go
@@ -26,8 +26,8 @@
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return node.Tuning{
 		FirstRequest: ms(l.Clients.FirstRequestMS), WholeRequest: ms(l.Clients.WholeRequestMS), ClientIdle: ms(l.Clients.IdleMS),
-		ClientWrite: ms(l.Clients.WriteMS), EndUnused: l.Clients.EndUnused, Rest: ms(l.Upstream.RestMS),
-		Stall: ms(l.Upstream.StallMS), Discovery: l.Discovery.Address, Generation: l.Generation}
+		ClientWrite: ms(l.Clients.WriteMS), CloseUnused: l.Clients.EndUnused, ReuseDelay: ms(l.Upstream.RestMS),
+		AnswerStall: ms(l.Upstream.StallMS), Discovery: l.Discovery.Address, Generation: l.Generation}
 }
 
 // reloader takes new operator files over: whole, or not at all.
@@ -96,8 +96,8 @@
 	}
 	if err != nil {
 		t := r.node.Tuning()
-		t.Refused = operator.GenerationOf(text)
-		slog.Error("operator file passed over; the old one stays in force", "in_force", r.force.Generation, "refused", t.Refused, "err", err)
+		t.RefusedGeneration = operator.GenerationOf(text)
+		slog.Error("operator file passed over; the old one stays in force", "in_force", r.force.Generation, "refused", t.RefusedGeneration, "err", err)
 		r.node.Tune(t) // healthz tells of it once the cause is in the log
 		return
 	}
