--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -46,8 +46,8 @@
 func (g *Gateway) onGatewaySet(ev GatewaySet) {
 	g.cfg.Me, g.cfg.Gateways = ev.Me, max(1, ev.Gateways, ev.Me+1)
 	g.gatewayRegions = ev.Regions
-	g.ceilingParts, g.unusedShare = ev.CeilingParts, ev.UnusedShare
-	g.noColdSends = ev.NoColdSends || ev.UnusedShare > 0
+	g.ceilingParts, g.unusedShare, g.noColdSends = ev.CeilingParts, ev.UnusedShare,
+		ev.NoColdSends || ev.UnusedShare > 0
 	g.regions = slices.Compact(slices.Sorted(slices.Values(ev.Regions)))
 	g.regions = slices.DeleteFunc(g.regions, func(r string) bool { return r == "" })
 	g.borrows = g.cfg.MultiService != nil && max(g.cfg.Gateways, g.ceilingParts) > borrowBeyondGateways &&
--- a/policy/serverload.go
+++ b/policy/serverload.go
@@ -50,8 +50,7 @@
 	for _, s := range g.serverList {
 		if s.hasLoadReport && s.State == Running {
 			key := group{s.Service, s.Region}
-			weight := math.Exp(-(g.now - s.otherInFlightAt).Seconds() / usualLoadDecayTime.Seconds())
-			previous := means[key]
+			weight, previous := math.Exp(-(g.now-s.otherInFlightAt).Seconds()/usualLoadDecayTime.Seconds()), means[key]
 			means[key] = mean{previous.sum + weight*s.otherInFlight, previous.weight + weight,
 				max(previous.latest, weight)}
 		}
