--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -64,7 +64,7 @@
 	}
 	if req.managed.client.hasUnreadBody() {
 		b = appendFramingField(b, &req.head)
-	} else if m := string(req.method); m != "GET" && m != "HEAD" || len(req.body) > 0 {
+	} else if method := string(req.method); method != "GET" && method != "HEAD" || len(req.body) > 0 {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
 	}
@@ -123,16 +123,16 @@
 	msg := requestBuffers.Get().(*[]byte)
 	b := appendForwardedRequest((*msg)[:0], req, server, req.managed.client.server.managed.workDuration(left, u.clock.now()))
 	n, err := c.Write(b[c.probedBytes:])
-	whole := c.probedBytes+n == len(b)
+	complete := c.probedBytes+n == len(b)
 	c.probedBytes = 0
 	if *msg = b; cap(b) <= 4*minBufferBytes {
 		requestBuffers.Put(msg)
 	}
-	if !whole {
+	if !complete {
 		return endedResult(verdict.Unsent, err), false
 	}
-	bare, written := string(req.method) == "HEAD", u.clock.now()
-	stray := false
+	headRequest, written := string(req.method) == "HEAD", u.clock.now()
+	sawForeignAnswer := false
 	status, body, framed, unsent := 0, []byte(nil), false, req.managed.client.hasUnreadBody()
 	for range maxForeignAnswers {
 		if err != nil {
@@ -145,7 +145,7 @@
 			}
 			written = u.clock.now()
 		}
-		if status, body, framed, err = c.readAnswer(bare, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
+		if status, body, framed, err = c.readAnswer(headRequest, unsent); err != nil || string(c.head.get(fieldID)) == req.managed.id {
 			break
 		}
 		if !framed {
@@ -160,20 +160,20 @@
 	spent := req.managed.client.hasDiscardedBody()
 	if err != nil || status == 0 {
 		r := u.errorResult(a, err)
-		if unsent && !req.managed.client.hasBegunLastChunk() { // and never will be sent
+		if unsent && !req.managed.client.hasBegunLastChunk() { // the remainder will never be sent, so the request can't run
 			r = endedResult(verdict.Unsent, err)
 		}
-		r.cannotRepeat, r.hasStrayAnswers = spent, stray
+		r.cannotRepeat, r.hasStrayAnswers = spent, sawForeignAnswer
 		return r, false
 	}
-	r := classifyAnswer(c, status, body, framed, bare)
+	r := classifyAnswer(c, status, body, framed, headRequest)
 	if r.cannotRepeat = spent; spent || c.in.hasUnreadBody() {
 		r.latency = max(1, u.clock.now()-written)
 	}
 	if c.in.hasUnreadBody() {
 		u.download(a, c, req, &r)
 	}
-	reuse := framed && !stray && !unsent && !c.in.hasUnreadBody() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	reuse := framed && !sawForeignAnswer && !unsent && !c.in.hasUnreadBody() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	if r.held == nil {
 		c.in.startMessage()
 	}
@@ -187,8 +187,8 @@
 	v, usable := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
 		Coded: count("Content-Encoding") > 0, Framed: framed})
 	r := result{Verdict: v, loadReport: parseServerLoad(h)}
-	if pass {
-		r.answer = buildClientAnswer(h, status, body, bare, c.in.hasUnreadBody())
+	if usable {
+		r.answer = buildClientAnswer(h, status, body, headRequest, c.in.hasUnreadBody())
 	}
 	return r
 }
--- a/internal/dataplane/node/idle.go
+++ b/internal/dataplane/node/idle.go
@@ -93,7 +93,7 @@
 	return now-c.idleSince >= probeMinIdle && (a.atMostOnce || u.idleAges.brokeRecently(now-c.idleSince, now))
 }
 
-// probeWait is how long a trial takes: a reset is back by then, unless it comes late.
+// probeWait returns how long a probe waits for a reset. A reset that comes later is missed.
 func (c *upConn) probeWait() time.Duration {
 	return c.fastestConnect + c.fastestConnect/4 + probeMargin
 }
@@ -103,7 +103,7 @@
 // request follows only then. A request of which only these bytes were sent has not run.
 func (u *upstream) probe(a *attempt, c *upConn, req *clientRequest) bool {
 	if !a.setConn(c) {
-		return true // given up: the caller sees to it
+		return true // the attempt was cancelled; the caller handles it
 	}
 	age := u.clock.now() - c.idleSince
 	if c.SetDeadline(u.clock.time(a.deadline)) == nil {
@@ -118,13 +118,13 @@
 	if a.setConn(nil) {
 		u.mu.Lock()
 		u.idleAges.recordBreak(age, u.clock.now())
-		if s := u.servers[a.server]; s != nil { // it may have forgotten all that are older
-			older := u.clock.now() - age
-			s.idle = slices.DeleteFunc(s.idle, func(o *upConn) bool {
-				if o.idleSince > older {
+		if s := u.servers[a.server]; s != nil { // the server may have dropped all usedBefore connections too
+			usedBefore := u.clock.now() - age
+			s.idle = slices.DeleteFunc(s.idle, func(other *upConn) bool {
+				if other.idleSince > usedBefore {
 					return false
 				}
-				o.Close()
+				other.Close()
 				u.openConns--
 				return true
 			})
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -38,8 +38,8 @@
 	var leave handover.Leave
 	e.runOnLoop(func(loop *loop) {
 		e.handover.taker.Leaving = true
-		l.Grace = e.cfg.Grace // as told last
-		e.managed.workDeadline.Store(int64(loop.clock.now() + l.WorkEnds()))
+		leave.Grace = e.cfg.Grace // as last set
+		e.managed.workDeadline.Store(int64(loop.clock.now() + leave.WorkEnds()))
 	})
 	handedOver := false
 	for {
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -136,7 +136,7 @@
 		l.answer(c, command{clientErrorStatus: statusBadRequest})
 	case c.pendingAnswer != nil:
 		l.answer(c, *c.pendingAnswer)
-	case o.cannotRepeat: // there is nothing to send again
+	case o.cannotRepeat: // the request's body is no longer held, so it can't be sent again
 		l.answer(c, command{retryAfter: refusalRetryAfter})
 	}
 	ev.Final = l.requests[c.ID] == nil
--- a/internal/dataplane/node/message.go
+++ b/internal/dataplane/node/message.go
@@ -30,12 +30,12 @@
 type messageReader struct {
 	src        io.Reader
 	buf        []byte
-	off        int           // what comes before has been used
-	maxBody    int           // bytes of a body; 0: maxBodyBytes
-	maxHead    int           // bytes of a head; 0: maxHeadBytes
-	window     int           // bytes of a body that are read whole, the others in pieces; 0: all
-	remainder  bodyRemainder // of a body longer than the window
-	ownsBuffer bool          // nobody needs what has been used of buf
+	off        int           // bytes of buf before this offset are consumed
+	maxBody    int           // limit of a body in bytes; 0: maxBodyBytes
+	maxHead    int           // limit of a head in bytes; 0: maxHeadBytes
+	window     int           // bytes of a body that readBody reads at once, the others follow in pieces; 0: all
+	remainder  bodyRemainder // unread part of a body longer than the window
+	ownsBuffer bool          // no caller needs the consumed bytes of buf any more
 }
 
 // bodyLimit returns the maximum size of a body in bytes.
--- a/policy/buckets.go
+++ b/policy/buckets.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// addCustomer creates a customer. Its counts are summed by all its gateways or, where
+// registerCustomer creates a customer. Its counts are summed by all its gateways or, where
 // there are many gateways, by its roots, which the other gateways ask.
 func (g *Gateway) addCustomer(key uint64, plan *planState, firstGateway, gatewayCount int) *customer {
 	if gatewayCount = max(1, min(gatewayCount, g.cfg.Gateways)); g.cfg.MultiService != nil {
--- a/policy/serverload.go
+++ b/policy/serverload.go
@@ -35,8 +35,7 @@
 	if !s.hasLoadReport {
 		return s.typicalInFlight
 	}
-	return s.typicalInFlight + (s.otherInFlight-s.typicalInFlight)*
-		math.Exp(-(g.now-s.otherInFlightAt).Seconds()/serverLoadDecayTime.Seconds())
+	return s.typicalInFlight + (s.otherInFlight-s.typicalInFlight)*math.Exp(-(g.now-s.otherInFlightAt).Seconds()/serverLoadDecayTime.Seconds())
 }
 
 // updateUsualLoads computes the average load at the servers of a service in a region: the mean of their last reports,
@@ -51,14 +50,13 @@
 		if s.hasLoadReport && s.State == Running {
 			key := group{s.Service, s.Region}
 			weight, previous := math.Exp(-(g.now-s.otherInFlightAt).Seconds()/usualLoadDecayTime.Seconds()), means[key]
-			means[key] = mean{previous.sum + weight*s.otherInFlight, previous.weight + weight,
-				max(previous.latest, weight)}
+			means[key] = mean{previous.sum + weight*s.otherInFlight, previous.weight + weight, max(previous.latest, weight)}
 		}
 	}
 	for _, s := range g.serverList {
 		s.typicalInFlight = 0
-		if m := means[group{s.Service, s.Region}]; m.weight > 0 {
-			s.typicalInFlight = m.sum / m.weight * m.latest
+		if previous := means[group{s.Service, s.Region}]; previous.weight > 0 {
+			s.typicalInFlight = previous.sum / previous.weight * previous.latest
 		}
 	}
 }
