--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -61,7 +61,7 @@
 // A connection that brings no request, or half of one, is let go within the 3 s
 // that such a client is owed.
 func TestSilentClientsAreDisconnected(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	silent, half := dial(t, n), dial(t, n)
 	_, _ = half.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a"))
 	began := time.Now()
@@ -79,8 +79,8 @@
 // Connections that bring nothing of use make room before those that have
 // carried good requests, however old these are.
 func TestUsefulClientsAreKept(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
@@ -103,11 +103,11 @@
 // two under one id would be two attempts out at once.
 func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	first := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the first at the app server", func() bool { return a.Seen.Load() == 1 })
 	if resp := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))(); resp.StatusCode != http.StatusConflict {
@@ -154,11 +154,11 @@
 // first, and busy ones are not.
 func TestClosesIdleClients(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
@@ -182,7 +182,7 @@
 // A request that crossed the closing of its idle connection is sent again by
 // the client: worked on here too it would have its effect twice.
 func TestRequestOnClosedConnectionIsNotProcessed(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
 	c := n.server.addConnection(pipe)
@@ -205,8 +205,8 @@
 // Clients that never finish their requests must not use up the descriptors:
 // others still get in, and busy connections stay.
 func TestSlowRequestsAreEvicted(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	n.server.mu.Lock()
 	n.server.maxConns = 4
--- a/internal/dataplane/node/framing_test.go
+++ b/internal/dataplane/node/framing_test.go
@@ -14,8 +14,8 @@
 
 // Anything may come from outside: it is answered 400 and harms nobody.
 func TestMalformedRequests(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	for _, c := range []struct{ class, header, value string }{
 		{"lookup", "X-Class", "shelve"}, {"lookup", "X-Class", ""},
 		{"lookup", "X-Tier", "gold"}, {"lookup", "X-Request-Id", ""},
@@ -53,8 +53,8 @@
 // they are answered 400 at most once, nothing of them is sent on and nothing more is read
 // from their connection. The good request behind each must not be served.
 func TestAmbiguousFraming(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	fields := "Host: app.svc\r\nX-Request-Id: 1\r\nX-Class: loan\r\nX-Tier: town\r\nCookie: key=00000000b4d65521\r\n" +
 		"X-Deadline-Ms: 900\r\nIdempotency-Key: k\r\n"
 	get := "GET /lookup HTTP/1.1\r\nX-Request-Id: 2\r\nX-Class: lookup\r\nX-Tier: town\r\n" +
@@ -108,7 +108,7 @@
 // Huge bodies and endless heads are refused when their size is told or passed,
 // not when they have come, and the refusal reaches a client that still sends.
 func TestOversizedMessages(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	for name, c := range map[string]struct{ head, more, want string }{
 		"60 MB":        {"POST /loan HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", strings.Repeat("b", 1<<20), "HTTP/1.1 413 "},
 		"huge length":  {"POST /loan HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "b", "HTTP/1.1 400 "},
@@ -128,10 +128,10 @@
 // Requests sent one behind another each get one answer, in their order; a
 // client that sends only useless ones is let go.
 func TestBursts(t *testing.T) {
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		return standin.Answer("200 OK", "", r.Header.Get("X-Request-Id")+";")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	c := dial(t, n)
 	var text, want strings.Builder
 	for i := range 300 {
@@ -166,10 +166,10 @@
 
 // Large messages pass unchanged, up to what the protocol allows.
 func TestLargeMessages(t *testing.T) {
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		return standin.Answer("200 OK", "", r.Content)(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	want := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	r := newTestRequest(n.url, "loan", testTimeout)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBodyBytes
