--- a/internal/dataplane/node/harness_test.go
+++ b/internal/dataplane/node/harness_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	return addr
 }
 
-// discoveryFixture is a discovery agent and the roster that it tells of.
+// discoveryFixture is a discovery agent and the server list that it serves.
 type discoveryFixture struct {
 	*standin.Agent
 	roster *standin.Roster
@@ -103,7 +103,7 @@
 	return c
 }
 
-// runningNode is an edge node under test.
+// runningNode is a proxy under test.
 type runningNode struct {
 	*Node
 	url  string
@@ -147,7 +147,7 @@
 	return start(t, testConfig(t, newDiscoveryFixture(t, list...).Addr()))
 }
 
-// newTestRequest makes a client's request; POST for the keyed class.
+// newTestRequest makes a client's request: POST for the keyed class, else GET.
 func newTestRequest(url, class string, deadline time.Duration) *http.Request {
 	method, body := http.MethodGet, ""
 	if class == "loan" {
@@ -169,7 +169,7 @@
 	return r
 }
 
-// sendTestRequest sends a request and returns the whole answer.
+// sendTestRequest sends a request and returns the complete answer.
 func sendTestRequest(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
