--- a/internal/dataplane/node/managedrequest.go
+++ b/internal/dataplane/node/managedrequest.go
@@ -29,7 +29,7 @@
 
 const (
 	longestWaitDecayRequests = 512       // requests over which the longest wait announced by clients of a route mostly decays
-	maxConfiguredHeadBytes   = 256 << 10 // limit on a request's head, whatever the configuration allows: every connection may buffer that much
+	maxConfiguredHeadBytes   = 256 << 10 // limit on a request's head in any configuration: each connection may buffer it
 )
 
 // managedState is what the managed protocol needs to read a request: the active configuration and what control
@@ -40,7 +40,7 @@
 	confirmedAt     atomic.Int64 // clock time of control's last confirmation
 	gatewayCount    atomic.Int64
 	active          atomic.Pointer[activeConfiguration]
-	workDeadline    atomic.Int64 // clock time by which servers are told to have finished their work; 0: only the requests' deadlines apply
+	workDeadline    atomic.Int64 // clock time by which servers have to finish their work; 0: no such limit
 	hostTraffic     homing.Tally
 
 	mu  sync.Mutex
@@ -73,6 +73,7 @@
 	closeAfterAnswer bool       // the streamed answer is the last one on the client's connection
 }
 
+// className returns the name of the policy class for a route's requests to a service.
 func className(r *routeconfig.Route, service string) string {
 	return service + "|" + string(r.Kind) + "|" + r.Target.String()
 }
@@ -102,6 +103,7 @@
 	return t.classes
 }
 
+// isFresh reports whether control's last confirmation is recent enough for requests with a key.
 func (e *managedState) isFresh(now time.Duration) bool {
 	maxAge := time.Duration(e.maxStatementAge.Load())
 	return maxAge == 0 || now-time.Duration(e.confirmedAt.Load()) < maxAge
@@ -255,6 +257,8 @@
 	return false
 }
 
+// answerManaged reads a request, carries out the loop's commands until it is answered, and reports whether the
+// connection can go on.
 func (s *server) answerManaged(cc *clientConn) bool {
 	r := &cc.request
 	c, rejected := s.managed.parseRequest(r)
@@ -306,6 +310,7 @@
 	held       *heldAnswer // an answer longer than the window; nil: none
 }
 
+// add records an attempt's result. An answer of an earlier attempt is dropped if this one brought an answer.
 func (t *attemptHistory) add(u *upstream, r *result) {
 	t.Add(r.Verdict)
 	if r.answer == nil && r.held == nil && !r.isStreamed {
--- a/internal/dataplane/node/peers.go
+++ b/internal/dataplane/node/peers.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxDatagramBytes = 256 // bytes
+	maxDatagramBytes = 256
 	maxQueuedToPeers = 256 // datagrams that wait to be sent; further ones are dropped
 )
 
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -54,6 +54,7 @@
 	}
 }
 
+// setState sets a server's state and records when it stops accepting new work.
 func (u *upstream) setState(s *appServer, state policy.State, now time.Duration) {
 	if s.state == policy.Running && state != policy.Running {
 		s.notRunningSince = now
@@ -61,6 +62,7 @@
 	s.state = state
 }
 
+// dropIdle closes a server's idle connections.
 func (u *upstream) dropIdle(s *appServer) {
 	for _, c := range s.idle {
 		c.Close()
--- a/internal/dataplane/node/reload.go
+++ b/internal/dataplane/node/reload.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	reloadPause    = 50 * time.Millisecond // a file that can't be used may be half written, so it is read again after this pause
+	reloadPause    = 50 * time.Millisecond // an invalid file may be half written, so it is read again
 	maxReloadTries = 40
 )
 
--- a/internal/dataplane/node/reply.go
+++ b/internal/dataplane/node/reply.go
@@ -10,11 +10,11 @@
 
 const (
 	maxInvalidRequests  = 3                      // consecutive invalid requests after which the connection is closed
-	invalidRequestPause = 100 * time.Millisecond // delay before the next request is read, so that one client can't take the CPU from others
+	invalidRequestPause = 100 * time.Millisecond // before the next request is read, so that one client can't take the CPU from others
 
 	lingerTime            = 500 * time.Millisecond // how long a client that is still sending may read its rejection
-	maxLingerBytes        = 256 << 10              // bytes
-	maxManagedLingerBytes = 16 << 20               // under the managed protocol, where bodies may be long
+	maxLingerBytes        = 256 << 10
+	maxManagedLingerBytes = 16 << 20 // under the managed protocol, where bodies may be long
 )
 
 // rejectAndClose answers a request that can't be read and closes the connection. It first discards what the client
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -97,8 +97,9 @@
 		cc.input.startMessage()
 		tune := s.tuning.Load()
 		idleTimeout, requestTimeout := tune.ClientIdle, tune.WholeRequest
+		// Under the managed protocol a connection may be idle before its first request.
 		if first && s.managed == nil {
-			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect; under the managed protocol a connection may be idle before its first request
+			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect
 		} else if first {
 			requestTimeout = tune.FirstRequest
 		}
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -209,7 +209,7 @@
 	f := &req.managed.client
 	h := &heldAnswer{a, c, r.answer}
 	r.answer = nil
-	endUnknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // an HTTP/1.0 client could not tell where the answer ends
+	endUnknown := c.head.length < 0 && strings.HasSuffix(string(req.firstLine), "1.0") // HTTP/1.0 has no chunks
 	switch {
 	case h.firstBytes == nil:
 	case r.End != verdict.Served && f.request.effect == policy.Safe:
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -20,7 +20,7 @@
 
 const (
 	largeBodyBytes         = 300_001
-	configuredMaxBodyBytes = 4 << 20 // as configured
+	configuredMaxBodyBytes = 4 << 20
 	longDeadlineField      = "Deadline-Ms: 1900\r\n"
 )
 
--- a/internal/dataplane/node/timers.go
+++ b/internal/dataplane/node/timers.go
@@ -7,6 +7,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
+// armTimer sets the loop's timer to the earliest timer in the heap.
 func (l *loop) armTimer() {
 	if len(l.timers) == 0 || l.timerAt != 0 && l.timerAt <= l.timers[0].at {
 		return
--- a/internal/dataplane/node/tuning.go
+++ b/internal/dataplane/node/tuning.go
@@ -78,6 +78,7 @@
 // Tuning returns the current settings.
 func (n *Node) Tuning() Tuning { return *n.server.tuning.Load() }
 
+// discoveryAddress returns the discovery address that applies with the given settings.
 func (n *Node) discoveryAddress(t Tuning) string {
 	if t.Discovery != "" {
 		return t.Discovery
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -81,12 +81,12 @@
 	server      policy.ServerID
 	requestedAt time.Duration // when the policy asked for the attempt
 	deadline    time.Duration // when the attempt is abandoned
-	writeBy     time.Duration // the request must be written by then: servers would not recognize a later repeat as one, and it could run twice
+	writeBy     time.Duration // a repeat written later could run twice, because servers no longer recognize it
 	atMostOnce  bool          // the request must not be sent again if it may have run
 
 	mu          sync.Mutex
 	isCancelled bool
-	isPinned    bool // no other attempt may follow: part of the request was discarded or part of the answer was sent to the client
+	isPinned    bool // no other attempt may follow: parts of the request were discarded or parts of the answer sent
 	conn        *upConn
 	stopDial    context.CancelFunc
 }
@@ -232,6 +232,7 @@
 	return r
 }
 
+// dial connects to a server. Cancelling the attempt interrupts it.
 func (u *upstream) dial(a *attempt, addr string) (net.Conn, error) {
 	ctx, stop := world.WithTimeout(context.Background(), u.clock.Clock, min(u.dialTimeout, a.deadline-u.clock.now()))
 	defer stop()
@@ -272,7 +273,7 @@
 	r.Verdict, r.loadReport = verdict.Of(verdict.Failed, nil), u.parseLoadReport(&c.head)
 	switch {
 	case status == 200 && !framed:
-		r.Verdict = verdict.Of(verdict.Broken, errFraming) // without framing, the end of the answer looks the same as a broken connection
+		r.Verdict = verdict.Of(verdict.Broken, errFraming) // its end looks the same as a broken connection
 	case status == 200:
 		r.Verdict, r.contentType, r.body = verdict.Of(verdict.Served, nil), string(c.head.get("Content-Type")), string(body)
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
