--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -264,8 +264,8 @@
 				n, err := readAnswerBody(c)
 				assert.Assert(t, err == nil && n == largeBodyBytes, "%s: %d bytes, %v", name, n, err)
 				assert.Equal(t, h.countComplete(), 2)
-				r.list[0].Address = "127.0.0.1:1" // nothing listens there
-				r.SetServers(2, r.list)
+				r.servers[0].Address = "127.0.0.1:1" // nothing listens there
+				r.SetServers(2, r.servers)
 				for i := range 9 {
 					c := r.sendInBackground(uploadRequest("/act/", content(largeBodyBytes), chunked))
 					n, err := readAnswerBody(c)
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -98,11 +98,11 @@
 			c.Close()
 		}
 	})
-	for i := range r.list {
+	for i := range r.servers {
 		ln, err := r.net.Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(r.t, err)
 		r.t.Cleanup(func() { ln.Close() })
-		r.list[i].Address = ln.Addr().String()
+		r.servers[i].Address = ln.Addr().String()
 		go h.accept(ln, before, after)
 	}
 	r.configure()
