--- a/internal/dataplane/node/managed_test.go
+++ b/internal/dataplane/node/managed_test.go
@@ -102,10 +102,10 @@
 
 func (r *managedFixture) serve(c net.Conn, q *standin.Request) bool {
 	r.mu.Lock()
-	do := r.behaviors[min(len(r.received), len(r.behaviors)-1)]
+	behave := r.behaviors[min(len(r.received), len(r.behaviors)-1)]
 	r.received = append(r.received, q)
 	r.mu.Unlock()
-	return do(c, q)
+	return behave(c, q)
 }
 
 func (r *managedFixture) receivedRequests() []*standin.Request {
@@ -199,10 +199,10 @@
 func TestManagedAnswers(t *testing.T) {
 	sealed := "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: s\r\n"
 	for name, c := range map[string]struct {
-		path     string
-		acts     []serverBehavior
-		status   int
-		attempts int
+		path      string
+		behaviors []serverBehavior
+		status    int
+		attempts  int
 	}{
 		"served":               {"/act/", []serverBehavior{servedAnswer}, 200, 1},
 		"foreign answer first": {"/act/", []serverBehavior{respondRaw(foreignAnswer + sealed + "Content-Length: 3\r\n\r\nyes")}, 200, 1},
@@ -220,18 +220,18 @@
 		"reset":                {"/act/", []serverBehavior{reset, servedAnswer}, 502, 1},
 		"reset, repeatable":    {"/get/", []serverBehavior{reset, servedAnswer}, 200, 2},
 		"not run":              {"/act/", []serverBehavior{notRunAnswer, servedAnswer}, 200, 2},
-		"misled":               {"/act/", []serverBehavior{misdirectedAnswer, misdirectedAnswer, servedAnswer}, 200, 3},
+		"misdirected":          {"/act/", []serverBehavior{misdirectedAnswer, misdirectedAnswer, servedAnswer}, 200, 3},
 		"never run":            {"/act/", []serverBehavior{notRunAnswer, misdirectedAnswer, notRunAnswer, servedAnswer}, 503, 3},
 		"not run, then reset":  {"/act/", []serverBehavior{notRunAnswer, reset, servedAnswer}, 502, 2},
 		"failed":               {"/act/", []serverBehavior{respond("500 Failed", sealField, "oh"), servedAnswer}, 500, 1},
 		"failed, repeatable":   {"/get/", []serverBehavior{respond("500 Failed", sealField, "oh"), servedAnswer}, 200, 2},
 		"failed, then not run": {"/get/", []serverBehavior{respond("500 Failed", sealField, "oh"), notRunAnswer}, 500, 3},
-		"503 without a word":   {"/act/", []serverBehavior{respond("503 Busy", sealField, "no"), servedAnswer}, 502, 1},
+		"503, may have run":    {"/act/", []serverBehavior{respond("503 Busy", sealField, "no"), servedAnswer}, 502, 1},
 		"its own 404":          {"/act/", []serverBehavior{respond("404 Not Found", sealField, "no")}, 404, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
-				r.behaviors = c.acts
+				r.behaviors = c.behaviors
 				r.configure()
 				a := r.request(c.path+"a?q=1", "")
 				assert.Equal(t, a.StatusCode, c.status, a.body)
