--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -53,17 +53,17 @@
 	EnforceRevocation         bool          // revoked keys must be refused within RevocationLimit
 	RevocationLimit           time.Duration // of their acknowledgement, also while control is unreachable
 	RetryRatio, RetrySlack    float64       // allowed retries: per request of a service, and in addition
-	QuotaExcess, QuotaSlack   float64
-	QuotaWindow               time.Duration
-	WarmupExcess, WarmupSlack float64
-	ListLag                   time.Duration
+	QuotaExcess, QuotaSlack   float64       // allowed excess over a quota: as a part of it, and in addition, in units
+	QuotaWindow               time.Duration // period that the excess is measured over
+	WarmupExcess, WarmupSlack float64       // the same for the limit on requests to cold servers
+	ListLag                   time.Duration // how late the server list may be
 
 	// OnRequestFailed, unless nil, is called for each request that may have run and got no server's answer.
 	OnRequestFailed func(id string, why verdict.Verdict)
 
-	// OnUnitsTransferred, unless nil, is called when the proxy has handed over its quota units: of so many, units were
-	// acknowledged by peers.
-	OnUnitsTransferred func(units, of int)
+	// OnUnitsTransferred, unless nil, is called when the proxy has handed over its quota units: peers have acknowledged taken
+	// of total units.
+	OnUnitsTransferred func(taken, total int)
 }
 
 // ManagedNode is a proxy that control configures through its agent. It has the same loop, sockets and decisions as Node, but
@@ -163,7 +163,7 @@
 // answer.
 func (e *ManagedNode) SetResting(rest bool) { e.node.server.resting.Store(rest) }
 
-// ConfirmConfiguration records that control's statements were confirmed to be the newest so long ago.
+// ConfirmConfiguration records that control's statements were confirmed to be the newest at the time ago before now.
 func (e *ManagedNode) ConfirmConfiguration(ago time.Duration) {
 	at := int64(e.node.loop.clock.now() - ago)
 	for {
@@ -232,15 +232,15 @@
 // SetPeers sets the peers: the index of this proxy, into how many shares quotas are divided, and the peers' addresses and
 // regions by index. Of its own share the proxy leaves the part unusedShare unused.
 func (e *ManagedNode) SetPeers(self, shares int, unusedShare float64, addrs []netip.AddrPort, regions []string) {
-	numbers := max(len(addrs), self+1, shares)
+	peerCount := max(len(addrs), self+1, shares)
 	shares = max(shares, 1)
-	known := make([]netip.AddrPort, numbers)
-	copy(known, addrs)
-	known[self] = netip.AddrPort{}
-	e.node.peers.setAddresses(known)
+	byIndex := make([]netip.AddrPort, peerCount)
+	copy(byIndex, addrs)
+	byIndex[self] = netip.AddrPort{}
+	e.node.peers.setAddresses(byIndex)
 	e.managed.gatewayCount.Store(int64(shares))
 	e.runOnLoop(func(l *loop) {
-		e.handover.peers = policy.GatewaySet{Me: self, Gateways: numbers, CeilingParts: shares, Regions: regions, UnusedShare: unusedShare}
+		e.handover.peers = policy.GatewaySet{Me: self, Gateways: peerCount, CeilingParts: shares, Regions: regions, UnusedShare: unusedShare}
 		e.updateShares(l)
 		e.updateServers(l)
 	})
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -98,7 +98,7 @@
 		tune := s.tuning.Load()
 		wait, whole := tune.ClientIdle, tune.WholeRequest
 		if first && s.managed == nil {
-			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect; under the managed protocol a connection may be idle before its first request
+			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect
 		} else if first {
 			requestTimeout = tune.FirstRequest
 		}
