--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -64,7 +64,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Not through upConn.Read, which sets deadlines on a socket.
+		// Reads directly from src, because upConn.Read sets deadlines on a socket.
 		c := upConn{input: messageReader{src: bytes.NewReader(data)}}
 		status, body, framed, err := c.readAnswer(false, false)
 		if err != nil || !framed {
