--- a/internal/control/agent_updates.go
+++ b/internal/control/agent_updates.go
@@ -23,13 +23,13 @@
 	if agent.follows == wants {
 		return
 	}
-	agent.follows, agent.sentServers, agent.sentCensus, agent.sentVerdicts = wants, nil, nil, nil
+	agent.follows, agent.sentList, agent.sentCensus, agent.sentVerdicts = wants, nil, nil, nil
 	if !wants {
 		return
 	}
 	b.updateCensus()
-	agent.sentServers, agent.sentCensus, agent.sentVerdicts = b.currentList(), b.census, b.healthJudge.mergedVerdicts
-	agent.sendChange(&peerlink.Change{Servers: agent.sentServers, Census: agent.sentCensus, Verdicts: agent.sentVerdicts})
+	agent.sentList, agent.sentCensus, agent.sentVerdicts = b.currentList(), b.census, b.healthJudge.mergedVerdicts
+	agent.sendChange(&peerlink.Change{Servers: agent.sentList, Census: agent.sentCensus, Verdicts: agent.sentVerdicts})
 }
 
 // currentList returns the list with the stamp of the newest read, which may have found no changes; the mutex is held.
@@ -60,15 +60,15 @@
 		if !agent.follows {
 			continue
 		}
-		next, ok := updates[agent.sentServers]
+		next, ok := updates[agent.sentList]
 		if !ok {
-			if next.part = b.serverList.Since(agent.sentServers); next.part != nil {
-				next.whole = shareEqualList(&lists, next.part.Onto(agent.sentServers))
+			if next.part = b.serverList.Since(agent.sentList); next.part != nil {
+				next.whole = shareEqualList(&lists, next.part.Onto(agent.sentList))
 			}
-			updates[agent.sentServers] = next
+			updates[agent.sentList] = next
 		}
 		if next.part != nil {
-			agent.sentServers = next.whole
+			agent.sentList = next.whole
 			agent.sendChange(&peerlink.Change{Servers: next.part})
 		}
 	}
--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -26,8 +26,8 @@
 	delivery    delivery.Agent // decides when the configuration is sent
 	lagLoggedAt time.Duration  // when its lag was last logged; 0: never
 
-	sentServers *peerlink.Servers // as sent last, shared with other connections; nil: none was sent
-	sentCensus  *peerlink.Census  // likewise
+	sentList   *peerlink.Servers // as sent last, shared with other connections; nil: none was sent
+	sentCensus *peerlink.Census  // likewise
 
 	sentVerdicts     *serverhealth.Verdicts // as sent last; nil: none were sent
 	connectionNumber uint64                 // unique among this replica's agent connections
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -22,8 +22,8 @@
 type simAgent struct {
 	f            *clusterFixture
 	mu           sync.Mutex
-	held         uint64 // number of the newest configuration received
-	sum          uint32 // its checksum
+	heldGen      uint64 // number of the newest configuration received
+	heldChecksum uint32 // its checksum
 	list         *peerlink.Servers
 	census       *peerlink.Census
 	confirmedAge time.Duration // of what is in force, since its last confirmation, by the last Pong
@@ -46,7 +46,7 @@
 		go func() {
 			for {
 				agent.mu.Lock()
-				ping := &peerlink.Ping{Sent: time.Since(start), Ready: true, Upstream: true, Gen: agent.held, Held: agent.held, Sum: agent.sum}
+				ping := &peerlink.Ping{Sent: time.Since(start), Ready: true, Upstream: true, Gen: agent.heldGen, Held: agent.heldGen, Sum: agent.heldChecksum}
 				agent.mu.Unlock()
 				if conn.Send(&peerlink.Frame{Ping: ping}) != nil {
 					return
@@ -62,7 +62,7 @@
 			agent.mu.Lock()
 			if change := frame.Change; change != nil {
 				if change.Configuration != nil {
-					agent.held, agent.sum = change.Configuration.Gen, change.Configuration.Sum()
+					agent.heldGen, agent.heldChecksum = change.Configuration.Gen, change.Configuration.Sum()
 				}
 				if change.Servers != nil {
 					agent.list = change.Servers.Onto(agent.list)
@@ -70,7 +70,7 @@
 				if change.Census != nil {
 					agent.census = change.Census.Onto(agent.census)
 				}
-				_ = conn.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: change.No, Gen: agent.held}})
+				_ = conn.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: change.No, Gen: agent.heldGen}})
 			}
 			if pong := frame.Pong; pong != nil {
 				agent.confirmed, agent.confirmedAge = pong.Fresh, time.Since(start)-pong.Sent+pong.Age
@@ -115,23 +115,23 @@
 		defer a.stop()
 		defer b.stop()
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
-		f.waitFor(100*time.Millisecond, "sent by the replica that took it", a.holds(func(agent *simAgent) bool { return agent.held == 2 }))
-		f.waitFor(500*time.Millisecond, "sent by another replica", b.holds(func(agent *simAgent) bool { return agent.held == 2 }))
+		f.waitFor(100*time.Millisecond, "sent by the replica that took it", a.holds(func(agent *simAgent) bool { return agent.heldGen == 2 }))
+		f.waitFor(500*time.Millisecond, "sent by another replica", b.holds(func(agent *simAgent) bool { return agent.heldGen == 2 }))
 		f.waitFor(time.Second, "confirmed", a.holds(func(agent *simAgent) bool { return agent.confirmed && agent.confirmedAge < 800*time.Millisecond }))
 		f.acceptOnOneDisk(0, configurationBody(3, "a"))
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.held == 2 })())
+		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.heldGen == 2 })())
 		f.disks[1].Release()
 		f.disks[2].Release()
-		f.waitFor(3*time.Second, "sent once a majority can write again", b.holds(func(agent *simAgent) bool { return agent.held == 3 }))
-		f.waitFor(time.Second, "sent once a majority can write again", a.holds(func(agent *simAgent) bool { return agent.held == 3 }))
+		f.waitFor(3*time.Second, "sent once a majority can write again", b.holds(func(agent *simAgent) bool { return agent.heldGen == 3 }))
+		f.waitFor(time.Second, "sent once a majority can write again", a.holds(func(agent *simAgent) bool { return agent.heldGen == 3 }))
 		// A replica that is cut off confirms nothing any more, since it may lack what was decided.
 		f.partition(ips(0), ips(1, 2), sim.Silent)
 		time.Sleep(5 * time.Second)
 		f.replaceUntilAcknowledged(1, configurationBody(4, "a"))
-		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.held == 3 && agent.confirmedAge > 4*time.Second })())
+		assert.Assert(t, a.holds(func(agent *simAgent) bool { return agent.heldGen == 3 && agent.confirmedAge > 4*time.Second })())
 		f.partition(ips(0), ips(1, 2), sim.Open)
-		f.waitFor(3*time.Second, "sent after the cut", a.holds(func(agent *simAgent) bool { return agent.held == 4 && agent.confirmedAge < time.Second }))
+		f.waitFor(3*time.Second, "sent after the cut", a.holds(func(agent *simAgent) bool { return agent.heldGen == 4 && agent.confirmedAge < time.Second }))
 	})
 }
 
@@ -203,17 +203,17 @@
 
 // fakePlatform serves the platform's server list, with one server a page.
 type fakePlatform struct {
-	mu      sync.Mutex
-	servers []string // rows in JSON
-	calls   int
-	down    bool // all calls are refused
+	mu           sync.Mutex
+	servers      []string // rows in JSON
+	calls        int
+	refusesCalls bool // all calls are refused
 }
 
 func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	if p.down {
+	if p.refusesCalls {
 		w.WriteHeader(429)
 		return
 	}
--- a/internal/control/consistency_test.go
+++ b/internal/control/consistency_test.go
@@ -79,7 +79,7 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		age := time.Since(dark)
-		assert.Assert(t, h.holds(func(h *simAgent) bool { return h.confirmedAge > age-2*time.Second && h.held <= 3 })(), "%v of %v", h.confirmedAge, age)
+		assert.Assert(t, h.holds(func(h *simAgent) bool { return h.confirmedAge > age-2*time.Second && h.heldGen <= 3 })(), "%v of %v", h.confirmedAge, age)
 		f.start(0)
 		f.start(2)
 		f.waitFor(4*time.Second, "a configuration is shown", func() bool { p, err := f.replicas[1].CurrentConfiguration(ctx); return err == nil && p.Gen >= 3 })
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -30,9 +30,9 @@
 
 // longListPlatform serves a server list of many pages, in two zones.
 type longListPlatform struct {
-	mu      sync.Mutex
-	leaving map[string]bool                             // IDs of draining servers
-	onPage  func(zone string, first int, caller string) // called before a page is served, with the mutex held
+	mu       sync.Mutex
+	draining map[string]bool                             // IDs of draining servers
+	onPage   func(zone string, first int, caller string) // called before a page is served, with the mutex held
 }
 
 func serverID(i int) string { return fmt.Sprintf("i-%03d", i) }
@@ -47,7 +47,7 @@
 		last = i + 1
 		if inZone := "z" + strconv.Itoa(i%2); zone == "" || zone == inZone {
 			state := "ready"
-			if p.leaving[serverID(i)] {
+			if p.draining[serverID(i)] {
 				state = "draining"
 			}
 			rows = append(rows, []any{serverID(i), "s", "10.5.0.1:80", inZone, state})
@@ -70,7 +70,7 @@
 	p.mu.Lock()
 	p.onPage = func(_ string, first int, _ string) {
 		if first == 0 {
-			p.leaving, p.onPage, left = map[string]bool{serverID(0): true}, nil, time.Now()
+			p.draining, p.onPage, left = map[string]bool{serverID(0): true}, nil, time.Now()
 		}
 	}
 	p.mu.Unlock()
@@ -119,7 +119,7 @@
 		reader := f.at(holder)
 		reader.mu.Lock()
 		defer reader.mu.Unlock()
-		return !reader.ownListReads.inProgress && reader.now() >= reader.ownListReads.work.LastOwn+reader.ownListReads.work.Period-20*time.Millisecond
+		return !reader.ownListReads.inProgress && reader.now() >= reader.ownListReads.taskTimes.LastOwn+reader.ownListReads.taskTimes.Period-20*time.Millisecond
 	})
 }
 
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -184,7 +184,7 @@
 		assert.NilError(t, f.replicas[0].AcquireLock(ctx, state.Lock{Token: "t", Who: "ana", For: 15 * time.Second}))
 		h := f.startAgent("1", 0)
 		defer h.stop()
-		f.waitFor(2*time.Second, "the agent is confirmed", h.holds(func(h *simAgent) bool { return h.confirmed && h.confirmedAge < time.Second && h.held == 5 }))
+		f.waitFor(2*time.Second, "the agent is confirmed", h.holds(func(h *simAgent) bool { return h.confirmed && h.confirmedAge < time.Second && h.heldGen == 5 }))
 		f.partition(ips(0), ips(1, 2, 3), sim.Silent)
 		time.Sleep(1500 * time.Millisecond)
 		f.replaceUntilAcknowledged(2, configurationBody(7, "b"))
@@ -211,10 +211,10 @@
 			assert.Assert(t, errors.As(f.replace(0, []byte("{")), &invalid))
 			time.Sleep(300 * time.Millisecond)
 		}
-		assert.Assert(t, h.holds(func(h *simAgent) bool { return h.confirmedAge > 3*time.Second && h.held == 5 })())
+		assert.Assert(t, h.holds(func(h *simAgent) bool { return h.confirmedAge > 3*time.Second && h.heldGen == 5 })())
 		f.partition(ips(0), ips(1, 2, 3), sim.Open)
 		f.assertShows(0, configurationBody(7, "b"))
-		f.waitFor(2*time.Second, "the agent has the newer configuration", h.holds(func(h *simAgent) bool { return h.held == 7 }))
+		f.waitFor(2*time.Second, "the agent has the newer configuration", h.holds(func(h *simAgent) bool { return h.heldGen == 7 }))
 	})
 }
 
--- a/internal/control/latest_list_read.go
+++ b/internal/control/latest_list_read.go
@@ -9,7 +9,7 @@
 // latestListRead describes the newest read of the platform's server list that a replica knows of, whether its own or
 // another replica's. Times are those of the replica's monotonic clock.
 type latestListRead struct {
-	known     bool
+	isKnown   bool
 	startedAt time.Duration
 	learnedAt time.Duration // when this replica learned of the read; 0: never
 	period    time.Duration // between the starts of two reads; 0: unknown
@@ -18,7 +18,7 @@
 
 // update records a read that this replica has just learned of.
 func (r *latestListRead) update(reading peerlink.Reading, now time.Duration) {
-	r.known, r.learnedAt, r.startedAt = true, now, now-max(0, reading.Age)
+	r.isKnown, r.learnedAt, r.startedAt = true, now, now-max(0, reading.Age)
 	if reading.Period > 0 {
 		r.period = reading.Period
 	}
@@ -29,7 +29,7 @@
 
 // message returns the read as it is sent to others; nil: none is known.
 func (r *latestListRead) message(now time.Duration) *peerlink.Reading {
-	if !r.known {
+	if !r.isKnown {
 		return nil
 	}
 	return &peerlink.Reading{Age: now - r.startedAt, Period: r.period, Pages: r.pages}
--- a/internal/control/list_growth_test.go
+++ b/internal/control/list_growth_test.go
@@ -17,12 +17,12 @@
 
 // growingPlatform serves a server list that grows. It records when whole reads of the list began and ended.
 type growingPlatform struct {
-	mu      sync.Mutex
-	servers int
-	begun   map[string]time.Time // start of the current read, by caller
-	last    time.Time            // start of the newest read that has ended
-	before  time.Time            // start of the read before that one
-	longest time.Duration        // longest time from the start of a read to the end of the next
+	mu            sync.Mutex
+	servers       int
+	readStartedAt map[string]time.Time // start of the current read, by caller
+	newestStart   time.Time            // start of the newest read that has ended
+	previousStart time.Time            // start of the read before that one
+	longestSpan   time.Duration        // longest time from the start of a read to the end of the next
 }
 
 func (p *growingPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -40,17 +40,17 @@
 	page := api.Page{Table: api.Table{Cols: []string{"id", "backend", "address", "zone", "state"}, Rows: rows}}
 	caller, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if from == 0 && (zone == "" || zone == "z0") {
-		p.begun[caller] = time.Now()
+		p.readStartedAt[caller] = time.Now()
 	}
 	if next < p.servers {
 		token := strconv.Itoa(next)
 		page.NextToken = &token
-	} else if begun := p.begun[caller]; !begun.Before(p.last) {
-		if begun.After(p.last) {
-			p.before, p.last = p.last, begun
+	} else if begun := p.readStartedAt[caller]; !begun.Before(p.newestStart) {
+		if begun.After(p.newestStart) {
+			p.previousStart, p.newestStart = p.newestStart, begun
 		}
-		if !p.before.IsZero() { // the last page of each zone may be the end of the read
-			p.longest = max(p.longest, time.Since(p.before))
+		if !p.previousStart.IsZero() { // the last page of each zone may be the end of the read
+			p.longestSpan = max(p.longestSpan, time.Since(p.previousStart))
 		}
 	}
 	_ = json.NewEncoder(w).Encode(page)
@@ -58,13 +58,13 @@
 
 // Replicas that read the list before it grew, or never did, must not keep the lease's holder from reading it in time.
 func TestListThatGrowsIsStillReadInTime(t *testing.T) {
-	p := &growingPlatform{servers: 700, begun: map[string]time.Time{}}
+	p := &growingPlatform{servers: 700, readStartedAt: map[string]time.Time{}}
 	setup := &clusterFixture{t: t, drainTime: drainTime, cloudRate: 2100}
 	setup.run(manyReplicas, http.Handler(p), func(f *clusterFixture) {
 		f.net.Set(sim.Faults{Least: 18 * time.Millisecond, Most: 20 * time.Millisecond}) // the platform is in another region
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
-		p.before, p.last, p.longest = time.Time{}, time.Time{}, 0
+		p.previousStart, p.newestStart, p.longestSpan = time.Time{}, time.Time{}, 0
 		p.mu.Unlock()
 		for range 8 {
 			time.Sleep(2 * time.Second)
@@ -75,7 +75,7 @@
 		time.Sleep(20 * time.Second)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		f.t.Logf("%v from the start of a read to the end of the next", p.longest)
-		assert.Assert(f.t, p.longest <= drainTime-upstreamLossTime, "%v from the start of a read to the end of the next", p.longest)
+		f.t.Logf("%v from the start of a read to the end of the next", p.longestSpan)
+		assert.Assert(f.t, p.longestSpan <= drainTime-upstreamLossTime, "%v from the start of a read to the end of the next", p.longestSpan)
 	})
 }
--- a/internal/control/list_lease.go
+++ b/internal/control/list_lease.go
@@ -19,7 +19,7 @@
 
 // ownListReads is the state of this replica's own reads of the server list.
 type ownListReads struct {
-	work         lease.TaskTimes
+	taskTimes    lease.TaskTimes
 	retryAt      time.Duration // no read before this time, after one that failed
 	lastReadTook time.Duration // duration of the last successful read
 
@@ -34,7 +34,7 @@
 		return
 	}
 	b.mu.Lock()
-	b.ownListReads.work = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
+	b.ownListReads.taskTimes = lease.TaskTimes{LastOwn: -lease.MinUnclaimedInterval}
 	b.mu.Unlock()
 	for ctx.Err() == nil {
 		b.mu.Lock()
@@ -44,7 +44,7 @@
 		if due := b.nextListReadAt(view); due > now {
 			next = min(next, due)
 		} else if reads := &b.ownListReads; !reads.inProgress {
-			reads.inProgress, reads.work.LastOwn = true, now
+			reads.inProgress, reads.taskTimes.LastOwn = true, now
 			stamp := max(b.world.Now().UnixNano(), b.listStamp+1)
 			b.jobs.Go(func() { b.readListOnce(ctx, stamp) })
 		}
@@ -64,9 +64,9 @@
 	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return view.Now + time.Second
 	}
-	work := &b.ownListReads.work
+	work := &b.ownListReads.taskTimes
 	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.latestListRead.period), b.latestListRead.learnedAt, b.othersListReadAt
-	return max(b.ownListReads.retryAt, b.listLease.NextRun(view, b.ownListReads.work))
+	return max(b.ownListReads.retryAt, b.listLease.NextRun(view, b.ownListReads.taskTimes))
 }
 
 // readListOnce reads the list from the platform and applies it under the given stamp, in nanoseconds.
@@ -83,7 +83,7 @@
 		b.log.V(1).Info("list not read", "why", err.Error(), "after", b.now()-began)
 		reads.failureCount++
 		reads.retryAt = b.now() + listRetryDelay
-		if b.othersListReadAt > reads.work.LastOwn-reads.work.Period {
+		if b.othersListReadAt > reads.taskTimes.LastOwn-reads.taskTimes.Period {
 			b.sendLeaseMessages(b.listLease.Yield()) // another replica can read it
 		}
 		return
--- a/internal/control/long_list_test.go
+++ b/internal/control/long_list_test.go
@@ -17,23 +17,23 @@
 // rateLimitedPlatform refuses calls above platformCallsPerSecond.
 type rateLimitedPlatform struct {
 	fakePlatform
-	calls   []time.Time // of the last second
-	refused int
-	down    bool
+	recentCalls []time.Time // of the last second
+	refused     int
+	isDown      bool
 }
 
 func (s *rateLimitedPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	if s.down {
+	if s.isDown {
 		s.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	for len(s.calls) > 0 && time.Since(s.calls[0]) >= time.Second {
-		s.calls = s.calls[1:]
+	for len(s.recentCalls) > 0 && time.Since(s.recentCalls[0]) >= time.Second {
+		s.recentCalls = s.recentCalls[1:]
 	}
-	s.calls = append(s.calls, time.Now())
-	over := len(s.calls) > platformCallsPerSecond
+	s.recentCalls = append(s.recentCalls, time.Now())
+	over := len(s.recentCalls) > platformCallsPerSecond
 	if over {
 		s.refused++
 	}
@@ -76,7 +76,7 @@
 		setDown := func(down bool) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.down, p.refused = down, 0
+			p.isDown, p.refused = down, 0
 		}
 		time.Sleep(10 * time.Second)
 		setDown(true)
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -38,7 +38,7 @@
 		metrics.Count("control_configuration", "Number of the configuration in force.", int(b.configurationHistory.Current().Gen)),
 		metrics.Seconds("control_touch_age_seconds", "Since a majority last answered this replica, which lacked nothing.", since(b.majorityContact.IsKnown, b.majorityContact.At)),
 		metrics.Seconds("control_confirmed_age_seconds", "Since a majority last confirmed that nothing newer was decided.", since(b.decidedConfirmed.IsKnown, b.decidedConfirmed.At)),
-		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.latestListRead.known, b.latestListRead.startedAt)),
+		metrics.Seconds("control_list_age_seconds", "Since the reading of the servers' list that is known here began.", since(b.latestListRead.isKnown, b.latestListRead.startedAt)),
 		metrics.Seconds("control_list_reading_seconds", "For how long this replica's last reading of the list took.", b.ownListReads.lastReadTook),
 		{Name: "control_list_readings_failed_total", Help: "Readings of the list by this replica that failed.", Kind: metrics.Counter, Value: float64(b.ownListReads.failureCount)},
 		metrics.Count("control_voters", "Replicas that vote.", len(b.contents.Record.Decided.Voters)),
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -227,7 +227,7 @@
 	}
 	duty := b.listLease.Known()
 	status.Duties = []api.Duty{{Name: listLeaseName, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.listLease.Rank(b.leaseView())}}
-	status.List = b.listView(now)
+	status.List = b.serverListView(now)
 	return status
 }
 
@@ -317,8 +317,8 @@
 	return text
 }
 
-// listView summarizes the server list for a status; the mutex is held.
-func (b *Replica) listView(now time.Duration) api.ListView {
+// serverListView summarizes the server list for a status; the mutex is held.
+func (b *Replica) serverListView(now time.Duration) api.ListView {
 	view := api.ListView{Stamp: b.listStamp, HeardMS: -1, Servers: []api.ServersIn{}}
 	if b.serverList == nil {
 		return view
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -78,7 +78,7 @@
 		defer f.startAgent("1", 1).stop()
 		behind := f.startAgent("2", 1)
 		defer behind.stop()
-		f.waitFor(3*time.Second, "in force", behind.holds(func(agent *simAgent) bool { return agent.held == 3 }))
+		f.waitFor(3*time.Second, "in force", behind.holds(func(agent *simAgent) bool { return agent.heldGen == 3 }))
 		statusOf := func(of ...int) (status api.Status) {
 			for _, i := range of {
 				before := status
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -41,8 +41,8 @@
 // mayRun reports whether the request may have run at a server that acts like this.
 func (a serverAct) mayRun() bool { return a != actNotRun && a != actMisdirected }
 
-// sendsExtraBytes reports whether the server sends bytes that belong to no request's answer.
-func (a serverAct) sendsExtraBytes() bool {
+// sendsExtra reports whether the server sends bytes that belong to no request's answer.
+func (a serverAct) sendsExtra() bool {
 	return a == actStrayBefore || a == actStrayAfter || a == actTwice
 }
 
@@ -57,7 +57,7 @@
 	stepReset
 	stepClose
 	stepHalfClose
-	clientStepCount
+	stepCount
 )
 
 // script determines one run: what clients and servers do, and when the proxy reloads and stops.
@@ -70,7 +70,7 @@
 
 func drawScript(t *rapid.T) script {
 	step := rapid.Custom(func(t *rapid.T) clientStep {
-		return clientStep(rapid.IntRange(0, int(clientStepCount)-1).Draw(t, "step"))
+		return clientStep(rapid.IntRange(0, int(stepCount)-1).Draw(t, "step"))
 	})
 	act := rapid.Custom(func(t *rapid.T) serverAct { return serverAct(rapid.IntRange(0, int(serverActCount)-1).Draw(t, "act")) })
 	when := rapid.SampledFrom([]time.Duration{0, 0, 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond})
@@ -368,7 +368,7 @@
 		if id := damaged[a.conn]; id != "" {
 			return fmt.Sprintf("damaged: %s is sent on a connection on which %s left extra bytes", a.id, id)
 		}
-		if a.act.sendsExtraBytes() {
+		if a.act.sendsExtra() {
 			damaged[a.conn] = a.id
 		}
 	}
--- a/internal/dataplane/node/attempt_test.go
+++ b/internal/dataplane/node/attempt_test.go
@@ -130,7 +130,7 @@
 		}()
 		r.behaviors = []serverBehavior{servedAnswer}
 		r.applyConfiguration()
-		list := []serverlist.Listed{{ID: "i-9", Service: "x", Address: ln.Addr().String(), Zone: "a", Slots: 9}, r.list[0]}
+		list := []serverlist.Listed{{ID: "i-9", Service: "x", Address: ln.Addr().String(), Zone: "a", Slots: 9}, r.servers[0]}
 		r.SetServers(1, list)
 		r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 		body := strings.Repeat("x", 1<<20)
@@ -163,16 +163,16 @@
 			time.Sleep(300 * time.Millisecond)
 			return servedAnswer(c, q)
 		}}
-		r.useOnly(r.list[0].Address)
+		r.useOnly(r.servers[0].Address)
 		done := make(chan int)
 		go func() { done <- r.request("/act/a", "").StatusCode }()
 		time.Sleep(100 * time.Millisecond)
-		moved := serverlist.Listed{ID: "i-0", Service: "x", Address: r.list[1].Address, Zone: "a", Slots: 9}
-		r.SetServers(2, []serverlist.Listed{moved, {ID: "i-7", Service: "y", Address: r.list[0].Address, Zone: "a", Slots: 9}})
+		moved := serverlist.Listed{ID: "i-0", Service: "x", Address: r.servers[1].Address, Zone: "a", Slots: 9}
+		r.SetServers(2, []serverlist.Listed{moved, {ID: "i-7", Service: "y", Address: r.servers[0].Address, Zone: "a", Slots: 9}})
 		assert.Equal(t, <-done, http.StatusOK)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, r.request("/act/a", "").StatusCode, http.StatusOK)
-		assert.DeepEqual(t, at, []string{r.list[0].Address + " i-0", r.list[1].Address + " i-0"})
+		assert.DeepEqual(t, at, []string{r.servers[0].Address + " i-0", r.servers[1].Address + " i-0"})
 	})
 }
 
@@ -182,7 +182,7 @@
 		runManaged(t, false, func(r *managedFixture) {
 			r.behaviors = []serverBehavior{notRunAnswer}
 			r.applyConfiguration()
-			r.SetServers(1, r.list)
+			r.SetServers(1, r.servers)
 			r.SetPeers(0, shares, 0, make([]netip.AddrPort, shares), nil)
 			for range 5 {
 				assert.Equal(t, r.request("/act/a", "").StatusCode, 503)
--- a/internal/dataplane/node/dropped_conn_test.go
+++ b/internal/dataplane/node/dropped_conn_test.go
@@ -11,48 +11,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// useForgetfulServers uses servers that drop a connection silently after it was idle for the time after. They answer the next
+// useDroppingServers uses servers that drop a connection silently after it was idle for the time after. They answer the next
 // byte on it with a reset, late by the given time.
-func (r *managedFixture) useForgetfulServers(after, late time.Duration) *scriptedServers {
+func (r *managedFixture) useDroppingServers(after, late time.Duration) *scriptedServers {
 	h := r.startScriptedServers(nil, nil)
-	for i := range r.list {
+	for i := range r.servers {
 		ln, err := r.net.Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(r.t, err)
 		r.t.Cleanup(func() { ln.Close() })
-		r.list[i].Address = ln.Addr().String()
-		go h.accept(&forgetfulListener{ln, after, late}, nil, nil)
+		r.servers[i].Address = ln.Addr().String()
+		go h.accept(&droppingListener{ln, after, late}, nil, nil)
 	}
-	r.SetServers(2, r.list)
+	r.SetServers(2, r.servers)
 	return h
 }
 
-// forgetfulListener accepts connections that are dropped after being idle for the time after.
-type forgetfulListener struct {
+// droppingListener accepts connections that are dropped after being idle for the time after.
+type droppingListener struct {
 	net.Listener
-	after, late time.Duration
+	idleLimit, resetDelay time.Duration
 }
 
-func (d *forgetfulListener) Accept() (net.Conn, error) {
+func (d *droppingListener) Accept() (net.Conn, error) {
 	c, err := d.Listener.Accept()
-	return &forgetfulConn{Conn: c, forgetfulListener: d, last: time.Now()}, err
+	return &droppingConn{Conn: c, droppingListener: d, lastRead: time.Now()}, err
 }
 
-// forgetfulConn resets its connection at the first byte after a long idle time.
-type forgetfulConn struct {
+// droppingConn resets its connection at the first byte after a long idle time.
+type droppingConn struct {
 	net.Conn
-	*forgetfulListener
-	last time.Time
+	*droppingListener
+	lastRead time.Time
 }
 
-func (c *forgetfulConn) Read(b []byte) (int, error) {
+func (c *droppingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if err == nil && time.Since(c.last) > c.after {
-		time.Sleep(c.late)
+	if err == nil && time.Since(c.lastRead) > c.idleLimit {
+		time.Sleep(c.resetDelay)
 		_ = c.Conn.(interface{ SetLinger(int) error }).SetLinger(0)
 		c.Conn.Close()
 		return 0, io.EOF
 	}
-	c.last = time.Now()
+	c.lastRead = time.Now()
 	return n, err
 }
 
@@ -61,7 +61,7 @@
 func TestDroppedConnectionsLoseNoRequests(t *testing.T) {
 	for _, path := range []string{"/act/", "/get/"} {
 		runManaged(t, false, func(r *managedFixture) {
-			h := r.useForgetfulServers(300*time.Millisecond, 0)
+			h := r.useDroppingServers(300*time.Millisecond, 0)
 			const n = 60
 			for i := range n {
 				a := r.request(path, "")
@@ -82,7 +82,7 @@
 		runManaged(t, false, func(r *managedFixture) {
 			h := r.startScriptedServers(nil, nil)
 			for i := range 12 {
-				c := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
+				c := r.sendInBackground(uploadRequest("/act/", content(largeBodyBytes), chunked))
 				a := r.readAnswer(c)
 				c.Close()
 				assert.Equal(t, a.StatusCode, 200, "%d: %s", i, a.body)
@@ -93,7 +93,7 @@
 			defer h.mu.Unlock()
 			assert.Assert(t, len(h.conns) <= 3, "%d connections", len(h.conns))
 			for _, v := range h.requests {
-				assert.Equal(t, fmt.Sprint(v.Method, len(v.body)), fmt.Sprint(http.MethodPost, large))
+				assert.Equal(t, fmt.Sprint(v.Method, len(v.body)), fmt.Sprint(http.MethodPost, largeBodyBytes))
 			}
 		})
 	})
@@ -103,7 +103,7 @@
 // connections as old are not used.
 func TestLateResetLosesOneRequest(t *testing.T) {
 	runManaged(t, false, func(r *managedFixture) {
-		h := r.useForgetfulServers(300*time.Millisecond, 30*time.Millisecond)
+		h := r.useDroppingServers(300*time.Millisecond, 30*time.Millisecond)
 		lost, n := 0, 0
 		for began := time.Now(); time.Since(began) < suspicionPeriod; n++ {
 			if a := r.request("/act/", ""); a.StatusCode != 200 {
--- a/internal/dataplane/node/managed_test.go
+++ b/internal/dataplane/node/managed_test.go
@@ -38,11 +38,11 @@
 // managedFixture runs a managed proxy with three servers of one service, in virtual time.
 type managedFixture struct {
 	*ManagedNode
-	t     *testing.T
-	net   *sim.Net
-	stop  context.CancelFunc
-	ended chan error
-	list  []serverlist.Listed
+	t       *testing.T
+	net     *sim.Net
+	stop    context.CancelFunc
+	ended   chan error
+	servers []serverlist.Listed
 
 	mu        sync.Mutex
 	behaviors []serverBehavior // one per attempt; the last one repeats
@@ -64,7 +64,7 @@
 			raw, err := standin.ServeRaw(r.net, "127.0.0.1:0", r.serve)
 			assert.NilError(t, err)
 			defer raw.Close()
-			r.list = append(r.list, serverlist.Listed{ID: fmt.Sprint("i-", i), Service: "x", Address: raw.Addr(), Zone: "a", Slots: 9})
+			r.servers = append(r.servers, serverlist.Listed{ID: fmt.Sprint("i-", i), Service: "x", Address: raw.Addr(), Zone: "a", Slots: 9})
 		}
 		var err error
 		r.ManagedNode, err = NewManagedNode(ManagedConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 100,
@@ -96,7 +96,7 @@
 // configure sets the configuration, the servers and the peers.
 func (r *managedFixture) configure() {
 	r.applyConfiguration()
-	r.SetServers(1, r.list)
+	r.SetServers(1, r.servers)
 	r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 }
 
@@ -294,7 +294,7 @@
 			expect("k2", path, 503)
 		}
 		r.applyConfiguration()
-		r.SetServers(1, r.list)
+		r.SetServers(1, r.servers)
 		expect("", "/open/", 503) // its share of quotas and budgets is unknown
 		assert.Equal(t, len(r.receivedRequests()), 0)
 		r.configure()
@@ -329,7 +329,7 @@
 		assert.Assert(t, a.took > 400*time.Millisecond && a.took < 500*time.Millisecond, "%v", a.took)
 		assert.Equal(t, r.request("/act/", "Deadline-Ms: 30\r\n").StatusCode, 503)
 		assert.Equal(t, len(r.receivedRequests()), 1)
-		for _, s := range r.list {
+		for _, s := range r.servers {
 			r.net.Silence(s.Address, true)
 		}
 		a = r.request("/act/", "Deadline-Ms: 200\r\n")
--- a/internal/dataplane/node/server_drain_test.go
+++ b/internal/dataplane/node/server_drain_test.go
@@ -16,12 +16,12 @@
 		const transit = 60 * time.Millisecond
 		r.behaviors = []serverBehavior{servedAnswer}
 		drainAllBut := func(stamp int64, ready int) {
-			for i := range r.list {
-				r.list[i].Draining = i != ready
+			for i := range r.servers {
+				r.servers[i].Draining = i != ready
 			}
-			r.SetServers(stamp, r.list)
+			r.SetServers(stamp, r.servers)
 		}
-		r.list[1].Draining, r.list[2].Draining = true, true
+		r.servers[1].Draining, r.servers[2].Draining = true, true
 		r.configure()
 		c := r.dial()
 		defer c.Close()
@@ -29,7 +29,7 @@
 		_, err := io.WriteString(c, requestText("/act/", ""))
 		assert.NilError(t, err)
 		time.Sleep(transit + transit/2) // the request has arrived, and the connection to the server is being set up
-		r.list[2].ID = "i-new"          // an incarnation that never drained
+		r.servers[2].ID = "i-new"       // an incarnation that never drained
 		drainAllBut(2, 2)
 		assert.Equal(t, r.readAnswer(c).StatusCode, 200)
 		assert.Equal(t, len(r.receivedRequests()), 1)
