--- a/internal/dataplane/node/booked.go
+++ b/internal/dataplane/node/booked.go
@@ -32,7 +32,7 @@
 // readRequest validates a request by the current book, or by the standalone protocol if there is none.
 func (s *server) readRequest(r *clientRequest) (*openRequest, *rejection) {
 	r.ticket, r.id = nil, ""
-	table := s.tune.Load().Routes
+	table := s.tuning.Load().Routes
 	if table == nil {
 		c, err := s.parseStandaloneRequest(r)
 		if err != nil {
--- a/internal/dataplane/node/booked_test.go
+++ b/internal/dataplane/node/booked_test.go
@@ -86,13 +86,13 @@
 func TestOrdinaryClient(t *testing.T) {
 	var mu sync.Mutex
 	var seen []*standin.Request
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	app := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		mu.Lock()
 		seen = append(seen, r)
 		mu.Unlock()
 		return writeAnswer(c, r, "200 OK", "Content-Type: text/plain\r\n", "answer")
 	})
-	n := nodeWith(t, app.Addr())
+	n := startNodeFor(t, app.Addr())
 	n.setRoutes(newTestTable(t, n.cfg, "rev1", func(l []routebook.Route, o *routing.Options) []routebook.Route {
 		o.Pass = []string{"Accept-Language"}
 		return l
@@ -149,8 +149,8 @@
 
 // Invalid requests are answered at once, without an attempt and without use of a quota.
 func TestRejectedRequests(t *testing.T) {
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool { return writeAnswer(c, r, "200 OK", "", "x") })
-	n := nodeWith(t, app.Addr())
+	app := newAppServer(t, func(c net.Conn, r *standin.Request) bool { return writeAnswer(c, r, "200 OK", "", "x") })
+	n := startNodeFor(t, app.Addr())
 	n.setRoutes(newTestTable(t, n.cfg, "rev1", nil))
 	for _, c := range []struct {
 		r      *http.Request
@@ -185,7 +185,7 @@
 func TestNeverRunsTwice(t *testing.T) {
 	var mu sync.Mutex
 	count := map[string]int{}
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	app := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if count[r.Header.Get("X-Request-Id")]++; count[r.Header.Get("X-Request-Id")] == 1 {
@@ -193,7 +193,7 @@
 		}
 		return writeAnswer(c, r, "200 OK", "", "x")
 	})
-	n := nodeWith(t, app.Addr(), app.Addr())
+	n := startNodeFor(t, app.Addr(), app.Addr())
 	n.setRoutes(newTestTable(t, n.cfg, "rev1", nil))
 	for _, c := range []struct {
 		id, method, path string
@@ -219,13 +219,13 @@
 func TestKeyUnderTwoRevisions(t *testing.T) {
 	var mu sync.Mutex
 	count := 0
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	app := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		mu.Lock()
 		count++
 		mu.Unlock()
 		return writeAnswer(c, r, "500 Internal Server Error", "", "")
 	})
-	n := nodeWith(t, app.Addr(), app.Addr())
+	n := startNodeFor(t, app.Addr(), app.Addr())
 	tryAs := func(class string, repeat routebook.Repeat, key string) int {
 		n.setRoutes(newTestTable(t, n.cfg, fmt.Sprint("rev", class, repeat), func(l []routebook.Route, _ *routing.Options) []routebook.Route {
 			l[2].Class, l[2].Repeat = class, repeat
@@ -261,7 +261,7 @@
 // A request that waits keeps its operation, key and cost even if its operation and its customer's key are removed meanwhile.
 func TestHeldRequestKeepsItsRoute(t *testing.T) {
 	release := make(chan struct{})
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	app := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		if r.Header.Get("X-Request-Id") == "first" {
 			<-release
 		}
@@ -336,11 +336,11 @@
 // A request whose id equals that of an open request is answered by 409. The id may be used again once that one is answered.
 func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
-	app := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	app := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
 		return writeAnswer(c, r, "200 OK", "", "x")
 	})
-	n := nodeWith(t, app.Addr())
+	n := startNodeFor(t, app.Addr())
 	n.setRoutes(newTestTable(t, n.cfg, "rev1", nil))
 	done := make(chan int, 1)
 	go func() {
--- a/internal/dataplane/node/broken_test.go
+++ b/internal/dataplane/node/broken_test.go
@@ -24,7 +24,7 @@
 }
 
 // cutPoints are the places where a message is interrupted: bytes from its start, or from its end if negative.
-var cutPoints = map[string]int{"window": 5000, "window's end": bodyWindowBytes, "beyond": bodyWindowBytes + 4000, "middle": large / 2, "last": -1}
+var cutPoints = map[string]int{"window": 5000, "window's end": bodyWindowBytes, "beyond": bodyWindowBytes + 4000, "middle": largeBodyBytes / 2, "last": -1}
 
 // cutAt returns the bytes before the place.
 func cutAt(b []byte, place int) []byte {
@@ -43,7 +43,7 @@
 			for place, n := range cutPoints {
 				for how, end := range disconnects {
 					c := r.dial()
-					_, err := c.Write(cutAt(uploadRequest("/act/", content(large), chunked), n))
+					_, err := c.Write(cutAt(uploadRequest("/act/", content(largeBodyBytes), chunked), n))
 					assert.NilError(t, err)
 					end(c)
 					if how == "stall" {
@@ -75,7 +75,7 @@
 							h := r.startScriptedServers(func(c net.Conn, q *http.Request) bool {
 								n := cutPoints[name]
 								if n < 0 {
-									n += large
+									n += largeBodyBytes
 								}
 								_, err := io.CopyN(io.Discard, q.Body, int64(n))
 								assert.Check(t, err)
@@ -83,7 +83,7 @@
 								disconnects[how](c)
 								return false
 							}, nil)
-							c := r.sendInBackground(uploadRequest(path, content(large), chunked))
+							c := r.sendInBackground(uploadRequest(path, content(largeBodyBytes), chunked))
 							defer c.Close()
 							a := r.readAnswer(c)
 							assert.Equal(t, a.StatusCode, status, a.body)
@@ -109,7 +109,7 @@
 						stays := make(chan bool)
 						defer close(stays)
 						h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
-							_, err := c.Write(cutAt(serverAnswer(q, "200 OK", content(large), chunked), n))
+							_, err := c.Write(cutAt(serverAnswer(q, "200 OK", content(largeBodyBytes), chunked), n))
 							assert.Check(t, err)
 							if how == "reset" {
 								time.Sleep(20 * time.Millisecond)
@@ -126,7 +126,7 @@
 						c := r.sendInBackground([]byte(requestText(path, longDeadlineField)))
 						defer c.Close()
 						began := time.Now()
-						b, err := io.ReadAll(io.LimitReader(c, 2*large))
+						b, err := io.ReadAll(io.LimitReader(c, 2*largeBodyBytes))
 						took := time.Since(began)
 						text := string(b[:min(len(b), 12)])
 						assert.Equal(t, bytes.Count(b, []byte("HTTP/1.1 ")), 1)
@@ -142,7 +142,7 @@
 						}
 						assert.NilError(t, err)
 						assert.Equal(t, text, "HTTP/1.1 200")
-						assert.Assert(t, len(b) < len(cutAt(serverAnswer(h.received()[0].Request, "200 OK", content(large), chunked), n))+200)
+						assert.Assert(t, len(b) < len(cutAt(serverAnswer(h.received()[0].Request, "200 OK", content(largeBodyBytes), chunked), n))+200)
 						_, err = readAnswerBody(bytes.NewReader(b))
 						assert.Equal(t, err, io.ErrUnexpectedEOF)
 						assert.Equal(t, how == "stall", took > 1500*time.Millisecond, "%v", took)
@@ -167,11 +167,11 @@
 		conns     [2]int // expected connections to servers: body with length, chunked body
 		before    func(c net.Conn, q *http.Request) bool
 	}{
-		"no route":      {path: "/none/", n: large, status: 404},
-		"no such key":   {path: "/act/", key: "nobody's", n: large, status: 401},
+		"no route":      {path: "/none/", n: largeBodyBytes, status: 404},
+		"no such key":   {path: "/act/", key: "nobody's", n: largeBodyBytes, status: 401},
 		"too long":      {path: "/act/", n: configuredMaxBodyBytes + 1, status: 413, conns: [2]int{0, 1}},
 		"not too long":  {path: "/act/", n: configuredMaxBodyBytes, status: 200, conns: [2]int{1, 1}},
-		"by the server": {path: "/act/", n: large, status: 503, conns: [2]int{1, 1}, before: over},
+		"by the server": {path: "/act/", n: largeBodyBytes, status: 503, conns: [2]int{1, 1}, before: over},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runForEachFraming(t, func(t *testing.T, chunked bool) {
@@ -229,7 +229,7 @@
 						time.Sleep(300 * time.Millisecond)
 						return err == nil
 					}, nil)
-					conn := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
+					conn := r.sendInBackground(uploadRequest("/act/", content(largeBodyBytes), chunked))
 					defer conn.Close()
 					a := r.readAnswer(conn)
 					assert.Equal(t, a.StatusCode, c.status, a.body)
@@ -245,9 +245,9 @@
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		for name, firstAnswer := range map[string]func(q *http.Request) []byte{
 			"cut": func(q *http.Request) []byte {
-				return serverAnswer(q, "200 OK", content(large), chunked)[:bodyWindowBytes]
+				return serverAnswer(q, "200 OK", content(largeBodyBytes), chunked)[:bodyWindowBytes]
 			},
-			"failed": func(q *http.Request) []byte { return serverAnswer(q, "500 No", content(large), chunked) },
+			"failed": func(q *http.Request) []byte { return serverAnswer(q, "500 No", content(largeBodyBytes), chunked) },
 		} {
 			runManaged(t, false, func(r *managedFixture) {
 				times := 0
@@ -256,21 +256,21 @@
 						_, _ = c.Write(firstAnswer(q))
 						return false
 					}
-					_, err := c.Write(serverAnswer(q, "200 OK", content(large), chunked))
+					_, err := c.Write(serverAnswer(q, "200 OK", content(largeBodyBytes), chunked))
 					return err == nil
 				})
 				c := r.sendInBackground([]byte(requestText("/get/", longDeadlineField)))
 				defer c.Close()
 				n, err := readAnswerBody(c)
-				assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
+				assert.Assert(t, err == nil && n == largeBodyBytes, "%s: %d bytes, %v", name, n, err)
 				assert.Equal(t, h.countComplete(), 2)
 				r.list[0].Address = "127.0.0.1:1" // nothing listens there
 				r.SetServers(2, r.list)
 				for i := range 9 {
-					c := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
+					c := r.sendInBackground(uploadRequest("/act/", content(largeBodyBytes), chunked))
 					n, err := readAnswerBody(c)
-					assert.Assert(t, err == nil && n == large, "%s: %d bytes, %v", name, n, err)
-					assert.Equal(t, len(h.received()[2+i].body), large)
+					assert.Assert(t, err == nil && n == largeBodyBytes, "%s: %d bytes, %v", name, n, err)
+					assert.Equal(t, len(h.received()[2+i].body), largeBodyBytes)
 					c.Close()
 				}
 			})
@@ -282,7 +282,7 @@
 // client gets it unchanged.
 func TestLargeFailuresAreReturned(t *testing.T) {
 	long := func(c net.Conn, q *http.Request) bool {
-		_, err := c.Write(serverAnswer(q, "500 No", content(large), true))
+		_, err := c.Write(serverAnswer(q, "500 No", content(largeBodyBytes), true))
 		return err == nil
 	}
 	short := func(c net.Conn, q *http.Request) bool {
@@ -317,7 +317,7 @@
 				body, err := io.ReadAll(a.Body)
 				assert.NilError(t, err)
 				assert.Equal(t, fmt.Sprintf("%d %d %s", a.StatusCode, len(body), a.Header.Get(fieldSeal)), c.want)
-				assert.Assert(t, len(body) < large || bytes.Equal(body, content(large)))
+				assert.Assert(t, len(body) < largeBodyBytes || bytes.Equal(body, content(largeBodyBytes)))
 				assert.Equal(t, h.countComplete(), len(c.acts))
 				time.Sleep(10 * time.Millisecond)
 				synctest.Wait()
@@ -351,7 +351,7 @@
 		h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
 			b := serverAnswer(q, "200 OK", content(3), true)
 			if q.URL.RawQuery == "long" {
-				return slow(c, serverAnswer(q, "200 OK", content(large), false))
+				return slow(c, serverAnswer(q, "200 OK", content(largeBodyBytes), false))
 			}
 			_, err := c.Write(b)
 			return err == nil
@@ -362,10 +362,10 @@
 		c := r.sendInBackground([]byte(requestText("/get/?long", longDeadlineField)))
 		defer c.Close()
 		n, err := readAnswerBody(c)
-		assert.Assert(t, err == nil && n == large, "%d bytes, %v", n, err)
+		assert.Assert(t, err == nil && n == largeBodyBytes, "%d bytes, %v", n, err)
 		c = r.dial()
 		defer c.Close()
-		go slow(c, bytes.Replace(uploadRequest("/get/", content(large), false), []byte("GET"), []byte("PUT"), 1))
+		go slow(c, bytes.Replace(uploadRequest("/get/", content(largeBodyBytes), false), []byte("GET"), []byte("PUT"), 1))
 		n, err = readAnswerBody(c)
 		assert.Assert(t, err == nil && n == 3, "%d bytes, %v", n, err)
 		assert.Equal(t, h.countComplete(), 42)
--- a/internal/dataplane/node/clientconn.go
+++ b/internal/dataplane/node/clientconn.go
@@ -80,7 +80,7 @@
 // shouldCloseAfterAnswer reports whether the connection should be closed after its first answer, because clients rarely
 // reuse their connections and few connections are free.
 func (s *server) shouldCloseAfterAnswer(cc *clientConn) bool {
-	if cc.requestCount != 1 || !s.tune.Load().CloseUnused { // only this connection's goroutine changes requestCount
+	if cc.requestCount != 1 || !s.tuning.Load().CloseUnused { // only this connection's goroutine changes requestCount
 		return false
 	}
 	s.mu.Lock()
--- a/internal/dataplane/node/configured_test.go
+++ b/internal/dataplane/node/configured_test.go
@@ -16,7 +16,7 @@
 
 // Changes of the server list take effect. While discovery fails the current list stays in use, and calls are repeated soon.
 func TestDiscovery(t *testing.T) {
-	a, b := newApp(t, standin.Answer("200 OK", "", "a")), newApp(t, standin.Answer("200 OK", "", "b"))
+	a, b := newAppServer(t, standin.Answer("200 OK", "", "a")), newAppServer(t, standin.Answer("200 OK", "", "b"))
 	first, second := servingTarget("s-00000001", a.Addr()), servingTarget("s-00000002", b.Addr())
 	g := newDiscoveryFixture(t, first)
 	n := start(t, testConfig(t, g.Addr()))
@@ -29,22 +29,22 @@
 	eventually(t, "an answer of the first server", serves("a"))
 	gone := first
 	gone.State = "DELETED"
-	g.set(false, gone, second)
+	g.setTargets(false, gone, second)
 	eventually(t, "an answer of the second server", serves("b"))
-	g.set(true, gone, second)
+	g.setTargets(true, gone, second)
 	calls := g.Calls()
 	eventually(t, "further calls while discovery fails", func() bool { return g.Calls() > calls+2 })
 	if !serves("b")() {
 		t.Error("the current list is not used while discovery fails")
 	}
-	g.set(false, first, target{UID: "s-00000002", State: "DELETED"})
+	g.setTargets(false, first, target{UID: "s-00000002", State: "DELETED"})
 	eventually(t, "the list after discovery is back", serves("a"))
 }
 
 // After SIGHUP the open watch ends at once and the list is read from the new address. The file's address applies even if
 // GW_DISCOVERY set the old one. An invalid file changes nothing and is read again.
 func TestReload(t *testing.T) {
-	a, b := newApp(t, standin.Answer("200 OK", "", "a")), newApp(t, standin.Answer("200 OK", "", "b"))
+	a, b := newAppServer(t, standin.Answer("200 OK", "", "a")), newAppServer(t, standin.Answer("200 OK", "", "b"))
 	older := newDiscoveryFixture(t, servingTarget("s-00000001", a.Addr()))
 	newer := newDiscoveryFixture(t, servingTarget("s-00000002", b.Addr()))
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -81,7 +81,7 @@
 		return resp.StatusCode == 200 && body == "b"
 	})
 	calls := older.Calls()
-	older.set(false, servingTarget("s-00000001", a.Addr())) // an open watch would report this
+	older.setTargets(false, servingTarget("s-00000001", a.Addr())) // an open watch would report this
 	eventually(t, "a watch at the new address", func() bool { return newer.Calls() > 1 })
 	if _, body := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); body != "b" || older.Calls() != calls {
 		t.Errorf("%q; %d calls at the old address after the new one was set", body, older.Calls()-calls)
@@ -90,7 +90,7 @@
 
 // If discovery does not answer at the start, the proxy serves from the cached list.
 func TestCachedListServesWhileDiscoveryFails(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	cfg := testConfig(t, refusingAddress(t))
 	cfg.CachedList = &serverList{Rev: 4, All: true, Targets: []target{servingTarget("s-00000001", a.Addr())}}
 	n := start(t, cfg)
--- a/internal/dataplane/node/connections_test.go
+++ b/internal/dataplane/node/connections_test.go
@@ -61,7 +61,7 @@
 // A connection that sends no request or an incomplete one is closed. This must happen within 3 s, the longest time that the
 // rules allow for such a client.
 func TestSilentClientsAreDisconnected(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	silent, half := dial(t, n), dial(t, n)
 	_, _ = half.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a"))
 	began := time.Now()
@@ -79,8 +79,8 @@
 // At the connection limit, connections without a valid request are closed before those that have carried valid requests,
 // however old these are.
 func TestUsefulClientsAreKept(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
@@ -103,11 +103,11 @@
 // be in flight at once.
 func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	first := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))
 	eventually(t, "the first request is at the server", func() bool { return a.Seen.Load() == 1 })
 	if resp := writeRequest(t, dial(t, n), newTestRequest(n.url, "loan", testTimeout))(); resp.StatusCode != http.StatusConflict {
@@ -153,11 +153,11 @@
 // Idle client connections are closed, the oldest first, before file descriptors run out. Busy connections stay open.
 func TestClosesIdleClients(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		<-release
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	eventually(t, "no connection", func() bool { open, _ := n.server.connectionActivity(); return open == 0 })
 	n.server.mu.Lock()
@@ -181,7 +181,7 @@
 // A request that arrives while its idle connection is being closed is sent again by the client. If it were processed as well,
 // it would take effect twice.
 func TestRequestOnClosedConnectionIsNotProcessed(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
 	c := n.server.addConnection(pipe)
@@ -204,8 +204,8 @@
 // Clients that never finish their requests must not exhaust the file descriptors: other clients still connect, and busy
 // connections stay open.
 func TestSlowRequestsAreEvicted(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	http.DefaultClient.CloseIdleConnections()
 	n.server.mu.Lock()
 	n.server.maxConns = 4
--- a/internal/dataplane/node/dropped_conn_test.go
+++ b/internal/dataplane/node/dropped_conn_test.go
@@ -82,7 +82,7 @@
 		runManaged(t, false, func(r *managedFixture) {
 			h := r.startScriptedServers(nil, nil)
 			for i := range 12 {
-				c := r.sendInBackground(uploadRequest("/act/", content(large), chunked))
+				c := r.sendInBackground(uploadRequest("/act/", content(largeBodyBytes), chunked))
 				a := r.readAnswer(c)
 				c.Close()
 				assert.Equal(t, a.StatusCode, 200, "%d: %s", i, a.body)
@@ -93,7 +93,7 @@
 			defer h.mu.Unlock()
 			assert.Assert(t, len(h.conns) <= 3, "%d connections", len(h.conns))
 			for _, v := range h.requests {
-				assert.Equal(t, fmt.Sprint(v.Method, len(v.body)), fmt.Sprint(http.MethodPost, large))
+				assert.Equal(t, fmt.Sprint(v.Method, len(v.body)), fmt.Sprint(http.MethodPost, largeBodyBytes))
 			}
 		})
 	})
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -151,10 +151,10 @@
 		if !framed {
 			err = errFraming
 		}
-		for p := []byte{0}; len(p) > 0 && err == nil && c.in.hasUnreadBody(); {
-			p, err = c.in.nextPiece()
+		for p := []byte{0}; len(p) > 0 && err == nil && c.input.hasUnreadBody(); {
+			p, err = c.input.nextPiece()
 		}
-		c.in.startMessage() // the answer belongs to another request
+		c.input.startMessage() // the answer belongs to another request
 		status, sawForeignAnswer = 0, true
 	}
 	spent := req.managed.client.hasDiscardedBody()
@@ -163,19 +163,19 @@
 		if unsent && !req.managed.client.hasBegunLastChunk() { // the remainder will never be sent, so the request can't run
 			r = endedResult(verdict.Unsent, err)
 		}
-		r.cannotRepeat, r.hasStrayAnswers = spent, sawForeignAnswer
+		r.cannotRepeat, r.sawForeignAnswers = spent, sawForeignAnswer
 		return r, false
 	}
 	r := classifyAnswer(c, status, body, framed, headRequest)
-	if r.cannotRepeat = spent; spent || c.in.hasUnreadBody() {
+	if r.cannotRepeat = spent; spent || c.input.hasUnreadBody() {
 		r.latency = max(1, u.clock.now()-written)
 	}
-	if c.in.hasUnreadBody() {
+	if c.input.hasUnreadBody() {
 		u.download(a, c, req, &r)
 	}
-	reuse := framed && !sawForeignAnswer && !unsent && !c.in.hasUnreadBody() && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	reuse := framed && !sawForeignAnswer && !unsent && !c.input.hasUnreadBody() && c.input.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	if r.held == nil {
-		c.in.startMessage()
+		c.input.startMessage()
 	}
 	return r, reuse
 }
@@ -188,7 +188,7 @@
 		Coded: count("Content-Encoding") > 0, Framed: framed})
 	r := result{Verdict: v, loadReport: parseServerLoad(h)}
 	if usable {
-		r.answer = buildClientAnswer(h, status, body, headRequest, c.in.hasUnreadBody())
+		r.answer = buildClientAnswer(h, status, body, headRequest, c.input.hasUnreadBody())
 	}
 	return r
 }
--- a/internal/dataplane/node/framing_test.go
+++ b/internal/dataplane/node/framing_test.go
@@ -14,8 +14,8 @@
 
 // Malformed requests are answered with 400, are not forwarded and do not affect later requests.
 func TestMalformedRequests(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	for _, c := range []struct{ class, header, value string }{
 		{"lookup", "X-Class", "shelve"}, {"lookup", "X-Class", ""},
 		{"lookup", "X-Tier", "gold"}, {"lookup", "X-Request-Id", ""},
@@ -52,8 +52,8 @@
 // An ambiguous request could hide another one (request smuggling). It is answered with a single 400, nothing of it is
 // forwarded, and nothing more is read from its connection: the valid request behind each must not be served.
 func TestAmbiguousFraming(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, a.Addr())
 	fields := "Host: app.svc\r\nX-Request-Id: 1\r\nX-Class: loan\r\nX-Tier: town\r\nCookie: key=00000000b4d65521\r\n" +
 		"X-Deadline-Ms: 900\r\nIdempotency-Key: k\r\n"
 	get := "GET /lookup HTTP/1.1\r\nX-Request-Id: 2\r\nX-Class: lookup\r\nX-Tier: town\r\n" +
@@ -107,7 +107,7 @@
 // Huge bodies and endless heads are rejected as soon as their size is announced or exceeds the limit, not when they have arrived.
 // The rejection reaches a client that is still sending.
 func TestOversizedMessages(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	for name, c := range map[string]struct{ head, more, want string }{
 		"60 MB":        {"POST /loan HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", strings.Repeat("b", 1<<20), "HTTP/1.1 413 "},
 		"huge length":  {"POST /loan HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "b", "HTTP/1.1 400 "},
@@ -126,10 +126,10 @@
 
 // Pipelined requests each get one answer, in their order. A client that sends only invalid requests is disconnected.
 func TestBursts(t *testing.T) {
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		return standin.Answer("200 OK", "", r.Header.Get("X-Request-Id")+";")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	c := dial(t, n)
 	var text, want strings.Builder
 	for i := range 300 {
@@ -164,10 +164,10 @@
 
 // Large messages up to the protocol's limits are forwarded unchanged.
 func TestLargeMessages(t *testing.T) {
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		return standin.Answer("200 OK", "", r.Content)(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	want := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	r := newTestRequest(n.url, "loan", testTimeout)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBodyBytes
--- a/internal/dataplane/node/harness_test.go
+++ b/internal/dataplane/node/harness_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// newApp starts an app server that does with each request what the test says.
-func newApp(t *testing.T, do func(c net.Conn, r *standin.Request) bool) *standin.Raw {
+// newAppServer starts an app server that does with each request what the test says.
+func newAppServer(t *testing.T, do func(c net.Conn, r *standin.Request) bool) *standin.Raw {
 	t.Helper()
 	a, err := standin.ServeRaw(world.Real{}, "127.0.0.1:0", do)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return &discoveryFixture{a, r}
 }
 
-// set changes lines of the roster, and whether the agent answers.
-func (g *discoveryFixture) set(down bool, list ...target) {
+// setTargets changes lines of the roster, and whether the agent answers.
+func (g *discoveryFixture) setTargets(down bool, list ...target) {
 	status := 0
 	if down {
 		status = http.StatusInternalServerError
@@ -137,8 +137,8 @@
 	return r
 }
 
-// nodeWith starts an edge node that knows the app servers at the addresses.
-func nodeWith(t *testing.T, addrs ...string) *runningNode {
+// startNodeFor starts an edge node that knows the app servers at the addresses.
+func startNodeFor(t *testing.T, addrs ...string) *runningNode {
 	t.Helper()
 	var list []target
 	for i, a := range addrs {
--- a/internal/dataplane/node/health.go
+++ b/internal/dataplane/node/health.go
@@ -106,7 +106,7 @@
 	case policy.Full:
 		return serverhealth.TurnedAway, true
 	case policy.TimedOut, policy.Reset, policy.Error:
-		if o.hasStrayAnswers {
+		if o.sawForeignAnswers {
 			return serverhealth.WrongID, true
 		}
 		// With less time than usual, any server may fail to answer in time.
--- a/internal/dataplane/node/idle_test.go
+++ b/internal/dataplane/node/idle_test.go
@@ -18,7 +18,7 @@
 	for range 3 {
 		c, other := net.Pipe()
 		defer other.Close()
-		u.returnConnection(id, &upConn{Conn: c, up: u})
+		u.returnConnection(id, &upConn{Conn: c, upstream: u})
 	}
 	assert.Equal(t, len(u.servers[id].idle), 2)
 	assert.Equal(t, u.openConns, 2)
--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -181,7 +181,7 @@
 	tuning.FirstRequest, tuning.WholeRequest = configuration.Limits.HeaderTimeout, 2*configuration.Limits.HeaderTimeout
 	tuning.ClientIdle, tuning.CloseUnused = configuration.Limits.IdleTimeout, false
 	tuning.BodyStall = configuration.Limits.HeaderTimeout
-	e.node.server.tune.Store(&tuning)
+	e.node.server.tuning.Store(&tuning)
 	services := map[string]serverlist.Service{}
 	for _, b := range configuration.Backends {
 		services[b.Name] = serverlist.Service{Warmup: b.Warmup, PerS: b.WarmupPerS, MostOut: b.MaxConns}
--- a/internal/dataplane/node/message.go
+++ b/internal/dataplane/node/message.go
@@ -237,7 +237,7 @@
 		}
 		if len(body)+n > window {
 			part, err := s.readBytes(window - len(body))
-			s.remainder = bodyRemainder{bytesLeft: n - len(part), chunkBytes: len(body) + n, isChunked: true}
+			s.remainder = bodyRemainder{bytesLeft: n - len(part), chunkBytes: len(body) + n, moreChunks: true}
 			return append(body, part...), err
 		}
 		chunk, err := s.readBytes(n + 2)
--- a/internal/dataplane/node/message_test.go
+++ b/internal/dataplane/node/message_test.go
@@ -65,7 +65,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		// Reads directly from src, because upConn.Read sets deadlines on a socket.
-		c := upConn{in: messageReader{src: bytes.NewReader(data)}}
+		c := upConn{input: messageReader{src: bytes.NewReader(data)}}
 		status, body, framed, err := c.readAnswer(false, false)
 		if err != nil || !framed {
 			return
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -20,11 +20,11 @@
 // Requests and answers are forwarded unchanged, and each request is sent once.
 func TestServes(t *testing.T) {
 	var got atomic.Value
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		got.Store(fmt.Sprint(r.Method, r.RequestURI, r.Content, r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")))
 		return standin.Answer("200 OK", "", "placed\x00")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	for class, want := range map[string]string{
 		"lookup": "GET/lookup?q=19b1f03aa5c7e2d41",
 		"loan":   "POST/loan?q=1order=179b1f03aa5c7e2d415c0f6e1a2b3d4c59a8b7c6d5e4f30211",
@@ -41,8 +41,8 @@
 
 // An attempt that did not run is retried at another server; the client gets one answer.
 func TestRetriesOnAnotherServer(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
-	n := nodeWith(t, refusingAddress(t), a.Addr())
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
+	n := startNodeFor(t, refusingAddress(t), a.Addr())
 	for range 20 {
 		if resp, body := sendTestRequest(t, newTestRequest(n.url, "loan", testTimeout)); resp.StatusCode != 200 || body != "hits" {
 			t.Fatalf("%d %q", resp.StatusCode, body)
@@ -54,7 +54,7 @@
 // tells the client that a retry is harmless.
 func TestKeyedMayHaveRun(t *testing.T) {
 	breaks := func(net.Conn, *standin.Request) bool { return false }
-	a, b := newApp(t, breaks), newApp(t, breaks)
+	a, b := newAppServer(t, breaks), newAppServer(t, breaks)
 	other := servingTarget("s-00000002", b.Addr())
 	other.Cell = 1
 	n := start(t, testConfig(t, newDiscoveryFixture(t, servingTarget("s-00000001", a.Addr()), other).Addr()))
@@ -66,8 +66,8 @@
 
 // If a server never answers, the client gets a failure before its deadline and the attempt is ended.
 func TestAnswersBeforeTheDeadline(t *testing.T) {
-	a := newApp(t, standin.Deaf)
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Deaf)
+	n := startNodeFor(t, a.Addr())
 	resp, _ := sendTestRequest(t, newTestRequest(n.url, "loan", 300*time.Millisecond))
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%d", resp.StatusCode)
@@ -77,7 +77,7 @@
 
 // A request that the policy refuses is answered at once, with the retry time that the policy returned.
 func TestRefusesAtOnce(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	r := newTestRequest(n.url, "loan", testTimeout)
 	r.Header.Set("X-Tier", "tiny") // the plan's token bucket holds less than the request costs
 	began := time.Now()
@@ -113,8 +113,8 @@
 
 // A 4xx answer of a server is the client's fault: the request is not retried, and the server is not considered failing.
 func TestBadRequestIsNotRetried(t *testing.T) {
-	a := newApp(t, standin.Answer("400 No", "", ""))
-	n := nodeWith(t, a.Addr())
+	a := newAppServer(t, standin.Answer("400 No", "", ""))
+	n := startNodeFor(t, a.Addr())
 	for i := range 5 {
 		if resp, _ := sendTestRequest(t, newTestRequest(n.url, "lookup", testTimeout)); resp.StatusCode != 400 || int(a.Seen.Load()) != i+1 {
 			t.Fatalf("%d after %d attempts", resp.StatusCode, a.Seen.Load())
@@ -126,13 +126,13 @@
 // while after the signal. Each answer, including refusals, closes the connection.
 func TestStopAnswersAll(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		if r.Method == http.MethodPost {
 			<-release
 		}
 		return standin.Answer("200 OK", "", "hits")(c, r)
 	})
-	n := nodeWith(t, a.Addr())
+	n := startNodeFor(t, a.Addr())
 	old, open, idle := dial(t, n), dial(t, n), dial(t, n)
 	writeRequest(t, old, newTestRequest(n.url, "lookup", testTimeout))()
 	writeRequest(t, idle, newTestRequest(n.url, "lookup", testTimeout))()
@@ -233,7 +233,7 @@
 
 // The policy package ignores malformed messages of peers.
 func TestGarbageFromPeers(t *testing.T) {
-	n := nodeWith(t, refusingAddress(t))
+	n := startNodeFor(t, refusingAddress(t))
 	for _, data := range []string{"", "\x04", "\x03\x00", strings.Repeat("\xff", 256), "\x04" + strings.Repeat("\xff", 255)} {
 		n.loop.events <- policy.PeerMessage{From: 0, Data: []byte(data)}
 		n.loop.events <- policy.PeerMessage{From: 99, Data: []byte(data)}
@@ -245,7 +245,7 @@
 
 // Frequent requests for /healthz do not keep a proxy from stopping.
 func TestHealthChecksDoNotDelayStop(t *testing.T) {
-	r := nodeWith(t)
+	r := startNodeFor(t)
 	stop := make(chan struct{})
 	var checks sync.WaitGroup
 	for range 2 {
--- a/internal/dataplane/node/passing.go
+++ b/internal/dataplane/node/passing.go
@@ -173,7 +173,7 @@
 		e.hostTraffic.Add(host, len(route.Homes) > 0, len(r.body), now)
 	}
 	id := r.get(fieldID)
-	if len(id) == 0 || len(id) > maxIDBytes || !isVisibleASCII(id) {
+	if len(id) == 0 || len(id) > maxRequestIDBytes || !isVisibleASCII(id) {
 		return nil, unsentAnswer(400, 0, fieldID+": missing, too long or not plain")
 	}
 	c.clientID, c.managed.id = string(id), string(id)
@@ -346,7 +346,7 @@
 // writeServerAnswer writes an app server's answer, made by buildClientAnswer.
 func (s *server) writeServerAnswer(cc *clientConn, answer []byte) bool {
 	answer, over := s.markLastAnswer(cc, answer)
-	written := cc.write(answer, s.clock.Now().Add(s.tune.Load().ClientWrite)) == nil
+	written := cc.write(answer, s.clock.Now().Add(s.tuning.Load().ClientWrite)) == nil
 	cc.finalAnswerSent = written && over
 	return written && !over
 }
--- a/internal/dataplane/node/pieces.go
+++ b/internal/dataplane/node/pieces.go
@@ -14,7 +14,7 @@
 type bodyRemainder struct {
 	bytesLeft     int  // bytes of the body, or of its chunk
 	chunkBytes    int  // bytes of all chunks that were told
-	isChunked     bool // more chunks may follow
+	moreChunks    bool // more chunks may follow
 	chunkEndRead  bool // the line's end behind the last one has been passed over
 	lastChunkRead bool // the last one has come, and its trailer not yet
 	hasDiscarded  bool // some of it is held no more
@@ -22,7 +22,7 @@
 
 // hasUnreadBody tells whether something of the body has not come yet.
 func (s *messageReader) hasUnreadBody() bool {
-	return s.remainder.bytesLeft > 0 || s.remainder.isChunked
+	return s.remainder.bytesLeft > 0 || s.remainder.moreChunks
 }
 
 // grow makes room. What has been used is let go where nobody needs it there; who still has a slice keeps the old
@@ -45,13 +45,13 @@
 	r := &s.remainder
 	for r.bytesLeft == 0 {
 		switch {
-		case !r.isChunked:
+		case !r.moreChunks:
 			return nil, nil
 		case r.lastChunkRead:
 			if err := s.skipTrailer(); err != nil {
 				return nil, err
 			}
-			r.isChunked = false
+			r.moreChunks = false
 			return nil, nil
 		}
 		if err := s.startNextChunk(); err != nil {
--- a/internal/dataplane/node/pieces_test.go
+++ b/internal/dataplane/node/pieces_test.go
@@ -69,8 +69,8 @@
 	const rest = "3\r\nabc\r\n"
 	for n, code := range map[int]policy.Code{0: policy.ConnectFailed, len(rest): policy.ConnectFailed, len(rest) + 1: policy.Reset, len(rest) + 4: policy.Reset} {
 		s := &server{clock: u.clock, events: make(chan any, 1)}
-		s.tune.Store(&Tuning{BodyStall: time.Second})
-		cc := &clientConn{Conn: &breakingConn{}, input: messageReader{src: bytes.NewReader([]byte("abc\r\n0\r\n\r\n")), maxBody: 99, window: 9, remainder: bodyRemainder{bytesLeft: 3, chunkBytes: 12, isChunked: true}}}
+		s.tuning.Store(&Tuning{BodyStall: time.Second})
+		cc := &clientConn{Conn: &breakingConn{}, input: messageReader{src: bytes.NewReader([]byte("abc\r\n0\r\n\r\n")), maxBody: 99, window: 9, remainder: bodyRemainder{bytesLeft: 3, chunkBytes: 12, moreChunks: true}}}
 		cc.request.length = -1
 		cc.request.managed = &managedRequest{client: clientSide{server: s, conn: cc}}
 		_, end := u.upload(&attempt{deadline: u.clock.now() + time.Second}, &upConn{Conn: &breakingConn{left: n}}, &cc.request)
--- a/internal/dataplane/node/pool.go
+++ b/internal/dataplane/node/pool.go
@@ -190,7 +190,7 @@
 // isQuiet tells whether nothing has come on an idle connection: neither its end
 // nor bytes that nobody asked for.
 func isQuiet(c *upConn) bool {
-	return c.in.buffered() == 0 && world.Peek(c.Conn) == world.PeekQuiet
+	return c.input.buffered() == 0 && world.Peek(c.Conn) == world.PeekQuiet
 }
 
 // uid is a server's name on the wire.
--- a/internal/dataplane/node/reply.go
+++ b/internal/dataplane/node/reply.go
@@ -47,7 +47,7 @@
 	if string(cc.request.method) != "HEAD" { // RFC 9110, 9.3.2: the length that a GET would have, and no body
 		b = append(b, body...)
 	}
-	return cc.write(b, s.clock.Now().Add(s.tune.Load().ClientWrite))
+	return cc.write(b, s.clock.Now().Add(s.tuning.Load().ClientWrite))
 }
 
 func appendHead(b []byte, status int, fields string, length int) []byte {
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxIDBytes             = 64  // bytes of a request's id
+	maxRequestIDBytes      = 64  // bytes of a request's id
 	maxIdempotencyKeyBytes = 128 // of an Idempotency-Key
 	customerHexDigits      = 16
 	customerBits           = 33
@@ -68,7 +68,7 @@
 		}
 	}
 	id := r.get("X-Request-Id")
-	if len(id) == 0 || len(id) > maxIDBytes || !isVisibleASCII(id) {
+	if len(id) == 0 || len(id) > maxRequestIDBytes || !isVisibleASCII(id) {
 		return nil, errors.New("X-Request-Id: missing, too long or not plain")
 	}
 	c.clientID = string(id)
--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -12,7 +12,7 @@
 )
 
 // New bounds hold from the moment that they are told, requests under way don't suffer, and addresses stay.
-func TestEstateRetuned(t *testing.T) {
+func TestRetuneManagedNode(t *testing.T) {
 	runManaged(t, true, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
 			time.Sleep(time.Second)
--- a/internal/dataplane/node/reuse_test.go
+++ b/internal/dataplane/node/reuse_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-func TestReuseVerdict(t *testing.T) {
+func TestShouldCloseUnusedConnections(t *testing.T) {
 	none := func() int { return 0 }
 	for _, c := range []struct {
 		name          string
@@ -100,7 +100,7 @@
 }
 
 func TestUnusedConnectionsMakeRoom(t *testing.T) {
-	app := newApp(t, standin.Answer("200 OK", "", "ok"))
+	app := newAppServer(t, standin.Answer("200 OK", "", "ok"))
 	r := nodeWithSockets(t, 80, app.Addr()) // clients have half: 40
 	if n := sendOnNewConnections(t, r, 10, time.Millisecond); n > 0 {
 		t.Fatalf("%d connections ended with three quarters of the room free", n)
@@ -123,7 +123,7 @@
 
 // Clients that use their connections keep them, however short the room is.
 func TestUsedConnectionsStay(t *testing.T) {
-	app := newApp(t, standin.Answer("200 OK", "", "ok"))
+	app := newAppServer(t, standin.Answer("200 OK", "", "ok"))
 	r := nodeWithSockets(t, 64, app.Addr()) // clients have half: 32
 	var conns []*http.Transport
 	for range 28 {
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -28,7 +28,7 @@
 
 // A repeat of what may have run must be written while its rack still knows the
 // key: the window counts from when the first was asked for.
-func TestKeyedRepeatHasToBeWrittenInTheWindow(t *testing.T) {
+func TestKeyedRepeatMustBeWrittenWithinWindow(t *testing.T) {
 	l, c, now := loopWithRequest(t)
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
 	if a := (<-c.commands).attempt; a.writeBy != c.answerBy {
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -31,7 +31,7 @@
 	ready    atomic.Bool
 	draining atomic.Bool
 	resting  atomic.Bool // an estate's, told to rest
-	tune     atomic.Pointer[Tuning]
+	tuning   atomic.Pointer[Tuning]
 
 	mu            sync.Mutex
 	maxConns      int // connections kept open at once
@@ -52,7 +52,7 @@
 func newServer(c clock, set policy.Settings, up *upstream, events chan<- any, most int) *server {
 	s := &server{clock: c, settings: set, upstream: up, events: events, maxConns: most, conns: map[*clientConn]struct{}{}}
 	def := DefaultTuning()
-	s.tune.Store(&def)
+	s.tuning.Store(&def)
 	return s
 }
 
@@ -95,7 +95,7 @@
 	defer s.removeConnection(cc)
 	for first := true; ; first = false {
 		cc.input.startMessage()
-		tune := s.tune.Load()
+		tune := s.tuning.Load()
 		wait, whole := tune.ClientIdle, tune.WholeRequest
 		if first && s.managed == nil {
 			wait, whole = tune.FirstRequest, 0 // from the connect; on the system's wire a connection may rest before it
@@ -138,9 +138,9 @@
 	if targetPath(r.target) == "/healthz" && string(r.method) == "GET" {
 		s.ignoreActivity(cc)
 		if !s.ready.Load() || s.draining.Load() {
-			return s.reply(cc, 503, s.tune.Load().healthFields(), "not ready")
+			return s.reply(cc, 503, s.tuning.Load().healthFields(), "not ready")
 		}
-		return s.reply(cc, 200, s.tune.Load().healthFields(), "")
+		return s.reply(cc, 200, s.tuning.Load().healthFields(), "")
 	}
 	if s.watch != nil && targetPath(r.target) == ViewPath && string(r.method) == "GET" {
 		s.ignoreActivity(cc)
--- a/internal/dataplane/node/spent_test.go
+++ b/internal/dataplane/node/spent_test.go
@@ -11,7 +11,7 @@
 
 // A client that has tried before is known by how much less it waits than others of its route do; what nobody says
 // any more, be it one odd client's or from before the route's clients changed, wears off.
-func TestSpentIsToldByWhatIsLeft(t *testing.T) {
+func TestWaitedBeforeFromDeadline(t *testing.T) {
 	p := &routeconfig.Configuration{Routes: []routeconfig.Route{{Name: "a"}, {Name: "b"}}}
 	e := &managedState{}
 	e.activate(p)
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -149,9 +149,9 @@
 
 // nextPiece waits for the client's next piece.
 func (u *upstream) nextPiece(a *attempt, c *upConn, f *clientSide) ([]byte, error) {
-	stalled := u.clock.now() + f.server.tune.Load().BodyStall
+	stalled := u.clock.now() + f.server.tuning.Load().BodyStall
 	for {
-		if c.in.buffered() > 0 || world.Peek(c.Conn) != world.PeekQuiet {
+		if c.input.buffered() > 0 || world.Peek(c.Conn) != world.PeekQuiet {
 			return nil, errEarlyAnswer
 		}
 		now := u.clock.now()
@@ -227,16 +227,16 @@
 	answer, over := f.server.markLastAnswer(f.conn, h.firstBytes)
 	f.request.managed.closeAfterAnswer = over
 	for {
-		by := min(u.clock.now()+f.server.tune.Load().ClientWrite, h.attempt.deadline)
+		by := min(u.clock.now()+f.server.tuning.Load().ClientWrite, h.attempt.deadline)
 		if len(answer) > 0 && f.write(answer, u.clock.time(by)) != nil {
 			r.Verdict = verdict.Of(verdict.Recalled, errClientGone)
 			return
 		}
-		if !h.conn.in.hasUnreadBody() {
+		if !h.conn.input.hasUnreadBody() {
 			r.isComplete = true
 			return
 		}
-		p, err := h.conn.in.nextPiece()
+		p, err := h.conn.input.nextPiece()
 		if err != nil {
 			r.Verdict = u.errorResult(h.attempt, err).Verdict
 			return
@@ -247,7 +247,7 @@
 
 // canStream tells whether a held answer can still be passed on.
 func (u *upstream) canStream(h *heldAnswer) bool {
-	return h != nil && u.clock.now() < h.attempt.deadline && (h.conn.in.buffered() > 0 || world.Peek(h.conn.Conn) != world.PeekEnd)
+	return h != nil && u.clock.now() < h.attempt.deadline && (h.conn.input.buffered() > 0 || world.Peek(h.conn.Conn) != world.PeekEnd)
 }
 
 // dropHeldAnswer lets go of a held answer; nil: there is none.
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	large                  = 300_001
+	largeBodyBytes         = 300_001
 	configuredMaxBodyBytes = 4 << 20 // by the configuration
 	longDeadlineField      = "Deadline-Ms: 1900\r\n"
 )
@@ -173,7 +173,7 @@
 }
 
 // Bodies of any size go both ways unchanged, and the connections go on behind them.
-func TestBodiesPass(t *testing.T) {
+func TestBodiesPassUnchanged(t *testing.T) {
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
 			h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
@@ -239,7 +239,7 @@
 
 // Of what one side does not take the other can send no more than two sockets' and the edge node's windows, and a side that
 // takes nothing holds nobody for ever.
-func TestBodiesWait(t *testing.T) {
+func TestBodiesBackpressure(t *testing.T) {
 	const sockets, held = 2 * 64 << 10, 4 * bodyWindowBytes
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		t.Run("server", func(t *testing.T) {
@@ -248,14 +248,14 @@
 				h := r.startScriptedServers(func(net.Conn, *http.Request) bool { <-stuck; return true }, nil)
 				c := &countedConn{Conn: r.dial()}
 				defer c.Close()
-				go func() { _, _ = c.Write(uploadRequest("/act/", content(large), chunked)) }()
+				go func() { _, _ = c.Write(uploadRequest("/act/", content(largeBodyBytes), chunked)) }()
 				time.Sleep(time.Second)
 				assert.Assert(t, c.written() > sockets && c.written() < sockets+held, "%d", c.written())
 				began := time.Now()
 				close(stuck)
 				assert.Equal(t, r.readAnswer(c).body, "yes")
 				assert.Assert(t, time.Since(began) < 900*time.Millisecond)
-				assert.Equal(t, len(h.received()[0].body), large)
+				assert.Equal(t, len(h.received()[0].body), largeBodyBytes)
 			})
 		})
 		t.Run("client", func(t *testing.T) {
@@ -264,7 +264,7 @@
 				var let error // how the server's sending ended
 				h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
 					out = &countedConn{Conn: c}
-					_, err := out.Write(serverAnswer(q, "200 OK", content(large), chunked))
+					_, err := out.Write(serverAnswer(q, "200 OK", content(largeBodyBytes), chunked))
 					let = err
 					return err == nil
 				})
@@ -279,7 +279,7 @@
 				open, _ := r.ManagedNode.node.server.connectionActivity()
 				assert.Equal(t, open, 0)
 				n, err := readAnswerBody(c)
-				assert.Assert(t, err != nil && n < large, "%d bytes: %v", n, err)
+				assert.Assert(t, err != nil && n < largeBodyBytes, "%d bytes: %v", n, err)
 			})
 		})
 	})
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -20,21 +20,21 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-var swapFor = flag.Duration("swap.for", 6*time.Second, "how long books are swapped")
+var swapDuration = flag.Duration("swap.for", 6*time.Second, "how long books are swapped")
 
 // installation is several edge nodes in this process, with loan servers, and a
 // ledger of what all sides saw.
 type installation struct {
-	ledger    *audit.Ledger
-	site      *standin.Site
-	loans     []*standin.LoanServer
-	nodes     []*runningNode
-	settings  standin.Settings
-	addrs     []standin.NodeAddr
-	libraries []keyring.Library
-	keys      []string
-	ring      *keyring.Ring
-	script    func(*standin.Request) standin.Fault // nil: no faults; set before requests come
+	ledger      *audit.Ledger
+	site        *standin.Site
+	loanServers []*standin.LoanServer
+	nodes       []*runningNode
+	settings    standin.Settings
+	addrs       []standin.NodeAddr
+	libraries   []keyring.Library
+	keys        []string
+	ring        *keyring.Ring
+	script      func(*standin.Request) standin.Fault // nil: no faults; set before requests come
 }
 
 // startInstallation starts so many edge nodes; settings may be shaped first.
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(l.Kill)
-		in.loans = append(in.loans, l)
+		in.loanServers = append(in.loanServers, l)
 		list = append(list, l.Target())
 	}
 	roster := in.site.NewRoster(list...)
@@ -194,7 +194,7 @@
 		in.activateBook(i, first)
 	}
 	front := in.newFront(t, 60)
-	ctx, stop := context.WithTimeout(context.Background(), *swapFor+500*time.Millisecond)
+	ctx, stop := context.WithTimeout(context.Background(), *swapDuration+500*time.Millisecond)
 	defer stop()
 	var swapping sync.WaitGroup
 	swapping.Go(func() {
@@ -203,15 +203,15 @@
 			tab := in.testBook(t, n)
 			var each sync.WaitGroup
 			for _, i := range rnd.Perm(len(in.nodes)) {
-				wait := time.Duration(rnd.Float64() * float64(*swapFor) / swaps)
+				wait := time.Duration(rnd.Float64() * float64(*swapDuration) / swaps)
 				each.Go(func() {
 					time.Sleep(wait)
 					in.activateBook(i, tab)
 				})
 			}
 			if n%20 == 0 { // a break while attempts are out
-				in.loans[n/20%4].Kill()
-				if err := in.loans[n/20%4].Restart(); err != nil {
+				in.loanServers[n/20%4].Kill()
+				if err := in.loanServers[n/20%4].Restart(); err != nil {
 					t.Error(err)
 				}
 			}
@@ -239,12 +239,12 @@
 	t.Logf("%d books, statuses %v", len(books), tally.Statuses)
 }
 
-var swapPairs = flag.Int("swap.pairs", 0, "measure so many pairs of runs, without and with swaps")
+var measuredSwapPairs = flag.Int("swap.pairs", 0, "measure so many pairs of runs, without and with swaps")
 
 // TestMeasureSwaps measures the answer delay of requests while books are
 // swapped ten times a second against none. It is a measurement behind a flag.
 func TestMeasureSwaps(t *testing.T) {
-	if *swapPairs == 0 {
+	if *measuredSwapPairs == 0 {
 		t.Skip("needs -swap.pairs")
 	}
 	in := startInstallation(t, 3, nil)
@@ -258,7 +258,7 @@
 	}
 	bring()
 	var ratios []float64
-	for range *swapPairs {
+	for range *measuredSwapPairs {
 		var median, tail [2]time.Duration
 		for with := range 2 {
 			front, err := in.site.NewFront(standin.FrontConfig{Nodes: in.addrs, Settings: in.settings, Seed: uint64(number),
--- a/internal/dataplane/node/tuning.go
+++ b/internal/dataplane/node/tuning.go
@@ -64,7 +64,7 @@
 func (n *Node) Tune(t Tuning) {
 	n.tuningMu.Lock()
 	defer n.tuningMu.Unlock()
-	old := n.server.tune.Swap(&t)
+	old := n.server.tuning.Swap(&t)
 	n.upstream.applyTuning(t)
 	if old.Discovery != t.Discovery {
 		n.discovery.moveTo(n.discoveryAddress(t))
@@ -78,7 +78,7 @@
 }
 
 // Tuning returns the figures in force.
-func (n *Node) Tuning() Tuning { return *n.server.tune.Load() }
+func (n *Node) Tuning() Tuning { return *n.server.tuning.Load() }
 
 func (n *Node) discoveryAddress(t Tuning) string {
 	if t.Discovery != "" {
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -55,10 +55,10 @@
 // upConn is a connection to an app server.
 type upConn struct {
 	net.Conn
-	in        messageReader
+	input     messageReader
 	head      head
 	idleSince time.Duration
-	up        *upstream
+	upstream  *upstream
 
 	fastestConnect time.Duration // the least time in which a connection to its server came up
 	probedBytes    int           // bytes of the request that were written to try it
@@ -66,8 +66,8 @@
 
 // Read gives up an answer that has begun and stops.
 func (c *upConn) Read(b []byte) (int, error) {
-	if len(c.in.buf) > 0 && !c.up.isManaged {
-		if err := c.SetReadDeadline(c.up.clock.Now().Add(time.Duration(c.up.answerStall.Load()))); err != nil {
+	if len(c.input.buf) > 0 && !c.upstream.isManaged {
+		if err := c.SetReadDeadline(c.upstream.clock.Now().Add(time.Duration(c.upstream.answerStall.Load()))); err != nil {
 			return 0, err
 		}
 	}
@@ -143,11 +143,11 @@
 // result is how an attempt ended.
 type result struct {
 	verdict.Verdict
-	loadReport      []float64
-	contentType     string // of a served answer
-	body            string
-	answer          []byte // on a system's wire: the app server's own, as it is passed on
-	hasStrayAnswers bool   // and there: answers to others came in its place
+	loadReport        []float64
+	contentType       string // of a served answer
+	body              string
+	answer            []byte // on a system's wire: the app server's own, as it is passed on
+	sawForeignAnswers bool   // and there: answers to others came in its place
 
 	// On a system's wire, of bodies beyond their window.
 	clientFault  error         // of the client's, in the middle of its body: nothing has run
@@ -187,10 +187,10 @@
 			u.discard(nil)
 			return endedResult(verdict.Unsent, err)
 		}
-		c = &upConn{Conn: conn, up: u}
-		c.in.src = c
+		c = &upConn{Conn: conn, upstream: u}
+		c.input.src = c
 		if u.isManaged {
-			c.in.maxBody, c.in.window = math.MaxInt, bodyWindowBytes
+			c.input.maxBody, c.input.window = math.MaxInt, bodyWindowBytes
 			c.fastestConnect = u.recordConnectTime(a.server, u.clock.now()-began)
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 	if c.idleSince > 0 {
 		u.mu.Lock()
-		u.idleAges.recordUse(now-c.idleSince, u.clock.now(), u.clock.now()-now-c.fastestConnect, r.Code(), len(c.in.buf) > 0)
+		u.idleAges.recordUse(now-c.idleSince, u.clock.now(), u.clock.now()-now-c.fastestConnect, r.Code(), len(c.input.buf) > 0)
 		u.mu.Unlock()
 	}
 	if !a.setConn(nil) { // cancelled: its connection is closed already
@@ -282,8 +282,8 @@
 		r.Verdict = verdict.Of(verdict.Unfit, nil)
 	}
 	// What comes behind an answer belongs to none.
-	reuse := framed && c.in.buffered() == 0 && !c.head.hasToken("Connection", "close")
-	c.in.startMessage()
+	reuse := framed && c.input.buffered() == 0 && !c.head.hasToken("Connection", "close")
+	c.input.startMessage()
 	return r, reuse
 }
 
@@ -293,7 +293,7 @@
 // some of the request is still to be sent.
 func (c *upConn) readAnswer(bare, unsent bool) (status int, body []byte, framed bool, err error) {
 	for range maxInterimAnswers + 1 {
-		if err = c.in.readHead(&c.head, answerPrefix); err != nil {
+		if err = c.input.readHead(&c.head, answerPrefix); err != nil {
 			return 0, nil, false, err
 		}
 		code := c.head.firstLine[len(answerPrefix):]
@@ -306,14 +306,14 @@
 		case status < 200 && unsent:
 			return status, nil, true, nil
 		case status < 200:
-			c.in.startMessage() // it only announces the answer, which may take its time
+			c.input.startMessage() // it only announces the answer, which may take its time
 			continue
 		case status == 204 || status == 304 || bare:
 			return status, nil, true, nil
 		case c.head.length == -2:
 			return status, nil, false, nil
 		}
-		body, err = c.in.readBody(&c.head)
+		body, err = c.input.readBody(&c.head)
 		return status, body, true, err
 	}
 	return 0, nil, false, errSyntax
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -100,7 +100,7 @@
 		"unfit request":     {standin.Answer("400 No", "", ""), policy.NoRetry, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newApp(t, c.do)
+			a := newAppServer(t, c.do)
 			u := newTestUpstream(a.Addr())
 			_, do := u.newAttempt(time.Minute)
 			r, body := do()
@@ -129,7 +129,7 @@
 // A request that was written and not answered may run yet; its connection must
 // be closed before the module hears of it, or two attempts would be out.
 func TestTimeoutClosesFirst(t *testing.T) {
-	a := newApp(t, standin.Deaf)
+	a := newAppServer(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
 	_, do := u.newAttempt(50 * time.Millisecond)
 	r, _ := do()
@@ -141,7 +141,7 @@
 
 // The same for an attempt that the module calls back.
 func TestCancelClosesFirst(t *testing.T) {
-	a := newApp(t, standin.Deaf)
+	a := newAppServer(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(time.Hour)
 	go func() {
@@ -159,7 +159,7 @@
 
 // What is called back before it is written never ran.
 func TestCancelBeforeWriting(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", ""))
+	a := newAppServer(t, standin.Answer("200 OK", "", ""))
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(time.Hour)
 	at.cancel()
@@ -170,9 +170,9 @@
 
 // An app server closes idle connections; a request written to one would end as
 // a reset, which costs a keyed request its further attempts.
-func TestNoticesCloseWhileIdle(t *testing.T) {
+func TestNoticesServerCloseWhileIdle(t *testing.T) {
 	var answers atomic.Int32
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		standin.Answer("200 OK", "", "hits")(c, r)
 		return answers.Add(1) > 1
 	})
@@ -192,7 +192,7 @@
 
 // Connections are used again, newest first, and closed before the server does.
 func TestPoolReusesAndExpires(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	for range 3 {
 		_, do := u.newAttempt(testTimeout)
@@ -212,7 +212,7 @@
 // must never be taken for the answer to the next request.
 func TestLateCopy(t *testing.T) {
 	copied := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		standin.Answer("200 OK", "", "hits")(c, r)
 		<-copied
 		return standin.Answer("200 OK", "", "copy")(c, r)
@@ -267,9 +267,9 @@
 }
 
 // A connection past the age learned is not used again, though it seems alive.
-func TestOldConnectionsAreLeftWhenTheyBreak(t *testing.T) {
+func TestOldConnectionsAreNotReusedOnceTheyBreak(t *testing.T) {
 	served := atomic.Int32{}
-	a := newApp(t, func(c net.Conn, r *standin.Request) bool {
+	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
 		if served.Add(1)%2 == 0 { // the second request on a connection breaks it
 			return false
 		}
@@ -302,8 +302,8 @@
 
 // An idle connection outlives the deadline of the attempt before: taken for
 // dead, most connections would be dialled anew, at the app server's cost.
-func TestReusesAfterTheDeadlineBefore(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+func TestReusesAfterPreviousDeadline(t *testing.T) {
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(time.Second)
 	if r, _ := do(); r.Code() != policy.OK {
@@ -320,7 +320,7 @@
 // New work to a server that drains is over when the grace is: a send decided
 // before, but delayed by its dial, must not be written after.
 func TestDrainedServerGetsNothing(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	drains := servingTarget("s-00000001", a.Addr())
 	drains.State = "DRAINING"
@@ -338,7 +338,7 @@
 // A server that is gone keeps no connections; its successor at another address
 // or with a new start gets none of the old ones.
 func TestConnectionsGoWithTheServer(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	for name, l := range map[string]*serverList{
 		"gone":      {Targets: nil},
 		"restarted": {Targets: []target{{UID: "s-00000001", Endpoint: a.Addr(), State: "SERVING", BootMS: 5}}},
@@ -360,7 +360,7 @@
 // A keyed repeat that is written after the servers have forgotten the first
 // would run twice; a dial can take that long.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	a := newApp(t, standin.Answer("200 OK", "", "hits"))
+	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
 	at, do := u.newAttempt(testTimeout)
 	at.writeBy = at.requestedAt
@@ -371,7 +371,7 @@
 
 // The descriptors are bounded: idle connections to others make room first.
 func TestConnectionBound(t *testing.T) {
-	a, b := newApp(t, standin.Answer("200 OK", "", "hits")), newApp(t, standin.Deaf)
+	a, b := newAppServer(t, standin.Answer("200 OK", "", "hits")), newAppServer(t, standin.Deaf)
 	u := newTestUpstream(a.Addr())
 	u.maxConns = 1
 	u.update(&serverList{Targets: []target{servingTarget("s-00000002", b.Addr())}}, false)
