--- a/internal/control/list_lease.go
+++ b/internal/control/list_lease.go
@@ -64,8 +64,8 @@
 	if b.liveSettings.Load().Provider.Cloud.Address == "" || b.leaving {
 		return view.Now + time.Second
 	}
-	work := &b.ownListReads.taskTimes
-	work.Period, work.LastKnown, work.LastByOther = max(listing.LeastPeriod, b.latestListRead.period), b.latestListRead.learnedAt, b.othersListReadAt
+	times := &b.ownListReads.taskTimes
+	times.Period, times.LastKnown, times.LastByOther = max(listing.LeastPeriod, b.latestListRead.period), b.latestListRead.learnedAt, b.othersListReadAt
 	return max(b.ownListReads.retryAt, b.listLease.NextRun(view, b.ownListReads.taskTimes))
 }
 
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -225,8 +225,8 @@
 		left := max(0, lock.For-(now-b.observedLock.firstSeen))
 		status.Lock = api.LockView{Who: lock.Who, Since: time.Unix(0, lock.Since).UTC(), LeftMS: left.Milliseconds()}
 	}
-	duty := b.listLease.Known()
-	status.Duties = []api.Duty{{Name: listLeaseName, Holder: duty.Holder.Name, Next: duty.Next.Name, Epoch: duty.Term.Epoch, Step: duty.Term.Step, Rank: b.listLease.Rank(b.leaseView())}}
+	known := b.listLease.Known()
+	status.Duties = []api.Duty{{Name: listLeaseName, Holder: known.Holder.Name, Next: known.Next.Name, Epoch: known.Term.Epoch, Step: known.Term.Step, Rank: b.listLease.Rank(b.leaseView())}}
 	status.List = b.serverListView(now)
 	return status
 }
--- a/internal/dataplane/node/answers_test.go
+++ b/internal/dataplane/node/answers_test.go
@@ -69,9 +69,7 @@
 }
 
 func drawScript(t *rapid.T) script {
-	step := rapid.Custom(func(t *rapid.T) clientStep {
-		return clientStep(rapid.IntRange(0, int(stepCount)-1).Draw(t, "step"))
-	})
+	step := rapid.Custom(func(t *rapid.T) clientStep { return clientStep(rapid.IntRange(0, int(stepCount)-1).Draw(t, "step")) })
 	act := rapid.Custom(func(t *rapid.T) serverAct { return serverAct(rapid.IntRange(0, int(serverActCount)-1).Draw(t, "act")) })
 	when := rapid.SampledFrom([]time.Duration{0, 0, 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond})
 	return script{
--- a/internal/dataplane/node/bodyreader.go
+++ b/internal/dataplane/node/bodyreader.go
@@ -12,12 +12,12 @@
 
 // bodyRemainder is the unread part of a body that is longer than the window.
 type bodyRemainder struct {
-	bytesLeft     int  // bytes of the body, or of its chunk
-	chunkBytes    int  // bytes of all chunks that were told
-	moreChunks    bool // more chunks may follow
-	chunkEndRead  bool // the line's end behind the last one has been passed over
-	lastChunkRead bool // the last one has come, and its trailer not yet
-	hasDiscarded  bool // some of it is held no more
+	bytesLeft     int  // unread bytes of the body or of its current chunk
+	chunkBytes    int  // total size of the chunks announced so far
+	moreChunks    bool // further chunks may follow
+	chunkEndRead  bool // the line break after the last chunk has been read
+	lastChunkRead bool // the last chunk's size line has been read, but not yet the trailer
+	hasDiscarded  bool // part of the body is no longer buffered
 }
 
 // hasUnreadBody reports whether part of the body has not arrived yet.
--- a/internal/dataplane/node/dropped_conn_test.go
+++ b/internal/dataplane/node/dropped_conn_test.go
@@ -11,22 +11,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// useDroppingServers uses servers that drop a connection silently after it was idle for the time after. They answer the next
-// byte on it with a reset, late by the given time.
-func (r *managedFixture) useDroppingServers(after, late time.Duration) *scriptedServers {
+// useDroppingServers replaces the servers by ones that silently drop a connection after it was idle for idleLimit. They answer
+// the next byte on it with a reset, resetDelay later.
+func (r *managedFixture) useDroppingServers(idleLimit, resetDelay time.Duration) *scriptedServers {
 	h := r.startScriptedServers(nil, nil)
 	for i := range r.servers {
 		ln, err := r.net.Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		assert.NilError(r.t, err)
 		r.t.Cleanup(func() { ln.Close() })
 		r.servers[i].Address = ln.Addr().String()
-		go h.accept(&droppingListener{ln, after, late}, nil, nil)
+		go h.accept(&droppingListener{ln, idleLimit, resetDelay}, nil, nil)
 	}
 	r.SetServers(2, r.servers)
 	return h
 }
 
-// droppingListener accepts connections that are dropped after being idle for the time after.
+// droppingListener accepts connections that are dropped silently after being idle for idleLimit.
 type droppingListener struct {
 	net.Listener
 	idleLimit, resetDelay time.Duration
@@ -37,7 +37,7 @@
 	return &droppingConn{Conn: c, droppingListener: d, lastRead: time.Now()}, err
 }
 
-// droppingConn resets its connection at the first byte after a long idle time.
+// droppingConn is reset at the first byte that arrives after it was idle for too long.
 type droppingConn struct {
 	net.Conn
 	*droppingListener
--- a/internal/dataplane/node/harness_test.go
+++ b/internal/dataplane/node/harness_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// newAppServer starts an app server that does with each request what the test says.
+// newAppServer starts an app server that handles each request with the given function.
 func newAppServer(t *testing.T, do func(c net.Conn, r *standin.Request) bool) *standin.Raw {
 	t.Helper()
 	a, err := standin.ServeRaw(world.Real{}, "127.0.0.1:0", do)
@@ -64,7 +64,7 @@
 	return &discoveryFixture{a, r}
 }
 
-// setTargets changes lines of the roster, and whether the agent answers.
+// setTargets changes servers in the list, and whether the agent answers.
 func (g *discoveryFixture) setTargets(down bool, list ...target) {
 	status := 0
 	if down {
@@ -137,7 +137,7 @@
 	return r
 }
 
-// startNodeFor starts an edge node that knows the app servers at the addresses.
+// startNodeFor starts a proxy that knows the app servers at the addresses.
 func startNodeFor(t *testing.T, addrs ...string) *runningNode {
 	t.Helper()
 	var list []target
--- a/internal/dataplane/node/managedrequest.go
+++ b/internal/dataplane/node/managedrequest.go
@@ -354,10 +354,10 @@
 
 // writeServerAnswer writes an app server's answer, built by buildClientAnswer.
 func (s *server) writeServerAnswer(cc *clientConn, answer []byte) bool {
-	answer, over := s.markLastAnswer(cc, answer)
+	answer, isLast := s.markLastAnswer(cc, answer)
 	written := cc.write(answer, s.clock.Now().Add(s.tuning.Load().ClientWrite)) == nil
-	cc.finalAnswerSent = written && over
-	return written && !over
+	cc.finalAnswerSent = written && isLast
+	return written && !isLast
 }
 
 // finishStreamedAnswer reports whether the connection can go on after a streamed answer, which may be incomplete.
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxRequestIDBytes      = 64  // bytes of a request's id
-	maxIdempotencyKeyBytes = 128 // of an Idempotency-Key
+	maxRequestIDBytes      = 64  // length limit of a request's id
+	maxIdempotencyKeyBytes = 128 // length limit of an Idempotency-Key
 	customerHexDigits      = 16
 	customerBits           = 33
 )
--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -11,7 +11,7 @@
 	"pepperfall.example/pepperfall/internal/testbed/standin"
 )
 
-// New bounds hold from the moment that they are told, requests under way don't suffer, and addresses stay.
+// Retune applies new limits at once, without affecting requests in progress and without changing addresses.
 func TestRetuneManagedNode(t *testing.T) {
 	runManaged(t, true, func(r *managedFixture) {
 		r.behaviors = []serverBehavior{func(c net.Conn, q *standin.Request) bool {
--- a/internal/dataplane/node/send_test.go
+++ b/internal/dataplane/node/send_test.go
@@ -26,8 +26,8 @@
 	return l, c, now
 }
 
-// A repeat of what may have run must be written while its rack still knows the
-// key: the window counts from when the first was asked for.
+// A repeat of an attempt that may have run must be written while the servers still recognize the key. Their window
+// counts from when the first attempt was asked for.
 func TestKeyedRepeatMustBeWrittenWithinWindow(t *testing.T) {
 	l, c, now := loopWithRequest(t)
 	l.sendAttempt(policy.Send{ID: 1, Server: 1})
--- a/internal/dataplane/node/server.go
+++ b/internal/dataplane/node/server.go
@@ -30,7 +30,7 @@
 	events   chan<- any
 	ready    atomic.Bool
 	draining atomic.Bool
-	resting  atomic.Bool // an estate's, told to rest
+	resting  atomic.Bool // managed protocol: control has ordered this proxy to rest
 	tuning   atomic.Pointer[Tuning]
 
 	mu            sync.Mutex
@@ -96,7 +96,8 @@
 	for first := true; ; first = false {
 		cc.input.startMessage()
 		tune := s.tuning.Load()
-		wait, whole := tune.ClientIdle, tune.WholeRequest
+		idleTimeout, requestTimeout := tune.ClientIdle, tune.WholeRequest
+		// Under the managed protocol a connection may be idle before its first request.
 		if first && s.managed == nil {
 			idleTimeout, requestTimeout = tune.FirstRequest, 0 // counted from the connect
 		} else if first {
--- a/internal/dataplane/node/streams_test.go
+++ b/internal/dataplane/node/streams_test.go
@@ -20,7 +20,7 @@
 
 const (
 	largeBodyBytes         = 300_001
-	configuredMaxBodyBytes = 4 << 20 // by the configuration
+	configuredMaxBodyBytes = 4 << 20
 	longDeadlineField      = "Deadline-Ms: 1900\r\n"
 )
 
@@ -173,7 +173,7 @@
 	}
 }
 
-// Bodies of any size go both ways unchanged, and the connections go on behind them.
+// Bodies of any size pass unchanged in both directions, and the connections stay usable afterwards.
 func TestBodiesPassUnchanged(t *testing.T) {
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		runManaged(t, false, func(r *managedFixture) {
@@ -238,10 +238,10 @@
 	return c.n
 }
 
-// Of what one side does not take the other can send no more than two sockets' and the edge node's windows, and a side that
-// takes nothing holds nobody for ever.
+// If one side stops reading, the other can send only as much as two sockets and the proxy's windows hold. A side that
+// never reads must not block a request beyond its deadline.
 func TestBodiesBackpressure(t *testing.T) {
-	const sockets, held = 2 * 64 << 10, 4 * bodyWindowBytes
+	const socketBytes, proxyBytes = 2 * 64 << 10, 4 * bodyWindowBytes
 	runForEachFraming(t, func(t *testing.T, chunked bool) {
 		t.Run("server", func(t *testing.T) {
 			runManaged(t, false, func(r *managedFixture) {
@@ -264,9 +264,9 @@
 				var serverConn *countedConn
 				var writeErr error // how the server's write ended
 				h := r.startScriptedServers(nil, func(c net.Conn, q *http.Request) bool {
-					out = &countedConn{Conn: c}
-					_, err := out.Write(serverAnswer(q, "200 OK", content(largeBodyBytes), chunked))
-					let = err
+					serverConn = &countedConn{Conn: c}
+					_, err := serverConn.Write(serverAnswer(q, "200 OK", content(largeBodyBytes), chunked))
+					writeErr = err
 					return err == nil
 				})
 				c := r.sendInBackground([]byte(requestText("/get/", longDeadlineField)))
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -33,7 +33,7 @@
 	libraries   []keyring.Library
 	keys        []string
 	ring        *keyring.Ring
-	script      func(*standin.Request) standin.Fault // nil: no faults; set before requests come
+	script      func(*standin.Request) standin.Fault // nil: no faults; set before the first request
 }
 
 // startInstallation starts the given number of proxies; shape may change the settings first.
@@ -206,7 +206,7 @@
 					in.activateBook(i, tab)
 				})
 			}
-			if n%20 == 0 { // a break while attempts are out
+			if n%20 == 0 { // break connections while attempts are in flight
 				in.loanServers[n/20%4].Kill()
 				if err := in.loanServers[n/20%4].Restart(); err != nil {
 					t.Error(err)
--- a/internal/dataplane/node/tuning.go
+++ b/internal/dataplane/node/tuning.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Tuning returns the figures in force.
+// Tuning returns the current settings.
 func (n *Node) Tuning() Tuning { return *n.server.tuning.Load() }
 
 // discoveryAddress returns the discovery address that applies with the given settings.
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -146,8 +146,8 @@
 	loadReport        []float64
 	contentType       string // of a served answer
 	body              string
-	answer            []byte // on a system's wire: the app server's own, as it is passed on
-	sawForeignAnswers bool   // and there: answers to others came in its place
+	answer            []byte // managed protocol: the server's answer as the client gets it
+	sawForeignAnswers bool   // managed protocol: answers to other requests arrived first
 
 	// Managed protocol, for bodies that are longer than the window.
 	clientFault  error         // error in the client's body while it was sent on; the request has not run
@@ -281,7 +281,7 @@
 	case status/100 == 4:
 		r.Verdict = verdict.Of(verdict.Unfit, nil)
 	}
-	// What comes behind an answer belongs to none.
+	// Bytes that follow an answer belong to no request, so the connection is not reused.
 	reuse := framed && c.input.buffered() == 0 && !c.head.hasToken("Connection", "close")
 	c.input.startMessage()
 	return r, reuse
@@ -305,7 +305,7 @@
 		case status < 200 && unsent:
 			return status, nil, true, nil
 		case status < 200:
-			c.input.startMessage() // it only announces the answer, which may take its time
+			c.input.startMessage() // an interim answer; the final one may take its time
 			continue
 		case status == 204 || status == 304 || headRequest:
 			return status, nil, true, nil
--- a/internal/dataplane/node/upstream_test.go
+++ b/internal/dataplane/node/upstream_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// An app server closes idle connections; a request written to one would end as
-// a reset, which costs a keyed request its further attempts.
+// An app server closes idle connections. A request written to one would end with a reset, after which a keyed request
+// has fewer attempts left.
 func TestNoticesServerCloseWhileIdle(t *testing.T) {
 	var answers atomic.Int32
 	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
@@ -265,7 +265,7 @@
 	}
 }
 
-// A connection past the age learned is not used again, though it seems alive.
+// A connection beyond the learned age is not reused, even if it seems open.
 func TestOldConnectionsAreNotReusedOnceTheyBreak(t *testing.T) {
 	served := atomic.Int32{}
 	a := newAppServer(t, func(c net.Conn, r *standin.Request) bool {
@@ -299,8 +299,8 @@
 	}
 }
 
-// An idle connection outlives the deadline of the attempt before: taken for
-// dead, most connections would be dialled anew, at the app server's cost.
+// An idle connection must outlive the deadline of its previous attempt. If it were taken as dead, most connections
+// would be dialed anew, which costs the app server work.
 func TestReusesAfterPreviousDeadline(t *testing.T) {
 	a := newAppServer(t, standin.Answer("200 OK", "", "hits"))
 	u := newTestUpstream(a.Addr())
