--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -142,7 +142,7 @@
 			proxy.requestCounts, proxy.requestCountsAt = ping.Asked, now
 		}
 		if ping.Heads != nil {
-			proxy.hostCounts, proxy.hostCountsAt = ping.Heads[:min(len(ping.Heads), homing.MostHosts)], now
+			proxy.hostCounts, proxy.hostCountsAt = ping.Heads[:min(len(ping.Heads), homing.MaxReportedHosts)], now
 		}
 		agent.acceptsPacked, agent.delivery.Held, agent.delivery.IsUpstream = ping.Packs, delivery.Version{Gen: ping.Held, Checksum: ping.Sum}, ping.Upstream
 		b.deliverConfiguration(agent)
--- a/internal/control/census.go
+++ b/internal/control/census.go
@@ -40,7 +40,7 @@
 	requestCounts   *peerlink.Asked
 	requestCountsAt time.Duration
 
-	hostCounts   []homing.Heads
+	hostCounts   []homing.HostTraffic
 	hostCountsAt time.Duration
 }
 
@@ -154,10 +154,10 @@
 }
 
 // isAwareOf reports whether a proxy divides quotas by a number that includes g. Earlier versions don't report that
-// number: they are taken to be aware once their agent has sent something handover.HeardBy after the join.
+// number: they are taken to be aware once their agent has sent something handover.JoinKnownAfter after the join.
 func (o *proxy) isAwareOf(g *proxy, shares int) bool {
 	if o.quotaParts == 0 {
-		return o.lastHeard >= g.joinedAt+handover.HeardBy
+		return o.lastHeard >= g.joinedAt+handover.JoinKnownAfter
 	}
 	return o.quotaParts >= shares
 }
@@ -176,7 +176,7 @@
 		switch g := r.proxies[n]; {
 		case g.hello.Front == "" || !g.isAlive(now):
 		case g.leftAt > 0:
-			if !g.quotaReleased && handover.Open(g.grace, now-g.leftAt) {
+			if !g.quotaReleased && handover.SurelyAccepts(g.grace, now-g.leftAt) {
 				leaving = append(leaving, g)
 			}
 		case g.ready && !r.resting[n]:
@@ -195,20 +195,20 @@
 			young++
 		}
 	}
-	spared := handover.Spared(young, len(all)-young)
+	spared := handover.CanOmitJoiners(young, len(all)-young)
 	var fronts []string
 	for _, g := range all {
-		if !spared || !g.isNewlyReady(now) || handover.Risen(g.hello.Name, place, now-g.firstReadyAt) {
+		if !spared || !g.isNewlyReady(now) || handover.IsAdvertised(g.hello.Name, place, now-g.firstReadyAt) {
 			fronts = append(fronts, g.hello.Front)
 		}
 	}
 	return fronts
 }
 
-// isNewlyReady reports whether a proxy joined and became ready less than handover.RiseFor ago. One that returns shortly
+// isNewlyReady reports whether a proxy joined and became ready less than handover.RampEnd ago. One that returns shortly
 // after a kill was counted all the time, so it has not joined again.
 func (g *proxy) isNewlyReady(now time.Duration) bool {
-	return g.joinedAt > 0 && now-g.firstReadyAt < handover.RiseFor
+	return g.joinedAt > 0 && now-g.firstReadyAt < handover.RampEnd
 }
 
 // sortedByName returns the Hellos of a map in the order of their names.
@@ -217,7 +217,7 @@
 }
 
 // sumHostCounts sums the proxies' latest counts of the requests for a host.
-func (r *proxyRegistry) sumHostCounts(host uint32, now time.Duration) (sum homing.Heads) {
+func (r *proxyRegistry) sumHostCounts(host uint32, now time.Duration) (sum homing.HostTraffic) {
 	for _, g := range r.proxies {
 		if now-g.hostCountsAt >= maxHostCountsAge {
 			continue
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -252,8 +252,8 @@
 	if len(homeRegions) == 0 || slices.Contains(homeRegions, region) {
 		return []string{region}
 	}
-	host, now := homing.Host(routeconfig.Bare(hostName)), b.now()
-	if !b.hostRoutes.Home(host, bound, free, func() homing.Heads { return b.proxies.sumHostCounts(host, now) }, now) {
+	host, now := homing.HashHost(routeconfig.Bare(hostName)), b.now()
+	if !b.hostRoutes.SendsHome(host, bound, free, func() homing.HostTraffic { return b.proxies.sumHostCounts(host, now) }, now) {
 		return []string{region}
 	}
 	return homeRegions // otherwise every body of a bound request would be sent from one region to another
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -52,7 +52,7 @@
 		d      time.Duration
 		but    string
 		silent int
-	}{{0, "", 2}, {handover.HeardBy, "c", 1}, {10 * time.Second, "c", 1}, {11 * time.Second, "", 0}} {
+	}{{0, "", 2}, {handover.JoinKnownAfter, "c", 1}, {10 * time.Second, "c", 1}, {11 * time.Second, "", 0}} {
 		if step.d > 0 {
 			heartbeatAll(r, now+step.d, step.but)
 		}
@@ -87,14 +87,14 @@
 	joinProxy(r, "b", clock) // it was killed
 	assert.Equal(t, placesWith("b", clock), 100)
 	joinProxy(r, "e", clock)
-	const mid = (handover.RiseAt + handover.RiseFor) / 2
+	const mid = (handover.RampStart + handover.RampEnd) / 2
 	assert.Equal(t, placesWith("e", clock), 0)
 	heartbeatAll(r, clock+mid)
 	half := placesWith("e", clock+mid)
 	assert.Assert(t, half > 25 && half < 75, "%d", half)
-	heartbeatAll(r, clock+handover.RiseFor)
-	assert.Equal(t, placesWith("e", clock+handover.RiseFor), 100)
-	assert.Equal(t, placesWith("a", clock+handover.RiseFor), 100)
+	heartbeatAll(r, clock+handover.RampEnd)
+	assert.Equal(t, placesWith("e", clock+handover.RampEnd), 100)
+	assert.Equal(t, placesWith("a", clock+handover.RampEnd), 100)
 }
 
 // A joining proxy uses its quota share only once all other proxies have reported that they divide quotas by the new number,
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -47,7 +47,7 @@
 	lastQuestionID uint64                    // ID of the last question sent to another replica
 	agents         map[*agentConn]bool
 	proxies        *proxyRegistry
-	hostRoutes     homing.Roads     // per host, whether clients are sent to its home region
+	hostRoutes     homing.Decisions // per host, whether clients are sent to its home region
 	census         *peerlink.Census // the latest count
 	sentCensus     *peerlink.Census // the census last sent to the agents that use this replica as upstream
 	censusSentAt   time.Duration
--- a/internal/dataplane/agent/proxy.go
+++ b/internal/dataplane/agent/proxy.go
@@ -19,7 +19,7 @@
 	rests   bool // it would be, but for the order to rest
 	figures *peerlink.Figures
 	asked   *peerlink.Asked
-	heads   []homing.Heads
+	heads   []homing.HostTraffic
 	gen     uint64        // in force there; 0: none
 	parts   int           // by which it divides quotas; 0: not told
 	no      uint64        // of the last change sent
--- a/internal/dataplane/handover/give.go
+++ b/internal/dataplane/handover/give.go
@@ -8,58 +8,58 @@
 
 // Times of a handover.
 const (
-	HandoverFor = 400 * time.Millisecond // for the whole of it; shares not taken by then are lost
-	askFor      = 150 * time.Millisecond // a taker that has not answered by then is skipped
-	repeat      = 40 * time.Millisecond  // between two sends of an unanswered message
+	HandoverTimeout = 400 * time.Millisecond // for the whole of it; shares not taken by then are lost
+	queryTimeout    = 150 * time.Millisecond // a taker that has not answered by then is skipped
+	resendInterval  = 40 * time.Millisecond  // between two sends of an unanswered message
 )
 
-// Letter is a message to a proxy, by its number.
-type Letter struct {
+// OutgoingMessage is a message to a proxy, by its number.
+type OutgoingMessage struct {
 	To int
 	*Message
 }
 
-// Lot is a set of shares with the proxies that may take them, the preferred first.
-type Lot struct {
-	Shares []Share
-	Takers []int
+// Batch is a set of shares with the proxies that may take them, the preferred first.
+type Batch struct {
+	Shares    []Share
+	Receivers []int
 }
 
-// Giver is the leaving proxy's side of a handover: it offers the shares that its proxy no longer uses. A lot is offered to
+// Sender is the leaving proxy's side of a handover: it offers the shares that its proxy no longer uses. A lot is offered to
 // the first of its takers that is willing, and to the next one only after that taker has answered Never. If no answer
 // comes, the lot may have been taken, so it is offered to nobody else.
-type Giver struct {
-	life  Life
-	began time.Duration
-	no    uint32
-	asked map[int]*asked
-	lots  []*lot
+type Sender struct {
+	incarnation Incarnation
+	startedAt   time.Duration
+	lastNumber  uint32
+	receivers   map[int]*receiverState
+	batches     []*batchState
 }
 
-type asked struct {
-	life Life // of the taker, once it has said that it would; 0: it has not
-	wont bool
-	told time.Duration
-	ever bool // it was told
+type receiverState struct {
+	incarnation Incarnation // of the taker, once it has said that it would; 0: it has not
+	unwilling   bool
+	queriedAt   time.Duration
+	wasQueried  bool // it was told
 }
 
-type lot struct {
-	Lot
-	no   uint32 // as offered now; 0: it is not
-	to   int
-	told time.Duration
-	over bool // taken, or nobody is left
-	took bool
+type batchState struct {
+	Batch
+	number   uint32 // as offered now; 0: it is not
+	receiver int
+	sentAt   time.Duration
+	finished bool // taken, or nobody is left
+	accepted bool
 }
 
-// NewGiver begins a handover. The proxy must no longer use the shares in the lots.
-func NewGiver(life Life, lots []Lot, now time.Duration) *Giver {
-	g := &Giver{life: life, began: now, asked: map[int]*asked{}}
+// NewSender begins a handover. The proxy must no longer use the shares in the lots.
+func NewSender(life Incarnation, lots []Batch, now time.Duration) *Sender {
+	g := &Sender{incarnation: life, startedAt: now, receivers: map[int]*receiverState{}}
 	for _, l := range lots {
-		g.lots = append(g.lots, &lot{Lot: l})
-		for _, t := range l.Takers {
-			if g.asked[t] == nil {
-				g.asked[t] = &asked{}
+		g.batches = append(g.batches, &batchState{Batch: l})
+		for _, t := range l.Receivers {
+			if g.receivers[t] == nil {
+				g.receivers[t] = &receiverState{}
 			}
 		}
 	}
@@ -67,86 +67,86 @@
 }
 
 // Step returns the messages to be sent now. It is to be called every few milliseconds.
-func (g *Giver) Step(now time.Duration) (out []Letter) {
+func (g *Sender) Step(now time.Duration) (out []OutgoingMessage) {
 	if g.Done(now) {
 		return nil
 	}
-	for _, num := range slices.Sorted(maps.Keys(g.asked)) {
-		a := g.asked[num]
-		if a.life != 0 || a.wont || a.ever && now-a.told < repeat {
+	for _, num := range slices.Sorted(maps.Keys(g.receivers)) {
+		a := g.receivers[num]
+		if a.incarnation != 0 || a.unwilling || a.wasQueried && now-a.queriedAt < resendInterval {
 			continue
 		}
-		a.told, a.ever = now, true
-		out = append(out, Letter{num, &Message{Kind: Ask, From: g.life}})
+		a.queriedAt, a.wasQueried = now, true
+		out = append(out, OutgoingMessage{num, &Message{Kind: Query, From: g.incarnation}})
 	}
-	for _, l := range g.lots {
-		if l.over {
+	for _, l := range g.batches {
+		if l.finished {
 			continue
 		}
-		fresh := l.no == 0 && g.offer(l, now)
-		if l.over || l.no == 0 || !fresh && now-l.told < repeat {
+		fresh := l.number == 0 && g.assignReceiver(l, now)
+		if l.finished || l.number == 0 || !fresh && now-l.sentAt < resendInterval {
 			continue
 		}
-		l.told = now
-		out = append(out, Letter{l.to, &Message{Kind: Give, From: g.life, To: g.asked[l.to].life, No: l.no, Shares: l.Shares}})
+		l.sentAt = now
+		out = append(out, OutgoingMessage{l.receiver, &Message{Kind: Offer, From: g.incarnation, To: g.receivers[l.receiver].incarnation, Number: l.number, Shares: l.Shares}})
 	}
 	return out
 }
 
-// offer finds the taker of a lot that is offered to none, and tells whether there is one.
-func (g *Giver) offer(l *lot, now time.Duration) bool {
-	for _, t := range l.Takers {
-		a := g.asked[t]
+// assignReceiver finds the taker of a lot that is offered to none, and tells whether there is one.
+func (g *Sender) assignReceiver(l *batchState, now time.Duration) bool {
+	for _, t := range l.Receivers {
+		a := g.receivers[t]
 		switch {
-		case a.life != 0 && !a.wont:
-			g.no++
-			l.no, l.to = g.no, t
+		case a.incarnation != 0 && !a.unwilling:
+			g.lastNumber++
+			l.number, l.receiver = g.lastNumber, t
 			return true
-		case !a.wont && now-g.began < askFor:
+		case !a.unwilling && now-g.startedAt < queryTimeout:
 			return false // it may say so yet
 		}
 	}
-	l.over = true
+	l.finished = true
 	return false
 }
 
-// Hear processes a message of a taker.
-func (g *Giver) Hear(from int, m *Message) {
-	a := g.asked[from]
-	if a == nil || m.To != g.life {
+// HandleMessage processes a message of a taker.
+func (g *Sender) HandleMessage(from int, m *Message) {
+	a := g.receivers[from]
+	if a == nil || m.To != g.incarnation {
 		return
 	}
 	switch m.Kind {
-	case Will:
-		if a.life == 0 { // a later life is not offered what this one may have had
-			a.life = m.From
+	case Willing:
+		if a.incarnation == 0 { // a later life is not offered what this one may have had
+			a.incarnation = m.From
 		}
-	case Wont:
-		a.wont = true
-	case Took, Never:
-		for _, l := range g.lots {
-			if l.over || l.no == 0 || l.no != m.No || l.to != from || m.From != a.life {
+	case Unwilling:
+		a.unwilling = true
+	case Accepted, Rejected:
+		for _, l := range g.batches {
+			if l.finished || l.number == 0 || l.number != m.Number || l.receiver != from || m.From != a.incarnation {
 				continue
 			}
-			if m.Kind == Took {
-				l.over, l.took = true, true
+			if m.Kind == Accepted {
+				l.finished, l.accepted = true, true
 			} else {
-				l.no, a.wont = 0, true
+				l.number, a.unwilling = 0, true
 			}
 		}
 	}
 }
 
 // Done tells whether the handover is over: no lot is left, or its time has run out.
-func (g *Giver) Done(now time.Duration) bool {
-	return now-g.began >= HandoverFor || !slices.ContainsFunc(g.lots, func(l *lot) bool { return !l.over })
+func (g *Sender) Done(now time.Duration) bool {
+	return now-g.startedAt >= HandoverTimeout || !slices.ContainsFunc(g.batches, func(l *batchState) bool { return !l.finished })
 }
 
-// Taken returns how many units were acknowledged by takers, and how many there were in all.
-func (g *Giver) Taken() (units, all int) {
-	for _, l := range g.lots {
+// AcceptedUnits returns how many units were acknowledged by takers, and how many there were in all.
+func (g *Sender) AcceptedUnits() (units, all int) {
+	for _, l := range g.batches {
 		for _, s := range l.Shares {
-			if all += int(s.Units); l.took {
+			if all += int(s.Units); l.accepted {
 				units += int(s.Units)
 			}
 		}
--- a/internal/dataplane/handover/shares_test.go
+++ b/internal/dataplane/handover/shares_test.go
@@ -8,81 +8,81 @@
 	"gotest.tools/v3/assert"
 )
 
-// fields are three proxies and control, which says in how many parts quotas are divided. The first leaves, crashes
+// shareModel are three proxies and control, which says in how many parts quotas are divided. The first leaves, crashes
 // and comes back. Control's word comes to each proxy at any time or never, and whether it came is known at any time later.
-type fields struct {
-	fault  string
-	stage  byte // of the first: 's'erving, 'y'ielded, 'g'one, 'd'ead, 'b'ack and not told, 'j'oined
-	counts int  // shares by control
-	joined bool // the first has joined anew
-	word   bool // it has said that its parts are given up
-	knows  [2]int
-	heard  [2]bool // known to have heard of the join
-	part   int     // of the first in sixths; -1: it is not told
+type shareModel struct {
+	fault        string
+	stage        byte // of the first: 's'erving, 'y'ielded, 'g'one, 'd'ead, 'b'ack and not told, 'j'oined
+	shareCount   int  // shares by control
+	hasRejoined  bool // the first has joined anew
+	saidReleased bool // it has said that its parts are given up
+	knownCounts  [2]int
+	knowsJoin    [2]bool // known to have heard of the join
+	firstPart    int     // of the first in sixths; -1: it is not told
 }
 
-func (f fields) joiner() int {
+func (f shareModel) joinerPart() int {
 	silent := 0
-	for i := range f.heard {
-		if !f.heard[i] {
+	for i := range f.knowsJoin {
+		if !f.knowsJoin[i] {
 			silent++
 		}
 	}
 	less := 0.0
-	if f.joined && f.fault != "joiner takes all" {
-		less = Less(f.counts, 1, silent)
+	if f.hasRejoined && f.fault != "joiner takes all" {
+		less = UnusedShare(f.shareCount, 1, silent)
 	}
-	return int(6*(1-less)/float64(f.counts) + 1e-9)
+	return int(6*(1-less)/float64(f.shareCount) + 1e-9)
 }
 
-func (f fields) next() (all []fields) {
-	add := func(do func(c *fields)) {
+func (f shareModel) next() (all []shareModel) {
+	add := func(do func(c *shareModel)) {
 		c := f
 		do(&c)
 		all = append(all, c)
 	}
 	switch f.stage {
 	case 's':
-		add(func(c *fields) {
+		add(func(c *shareModel) {
 			c.stage = 'y'
 			if f.fault != "serves on" {
-				c.part = 0
+				c.firstPart = 0
 			}
 		})
-		add(func(c *fields) { c.stage, c.part = 'd', 0 })
+		add(func(c *shareModel) { c.stage, c.firstPart = 'd', 0 })
 		if f.fault == "word before the stop" {
-			add(func(c *fields) { c.word, c.counts = true, 2 })
+			add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 })
 		}
 	case 'y':
-		add(func(c *fields) { c.word, c.counts = true, 2 })
-		add(func(c *fields) { c.stage, c.part = 'g', 0 })
+		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 })
+		add(func(c *shareModel) { c.stage, c.firstPart = 'g', 0 })
 	case 'g', 'd':
-		add(func(c *fields) { c.word, c.counts = true, 2 }) // its time is over
-		add(func(c *fields) {                               // it is back, and control hears of it
-			c.stage, c.joined, c.heard = 'b', c.counts == 2, [2]bool{}
-			c.counts, c.word = 3, false
+		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 }) // its time is over
+		add(func(c *shareModel) {                                           // it is back, and control hears of it
+			c.stage, c.hasRejoined, c.knowsJoin = 'b', c.shareCount == 2, [2]bool{}
+			c.shareCount, c.saidReleased = 3, false
 		})
 	case 'b', 'j':
-		add(func(c *fields) { c.stage, c.part = 'j', c.joiner() })
+		add(func(c *shareModel) { c.stage, c.firstPart = 'j', c.joinerPart() })
 		if f.fault == "ready before it is told" && f.stage == 'b' {
-			add(func(c *fields) { c.stage, c.part = 'j', 6 })
+			add(func(c *shareModel) { c.stage, c.firstPart = 'j', 6 })
 		}
 	}
-	for i := range f.knows {
-		add(func(c *fields) { c.knows[i] = c.counts })
-		if f.knows[i] == f.counts || f.fault == "heard before told" {
-			add(func(c *fields) { c.heard[i] = true })
+	for i := range f.knownCounts {
+		add(func(c *shareModel) { c.knownCounts[i] = c.shareCount })
+		if f.knownCounts[i] == f.shareCount || f.fault == "heard before told" {
+			add(func(c *shareModel) { c.knowsJoin[i] = true })
 		}
 	}
 	return all
 }
 
 func exploreShares(fault string) (states int, wrong string) {
-	first := fields{fault: fault, stage: 's', counts: 3, knows: [2]int{3, 3}, part: 2}
-	seen := map[fields]bool{first: true}
-	for queue := []fields{first}; len(queue) > 0; queue = queue[1:] {
+	first := shareModel{fault: fault, stage: 's', shareCount: 3, knownCounts: [2]int{3, 3}, firstPart: 2}
+	seen := map[shareModel]bool{first: true}
+	for queue := []shareModel{first}; len(queue) > 0; queue = queue[1:] {
 		f := queue[0]
-		if sum := f.part + 6/f.knows[0] + 6/f.knows[1]; sum > 6 {
+		if sum := f.firstPart + 6/f.knownCounts[0] + 6/f.knownCounts[1]; sum > 6 {
 			return len(seen), fmt.Sprintf("%d of 6 parts: %c", sum, f.stage)
 		}
 		for _, n := range f.next() {
@@ -112,12 +112,12 @@
 	for _, open := range []int{0, 3} {
 		for _, quiet := range []time.Duration{0, time.Second} {
 			for _, handed := range []bool{false, true} {
-				l, last := Leave{Grace: grace}, Unfound
+				l, last := Leave{Grace: grace}, Unadvertised
 				past := time.Duration(0)
 				for ; l.Stage() != Ended; past += 10 * time.Millisecond {
-					if s, isNew := l.Step(past, Facts{open, quiet, handed}); isNew {
-						assert.Assert(t, s == last+1 || s >= Late)
-						assert.Assert(t, s != Shut || past >= grace/2)
+					if s, isNew := l.Step(past, LeaveInputs{open, quiet, handed}); isNew {
+						assert.Assert(t, s == last+1 || s >= Finalizing)
+						assert.Assert(t, s != NotAccepting || past >= grace/2)
 						last = s
 					}
 				}
@@ -136,7 +136,7 @@
 		for joined := 0; joined <= shares; joined++ {
 			for silent := 0; silent <= shares-joined; silent++ {
 				n, old := float64(shares), float64(shares-joined)
-				sum := (old-float64(silent))/n + float64(joined)*(1-Less(shares, joined, silent))/n
+				sum := (old-float64(silent))/n + float64(joined)*(1-UnusedShare(shares, joined, silent))/n
 				if silent > 0 {
 					sum += float64(silent) / old
 				}
@@ -150,32 +150,32 @@
 func TestEarlyPartsAreFew(t *testing.T) {
 	for shares := 1; shares <= 100; shares++ {
 		for joined := 1; joined <= shares; joined++ {
-			sum := float64(joined) * Early(shares, joined) / float64(shares)
-			assert.Assert(t, sum <= earlySpare+1e-9, "%d of %d: %v", joined, shares, sum)
+			sum := float64(joined) * InitialShare(shares, joined) / float64(shares)
+			assert.Assert(t, sum <= maxInitialExcess+1e-9, "%d of %d: %v", joined, shares, sum)
 		}
 	}
-	assert.Equal(t, Early(12, 1), 1.0)
+	assert.Equal(t, InitialShare(12, 1), 1.0)
 }
 
 // A joiner comes into a rising part of places' answers, and each place keeps it once it has it.
 func TestRisesByPlace(t *testing.T) {
 	for tenth := range 11 {
-		n, age := 0, RiseAt+(RiseFor-RiseAt)*time.Duration(tenth)/10
+		n, age := 0, RampStart+(RampEnd-RampStart)*time.Duration(tenth)/10
 		for i := range 1000 {
 			place := fmt.Sprint("zone ", i)
-			if is := Risen("edge-1", place, age); is {
+			if is := IsAdvertised("edge-1", place, age); is {
 				n++
-				assert.Assert(t, Risen("edge-1", place, age+RiseFor/10))
+				assert.Assert(t, IsAdvertised("edge-1", place, age+RampEnd/10))
 			}
 		}
 		assert.Assert(t, n > 100*tenth-50 && n < 100*tenth+50, "%d at %v", n, age)
 	}
-	assert.Assert(t, Spared(1, 4) && Spared(1, 1) && !Spared(3, 0) && !Spared(3, 2))
+	assert.Assert(t, CanOmitJoiners(1, 4) && CanOmitJoiners(1, 1) && !CanOmitJoiners(3, 0) && !CanOmitJoiners(3, 2))
 }
 
 func TestMessagesAreReadWhole(t *testing.T) {
-	m := &Message{Kind: Give, From: 1, To: 2, No: 3}
-	for i := range MostShares {
+	m := &Message{Kind: Offer, From: 1, To: 2, Number: 3}
+	for i := range MaxShares {
 		m.Shares = append(m.Shares, Share{uint64(i), 7})
 	}
 	b := m.Encode()
--- a/internal/dataplane/handover/tries.go
+++ b/internal/dataplane/handover/tries.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Tries returns how many retries for a service a proxy may save up, of a whole for all proxies. It is an even part if that
+// RetryShare returns how many retries for a service a proxy may save up, of a whole for all proxies. It is an even part if that
 // is at least one, as less than one is of no use. Otherwise floor(whole) proxies have one and a fraction each and the others
 // none: those whose numbers come first, counted from a start that differs by service. So the parts of all proxies sum up to
 // no more than the whole, however many proxies there are. Shares is the number of parts that the proxies divide the whole
 // into, numbers the number of numbers they may have, and me this proxy's number.
-func Tries(whole float64, shares, numbers, me int, service string) float64 {
+func RetryShare(whole float64, shares, numbers, me int, service string) float64 {
 	if each := whole / float64(max(1, shares)); each >= 1 {
 		return each
 	}
@@ -15,7 +15,7 @@
 	if holders < 1 {
 		return 0
 	}
-	if numbers = max(numbers, me+1, 1); (me+int(scatter(service)%uint64(numbers)))%numbers >= int(holders) {
+	if numbers = max(numbers, me+1, 1); (me+int(mixedHash(service)%uint64(numbers)))%numbers >= int(holders) {
 		return 0
 	}
 	return whole / holders
--- a/internal/dataplane/handover/tries_test.go
+++ b/internal/dataplane/handover/tries_test.go
@@ -14,7 +14,7 @@
 	sum := func(whole float64, proxies, s int, served map[int]bool) {
 		sum, parts, service := 0.0, 0, fmt.Sprint("service", s)
 		for me := range proxies {
-			part := Tries(whole, proxies, proxies, me, service)
+			part := RetryShare(whole, proxies, proxies, me, service)
 			if sum += part; part > 0 {
 				parts, served[me] = parts+1, true
 				assert.Assert(t, part >= 1, "%v", part)
--- a/internal/dataplane/homing/homing_test.go
+++ b/internal/dataplane/homing/homing_test.go
@@ -9,20 +9,20 @@
 
 // Where one route is bound and one is free, requests decide and not routes, and not on each breath of theirs.
 func TestTrafficDecidesAndStands(t *testing.T) {
-	var proxy Tally
-	var roads Roads
+	var proxy TrafficCounter
+	var roads Decisions
 	now := time.Hour
-	host := Host("a")
+	host := HashHost("a")
 	asked := 0
 	home := func() bool {
-		return roads.Home(host, 1, 1, func() Heads {
+		return roads.SendsHome(host, 1, 1, func() HostTraffic {
 			asked++
 			for _, h := range proxy.Top(now) {
 				if h.Host == host {
 					return h
 				}
 			}
-			return Heads{}
+			return HostTraffic{}
 		}, now)
 	}
 	assert.Assert(t, home()) // nothing is counted: half of the routes are bound
@@ -54,14 +54,14 @@
 }
 
 func TestTallyIsBoundedAndForgets(t *testing.T) {
-	var proxy Tally
-	for i := range 2 * MostCounted {
+	var proxy TrafficCounter
+	for i := range 2 * MaxCountedHosts {
 		for range 1 + i%7 {
 			proxy.Add(uint32(i), i%2 == 0, 0, 0)
 		}
 	}
 	top := proxy.Top(0)
-	assert.Equal(t, len(top), MostHosts)
-	assert.Assert(t, len(proxy.all) <= MostCounted && top[0].KB >= top[7].KB)
+	assert.Equal(t, len(top), MaxReportedHosts)
+	assert.Assert(t, len(proxy.byHost) <= MaxCountedHosts && top[0].KB >= top[7].KB)
 	assert.Equal(t, len(proxy.Top(time.Minute)), 0)
 }
--- a/internal/dataplane/node/attempt_test.go
+++ b/internal/dataplane/node/attempt_test.go
@@ -22,7 +22,7 @@
 // useOnly sends all requests to one server.
 func (r *managedFixture) useOnly(address string) {
 	r.applyConfiguration()
-	r.SetServers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: address, Zone: "a", Slots: 9}})
+	r.SetServers(1, []serverlist.Entry{{ID: "i-0", Service: "x", Address: address, Zone: "a", Slots: 9}})
 	r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 }
 
@@ -130,7 +130,7 @@
 		}()
 		r.behaviors = []serverBehavior{servedAnswer}
 		r.applyConfiguration()
-		list := []serverlist.Listed{{ID: "i-9", Service: "x", Address: ln.Addr().String(), Zone: "a", Slots: 9}, r.servers[0]}
+		list := []serverlist.Entry{{ID: "i-9", Service: "x", Address: ln.Addr().String(), Zone: "a", Slots: 9}, r.servers[0]}
 		r.SetServers(1, list)
 		r.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 		body := strings.Repeat("x", 1<<20)
@@ -167,8 +167,8 @@
 		done := make(chan int)
 		go func() { done <- r.request("/act/a", "").StatusCode }()
 		time.Sleep(100 * time.Millisecond)
-		moved := serverlist.Listed{ID: "i-0", Service: "x", Address: r.servers[1].Address, Zone: "a", Slots: 9}
-		r.SetServers(2, []serverlist.Listed{moved, {ID: "i-7", Service: "y", Address: r.servers[0].Address, Zone: "a", Slots: 9}})
+		moved := serverlist.Entry{ID: "i-0", Service: "x", Address: r.servers[1].Address, Zone: "a", Slots: 9}
+		r.SetServers(2, []serverlist.Entry{moved, {ID: "i-7", Service: "y", Address: r.servers[0].Address, Zone: "a", Slots: 9}})
 		assert.Equal(t, <-done, http.StatusOK)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, r.request("/act/a", "").StatusCode, http.StatusOK)
--- a/internal/dataplane/node/bench_test.go
+++ b/internal/dataplane/node/bench_test.go
@@ -209,7 +209,7 @@
 	p, err := routeconfig.Parse([]byte(strings.ReplaceAll(managedConfiguration, `"timeout_ms":2000`, `"timeout_ms":30000`)))
 	assert.NilError(b, err)
 	e.SetConfiguration(p)
-	e.SetServers(1, []serverlist.Listed{{ID: "i-0", Service: "x", Address: server, Zone: "a", Slots: 400}})
+	e.SetServers(1, []serverlist.Entry{{ID: "i-0", Service: "x", Address: server, Zone: "a", Slots: 400}})
 	e.SetPeers(0, 1, 0, []netip.AddrPort{{}}, nil)
 	return e, func() {
 		stop()
--- a/internal/dataplane/node/forward.go
+++ b/internal/dataplane/node/forward.go
@@ -184,8 +184,8 @@
 func classifyAnswer(c *upConn, status int, body []byte, framed, headRequest bool) result {
 	h := &c.head
 	count := func(field string) int { _, n := h.valueAndCount(field); return n }
-	v, usable := verdict.Heard(verdict.Answer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
-		Coded: count("Content-Encoding") > 0, Framed: framed})
+	v, usable := verdict.ClassifyAnswer(verdict.ServerAnswer{Status: status, NotRun: count(fieldNotRun) > 0, Sealed: count(fieldSeal) == 1,
+		ContentEncoded: count("Content-Encoding") > 0, Framed: framed})
 	r := result{Verdict: v, loadReport: parseServerLoad(h)}
 	if usable {
 		r.answer = buildClientAnswer(h, status, body, headRequest, c.input.hasUnreadBody())
--- a/internal/dataplane/node/health.go
+++ b/internal/dataplane/node/health.go
@@ -92,7 +92,7 @@
 func serverOutcome(o *outcome, now time.Duration) (serverhealth.Outcome, bool) {
 	target := o.request.class.LatencyTarget
 	switch {
-	case o.clientFault != nil || o.End == verdict.Unfit: // the client caused it
+	case o.clientFault != nil || o.End == verdict.InvalidRequest: // the client caused it
 		return 0, false
 	case o.isStreamed && !o.isComplete && o.End == verdict.Served: // the client disconnected or reads too slowly
 		return 0, false
@@ -110,7 +110,7 @@
 			return serverhealth.WrongID, true
 		}
 		// With less time than usual, any server may fail to answer in time.
-		return serverhealth.Unclear, o.End != verdict.Silent || o.attempt.deadline-o.attempt.requestedAt >= target
+		return serverhealth.Unclear, o.End != verdict.TimedOut || o.attempt.deadline-o.attempt.requestedAt >= target
 	case policy.Cancelled:
 		// The attempt was cancelled because it was overdue, unless its client had disconnected.
 		return serverhealth.Late, o.request.pendingAnswer == nil && !o.isStreamed && !o.cannotRepeat
--- a/internal/dataplane/node/leave.go
+++ b/internal/dataplane/node/leave.go
@@ -10,9 +10,9 @@
 type handoverState struct {
 	peers       policy.GatewaySet // as last set by SetPeers; Gateways is 0 before the first call
 	stage       handover.Stage
-	taker       handover.Taker
-	giver       *handover.Giver // nil: no handover has begun
-	offeredLots []handover.Lot
+	taker       handover.Receiver
+	giver       *handover.Sender // nil: no handover has begun
+	offeredLots []handover.Batch
 }
 
 // updateShares passes the peers and this proxy's share of quotas to the policy package. It runs on the loop.
@@ -22,8 +22,8 @@
 		return
 	}
 	peers := state.peers
-	peers.NoColdSends = state.stage >= handover.Cool
-	if state.stage >= handover.Shut {
+	peers.NoColdSends = state.stage >= handover.NoColdSends
+	if state.stage >= handover.NotAccepting {
 		peers.UnusedShare = 1
 	}
 	l.decide(peers)
@@ -39,7 +39,7 @@
 	e.runOnLoop(func(loop *loop) {
 		e.handover.taker.Leaving = true
 		leave.Grace = e.cfg.Grace // as last set
-		e.managed.workDeadline.Store(int64(loop.clock.now() + leave.WorkEnds()))
+		e.managed.workDeadline.Store(int64(loop.clock.now() + leave.ServerDeadline()))
 	})
 	handedOver := false
 	for {
@@ -48,15 +48,15 @@
 		if elapsed >= leave.Grace/2 {
 			s.closeIdle(drainQuietTime)
 		}
-		if leave.Stage() == handover.Shut && !handedOver {
+		if leave.Stage() == handover.NotAccepting && !handedOver {
 			handedOver = e.continueHandover()
 		}
 		open, quiet := s.connectionActivity()
-		stage, isNew := leave.Step(elapsed, handover.Facts{Open: open, Quiet: quiet, Handed: handedOver})
+		stage, isNew := leave.Step(elapsed, handover.LeaveInputs{Connections: open, SinceLastRequest: quiet, HandoverDone: handedOver})
 		if !isNew {
 			continue
 		}
-		if stage >= handover.Shut {
+		if stage >= handover.NotAccepting {
 			n.listener.Close()
 		}
 		if stage == handover.Ended {
@@ -67,7 +67,7 @@
 			taken, total := 0, 0
 			e.runOnLoop(func(*loop) {
 				if g := e.handover.giver; g != nil {
-					taken, total = g.Taken()
+					taken, total = g.AcceptedUnits()
 				}
 			})
 			e.cfg.OnUnitsTransferred(taken, total)
@@ -79,10 +79,10 @@
 func (e *ManagedNode) enterStage(l *loop, stage handover.Stage) {
 	state := &e.handover
 	switch state.stage = stage; stage {
-	case handover.Shut:
+	case handover.NotAccepting:
 		l.decide(policy.Relinquish{}) // must come before updateShares sets its share to none
-		state.giver = handover.NewGiver(state.taker.Life, state.offeredLots, l.clock.now())
-	case handover.Late:
+		state.giver = handover.NewSender(state.taker.Incarnation, state.offeredLots, l.clock.now())
+	case handover.Finalizing:
 		l.finishAll()
 	}
 	e.updateShares(l)
@@ -102,7 +102,7 @@
 
 // recordOfferedUnits keeps quota units that the policy package has given up, for the handover. It runs on the loop.
 func (e *ManagedNode) recordOfferedUnits(a policy.OfferUnits) {
-	e.handover.offeredLots = append(e.handover.offeredLots, handover.Lot{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Takers: a.Candidates})
+	e.handover.offeredLots = append(e.handover.offeredLots, handover.Batch{Shares: []handover.Share{{Key: a.Customer, Units: a.Units}}, Receivers: a.Candidates})
 }
 
 // receiveHandover passes a peer's handover message to the loop.
@@ -121,17 +121,17 @@
 func (e *ManagedNode) handleHandover(l *loop, from int, m *handover.Message) {
 	state := &e.handover
 	switch m.Kind {
-	case handover.Will, handover.Wont, handover.Took, handover.Never:
+	case handover.Willing, handover.Unwilling, handover.Accepted, handover.Rejected:
 		if state.giver != nil {
-			state.giver.Hear(from, m)
+			state.giver.HandleMessage(from, m)
 		}
 		return
-	case handover.Ask:
+	case handover.Query:
 		if !e.ready.Load() {
 			return // not configured yet
 		}
 	}
-	answer, shares := state.taker.Hear(m)
+	answer, shares := state.taker.HandleMessage(m)
 	for _, s := range shares {
 		l.decide(policy.UnitsReceived{Customer: s.Key, Units: s.Units})
 	}
--- a/internal/dataplane/node/leave_test.go
+++ b/internal/dataplane/node/leave_test.go
@@ -68,7 +68,7 @@
 				}
 				for i, e := range all {
 					e.SetConfiguration(p)
-					e.SetServers(1, []serverlist.Listed{{ID: "i", Service: "x", Address: "127.0.0.1:9", Zone: "a", Slots: 9}})
+					e.SetServers(1, []serverlist.Entry{{ID: "i", Service: "x", Address: "127.0.0.1:9", Zone: "a", Slots: 9}})
 					e.SetPeers(i, 3, 0, at, []string{"r", "r", "r"})
 				}
 				for i, e := range all { // two proxies hold the units of one, and one has used its units up
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -126,13 +126,13 @@
 	if o.latency > 0 {
 		ev.Latency = o.latency
 	}
-	if c.mayHaveRunSince == 0 && !o.Run().Never() {
+	if c.mayHaveRunSince == 0 && !o.RunState().NeverRan() {
 		c.mayHaveRunSince = o.attempt.requestedAt
 	}
 	switch {
 	case o.End == verdict.Served || o.isStreamed || o.clientFault != nil:
 		l.removeRequest(c)
-	case o.End == verdict.Unfit && c.pendingAnswer == nil:
+	case o.End == verdict.InvalidRequest && c.pendingAnswer == nil:
 		l.answer(c, command{clientErrorStatus: statusBadRequest})
 	case c.pendingAnswer != nil:
 		l.answer(c, *c.pendingAnswer)
--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -32,7 +32,7 @@
 	otherZonePenalty          = 5 * time.Millisecond   // assumed cost of a server in another zone, on top of its latency
 	otherRegionPenalty        = 250 * time.Millisecond // the same for a server in another region
 	coldShare                 = 0.5
-	coldWindow                = handover.ColdSpan
+	coldWindow                = handover.ColdSendDelay
 	retryBudgetShare          = 0.7                    // share of the retry budget that is used
 	quotaExcessShare          = 0.5                    // share of the allowed quota excess that is used continuously
 	idleConnShare             = 0.8                    // share of a server's connections that may be idle, over all proxies
@@ -97,7 +97,7 @@
 	n := &Node{world: w, upstream: up, loop: newLoop(clk, gateway, up)}
 	n.loop.disconnectInterval = managedDisconnectInterval
 	n.server = newServer(clk, settings, up, n.loop.events, int(clientSocketShare*float64(cfg.Sockets)))
-	e := &ManagedNode{node: n, cfg: cfg, services: services, serverList: &serverlist.ServerList{Terms: serverListOptions(&cfg)}}
+	e := &ManagedNode{node: n, cfg: cfg, services: services, serverList: &serverlist.ServerList{Settings: serverListOptions(&cfg)}}
 	services.MaxRetryBudget = e.retryCap
 	e.managed = &managedState{clock: clk, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x657374))}
 	e.managed.maxStatementAge.Store(int64(maxStatementAge(&cfg)))
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	n.loop.sendPeer = n.peers.sendMessage
-	e.handover.taker.Life = handover.Life(max(cfg.Seed, 1))
+	e.handover.taker.Incarnation = handover.Incarnation(max(cfg.Seed, 1))
 	n.loop.onUnitsOffered = e.recordOfferedUnits
 	n.peers.onHandover = e.receiveHandover
 	if n.listener, err = w.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
@@ -184,10 +184,10 @@
 	e.node.server.tuning.Store(&tuning)
 	services := map[string]serverlist.Service{}
 	for _, b := range configuration.Backends {
-		services[b.Name] = serverlist.Service{Warmup: b.Warmup, PerS: b.WarmupPerS, MostOut: b.MaxConns}
+		services[b.Name] = serverlist.Service{Warmup: b.Warmup, ColdRate: b.WarmupPerS, MaxConnections: b.MaxConns}
 	}
 	e.runOnLoop(func(l *loop) {
-		e.serverList.Services(services)
+		e.serverList.SetServices(services)
 		l.decide(e.configUpdate(configuration, classes))
 		e.updateServers(l)
 	})
@@ -213,9 +213,9 @@
 }
 
 // SetServers applies the platform's server list with its stamp. An older list than the current one is ignored.
-func (e *ManagedNode) SetServers(stamp int64, list []serverlist.Listed) {
+func (e *ManagedNode) SetServers(stamp int64, list []serverlist.Entry) {
 	e.runOnLoop(func(l *loop) {
-		if e.serverList.List(l.clock.now(), stamp, list) {
+		if e.serverList.Update(l.clock.now(), stamp, list) {
 			e.updateServers(l)
 		}
 	})
@@ -224,7 +224,7 @@
 // SetDrainedZones sets which zones are drained.
 func (e *ManagedNode) SetDrainedZones(drained map[string]bool) {
 	e.runOnLoop(func(l *loop) {
-		e.serverList.Drained(l.clock.now(), drained)
+		e.serverList.SetDrainedZones(l.clock.now(), drained)
 		e.updateServers(l)
 	})
 }
@@ -261,18 +261,18 @@
 
 // updateServers passes the current servers to the policy package and to the upstream connections.
 func (e *ManagedNode) updateServers(l *loop) {
-	if !e.serverList.Have() {
+	if !e.serverList.HasList() {
 		return
 	}
 	list := &serverList{All: true}
 	ev := policy.ServerList{Kind: policy.CompleteList}
-	for _, s := range e.serverList.Lives() {
+	for _, s := range e.serverList.Servers() {
 		t := target{UID: s.ID, Endpoint: s.Address, State: "SERVING"}
-		if s.MostOut > 0 {
-			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MostOut)/float64(max(1, e.managed.gatewayCount.Load()))))
+		if s.MaxConnections > 0 {
+			t.maxIdleConns = max(1, int(idleConnShare*float64(s.MaxConnections)/float64(max(1, e.managed.gatewayCount.Load()))))
 		}
 		m := policy.Server{ID: serverID(s.ID), Zone: s.Zone, Region: s.Region, Service: s.Service, Slots: max(1, s.Slots),
-			ColdUntil: s.ColdUntil, ColdSendRate: s.ColdSends}
+			ColdUntil: s.ColdUntil, ColdSendRate: s.MaxColdRate}
 		if s.Closed {
 			t.State, m.State = "DRAINING", policy.Draining
 		}
--- a/internal/dataplane/node/managed_test.go
+++ b/internal/dataplane/node/managed_test.go
@@ -42,7 +42,7 @@
 	net     *sim.Net
 	stop    context.CancelFunc
 	ended   chan error
-	servers []serverlist.Listed
+	servers []serverlist.Entry
 
 	mu        sync.Mutex
 	behaviors []serverBehavior // one per attempt; the last one repeats
@@ -64,7 +64,7 @@
 			raw, err := standin.ServeRaw(r.net, "127.0.0.1:0", r.serve)
 			assert.NilError(t, err)
 			defer raw.Close()
-			r.servers = append(r.servers, serverlist.Listed{ID: fmt.Sprint("i-", i), Service: "x", Address: raw.Addr(), Zone: "a", Slots: 9})
+			r.servers = append(r.servers, serverlist.Entry{ID: fmt.Sprint("i-", i), Service: "x", Address: raw.Addr(), Zone: "a", Slots: 9})
 		}
 		var err error
 		r.ManagedNode, err = NewManagedNode(ManagedConfig{Listen: "127.0.0.1:0", Peer: "127.0.0.1:0", Zone: "a", Region: "r", Seed: 1, Sockets: 100,
@@ -237,7 +237,7 @@
 				assert.Equal(t, a.StatusCode, c.status, a.body)
 				assert.Equal(t, len(r.receivedRequests()), c.attempts)
 				r.mu.Lock()
-				assert.Assert(t, (c.status == 502) == (len(r.failures) == 1) && (len(r.failures) == 0 || !r.failures[0].Run().Never()), "%v", r.failures)
+				assert.Assert(t, (c.status == 502) == (len(r.failures) == 1) && (len(r.failures) == 0 || !r.failures[0].RunState().NeverRan()), "%v", r.failures)
 				r.mu.Unlock()
 				assert.Equal(t, a.StatusCode == 200, a.body == "yes")
 				assert.Equal(t, a.StatusCode == 503, a.Header.Get("Retry-After") != "")
--- a/internal/dataplane/node/managedrequest.go
+++ b/internal/dataplane/node/managedrequest.go
@@ -41,7 +41,7 @@
 	gatewayCount    atomic.Int64
 	active          atomic.Pointer[activeConfiguration]
 	workDeadline    atomic.Int64 // clock time by which servers have to finish their work; 0: no such limit
-	hostTraffic     homing.Tally
+	hostTraffic     homing.TrafficCounter
 
 	mu  sync.Mutex
 	rnd *rand.Rand
@@ -92,7 +92,7 @@
 		r := &p.Routes[i]
 		t.routes[r] = &routeStats{}
 		if _, bound, free := p.HomesOf(r.Host); bound > 0 && free > 0 && !r.Public {
-			t.boundHosts[r] = homing.Host(routeconfig.Bare(r.Host))
+			t.boundHosts[r] = homing.HashHost(routeconfig.Bare(r.Host))
 		}
 		for _, s := range r.Split {
 			name := className(r, s.Backend)
@@ -129,16 +129,18 @@
 }
 
 // unavailableAnswer rejects a request that can't be decided yet, for a reason that is sent to the client.
-func unavailableAnswer(why string) *verdict.Own { return unsentAnswer(503, refusalRetryAfter, why) }
+func unavailableAnswer(why string) *verdict.GeneratedAnswer {
+	return unsentAnswer(503, refusalRetryAfter, why)
+}
 
 // unsentAnswer returns this proxy's answer to a request that was not and will not be sent to a server.
-func unsentAnswer(status int, after time.Duration, why string) *verdict.Own {
-	own := (&verdict.Course{}).Answer(status, after, why)
+func unsentAnswer(status int, after time.Duration, why string) *verdict.GeneratedAnswer {
+	own := (&verdict.RequestOutcome{}).Answer(status, after, why)
 	return &own
 }
 
 // parseRequest finds the route, tenant, service and time limit of a request, or returns the answer that rejects it.
-func (e *managedState) parseRequest(r *clientRequest) (*openRequest, *verdict.Own) {
+func (e *managedState) parseRequest(r *clientRequest) (*openRequest, *verdict.GeneratedAnswer) {
 	now := e.clock.now()
 	t := e.active.Load()
 	if t == nil || e.gatewayCount.Load() == 0 {
@@ -305,7 +307,7 @@
 // attemptHistory is what the attempts of a request have shown, with the last unsuccessful answer that a server sent
 // itself.
 type attemptHistory struct {
-	verdict.Course
+	verdict.RequestOutcome
 	lastAnswer []byte      // complete; nil: none or longer than the window
 	held       *heldAnswer // an answer longer than the window; nil: none
 }
@@ -327,21 +329,21 @@
 	switch {
 	case cmd.clientErrorStatus != 0:
 		return s.writeOwnAnswer(cc, t.Answer(cmd.clientErrorStatus, 0, "this request can't be used"))
-	case t.Ran() && t.lastAnswer != nil:
+	case t.MayHaveRun() && t.lastAnswer != nil:
 		return s.writeServerAnswer(cc, t.lastAnswer)
-	case t.Ran() && s.upstream.canStream(t.held):
+	case t.MayHaveRun() && s.upstream.canStream(t.held):
 		var r result
 		s.upstream.streamAnswer(&cc.request.managed.client, t.held, &r)
 		return cc.finishStreamedAnswer(r.isComplete)
 	}
-	if t.Ran() && s.onRequestFailed != nil {
+	if t.MayHaveRun() && s.onRequestFailed != nil {
 		s.onRequestFailed(cc.request.managed.id, t.Last())
 	}
-	return s.writeOwnAnswer(cc, t.GivenUp(cmd.overQuota, cmd.timedOut, cmd.retryAfter))
+	return s.writeOwnAnswer(cc, t.FailureAnswer(cmd.overQuota, cmd.timedOut, cmd.retryAfter))
 }
 
 // writeOwnAnswer writes an answer that this proxy made itself, and counts it.
-func (s *server) writeOwnAnswer(cc *clientConn, o verdict.Own) bool {
+func (s *server) writeOwnAnswer(cc *clientConn, o verdict.GeneratedAnswer) bool {
 	s.counts.countOwn(o.Status())
 	return s.reply(cc, o.Status(), o.Fields(), o.Text())
 }
--- a/internal/dataplane/node/retune.go
+++ b/internal/dataplane/node/retune.go
@@ -7,8 +7,8 @@
 	"pepperfall.example/pepperfall/internal/dataplane/serverlist"
 )
 
-func serverListOptions(cfg *ManagedConfig) serverlist.Terms {
-	return serverlist.Terms{Excess: cfg.WarmupExcess, Slack: cfg.WarmupSlack, Lag: cfg.ListLag, Regions: cfg.Regions}
+func serverListOptions(cfg *ManagedConfig) serverlist.Settings {
+	return serverlist.Settings{Excess: cfg.WarmupExcess, Slack: cfg.WarmupSlack, Lag: cfg.ListLag, Regions: cfg.Regions}
 }
 
 // maxStatementAge returns how old control's confirmation may be for requests with a key; 0: any age.
@@ -22,7 +22,7 @@
 // retryCap returns how many retries for a service this proxy may save up. It must run on the loop.
 func (e *ManagedNode) retryCap(service string) float64 {
 	p := &e.handover.peers
-	return handover.Tries(max(e.cfg.RetrySlack*retryBudgetShare, min(1, e.cfg.RetrySlack)), p.CeilingParts, p.Gateways, p.Me, service)
+	return handover.RetryShare(max(e.cfg.RetrySlack*retryBudgetShare, min(1, e.cfg.RetrySlack)), p.CeilingParts, p.Gateways, p.Me, service)
 }
 
 // Retune applies the limits of cfg, the zones' regions and the list's lag while the proxy serves. Settings that are
@@ -36,7 +36,7 @@
 		e.cfg.OnUnitsTransferred, e.cfg.OnRequestFailed = old.OnUnitsTransferred, old.OnRequestFailed
 		e.managed.maxStatementAge.Store(int64(maxStatementAge(&cfg)))
 		e.services.RetryBudgetPerAttempt = cfg.RetryRatio * retryBudgetShare
-		e.serverList.Retell(serverListOptions(&cfg))
+		e.serverList.SetSettings(serverListOptions(&cfg))
 		if t := e.managed.active.Load(); t != nil {
 			l.decide(e.configUpdate(t.configuration, t.classes))
 		}
--- a/internal/dataplane/node/retune_test.go
+++ b/internal/dataplane/node/retune_test.go
@@ -34,7 +34,7 @@
 		assert.Assert(t, a.StatusCode == 200 && a.body == "yes")
 		r.ConfirmConfiguration(0)
 		assert.Equal(t, r.request("/act/", "").StatusCode, 200)
-		assert.Assert(t, r.cfg.Zone == "a" && r.serverList.Terms.Slack == 7 && r.services.MaxRetryBudget("x") == 10*retryBudgetShare)
+		assert.Assert(t, r.cfg.Zone == "a" && r.serverList.Settings.Slack == 7 && r.services.MaxRetryBudget("x") == 10*retryBudgetShare)
 		began := time.Now()
 		r.stop()
 		r.ended <- <-r.ended
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -122,9 +122,9 @@
 			case err == errAttemptCancelled:
 				return true, stoppedResult(verdict.Unsent, err, f.hasDiscardedBody())
 			case err == errDeadlinePassed:
-				return true, stoppedResult(verdict.Moot, err, f.hasDiscardedBody())
+				return true, stoppedResult(verdict.SendAborted, err, f.hasDiscardedBody())
 			case err != nil:
-				return true, &result{Verdict: verdict.Of(verdict.Moot, err), clientFault: err}
+				return true, &result{Verdict: verdict.New(verdict.SendAborted, err), clientFault: err}
 			}
 			req.body = nil // the buffered part can't be sent again, so its memory is released
 			f.pending = f.framePiece(&req.head, p)
@@ -146,7 +146,7 @@
 
 // stoppedResult returns the result of an attempt that ended in the middle of its request's body.
 func stoppedResult(end verdict.End, cause error, discarded bool) *result {
-	return &result{Verdict: verdict.Of(end, cause), cannotRepeat: discarded}
+	return &result{Verdict: verdict.New(end, cause), cannotRepeat: discarded}
 }
 
 // nextPiece waits for the next piece of the client's body.
@@ -217,9 +217,9 @@
 			r.held = h
 		}
 	case endUnknown:
-		r.Verdict, r.cannotRepeat = verdict.Of(verdict.Recalled, errClientGone), true
+		r.Verdict, r.cannotRepeat = verdict.New(verdict.Cancelled, errClientGone), true
 	case !f.pin(a):
-		r.Verdict = verdict.Of(verdict.Recalled, errAttemptCancelled)
+		r.Verdict = verdict.New(verdict.Cancelled, errAttemptCancelled)
 	default:
 		u.streamAnswer(f, h, r)
 	}
@@ -233,7 +233,7 @@
 	for {
 		by := min(u.clock.now()+f.server.tuning.Load().ClientWrite, h.attempt.deadline)
 		if len(answer) > 0 && f.write(answer, u.clock.time(by)) != nil {
-			r.Verdict = verdict.Of(verdict.Recalled, errClientGone)
+			r.Verdict = verdict.New(verdict.Cancelled, errClientGone)
 			return
 		}
 		if !h.conn.input.hasUnreadBody() {
--- a/internal/dataplane/node/traffic.go
+++ b/internal/dataplane/node/traffic.go
@@ -96,6 +96,6 @@
 func (e *ManagedNode) DisconnectedClients() uint64 { return e.node.loop.disconnectedClients.Load() }
 
 // RequestsByHost returns the request counts of the hosts of which some routes are bound to regions.
-func (e *ManagedNode) RequestsByHost() []homing.Heads {
+func (e *ManagedNode) RequestsByHost() []homing.HostTraffic {
 	return e.managed.hostTraffic.Top(e.managed.clock.now())
 }
--- a/internal/dataplane/node/upstream.go
+++ b/internal/dataplane/node/upstream.go
@@ -159,12 +159,14 @@
 }
 
 // endedResult returns a result that holds only the verdict for the given end and cause.
-func endedResult(end verdict.End, cause error) result { return result{Verdict: verdict.Of(end, cause)} }
+func endedResult(end verdict.End, cause error) result {
+	return result{Verdict: verdict.New(end, cause)}
+}
 
 // errorResult returns the result of an attempt that was written completely but got an error instead of an answer.
 func (u *upstream) errorResult(a *attempt, err error) result {
 	if errors.Is(err, os.ErrDeadlineExceeded) && u.clock.now() >= a.deadline {
-		return endedResult(verdict.Silent, err)
+		return endedResult(verdict.TimedOut, err)
 	}
 	return endedResult(verdict.Broken, err)
 }
@@ -198,7 +200,7 @@
 	switch {
 	case now >= a.deadline:
 		u.discard(c)
-		return endedResult(verdict.Moot, errDeadlinePassed)
+		return endedResult(verdict.SendAborted, errDeadlinePassed)
 	case !a.setConn(c) || now >= a.writeBy || u.isClosedToWork(a.server):
 		u.discard(c)
 		return endedResult(verdict.Unsent, errAttemptCancelled)
@@ -217,8 +219,8 @@
 	}
 	if !a.setConn(nil) { // cancelled: its connection is already closed
 		reuse = false
-		if r.End == verdict.Broken || r.End == verdict.Silent {
-			r.Verdict = verdict.Of(verdict.Recalled, errAttemptCancelled)
+		if r.End == verdict.Broken || r.End == verdict.TimedOut {
+			r.Verdict = verdict.New(verdict.Cancelled, errAttemptCancelled)
 		}
 		r.held = nil
 	}
@@ -270,16 +272,16 @@
 	if err != nil {
 		return u.errorResult(a, err), false
 	}
-	r.Verdict, r.loadReport = verdict.Of(verdict.Failed, nil), u.parseLoadReport(&c.head)
+	r.Verdict, r.loadReport = verdict.New(verdict.Failed, nil), u.parseLoadReport(&c.head)
 	switch {
 	case status == 200 && !framed:
-		r.Verdict = verdict.Of(verdict.Broken, errFraming) // its end looks the same as a broken connection
+		r.Verdict = verdict.New(verdict.Broken, errFraming) // its end looks the same as a broken connection
 	case status == 200:
-		r.Verdict, r.contentType, r.body = verdict.Of(verdict.Served, nil), string(c.head.get("Content-Type")), string(body)
+		r.Verdict, r.contentType, r.body = verdict.New(verdict.Served, nil), string(c.head.get("Content-Type")), string(body)
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
-		r.Verdict = verdict.Of(verdict.Declined, nil)
+		r.Verdict = verdict.New(verdict.Declined, nil)
 	case status/100 == 4:
-		r.Verdict = verdict.Of(verdict.Unfit, nil)
+		r.Verdict = verdict.New(verdict.InvalidRequest, nil)
 	}
 	// Bytes that follow an answer belong to no request, so the connection is not reused.
 	reuse := framed && c.input.buffered() == 0 && !c.head.hasToken("Connection", "close")
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -223,9 +223,9 @@
 		g.estate.SetDrainedZones(drained)
 	}
 	if s := c.Servers; s != nil && s.List != nil {
-		list := make([]serverlist.Listed, 0, len(s.List))
+		list := make([]serverlist.Entry, 0, len(s.List))
 		for _, v := range s.List {
-			list = append(list, serverlist.Listed{ID: v.ID, Service: v.Backend, Address: v.Address, Zone: v.Zone, Slots: v.Capacity,
+			list = append(list, serverlist.Entry{ID: v.ID, Service: v.Backend, Address: v.Address, Zone: v.Zone, Slots: v.Capacity,
 				Draining: v.Draining, WarmLeft: v.WarmLeft})
 		}
 		g.estate.SetServers(s.Stamp, list)
@@ -239,7 +239,7 @@
 func (g *Proxy) settle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.early != nil && g.now() >= handover.EarlyFor {
+	if g.early != nil && g.now() >= handover.InitialPhase {
 		g.meet(g.early)
 	}
 }
@@ -263,9 +263,9 @@
 			joined++
 		}
 	}
-	less := handover.Less(s.Shares, joined, s.Proxies[me].Silent)
-	if g.early = nil; less > 0 && g.now() < handover.EarlyFor {
-		less, g.early = min(less, 1-handover.Early(s.Shares, joined)), s
+	less := handover.UnusedShare(s.Shares, joined, s.Proxies[me].Silent)
+	if g.early = nil; less > 0 && g.now() < handover.InitialPhase {
+		less, g.early = min(less, 1-handover.InitialShare(s.Shares, joined)), s
 	}
 	at, regions := make([]netip.AddrPort, 0, len(s.Proxies)), make([]string, 0, len(s.Proxies))
 	for _, m := range s.Proxies {
--- a/internal/dataplane/serverlist/example_test.go
+++ b/internal/dataplane/serverlist/example_test.go
@@ -10,20 +10,20 @@
 // Lists of servers are folded into lives. One seen draining stays closed, also where a list forgets that; servers of a
 // zone that is taken back count as cold.
 func Example() {
-	g := &serverlist.ServerList{Terms: serverlist.Terms{Excess: 1.5, Slack: 5, Lag: time.Second, Regions: map[string]string{"z1": "north", "z2": "south"}}}
-	g.Services(map[string]serverlist.Service{"pears": {Warmup: 10 * time.Second, PerS: 2}})
-	one, two := serverlist.Listed{ID: "i-1", Service: "pears", Zone: "z1", Draining: true}, serverlist.Listed{ID: "i-2", Service: "pears", Zone: "z2"}
+	g := &serverlist.ServerList{Settings: serverlist.Settings{Excess: 1.5, Slack: 5, Lag: time.Second, Regions: map[string]string{"z1": "north", "z2": "south"}}}
+	g.SetServices(map[string]serverlist.Service{"pears": {Warmup: 10 * time.Second, ColdRate: 2}})
+	one, two := serverlist.Entry{ID: "i-1", Service: "pears", Zone: "z1", Draining: true}, serverlist.Entry{ID: "i-2", Service: "pears", Zone: "z2"}
 	show := func() {
-		for _, l := range g.Lives() {
-			fmt.Println(l.ID, l.Region, "closed:", l.Closed, "cold until:", l.ColdUntil, "then at most a second:", l.ColdSends)
+		for _, l := range g.Servers() {
+			fmt.Println(l.ID, l.Region, "closed:", l.Closed, "cold until:", l.ColdUntil, "then at most a second:", l.MaxColdRate)
 		}
 	}
-	g.List(0, 1, []serverlist.Listed{one, two})
+	g.Update(0, 1, []serverlist.Entry{one, two})
 	one.Draining = false
-	fmt.Println(g.List(time.Second, 2, []serverlist.Listed{one, two}), g.List(2*time.Second, 1, nil)) // an older list is not taken
-	g.Drained(3*time.Second, map[string]bool{"z2": true})
+	fmt.Println(g.Update(time.Second, 2, []serverlist.Entry{one, two}), g.Update(2*time.Second, 1, nil)) // an older list is not taken
+	g.SetDrainedZones(3*time.Second, map[string]bool{"z2": true})
 	show()
-	g.Drained(5*time.Second, nil)
+	g.SetDrainedZones(5*time.Second, nil)
 	show()
 	// Output:
 	// true false
--- a/internal/dataplane/serverlist/serverlist.go
+++ b/internal/dataplane/serverlist/serverlist.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Listed is a server as the platform tells of it.
-type Listed struct {
+// Entry is a server as the platform tells of it.
+type Entry struct {
 	ID       string
 	Service  string
 	Address  string
@@ -19,59 +19,59 @@
 
 // Service is what the operator says of a service.
 type Service struct {
-	Warmup  time.Duration // how long its servers stay cold
-	PerS    float64       // requests a second that a cold one bears, from all proxies
-	MostOut int           // connections it takes from all proxies; 0: not told
+	Warmup         time.Duration // how long its servers stay cold
+	ColdRate       float64       // requests a second that a cold one bears, from all proxies
+	MaxConnections int           // connections it takes from all proxies; 0: not told
 }
 
-// Life is one life of a server, as a proxy may use it.
-type Life struct {
-	Listed
-	Region    string
-	Closed    bool          // nothing new goes there: it leaves, or its zone is drained
-	ColdUntil time.Duration // by the caller's clock
-	ColdSends float64       // requests a second from all proxies until then
-	MostOut   int           // connections it takes from all proxies; 0: not told
+// Server is one life of a server, as a proxy may use it.
+type Server struct {
+	Entry
+	Region         string
+	Closed         bool          // nothing new goes there: it leaves, or its zone is drained
+	ColdUntil      time.Duration // by the caller's clock
+	MaxColdRate    float64       // requests a second from all proxies until then
+	MaxConnections int           // connections it takes from all proxies; 0: not told
 }
 
-// Terms are the rules' figures for cold servers.
-type Terms struct {
-	Excess, Slack float64       // a cold server bears PerS times Excess and Slack more
+// Settings are the rules' figures for cold servers.
+type Settings struct {
+	Excess, Slack float64       // a cold server bears ColdRate times Excess and Slack more
 	Lag           time.Duration // the list may be so old
 	Regions       map[string]string
 }
 
 // ServerList holds what is known. The zero value knows nothing; it is not safe for concurrent use.
 type ServerList struct {
-	Terms    Terms
-	stamp    int64
-	lives    map[string]*Life
-	services map[string]Service
-	drained  map[string]bool
-	leaving  map[string]time.Duration // lives once seen draining, and when last listed
-	have     bool
+	Settings     Settings
+	stamp        int64
+	servers      map[string]*Server
+	services     map[string]Service
+	drainedZones map[string]bool
+	leaving      map[string]time.Duration // lives once seen draining, and when last listed
+	hasList      bool
 }
 
-// keepLeaving is how long a life that has left the list is remembered as leaving.
-const keepLeaving = time.Minute
+// leavingRetention is how long a life that has left the list is remembered as leaving.
+const leavingRetention = time.Minute
 
-// Have tells whether a list has come.
-func (g *ServerList) Have() bool { return g.have }
+// HasList tells whether a list has come.
+func (g *ServerList) HasList() bool { return g.hasList }
 
-// List takes a whole list, unless it is older than the one held; it tells whether it was taken. A life once seen
+// Update takes a whole list, unless it is older than the one held; it tells whether it was taken. A life once seen
 // draining stays so.
-func (g *ServerList) List(now time.Duration, stamp int64, list []Listed) bool {
-	if g.have && stamp <= g.stamp {
+func (g *ServerList) Update(now time.Duration, stamp int64, list []Entry) bool {
+	if g.hasList && stamp <= g.stamp {
 		return false
 	}
 	if g.leaving == nil {
 		g.leaving = map[string]time.Duration{}
 	}
-	g.have, g.stamp = true, stamp
-	lives := make(map[string]*Life, len(list))
+	g.hasList, g.stamp = true, stamp
+	lives := make(map[string]*Server, len(list))
 	for _, m := range list {
-		l := &Life{Listed: m, Region: g.Terms.Regions[m.Zone]}
-		if old := g.lives[m.ID]; old != nil {
+		l := &Server{Entry: m, Region: g.Settings.Regions[m.Zone]}
+		if old := g.servers[m.ID]; old != nil {
 			l.ColdUntil = old.ColdUntil
 		}
 		if m.WarmLeft > 0 {
@@ -83,47 +83,47 @@
 		}
 		lives[m.ID] = l
 	}
-	g.lives = lives
+	g.servers = lives
 	for id, at := range g.leaving {
-		if now-at > keepLeaving {
+		if now-at > leavingRetention {
 			delete(g.leaving, id)
 		}
 	}
 	return true
 }
 
-// Retell takes over other terms, also for the lives that are known.
-func (g *ServerList) Retell(t Terms) {
-	g.Terms = t
-	for _, l := range g.lives {
+// SetSettings takes over other terms, also for the lives that are known.
+func (g *ServerList) SetSettings(t Settings) {
+	g.Settings = t
+	for _, l := range g.servers {
 		l.Region = t.Regions[l.Zone]
 	}
 }
 
-// Services takes over the operator's services.
-func (g *ServerList) Services(s map[string]Service) { g.services = s }
+// SetServices takes over the operator's services.
+func (g *ServerList) SetServices(s map[string]Service) { g.services = s }
 
-// Drained takes over which zones are drained. The servers of one that is taken back count as cold for as long as
+// SetDrainedZones takes over which zones are drained. The servers of one that is taken back count as cold for as long as
 // their service's take, and as the list may be late in telling otherwise.
-func (g *ServerList) Drained(now time.Duration, zones map[string]bool) {
-	for _, l := range g.lives {
-		if g.drained[l.Zone] && !zones[l.Zone] {
-			l.ColdUntil = max(l.ColdUntil, now+g.services[l.Service].Warmup+g.Terms.Lag)
+func (g *ServerList) SetDrainedZones(now time.Duration, zones map[string]bool) {
+	for _, l := range g.servers {
+		if g.drainedZones[l.Zone] && !zones[l.Zone] {
+			l.ColdUntil = max(l.ColdUntil, now+g.services[l.Service].Warmup+g.Settings.Lag)
 		}
 	}
-	g.drained = zones
+	g.drainedZones = zones
 }
 
-// Lives are all lives in the list, in the order of their ids.
-func (g *ServerList) Lives() []Life {
-	out := make([]Life, 0, len(g.lives))
-	for _, l := range g.lives {
+// Servers are all lives in the list, in the order of their ids.
+func (g *ServerList) Servers() []Server {
+	out := make([]Server, 0, len(g.servers))
+	for _, l := range g.servers {
 		v := *l
-		v.Closed = l.Draining || g.drained[l.Zone]
-		v.MostOut = g.services[l.Service].MostOut
-		v.ColdSends = g.services[l.Service].PerS*g.Terms.Excess + g.Terms.Slack
+		v.Closed = l.Draining || g.drainedZones[l.Zone]
+		v.MaxConnections = g.services[l.Service].MaxConnections
+		v.MaxColdRate = g.services[l.Service].ColdRate*g.Settings.Excess + g.Settings.Slack
 		out = append(out, v)
 	}
-	slices.SortFunc(out, func(a, b Life) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
--- a/internal/dataplane/verdict/verdict_test.go
+++ b/internal/dataplane/verdict/verdict_test.go
@@ -12,18 +12,18 @@
 // All ends, alone and behind one another: what is known, what the decisions are told, and that no status which promises
 // is given to what may have run.
 func TestEnds(t *testing.T) {
-	want := [...]struct{ promise, code string }{Broken: {"no", "5"}, Silent: {"no", "3"}, Recalled: {"no", "6"}, Unsent: {"yes", "4"},
-		Moot: {"yes", "7"}, Declined: {"yes", "2"}, Unfit: {"yes", "7"}, Failed: {"no", "1"}, Served: {"no", "0"}}
-	assert.Equal(t, len(want), len(ends))
-	assert.Assert(t, !Verdict{}.Run().Never() && !Run(0).Never())
-	for a := range ends {
-		for b := range ends {
-			first, then := Of(End(a), errors.WithMessage(io.EOF, "read")), Of(End(b), nil)
-			var c Course
+	want := [...]struct{ promise, code string }{Broken: {"no", "5"}, TimedOut: {"no", "3"}, Cancelled: {"no", "6"}, Unsent: {"yes", "4"},
+		SendAborted: {"yes", "7"}, Declined: {"yes", "2"}, InvalidRequest: {"yes", "7"}, Failed: {"no", "1"}, Served: {"no", "0"}}
+	assert.Equal(t, len(want), len(endProperties))
+	assert.Assert(t, !Verdict{}.RunState().NeverRan() && !RunState(0).NeverRan())
+	for a := range endProperties {
+		for b := range endProperties {
+			first, then := New(End(a), errors.WithMessage(io.EOF, "read")), New(End(b), nil)
+			var c RequestOutcome
 			c.Add(first)
 			c.Add(then)
 			promise := want[a].promise == "yes" && want[b].promise == "yes"
-			assert.Equal(t, !c.Ran(), promise, "%v, then %v", first, then)
+			assert.Equal(t, !c.MayHaveRun(), promise, "%v, then %v", first, then)
 			for status := 400; status < 600; status++ {
 				o := c.Answer(status, time.Second, "")
 				kept := promise || status != 408 && status != 421 && status != 429 && status != 503
@@ -35,22 +35,22 @@
 					if promise {
 						status = map[bool]int{false: 503, true: 429}[over]
 					}
-					o := c.GivenUp(over, late, 250*time.Millisecond)
+					o := c.FailureAnswer(over, late, 250*time.Millisecond)
 					assert.Equal(t, o.Status(), status, "%v, then %v", first, then)
 					assert.Equal(t, o.Fields() == "Retry-After: 0.250\r\n", promise)
 				}
 			}
 			why := then
-			if then.Run().Never() && !first.Run().Never() {
+			if then.RunState().NeverRan() && !first.RunState().NeverRan() {
 				why = first
 			}
 			assert.Equal(t, c.Last(), why)
 			assert.Assert(t, errors.Is(first, io.EOF) && first.Cause() == io.EOF)
 		}
 		// What the module is told promises as much as the verdict.
-		v := Of(End(a), nil)
+		v := New(End(a), nil)
 		assert.Equal(t, string(rune('0'+v.Code())), want[a].code)
-		assert.Equal(t, v.Run().Never(), v.Code().NeverRan())
+		assert.Equal(t, v.RunState().NeverRan(), v.Code().NeverRan())
 	}
 }
 
@@ -58,15 +58,15 @@
 func TestHeard(t *testing.T) {
 	for status := 200; status < 600; status++ {
 		for bits := range 16 {
-			a := Answer{status, bits&1 > 0, bits&2 > 0, bits&4 > 0, bits&8 > 0}
-			v, pass := Heard(a)
+			a := ServerAnswer{status, bits&1 > 0, bits&2 > 0, bits&4 > 0, bits&8 > 0}
+			v, pass := ClassifyAnswer(a)
 			switch ours := status == 408 || status == 429 || status == 503; {
 			case a.NotRun || status == 421:
-				assert.Assert(t, v.Run() == Refused && !pass, "%+v", a)
-			case !a.Framed || a.Coded || status < 300 && !a.Sealed:
-				assert.Assert(t, v.Run() == MayHave && !pass, "%+v", a)
+				assert.Assert(t, v.RunState() == RefusedNotRun && !pass, "%+v", a)
+			case !a.Framed || a.ContentEncoded || status < 300 && !a.Sealed:
+				assert.Assert(t, v.RunState() == MayHaveRun && !pass, "%+v", a)
 			default:
-				assert.Assert(t, v.Run() == Has && pass == !ours, "%+v", a)
+				assert.Assert(t, v.RunState() == HasRun && pass == !ours, "%+v", a)
 				assert.Equal(t, v.End == Served, status < 500 && !ours, "%+v", a)
 			}
 		}
--- a/internal/platform/peerlink/message.go
+++ b/internal/platform/peerlink/message.go
@@ -67,18 +67,18 @@
 // Ping asks for a Pong. Sent is the asker's own steady clock and means nothing to the other.
 type Ping struct {
 	Sent     time.Duration
-	Ready    bool           // hand to replica: its proxy is ready for clients
-	Gen      uint64         // the version in force at the proxy; 0: none
-	Held     uint64         // hand to replica: the version that the agent holds; 0: none
-	Sum      uint32         // hand to replica: that version's Sum, as two texts may have one number
-	Upstream bool           // hand to replica: tell me servers and the census, until a Ping says otherwise
-	Every    time.Duration  // hand to replica: the next Ping comes after so long; 0: as is usual
-	Rests    bool           // the proxy would be ready, but for the order to rest
-	Parts    int            // in how many parts the proxy divides quotas, in force there; 0: not told
-	Figures  *Figures       // proxy to agent, and to a replica that wants them
-	Asked    *Asked         // the same, every few seconds; nil: as told last
-	Heads    []homing.Heads // traffic by host, where some routes are bound and some are free; to replicas now and then. nil: not told
-	Packs    bool           // hand to replica: lists may come packed
+	Ready    bool                 // hand to replica: its proxy is ready for clients
+	Gen      uint64               // the version in force at the proxy; 0: none
+	Held     uint64               // hand to replica: the version that the agent holds; 0: none
+	Sum      uint32               // hand to replica: that version's Sum, as two texts may have one number
+	Upstream bool                 // hand to replica: tell me servers and the census, until a Ping says otherwise
+	Every    time.Duration        // hand to replica: the next Ping comes after so long; 0: as is usual
+	Rests    bool                 // the proxy would be ready, but for the order to rest
+	Parts    int                  // in how many parts the proxy divides quotas, in force there; 0: not told
+	Figures  *Figures             // proxy to agent, and to a replica that wants them
+	Asked    *Asked               // the same, every few seconds; nil: as told last
+	Heads    []homing.HostTraffic // traffic by host, where some routes are bound and some are free; to replicas now and then. nil: not told
+	Packs    bool                 // hand to replica: lists may come packed
 }
 
 // Pong answers a Ping. What it tells holds at the moment it was sent, which is
--- a/policy/relinquish_test.go
+++ b/policy/relinquish_test.go
@@ -143,8 +143,8 @@
 		}
 		return n
 	}
-	assert.Assert(t, joinerSends(1-handover.Early(8, 2), handover.EarlyFor) > 0)
-	assert.Assert(t, joinerSends(handover.Less(8, 2, 6), 10*time.Second) <= 30) // the units that they had left
+	assert.Assert(t, joinerSends(1-handover.InitialShare(8, 2), handover.InitialPhase) > 0)
+	assert.Assert(t, joinerSends(handover.UnusedShare(8, 2, 6), 10*time.Second) <= 30) // the units that they had left
 	busiest := m.maxSendsIn(5*time.Second, func(sentAttempt) bool { return true })
 	assert.Assert(t, float64(busiest) <= (5*rate+burst)*1.1+20, "%d", busiest)
 }
