--- a/internal/dataplane/routing/keyhistory.go
+++ b/internal/dataplane/routing/keyhistory.go
@@ -11,31 +11,31 @@
 // effects applies for as long as a server may still remember the key. The
 // history is bounded: when it is full, the oldest key is dropped. It is not safe
 // for concurrent use.
-type Careful struct {
-	most int
-	keys map[string]*trace
-	ring []string // keys in order of insertion; used as a ring buffer once it is full
-	next int
+type KeyHistory struct {
+	maxKeys        int
+	keys           map[string]*keyEntry
+	insertionOrder []string // keys in order of insertion; used as a ring buffer once it is full
+	oldest         int
 }
 
-type trace struct {
+type keyEntry struct {
 	effect policy.Effect
 	class  string
 	until  time.Duration
 }
 
 // NewKeyHistory returns a history of at most the given number of keys, at least 1.
-func NewCareful(maxKeys int) *Careful {
-	return &Careful{most: max(1, maxKeys), keys: map[string]*trace{}}
+func NewKeyHistory(maxKeys int) *KeyHistory {
+	return &KeyHistory{maxKeys: max(1, maxKeys), keys: map[string]*keyEntry{}}
 }
 
 // Update records an attempt and returns the effect that applies to it. A request
 // that is safe to repeat adds no entry, but an existing entry applies to it.
-func (c *Careful) Hold(now time.Duration, request *Ticket) policy.Effect {
-	if request.Key == "" {
+func (c *KeyHistory) Update(now time.Duration, request *ResolvedRequest) policy.Effect {
+	if request.IdempotencyKey == "" {
 		return request.Effect
 	}
-	name := request.Number + " " + request.Key
+	name := request.Number + " " + request.IdempotencyKey
 	entry := c.keys[name]
 	effect := request.Effect
 	if entry != nil && now < entry.until {
@@ -55,16 +55,16 @@
 		entry.effect, entry.class, entry.until = effect, request.Class.Name, until
 		return effect
 	}
-	c.keys[name] = &trace{effect, request.Class.Name, until}
-	if len(c.ring) < c.most {
-		c.ring = append(c.ring, name)
+	c.keys[name] = &keyEntry{effect, request.Class.Name, until}
+	if len(c.insertionOrder) < c.maxKeys {
+		c.insertionOrder = append(c.insertionOrder, name)
 		return effect
 	}
-	delete(c.keys, c.ring[c.next])
-	c.ring[c.next] = name
-	c.next = (c.next + 1) % c.most
+	delete(c.keys, c.insertionOrder[c.oldest])
+	c.insertionOrder[c.oldest] = name
+	c.oldest = (c.oldest + 1) % c.maxKeys
 	return effect
 }
 
 // Len returns the number of remembered keys.
-func (c *Careful) Len() int { return len(c.keys) }
+func (c *KeyHistory) Len() int { return len(c.keys) }
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -14,38 +14,38 @@
 )
 
 // ClientMode defines how the library of a request is identified.
-type Clients string
+type ClientMode string
 
 // The client modes.
 const (
-	ByKey   Clients = "keys"  // by the client's API key
-	ByFront Clients = "front" // by the fields that the platform's front end sends
-	ByBoth  Clients = "both"  // by the API key if the request has one, else by the front end's fields
+	ByKey   ClientMode = "keys"  // by the client's API key
+	ByFront ClientMode = "front" // by the fields that the platform's front end sends
+	ByBoth  ClientMode = "both"  // by the API key if the request has one, else by the front end's fields
 )
 
 // Options are the operator's settings other than the route book and the keys.
 type Options struct {
-	Clients Clients
-	Pass    []string // header fields forwarded to servers in addition to the protocol's
-	PassKey bool     // also forward API keys
-	Tell    bool     // add revision, operation and units to responses and to requests to servers
+	Clients       ClientMode
+	ForwardFields []string // header fields forwarded to servers in addition to the protocol's
+	ForwardKeys   bool     // also forward API keys
+	ExposeRouting bool     // add revision, operation and units to responses and to requests to servers
 }
 
 // Table holds a route book and the settings that requests are resolved by. It is
 // immutable, so a request can keep the table that it was resolved by.
 type Table struct {
 	Options
-	Book     *routebook.Book
-	ring     *keyring.Ring
-	places   []routebook.KeyPlace
-	classes  map[string]*policy.Class
-	plans    map[string]bool
-	gateways int
+	Book      *routebook.Book
+	ring      *keyring.Ring
+	keyPlaces []routebook.KeyPlace
+	classes   map[string]*policy.Class
+	plans     map[string]bool
+	gateways  int
 }
 
-// ownFields are the fields that the proxy writes itself and the hop-by-hop fields
+// reservedFields are the fields that the proxy writes itself and the hop-by-hop fields
 // (RFC 9110, 7.6.1). ForwardFields must not contain any of them.
-var ownFields = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
+var reservedFields = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host", "Cookie", "X-Request-Id", "Idempotency-Key", "X-Class",
 	"X-Deadline-Ms", "X-Tier", "X-Call-Terms", "X-Retry", OperationField, BookField, UnitsField}
 
@@ -59,7 +59,7 @@
 // NewTable combines a route book with a proxy's settings. The error lists every
 // route, key and header field that is incompatible with them.
 func NewTable(set *policy.Settings, b *routebook.Book, ring *keyring.Ring, libraries []keyring.Library, o Options) (*Table, error) {
-	t := &Table{Options: o, Book: b, ring: ring, places: b.Keys, classes: map[string]*policy.Class{}, plans: map[string]bool{}, gateways: set.Gateways}
+	t := &Table{Options: o, Book: b, ring: ring, keyPlaces: b.Keys, classes: map[string]*policy.Class{}, plans: map[string]bool{}, gateways: set.Gateways}
 	if o.Clients == "" {
 		t.Clients = ByKey
 	}
@@ -99,11 +99,11 @@
 	if len(b.Keys) == 0 && t.Clients != ByFront {
 		fault("the book names no security scheme of type apiKey: there is no place where a client's key could stand")
 	}
-	for _, f := range o.Pass {
-		if slices.ContainsFunc(ownFields, func(own string) bool { return strings.EqualFold(own, f) }) {
+	for _, f := range o.ForwardFields {
+		if slices.ContainsFunc(reservedFields, func(own string) bool { return strings.EqualFold(own, f) }) {
 			fault("the field %s is not passed on by name", f)
 		}
-		if !o.PassKey && slices.ContainsFunc(b.Keys, func(k routebook.KeyPlace) bool { return k.In == "header" && strings.EqualFold(k.Name, f) }) {
+		if !o.ForwardKeys && slices.ContainsFunc(b.Keys, func(k routebook.KeyPlace) bool { return k.In == "header" && strings.EqualFold(k.Name, f) }) {
 			fault("the field %s holds keys, which go on only where pass_key says so", f)
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // Revision returns the revision of the route book, or "none" for a nil table.
-func (t *Table) Name() string {
+func (t *Table) Revision() string {
 	if t == nil {
 		return "none"
 	}
@@ -122,7 +122,7 @@
 }
 
 // policyEffect converts a route's repeat rule to the policy package's effect.
-func effectOf(r routebook.Repeat) policy.Effect {
+func policyEffect(r routebook.Repeat) policy.Effect {
 	switch r {
 	case routebook.Safe:
 		return policy.Safe
@@ -133,7 +133,7 @@
 }
 
 // maxDeadline returns the longest deadline that a client of an operation may set.
-func deadline(r *routebook.Route, c *policy.Class) time.Duration {
+func maxDeadline(r *routebook.Route, c *policy.Class) time.Duration {
 	if r.Deadline > 0 {
 		return min(r.Deadline, c.Deadline)
 	}
--- a/internal/dataplane/serverhealth/explore_test.go
+++ b/internal/dataplane/serverhealth/explore_test.go
@@ -9,28 +9,28 @@
 )
 
 // exploredState is the state of three proxies and one replica after a sequence of steps.
-type path struct {
-	floor   *Floor
-	fault   string
-	proxies [3]*Recorder
-	told    [3]uint64
-	way     [3]*Report // sent, not yet arrived
-	seen    [3]int
-	late    *Report // a duplicate that is still to arrive
-	lost    int
-	again   int
-	starts  int
-	level   Level // highest level so far
-	pardon  bool  // a restart of the replica lowered the level
-	servers []Server
+type exploredState struct {
+	evaluator        *Evaluator
+	fault            string
+	proxies          [3]*Recorder
+	reported         [3]uint64
+	inFlight         [3]*Report // sent, not yet arrived
+	seen             [3]int
+	late             *Report // a duplicate that is still to arrive
+	lost             int
+	duplicates       int
+	starts           int
+	level            Level // highest level so far
+	clearedByRestart bool  // a restart of the replica lowered the level
+	servers          []Server
 }
 
 const pathNow = time.Hour
 
 // maxOutcomes limits the outcomes that each proxy observes, maxDisruptions the losses, duplicates and restarts in total.
-var mostSeen = [3]int{2, 2, 1}
+var maxOutcomes = [3]int{2, 2, 1}
 
-const mostTroubles = 1
+const maxDisruptions = 1
 
 // step is one event, at one proxy.
 type step struct {
@@ -38,45 +38,45 @@
 	proxy int
 }
 
-func newPath(fault string) *path {
-	p := &path{floor: NewFloor(), fault: fault}
+func newExploredState(fault string) *exploredState {
+	p := &exploredState{evaluator: NewEvaluator(), fault: fault}
 	for i := range p.proxies {
 		p.proxies[i] = NewRecorder(fmt.Sprint("g", i), fmt.Sprint("z", i), 1)
 	}
 	for i := range 4 {
 		p.servers = append(p.servers, Server{ID: fmt.Sprint("s", i), Service: "loans", Region: "n", Capacity: 1})
 	}
-	p.floor.fault = fault
-	p.hearOthers()
+	p.evaluator.testFault = fault
+	p.reportOthers()
 	return p
 }
 
 // reportOthers reports good outcomes of the other servers, which s0 is compared with.
-func (p *path) hearOthers() {
+func (p *exploredState) reportOthers() {
 	b := NewRecorder("other", "z0", 1)
 	for _, s := range p.servers[1:] {
 		for group := range uint8(Groups) {
 			for range 3 {
-				b.Add(pathNow, s.ID, Record, group, Confirmed)
+				b.Add(pathNow, s.ID, AtMostOnce, group, Confirmed)
 			}
 		}
 	}
-	report, _ := b.Tell(pathNow, 0, func(string) bool { return true })
-	p.floor.Hear(pathNow, report)
+	report, _ := b.ReportSince(pathNow, 0, func(string) bool { return true })
+	p.evaluator.AddReport(pathNow, report)
 }
 
 // steps returns the events that may happen next: a proxy observes an outcome (s), sends a report (t), its report arrives (d),
 // arrives and will be duplicated (a), or is lost with its connection (l); the duplicate arrives (c); the replica restarts (r).
-func (p *path) steps() (all []step) {
-	well := p.again+p.lost+p.starts < mostTroubles
+func (p *exploredState) steps() (all []step) {
+	well := p.duplicates+p.lost+p.starts < maxDisruptions
 	for g := range p.proxies {
-		if p.seen[g] < mostSeen[g] {
+		if p.seen[g] < maxOutcomes[g] {
 			all = append(all, step{'s', g})
 		}
-		if p.way[g] == nil && p.proxies[g].no > p.told[g] {
+		if p.inFlight[g] == nil && p.proxies[g].sequence > p.reported[g] {
 			all = append(all, step{'t', g})
 		}
-		if p.way[g] != nil {
+		if p.inFlight[g] != nil {
 			all = append(all, step{'d', g})
 			if well {
 				all = append(all, step{'a', g})
@@ -96,60 +96,60 @@
 }
 
 // apply executes a step. With look, it evaluates the verdict afterwards.
-func (p *path) do(s step, look bool) {
+func (p *exploredState) apply(s step, look bool) {
 	g := s.proxy
 	switch s.what {
 	case 's':
-		p.proxies[g].Add(pathNow, "s0", Record, uint8(g), Unclear)
+		p.proxies[g].Add(pathNow, "s0", AtMostOnce, uint8(g), Unclear)
 		p.seen[g]++
 	case 't':
-		p.way[g], p.told[g] = p.proxies[g].Tell(pathNow, p.told[g], func(string) bool { return true })
+		p.inFlight[g], p.reported[g] = p.proxies[g].ReportSince(pathNow, p.reported[g], func(string) bool { return true })
 	case 'd', 'a':
-		if p.floor.Hear(pathNow, p.way[g]); s.what == 'a' {
-			p.late, p.again = p.way[g], 1
+		if p.evaluator.AddReport(pathNow, p.inFlight[g]); s.what == 'a' {
+			p.late, p.duplicates = p.inFlight[g], 1
 		}
-		p.way[g] = nil
+		p.inFlight[g] = nil
 	case 'l':
-		p.way[g], p.told[g], p.lost = nil, 0, 1 // a new connection starts with a complete report
+		p.inFlight[g], p.reported[g], p.lost = nil, 0, 1 // a new connection starts with a complete report
 		if p.fault == "goes on after a loss" {
-			p.told[g] = p.proxies[g].no
+			p.reported[g] = p.proxies[g].sequence
 		}
 	case 'c':
-		p.floor.Hear(pathNow, p.late)
+		p.evaluator.AddReport(pathNow, p.late)
 		p.late = nil
 	case 'r':
-		list := p.floor.Step(pathNow, p.servers).List
-		p.floor, p.told, p.starts = NewFloor(), [3]uint64{}, 1
-		p.floor.fault = p.fault
-		p.hearOthers()
+		list := p.evaluator.Evaluate(pathNow, p.servers).List
+		p.evaluator, p.reported, p.starts = NewEvaluator(), [3]uint64{}, 1
+		p.evaluator.testFault = p.fault
+		p.reportOthers()
 		if p.fault != "adopts nothing" {
-			p.floor.Adopt(pathNow, list)
+			p.evaluator.Adopt(pathNow, list)
 		}
-		p.pardon = look && p.is() < p.level
+		p.clearedByRestart = look && p.currentLevel() < p.level
 	}
 	if look && s.what != 's' && s.what != 't' && s.what != 'l' {
-		p.level = max(p.level, p.is())
+		p.level = max(p.level, p.currentLevel())
 	}
 }
 
-func (p *path) is() Level {
-	if list := p.floor.Step(pathNow, p.servers).List; len(list) > 0 {
+func (p *exploredState) currentLevel() Level {
+	if list := p.evaluator.Evaluate(pathNow, p.servers).List; len(list) > 0 {
 		return list[0].Level
 	}
 	return Fit
 }
 
-func (p *path) held() (n [3]int) {
-	for k, c := range p.floor.cells["s0"] {
+func (p *exploredState) storedCounts() (n [3]int) {
+	for k, c := range p.evaluator.cells["s0"] {
 		n[k.group] += int(c.counts[Unclear])
 	}
 	return n
 }
 
 // key returns a text that differs between states with different possible continuations.
-func (p *path) key() string {
+func (p *exploredState) key() string {
 	way := [3]int{}
-	for g, s := range p.way {
+	for g, s := range p.inFlight {
 		if s != nil {
 			way[g] = 1
 			for _, e := range s.Observations {
@@ -159,33 +159,33 @@
 	}
 	late := ""
 	if p.late != nil {
-		late = fmt.Sprint(p.late.Witness, p.late.Observations)
+		late = fmt.Sprint(p.late.Proxy, p.late.Observations)
 	}
-	return fmt.Sprint(p.seen, p.told, way, p.held(), late, p.lost, p.again, p.starts, p.level)
+	return fmt.Sprint(p.seen, p.reported, way, p.storedCounts(), late, p.lost, p.duplicates, p.starts, p.level)
 }
 
 // violation returns the invariant that a state violates, now or after all pending reports have arrived; "" if none.
-func (p *path) wrong() string {
-	if p.pardon {
+func (p *exploredState) violation() string {
+	if p.clearedByRestart {
 		return "a restart of the replica cleared a verdict"
 	}
-	for g, n := range p.held() {
+	for g, n := range p.storedCounts() {
 		if n > p.seen[g] {
 			return fmt.Sprintf("g%[2]d observed %[1]d outcomes, the replica holds %[3]d", p.seen[g], g, n)
 		}
 	}
 	for g := range p.proxies {
-		if p.way[g] != nil {
-			p.floor.Hear(pathNow, p.way[g])
+		if p.inFlight[g] != nil {
+			p.evaluator.AddReport(pathNow, p.inFlight[g])
 		}
-		s, _ := p.proxies[g].Tell(pathNow, p.told[g], func(string) bool { return true })
-		p.floor.Hear(pathNow, s)
+		s, _ := p.proxies[g].ReportSince(pathNow, p.reported[g], func(string) bool { return true })
+		p.evaluator.AddReport(pathNow, s)
 	}
-	if held := p.held(); held != p.seen {
+	if held := p.storedCounts(); held != p.seen {
 		return fmt.Sprintf("%v outcomes were observed, the replica finally holds %v", p.seen, held)
 	}
-	is := p.is()
-	if all := p.seen[0] + p.seen[1] + p.seen[2]; is < UnfitRecord && (all > 4 || p.level >= UnfitRecord) {
+	is := p.currentLevel()
+	if all := p.seen[0] + p.seen[1] + p.seen[2]; is < UnfitAtMostOnce && (all > 4 || p.level >= UnfitAtMostOnce) {
 		return fmt.Sprintf("%s after %d unclear outcomes", is, all)
 	}
 	return ""
@@ -196,12 +196,12 @@
 	known := map[string]bool{}
 	var walk func(done []step, level Level) string
 	walk = func(done []step, level Level) string {
-		p := newPath(fault)
+		p := newExploredState(fault)
 		for i, s := range done {
 			if i == len(done)-1 {
 				p.level = level // as found on the way to this state
 			}
-			p.do(s, i == len(done)-1)
+			p.apply(s, i == len(done)-1)
 		}
 		key := p.key()
 		if known[key] {
@@ -209,7 +209,7 @@
 		}
 		known[key] = true
 		next, level := p.steps(), p.level
-		if what := p.wrong(); what != "" {
+		if what := p.violation(); what != "" {
 			return fmt.Sprint(done, ": ", what)
 		}
 		for _, s := range next {
--- a/internal/dataplane/serverhealth/verdict.go
+++ b/internal/dataplane/serverhealth/verdict.go
@@ -12,10 +12,10 @@
 
 // The levels.
 const (
-	Fit         Level = iota
-	Doubtful          // at-most-once requests prefer other servers
-	UnfitRecord       // no at-most-once requests, except trials
-	UnfitAll          // no requests, except trials
+	Fit             Level = iota
+	Doubtful              // at-most-once requests prefer other servers
+	UnfitAtMostOnce       // no at-most-once requests, except trials
+	UnfitAll              // no requests, except trials
 )
 
 func (l Level) String() string {
@@ -23,7 +23,9 @@
 }
 
 // Serves reports whether a server at this level gets requests of the kind, apart from trials.
-func (l Level) Serves(k Kind) bool { return l < UnfitRecord || l == UnfitRecord && k == Search }
+func (l Level) Serves(k Kind) bool {
+	return l < UnfitAtMostOnce || l == UnfitAtMostOnce && k == Repeatable
+}
 
 // Verdict is the health verdict on one incarnation of a server.
 type Verdict struct {
@@ -52,17 +54,17 @@
 
 // Ages of verdicts that are not renewed.
 const (
-	Stale   = 10 * time.Second // past this age a level counts as Doubtful at most
-	Expired = time.Minute      // past this age a verdict is ignored
+	StaleAfter   = 10 * time.Second // past this age a level counts as Doubtful at most
+	ExpiredAfter = time.Minute      // past this age a verdict is ignored
 )
 
 // Aged returns the level that a proxy applies when it has received no verdicts for the time silent. After ExpiredAfter the
 // proxy uses only its own outcomes.
 func (l Level) Aged(silent time.Duration) Level {
 	switch {
-	case silent > Expired:
+	case silent > ExpiredAfter:
 		return Fit
-	case silent > Stale && l > Doubtful:
+	case silent > StaleAfter && l > Doubtful:
 		return Doubtful
 	}
 	return l
@@ -76,7 +78,7 @@
 }
 
 // DiffFrom returns what a receiver of old needs to be up to date, or nil if nothing has changed.
-func (s *Verdicts) Since(old *Verdicts) *Verdicts {
+func (s *Verdicts) DiffFrom(old *Verdicts) *Verdicts {
 	if old == nil || old.By != s.By {
 		return s
 	}
@@ -100,7 +102,7 @@
 
 // ApplyTo returns the complete verdicts after s is applied to old. It returns old if s is not newer, and nil if s is partial
 // and old is nil or from another replica.
-func (s *Verdicts) Onto(old *Verdicts) *Verdicts {
+func (s *Verdicts) ApplyTo(old *Verdicts) *Verdicts {
 	if old != nil && old.By == s.By && old.Stamp >= s.Stamp {
 		return old
 	}
@@ -148,16 +150,16 @@
 
 // Maximum shares of a service's capacity in a region that may be excluded at once.
 const (
-	mostOutRecord = 1. / 2
-	mostOutAll    = 1. / 3
+	maxExcludedAtMostOnce = 1. / 2
+	maxExcludedAll        = 1. / 3
 )
 
 // whyLeastBad is the reason given for a server that stays in use only because of LimitExcluded.
-const leastBad = "enough of its service is out: the least bad serve"
+const whyLeastBad = "enough of its service is out: the least bad serve"
 
 // MergeVerdicts merges the verdicts of several replicas into one list. Where they differ, the stricter one applies, within
 // the limits of LimitExcluded.
-func Join(servers []Server, lists ...[]Verdict) []Verdict {
+func MergeVerdicts(servers []Server, lists ...[]Verdict) []Verdict {
 	all := map[string]Verdict{}
 	for _, list := range lists {
 		for _, v := range list {
@@ -167,12 +169,12 @@
 			}
 		}
 	}
-	return Bound(servers, sorted(all))
+	return LimitExcluded(servers, sorted(all))
 }
 
 // LimitExcluded limits the share of a service's capacity in a region that is excluded. Beyond the limit, the servers with
 // the least evidence against them stay in use. It modifies and returns the given list.
-func Bound(servers []Server, list []Verdict) []Verdict {
+func LimitExcluded(servers []Server, list []Verdict) []Verdict {
 	type serviceRegion struct{ service, region string }
 	capacity, regionOf, total := map[string]int{}, map[string]serviceRegion{}, map[serviceRegion]int{}
 	for _, s := range servers {
@@ -183,7 +185,7 @@
 	}
 	worst := make([]*Verdict, 0, len(list))
 	for i := range list {
-		if capacity[list[i].Server] > 0 && list[i].Level >= UnfitRecord {
+		if capacity[list[i].Server] > 0 && list[i].Level >= UnfitAtMostOnce {
 			worst = append(worst, &list[i])
 		}
 	}
@@ -194,11 +196,11 @@
 	for _, v := range worst {
 		n, in := capacity[v.Server], regionOf[v.Server]
 		all := float64(total[in])
-		if v.Level == UnfitAll && float64(outAll[in]+n) > all*mostOutAll {
-			v.Level = UnfitRecord
+		if v.Level == UnfitAll && float64(outAll[in]+n) > all*maxExcludedAll {
+			v.Level = UnfitAtMostOnce
 		}
-		if float64(outRecord[in]+n) > all*mostOutRecord {
-			v.Level, v.Why = Doubtful, leastBad
+		if float64(outRecord[in]+n) > all*maxExcludedAtMostOnce {
+			v.Level, v.Why = Doubtful, whyLeastBad
 			continue
 		}
 		outRecord[in] += n
