--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -34,7 +34,7 @@
 	cloudClient     *http.Client
 	roundWanted     chan struct{} // signals that a round of reports is wanted now
 	censusChanged   chan struct{} // signals that the census may have changed
-	listLeaseWakeup chan struct{} // signals that the list lease may have changed hands
+	listLeaseWakeup chan struct{} // signals that the list lease may have a new holder
 	jobs            sync.WaitGroup
 	ctx             context.Context // parent of every background job's context
 
--- a/internal/control/server_list.go
+++ b/internal/control/server_list.go
@@ -20,7 +20,7 @@
 		servers = b.withKnownDraining(servers)
 		if b.serverList == nil || servers.Since(b.serverList) != nil {
 			stored := *servers
-			stored.Term, stored.Reading = peerlink.Term{}, peerlink.Reading{} // whoever is sent this list later gets the term and age of that time
+			stored.Term, stored.Reading = peerlink.Term{}, peerlink.Reading{} // a replica or agent that is sent this list later gets the term and age of that time
 			b.serverList = &stored
 			b.sendListToFollowers()
 		}
--- a/internal/dataplane/handover/leave.go
+++ b/internal/dataplane/handover/leave.go
@@ -21,7 +21,7 @@
 const (
 	Unadvertised Stage = iota // clients are not told of it any more; those that know it come
 	NoColdSends               // it sends nothing to cold servers: others may, ColdSendDelay later
-	NotAccepting              // its door is shut; it has stopped to use its shares, and hands them over
+	NotAccepting              // it accepts no connections; it no longer uses its shares, and transfers them to others
 	Answering                 // its shares are nobody's or others'; what is out is answered
 	Finalizing                // nothing that is out is waited for any more: it is answered with what is known of it
 	Ended
--- a/internal/dataplane/node/callpacing.go
+++ b/internal/dataplane/node/callpacing.go
@@ -18,7 +18,7 @@
 	maxSpread      = 8 * time.Second
 
 	// After a change of the discovery address each proxy fetches the complete list, which costs the service twice as much as
-	// a change. A proxy is assumed to know the list 6 s after the last call.
+	// a change. 6 s after its last call a proxy is assumed to know the current list, so the delay stays below that.
 	maxMoveDelay = 5500 * time.Millisecond
 )
 
--- a/internal/dataplane/node/managed.go
+++ b/internal/dataplane/node/managed.go
@@ -54,8 +54,8 @@
 	RevocationLimit           time.Duration // of their acknowledgement, also while control is unreachable
 	RetryRatio, RetrySlack    float64       // allowed retries: per request of a service, and in addition
 	QuotaExcess, QuotaSlack   float64       // allowed excess over a quota: as a part of it, and in addition, in units
-	QuotaWindow               time.Duration // period that the excess is measured over
-	WarmupExcess, WarmupSlack float64       // the same for the limit on requests to cold servers
+	QuotaWindow               time.Duration // the excess is allowed in each period of this length
+	WarmupExcess, WarmupSlack float64       // a cold server may get its service's cold rate times WarmupExcess, plus WarmupSlack, in requests/s
 	ListLag                   time.Duration // how late the server list may be
 
 	// OnRequestFailed, unless nil, is called for each request that may have run and got no server's answer.
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -221,7 +221,7 @@
 	if m := <-received; m.from != 0 || m.text != strings.Repeat("y", maxDatagramBytes) {
 		t.Errorf("received %d bytes from %d", len(m.text), m.from)
 	}
-	p.sendMessage(0, make([]byte, maxDatagramBytes+1)) // exceeds the size limit, which would invalidate a test run: must not be sent
+	p.sendMessage(0, make([]byte, maxDatagramBytes+1)) // must not be sent: a run in which a proxy sends a larger datagram than the limit is invalid
 	p.sendMessage(5, []byte("nobody"))
 	p.sendMessage(-1, []byte("all"))
 	_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -61,7 +61,7 @@
 	return c.plan.HardRate == 0 || !r.usesOwnCeiling() || c.ceiling >= r.units
 }
 
-// mayWait reports whether a request may wait for its customer's units: no more than refill in time.
+// mayWait reports whether a request may wait for units. Limit: what refills in the hold time, at least 1.
 func (g *Gateway) mayWait(r *request) bool {
 	if g.cfg.MultiService == nil || g.borrows || g.totalDemand(r.customer) > r.customer.plan.Rate {
 		return false // demand exceeds the quota: waiting would only delay later requests
