--- a/internal/dataplane/handover/explore_test.go
+++ b/internal/dataplane/handover/explore_test.go
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestModelFindsInjectedFaults(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"not numbered", "to any life", "serves on", "place lost", "redirected unpromised", "comes back",
 		"ends with what is held", "leaves and stays"} {
--- a/internal/dataplane/handover/shares_test.go
+++ b/internal/dataplane/handover/shares_test.go
@@ -95,7 +95,7 @@
 	return len(seen), ""
 }
 
-func TestSharesMakeOneWholeInAllOrders(t *testing.T) {
+func TestSharesNeverExceedTheTotal(t *testing.T) {
 	states, wrong := exploreShares("")
 	assert.Equal(t, wrong, "")
 	t.Logf("%d states, parts never above the whole", states)
@@ -107,7 +107,7 @@
 }
 
 // A leave ends in order, in the grace, whatever is acknowledged.
-func TestLeaveKeepsItsGrace(t *testing.T) {
+func TestLeaveEndsWithinGrace(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, open := range []int{0, 3} {
 		for _, quiet := range []time.Duration{0, time.Second} {
@@ -131,7 +131,7 @@
 }
 
 // Joiners' parts, those of the silent, who go by the smaller number, and of all others make one whole.
-func TestJoinersTakeNothingFromTheSilent(t *testing.T) {
+func TestJoinersUseNoShareOfSilentProxies(t *testing.T) {
 	for shares := 1; shares <= 40; shares++ {
 		for joined := 0; joined <= shares; joined++ {
 			for silent := 0; silent <= shares-joined; silent++ {
@@ -147,7 +147,7 @@
 }
 
 // Before it can be known who has heard, all joiners together use no more than a stated part of a second's units.
-func TestEarlyPartsAreFew(t *testing.T) {
+func TestInitialSharesAreLimited(t *testing.T) {
 	for shares := 1; shares <= 100; shares++ {
 		for joined := 1; joined <= shares; joined++ {
 			sum := float64(joined) * InitialShare(shares, joined) / float64(shares)
@@ -158,7 +158,7 @@
 }
 
 // A joiner comes into a rising part of places' answers, and each place keeps it once it has it.
-func TestRisesByPlace(t *testing.T) {
+func TestAdvertisedPlacesGrow(t *testing.T) {
 	for tenth := range 11 {
 		n, age := 0, RampStart+(RampEnd-RampStart)*time.Duration(tenth)/10
 		for i := range 1000 {
@@ -173,7 +173,7 @@
 	assert.Assert(t, CanOmitJoiners(1, 4) && CanOmitJoiners(1, 1) && !CanOmitJoiners(3, 0) && !CanOmitJoiners(3, 2))
 }
 
-func TestMessagesAreReadWhole(t *testing.T) {
+func TestDecodeRejectsIncompleteMessages(t *testing.T) {
 	m := &Message{Kind: Offer, From: 1, To: 2, Number: 3}
 	for i := range MaxShares {
 		m.Shares = append(m.Shares, Share{uint64(i), 7})
--- a/internal/dataplane/handover/tries_test.go
+++ b/internal/dataplane/handover/tries_test.go
@@ -10,7 +10,7 @@
 
 // What all proxies may save up of further tries makes no more than the whole, with any number of proxies and of numbers that
 // nobody has, and is of use: each part is a whole try at least, and no proxy is left without for all services.
-func TestTriesMakeOneWhole(t *testing.T) {
+func TestRetrySharesAddUpToTheTotal(t *testing.T) {
 	sum := func(whole float64, proxies, s int, served map[int]bool) {
 		sum, parts, service := 0.0, 0, fmt.Sprint("service", s)
 		for me := range proxies {
