--- a/internal/dataplane/handover/doc.go
+++ b/internal/dataplane/handover/doc.go
@@ -1,3 +1,3 @@
-// Package handover moves what a leaving proxy still holds to other proxies: it decides the stages of a proxy's leave, the
-// transfer of its remaining quota units, and the growing share of a proxy that joins. It does no I/O.
+// Package handover decides how proxies leave and join: the stages of a leave, the transfer of a leaving proxy's remaining
+// quota units to other proxies, and the growing share of a joining proxy. It does no I/O.
 package handover
--- a/internal/dataplane/handover/explore_test.go
+++ b/internal/dataplane/handover/explore_test.go
@@ -11,38 +11,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// handoverModel is one giver and two takers at a point that can be copied. Whatever was ever sent may come at any time, any
-// number of times, or never: so mail is lost, doubled, late and in any order.
+// handoverModel is the state of one sender and two receivers. Each message that was ever sent may arrive at any time, any
+// number of times, or never, so messages are lost, duplicated, delayed and reordered.
 type handoverModel struct {
 	fault           string
 	now             time.Duration
 	sender          *Sender
-	senderEnded     bool // the giver has ended, or has crashed
+	senderEnded     bool // the sender has ended or crashed
 	receivers       [2]*Receiver
 	lastIncarnation Incarnation
-	messages        []OutgoingMessage // to the takers 1 and 2, and to the giver as 0
+	messages        []OutgoingMessage // to the receivers 1 and 2, and to the sender as 0
 	messageSenders  []int
-	messageTexts    []string       // what tells letters apart
-	heldRequests    int            // waiting at the giver for an answer
-	reservedUnits   int            // units that it kept for them
-	holderCounts    map[uint64]int // how many holders, who may have used it, each share has had
+	messageTexts    []string       // each with sender, receiver and content, to find duplicates
+	heldRequests    int            // requests at the sender that wait for a server
+	reservedUnits   int            // units that the sender keeps for them
+	holderCounts    map[uint64]int // by share: how many proxies have held it and may have used it
 	faultCount      int            // crashes and leaves so far
-	maxFaults       int            // of them
+	maxFaults       int            // limit of faultCount
 }
 
-func newHandoverModel(fault string, lots, most int) *handoverModel {
-	f := &handoverModel{fault: fault, lastIncarnation: 10, holderCounts: map[uint64]int{}, maxFaults: most}
-	if most == 1 { // else there are too many orders
+func newHandoverModel(fault string, batches, maxFaults int) *handoverModel {
+	f := &handoverModel{fault: fault, lastIncarnation: 10, holderCounts: map[uint64]int{}, maxFaults: maxFaults}
+	if maxFaults == 1 { // with more faults there are too many states
 		f.heldRequests, f.reservedUnits = 1, 1
 	}
 	f.receivers = [2]*Receiver{{Incarnation: 1}, {Incarnation: 2}}
-	if fault == "place lost" {
+	if fault == "no reserved unit" {
 		f.reservedUnits = 0
 	}
-	if fault == "serves on" {
+	if fault == "keeps using its shares" {
 		f.holderCounts[7]++
 	}
-	f.sender = NewSender(9, []Batch{{[]Share{{7, 1}}, []int{1, 2}}, {[]Share{{8, 1}}, []int{2, 1}}}[:lots], 0)
+	f.sender = NewSender(9, []Batch{{[]Share{{7, 1}}, []int{1, 2}}, {[]Share{{8, 1}}, []int{2, 1}}}[:batches], 0)
 	f.step()
 	return f
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-// deliver hands a message over.
+// deliver passes a message to its destination.
 func (f *handoverModel) deliver(i int) {
 	m, from := f.messages[i], f.messageSenders[i]
 	if m.To == 0 {
@@ -122,7 +122,7 @@
 	switch f.fault {
 	case "not numbered":
 		t.answeredOffers = nil
-	case "to any life":
+	case "to any incarnation":
 		msg.To = t.Incarnation
 	}
 	answer, shares := t.HandleMessage(&msg)
@@ -134,7 +134,7 @@
 	}
 }
 
-// next are all that can happen now.
+// next returns the states after each event that can happen now.
 func (f *handoverModel) next() (all []*handoverModel) {
 	add := func(do func(c *handoverModel)) {
 		c := f.copy()
@@ -154,13 +154,13 @@
 				add(func(c *handoverModel) {
 					c.now = at
 					switch {
-					case c.fault == "redirected unpromised":
+					case c.fault == "offered again without a rejection":
 						for _, l := range c.sender.batches {
 							if l.number != 0 && !l.finished {
 								c.sender.receivers[l.receiver].unwilling, l.number = true, 0
 							}
 						}
-					case c.fault == "comes back" && at == HandoverTimeout:
+					case c.fault == "takes shares back" && at == HandoverTimeout:
 						for _, l := range c.sender.batches {
 							if !l.accepted {
 								c.holderCounts[l.Shares[0].Key]++
@@ -172,12 +172,12 @@
 			}
 		}
 		if f.heldRequests > 0 {
-			add(func(c *handoverModel) { // a server has room
+			add(func(c *handoverModel) { // a server has capacity
 				c.heldRequests, c.reservedUnits = c.heldRequests-1, c.reservedUnits-1
 			})
-			add(func(c *handoverModel) { c.heldRequests-- }) // its wait is over: it is refused
+			add(func(c *handoverModel) { c.heldRequests-- }) // its wait is over, so it is refused
 		}
-		if f.sender.Done(f.now) && (f.heldRequests == 0 || f.fault == "ends with what is held") {
+		if f.sender.Done(f.now) && (f.heldRequests == 0 || f.fault == "ends with held requests") {
 			add(func(c *handoverModel) { c.senderEnded = true })
 		}
 	}
@@ -188,14 +188,14 @@
 			})
 		}
 		for i := range f.receivers {
-			add(func(c *handoverModel) { // it crashes and comes back
+			add(func(c *handoverModel) { // the receiver crashes and restarts
 				c.faultCount, c.lastIncarnation = c.faultCount+1, c.lastIncarnation+1
 				c.receivers[i] = &Receiver{Incarnation: c.lastIncarnation}
 			})
 			add(func(c *handoverModel) {
 				c.faultCount++
-				c.receivers[i].Leaving = !(c.fault == "leaves and stays" && c.receivers[i].Leaving)
-				if c.fault == "leaves and stays" {
+				c.receivers[i].Leaving = !(c.fault == "stops leaving" && c.receivers[i].Leaving)
+				if c.fault == "stops leaving" {
 					c.receivers[i].answeredOffers = nil
 				}
 			})
@@ -204,28 +204,28 @@
 	return all
 }
 
-// violation says what rule is broken here; empty: none is.
+// violation describes the rule that this state violates; empty if it violates none.
 func (f *handoverModel) violation() string {
 	for k, n := range f.holderCounts {
 		if n > 1 {
-			return fmt.Sprint("share ", k, " was at more than one holder")
+			return fmt.Sprint("share ", k, " had more than one holder")
 		}
 	}
 	if f.senderEnded && f.heldRequests > 0 {
 		return "a held request has no answer"
 	}
 	if f.heldRequests > 0 && f.reservedUnits < f.heldRequests {
-		return "a held request has lost its place"
+		return "a held request has no reserved unit left"
 	}
 	return ""
 }
 
-// exploreHandover goes through all that can be reached, and tells the first that is wrong.
-func exploreHandover(first *handoverModel) (states int, wrong string) {
+// exploreHandover visits all reachable states and returns how many there are. It stops at the first violation.
+func exploreHandover(first *handoverModel) (states int, violation string) {
 	seen := map[string]bool{first.key(): true}
 	for queue := []*handoverModel{first}; len(queue) > 0; queue = queue[1:] {
-		if w := queue[0].violation(); w != "" {
-			return len(seen), w
+		if violation := queue[0].violation(); violation != "" {
+			return len(seen), violation
 		}
 		for _, n := range queue[0].next() {
 			if k := n.key(); !seen[k] {
@@ -239,25 +239,25 @@
 
 func TestHandoverInAllOrders(t *testing.T) {
 	t.Parallel()
-	for _, size := range [][2]int{{1, 1}, {1, 2}, {2, 0}} { // lots, and crashes and leaves
-		states, wrong := exploreHandover(newHandoverModel("", size[0], size[1]))
-		assert.Equal(t, wrong, "")
-		t.Logf("%d lots, %d faults: %d states, each share at one holder at most, each held request answered", size[0], size[1], states)
+	for _, size := range [][2]int{{1, 1}, {1, 2}, {2, 0}} { // batches, and crashes and leaves
+		states, violation := exploreHandover(newHandoverModel("", size[0], size[1]))
+		assert.Equal(t, violation, "")
+		t.Logf("%d batches, %d faults: %d states, each share with one holder at most, each held request answered", size[0], size[1], states)
 		assert.Assert(t, states > 100)
 	}
 }
 
 func TestPlantedFaultsAreFound(t *testing.T) {
 	t.Parallel()
-	for _, fault := range []string{"not numbered", "to any life", "serves on", "place lost", "redirected unpromised", "comes back",
-		"ends with what is held", "leaves and stays"} {
+	for _, fault := range []string{"not numbered", "to any incarnation", "keeps using its shares", "no reserved unit", "offered again without a rejection", "takes shares back",
+		"ends with held requests", "stops leaving"} {
 		t.Run(fault, func(t *testing.T) {
-			states, wrong := exploreHandover(newHandoverModel(fault, 1, 1))
-			if wrong == "" {
-				states, wrong = exploreHandover(newHandoverModel(fault, 1, 2))
+			states, violation := exploreHandover(newHandoverModel(fault, 1, 1))
+			if violation == "" {
+				states, violation = exploreHandover(newHandoverModel(fault, 1, 2))
 			}
-			assert.Assert(t, wrong != "")
-			t.Logf("%s, after %d states", wrong, states)
+			assert.Assert(t, violation != "")
+			t.Logf("%s, after %d states", violation, states)
 		})
 	}
 }
--- a/internal/dataplane/handover/message.go
+++ b/internal/dataplane/handover/message.go
@@ -5,40 +5,40 @@
 	"encoding/binary"
 )
 
-// Incarnation identifies one run of a proxy's process. 0 identifies none.
+// Incarnation identifies one run of a proxy's process. 0 means none.
 type Incarnation uint64
 
-// Kind is what a message says.
+// Kind is the kind of a message. Its values are sent between proxies.
 type Kind byte
 
 // The kinds of messages.
 const (
-	Query     Kind = 1 + iota // giver: who would take?
-	Willing                   // taker: this life would
-	Unwilling                 // taker: it leaves itself, or does not know yet what there is
-	Offer                     // giver: these shares are yours, under a number
-	Accepted                  // taker: what has the number is taken
-	Rejected                  // taker: it is not taken, and never will be
+	Query     Kind = 1 + iota // from the sender: would you receive shares?
+	Willing                   // from the receiver: this incarnation would
+	Unwilling                 // from the receiver: it leaves itself, or is not informed yet
+	Offer                     // from the sender: these shares are yours; the offer has a number
+	Accepted                  // from the receiver: the offer with this number is accepted
+	Rejected                  // from the receiver: the offer is not accepted, and never will be
 )
 
-// Share is a number of units of one key's quota, held by one proxy only.
+// Share is a number of units of one key's quota. Only one proxy may hold it.
 type Share struct {
 	Key   uint64
 	Units uint16
 }
 
-// Message is a message between giver and taker. It may be lost, late or duplicated.
+// Message is a message between sender and receiver. It may be lost, delayed or duplicated.
 type Message struct {
 	Kind     Kind
 	From, To Incarnation
-	Number   uint32 // of a handover; counted by the giver, from 1
+	Number   uint32 // of an offer; counted by the sender, from 1
 	Shares   []Share
 }
 
-// Magic begins each message on the wire: no other datagram between proxies begins so.
+// Magic is the first byte of each encoded message. No other datagram between proxies begins with it.
 const Magic = 0xE7
 
-// MaxShares is how many shares one message holds at most, so that it is below 256 bytes.
+// MaxShares is the maximum number of shares in a message; it keeps messages below 256 bytes.
 const MaxShares = 22
 
 type wireHeader struct {
@@ -48,19 +48,19 @@
 	No       uint32
 }
 
-// Encode returns the message in its form on the wire.
+// Encode returns the message in its encoded form.
 func (m *Message) Encode() []byte {
 	b, err := binary.Append(nil, binary.BigEndian, wireHeader{Magic, m.Kind, m.From, m.To, m.Number})
 	if err == nil {
 		b, err = binary.Append(b, binary.BigEndian, m.Shares)
 	}
 	if err != nil {
-		panic(err) // fixed sizes only
+		panic(err) // can't happen: all types have a fixed size
 	}
 	return b
 }
 
-// Decode reads a message; it returns nil for anything but a complete, well-formed one.
+// Decode decodes a message. It returns nil unless the bytes are a complete, well-formed message.
 func Decode(b []byte) *Message {
 	var h wireHeader
 	n, err := binary.Decode(b, binary.BigEndian, &h)
--- a/internal/dataplane/handover/shares_test.go
+++ b/internal/dataplane/handover/shares_test.go
@@ -8,17 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// shareModel are three proxies and control, which says in how many parts quotas are divided. The first leaves, crashes
-// and comes back. Control's word comes to each proxy at any time or never, and whether it came is known at any time later.
+// shareModel is the state of three proxies and of control, which decides how many parts the quotas are divided into. The
+// first proxy leaves, crashes and restarts. Control's message reaches each other proxy at any time or never, and the first
+// proxy learns at any later time that it did.
 type shareModel struct {
 	fault        string
-	stage        byte // of the first: 's'erving, 'y'ielded, 'g'one, 'd'ead, 'b'ack and not told, 'j'oined
-	shareCount   int  // shares by control
-	hasRejoined  bool // the first has joined anew
-	saidReleased bool // it has said that its parts are given up
+	stage        byte // of the first proxy: 's'erving, 'y'ielded, 'g'one, 'd'ead, 'b'ack without the current configuration, 'j'oined
+	shareCount   int  // number of parts that control has decided
+	hasRejoined  bool // the first proxy has joined again
+	saidReleased bool // the first proxy has reported that it released its part
 	knownCounts  [2]int
-	knowsJoin    [2]bool // known to have heard of the join
-	firstPart    int     // of the first in sixths; -1: it is not told
+	knowsJoin    [2]bool // the first proxy knows that the other one knows of the join
+	firstPart    int     // of the first proxy, in sixths
 }
 
 func (f shareModel) joinerPart() int {
@@ -28,11 +29,11 @@
 			silent++
 		}
 	}
-	less := 0.0
+	unused := 0.0
 	if f.hasRejoined && f.fault != "joiner takes all" {
-		less = UnusedShare(f.shareCount, 1, silent)
+		unused = UnusedShare(f.shareCount, 1, silent)
 	}
-	return int(6*(1-less)/float64(f.shareCount) + 1e-9)
+	return int(6*(1-unused)/float64(f.shareCount) + 1e-9)
 }
 
 func (f shareModel) next() (all []shareModel) {
@@ -45,45 +46,45 @@
 	case 's':
 		add(func(c *shareModel) {
 			c.stage = 'y'
-			if f.fault != "serves on" {
+			if f.fault != "keeps using its share" {
 				c.firstPart = 0
 			}
 		})
 		add(func(c *shareModel) { c.stage, c.firstPart = 'd', 0 })
-		if f.fault == "word before the stop" {
+		if f.fault == "reported before the stop" {
 			add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 })
 		}
 	case 'y':
 		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 })
 		add(func(c *shareModel) { c.stage, c.firstPart = 'g', 0 })
 	case 'g', 'd':
-		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 }) // its time is over
-		add(func(c *shareModel) {                                           // it is back, and control hears of it
+		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 }) // its time limit has passed
+		add(func(c *shareModel) {                                           // it has restarted, and control knows
 			c.stage, c.hasRejoined, c.knowsJoin = 'b', c.shareCount == 2, [2]bool{}
 			c.shareCount, c.saidReleased = 3, false
 		})
 	case 'b', 'j':
 		add(func(c *shareModel) { c.stage, c.firstPart = 'j', c.joinerPart() })
-		if f.fault == "ready before it is told" && f.stage == 'b' {
+		if f.fault == "ready without a configuration" && f.stage == 'b' {
 			add(func(c *shareModel) { c.stage, c.firstPart = 'j', 6 })
 		}
 	}
 	for i := range f.knownCounts {
 		add(func(c *shareModel) { c.knownCounts[i] = c.shareCount })
-		if f.knownCounts[i] == f.shareCount || f.fault == "heard before told" {
+		if f.knownCounts[i] == f.shareCount || f.fault == "known before the message" {
 			add(func(c *shareModel) { c.knowsJoin[i] = true })
 		}
 	}
 	return all
 }
 
-func exploreShares(fault string) (states int, wrong string) {
+func exploreShares(fault string) (states int, violation string) {
 	first := shareModel{fault: fault, stage: 's', shareCount: 3, knownCounts: [2]int{3, 3}, firstPart: 2}
 	seen := map[shareModel]bool{first: true}
 	for queue := []shareModel{first}; len(queue) > 0; queue = queue[1:] {
 		f := queue[0]
 		if sum := f.firstPart + 6/f.knownCounts[0] + 6/f.knownCounts[1]; sum > 6 {
-			return len(seen), fmt.Sprintf("%d of 6 parts: %c", sum, f.stage)
+			return len(seen), fmt.Sprintf("%d of 6 parts in stage %c", sum, f.stage)
 		}
 		for _, n := range f.next() {
 			if !seen[n] {
@@ -96,17 +97,17 @@
 }
 
 func TestSharesMakeOneWholeInAllOrders(t *testing.T) {
-	states, wrong := exploreShares("")
-	assert.Equal(t, wrong, "")
-	t.Logf("%d states, parts never above the whole", states)
-	for _, fault := range []string{"serves on", "word before the stop", "joiner takes all", "ready before it is told", "heard before told"} {
-		states, wrong := exploreShares(fault)
-		assert.Assert(t, wrong != "", fault)
-		t.Logf("%s: %s, after %d states", fault, wrong, states)
+	states, violation := exploreShares("")
+	assert.Equal(t, violation, "")
+	t.Logf("%d states, parts never above the total", states)
+	for _, fault := range []string{"keeps using its share", "reported before the stop", "joiner takes all", "ready without a configuration", "known before the message"} {
+		states, violation := exploreShares(fault)
+		assert.Assert(t, violation != "", fault)
+		t.Logf("%s: %s, after %d states", fault, violation, states)
 	}
 }
 
-// A leave ends in order, in the grace, whatever is acknowledged.
+// A leave goes through its stages in order and ends within the grace period, whatever is acknowledged.
 func TestLeaveKeepsItsGrace(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, open := range []int{0, 3} {
@@ -130,7 +131,7 @@
 	}
 }
 
-// Joiners' parts, those of the silent, who go by the smaller number, and of all others make one whole.
+// The parts of joiners, of silent proxies (which still divide by the smaller number) and of all others add up to at most 1.
 func TestJoinersTakeNothingFromTheSilent(t *testing.T) {
 	for shares := 1; shares <= 40; shares++ {
 		for joined := 0; joined <= shares; joined++ {
@@ -146,7 +147,7 @@
 	}
 }
 
-// Before it can be known who has heard, all joiners together use no more than a stated part of a second's units.
+// While it is unknown which proxies know of the join, all joiners together use at most maxInitialExcess of a second's units.
 func TestEarlyPartsAreFew(t *testing.T) {
 	for shares := 1; shares <= 100; shares++ {
 		for joined := 1; joined <= shares; joined++ {
@@ -157,7 +158,7 @@
 	assert.Equal(t, InitialShare(12, 1), 1.0)
 }
 
-// A joiner comes into a rising part of places' answers, and each place keeps it once it has it.
+// A growing part of the places has the joiner in its answers, and a place that has it once keeps it.
 func TestRisesByPlace(t *testing.T) {
 	for tenth := range 11 {
 		n, age := 0, RampStart+(RampEnd-RampStart)*time.Duration(tenth)/10
--- a/internal/dataplane/handover/take.go
+++ b/internal/dataplane/handover/take.go
@@ -1,18 +1,19 @@
 package handover
 
-// maxSenders is how many givers are remembered. The handover of a forgotten one ended long ago.
+// maxSenders is the number of senders whose offers are remembered. The handover of a dropped sender ended long ago.
 const maxSenders = 64
 
-// Receiver is the receiving side of handovers. It takes each lot once, however often it is offered.
+// Receiver is the receiving side of handovers. It accepts each batch at most once, however often it is offered.
 type Receiver struct {
 	Incarnation Incarnation
-	Leaving     bool // never false again
+	Leaving     bool // once set, it stays set
 
-	answeredOffers map[Incarnation]map[uint32]bool // by giver: hand-overs answered, and whether they were taken
+	answeredOffers map[Incarnation]map[uint32]bool // by sender and number: whether the offer was accepted
 	senderOrder    []Incarnation
 }
 
-// HandleMessage processes a message of a giver. It returns the answer, nil for none, and the shares that are now this proxy's.
+// HandleMessage processes a message from a sender. It returns the answer, or nil for none, and the shares that this proxy now
+// holds.
 func (t *Receiver) HandleMessage(m *Message) (answer *Message, shares []Share) {
 	switch m.Kind {
 	case Query:
@@ -21,19 +22,19 @@
 		}
 		return &Message{Kind: Willing, From: t.Incarnation, To: m.From}, nil
 	case Offer:
-		if m.To != t.Incarnation { // an earlier life's: that one may have had it, and used it
+		if m.To != t.Incarnation { // for an earlier incarnation, which may have accepted and used the shares
 			return nil, nil
 		}
-		took, again := t.offersFrom(m.From)[m.Number]
-		if !again {
-			took = !t.Leaving
-			t.offersFrom(m.From)[m.Number] = took
-			if took {
+		accepted, answered := t.offersFrom(m.From)[m.Number]
+		if !answered {
+			accepted = !t.Leaving
+			t.offersFrom(m.From)[m.Number] = accepted
+			if accepted {
 				shares = m.Shares
 			}
 		}
 		kind := Rejected
-		if took {
+		if accepted {
 			kind = Accepted
 		}
 		return &Message{Kind: kind, From: t.Incarnation, To: m.From, Number: m.Number}, shares
@@ -41,8 +42,9 @@
 	return nil, nil
 }
 
-func (t *Receiver) offersFrom(giver Incarnation) map[uint32]bool {
-	if m := t.answeredOffers[giver]; m != nil {
+// offersFrom returns the answered offers of a sender. For a new sender it drops the oldest one if there are too many.
+func (t *Receiver) offersFrom(sender Incarnation) map[uint32]bool {
+	if m := t.answeredOffers[sender]; m != nil {
 		return m
 	}
 	if t.answeredOffers == nil {
@@ -52,7 +54,7 @@
 		delete(t.answeredOffers, t.senderOrder[0])
 		t.senderOrder = t.senderOrder[1:]
 	}
-	t.answeredOffers[giver] = map[uint32]bool{}
-	t.senderOrder = append(t.senderOrder, giver)
-	return t.answeredOffers[giver]
+	t.answeredOffers[sender] = map[uint32]bool{}
+	t.senderOrder = append(t.senderOrder, sender)
+	return t.answeredOffers[sender]
 }
--- a/internal/dataplane/handover/tries_test.go
+++ b/internal/dataplane/handover/tries_test.go
@@ -8,24 +8,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// What all proxies may save up of further tries makes no more than the whole, with any number of proxies and of numbers that
-// nobody has, and is of use: each part is a whole try at least, and no proxy is left without for all services.
+// The retry shares of all proxies add up to at most the total, for any number of proxies. Each share that is not zero allows
+// at least one retry, and most proxies have a share for some service.
 func TestTriesMakeOneWhole(t *testing.T) {
-	sum := func(whole float64, proxies, s int, served map[int]bool) {
+	sum := func(total float64, proxies, s int, served map[int]bool) {
 		sum, parts, service := 0.0, 0, fmt.Sprint("service", s)
 		for me := range proxies {
-			part := RetryShare(whole, proxies, proxies, me, service)
+			part := RetryShare(total, proxies, proxies, me, service)
 			if sum += part; part > 0 {
 				parts, served[me] = parts+1, true
 				assert.Assert(t, part >= 1, "%v", part)
 			}
 		}
-		assert.Assert(t, sum < whole+1e-6, "%d proxies, %v of %v", proxies, sum, whole)
-		assert.Equal(t, parts, min(proxies, int(math.Floor(whole))), "%d proxies, %v", proxies, whole)
+		assert.Assert(t, sum < total+1e-6, "%d proxies, %v of %v", proxies, sum, total)
+		assert.Equal(t, parts, min(proxies, int(math.Floor(total))), "%d proxies, %v", proxies, total)
 	}
-	wholes := []float64{0, 0.7, 1, 5.6, 39.2, 116.2}
+	totals := []float64{0, 0.7, 1, 5.6, 39.2, 116.2}
 	for proxies := 1; proxies <= 1000; proxies++ {
-		sum(wholes[proxies%7%len(wholes)], proxies, proxies, map[int]bool{})
+		sum(totals[proxies%7%len(totals)], proxies, proxies, map[int]bool{})
 	}
 	for _, proxies := range []int{50, 300} {
 		served := map[int]bool{}
--- a/internal/dataplane/homing/homing_test.go
+++ b/internal/dataplane/homing/homing_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// Where one route is bound and one is free, requests decide and not routes, and not on each breath of theirs.
+// With one bound and one free route, the counted requests decide, and small changes around the threshold change nothing.
 func TestTrafficDecidesAndStands(t *testing.T) {
 	var proxy TrafficCounter
-	var roads Decisions
+	var decisions Decisions
 	now := time.Hour
 	host := HashHost("a")
-	asked := 0
+	counted := 0
 	home := func() bool {
-		return roads.SendsHome(host, 1, 1, func() HostTraffic {
-			asked++
+		return decisions.SendsHome(host, 1, 1, func() HostTraffic {
+			counted++
 			for _, h := range proxy.Top(now) {
 				if h.Host == host {
 					return h
@@ -25,8 +25,8 @@
 			return HostTraffic{}
 		}, now)
 	}
-	assert.Assert(t, home()) // nothing is counted: half of the routes are bound
-	pass := func(seconds, bound, free int) (turns int) {
+	assert.Assert(t, home()) // before any count: half of the routes are bound
+	pass := func(seconds, bound, free int) (changes int) {
 		was := home()
 		for range seconds * 10 {
 			for range bound {
@@ -36,20 +36,20 @@
 				proxy.Add(host, false, 0, now)
 			}
 			if now += time.Second / 10; home() != was {
-				turns, was = turns+1, !was
+				changes, was = changes+1, !was
 			}
 		}
-		return turns
+		return changes
 	}
-	assert.Equal(t, pass(20, 4, 10), 1) // searches are the most by far
+	assert.Equal(t, pass(20, 4, 10), 1) // most requests are free
 	assert.Assert(t, !home())
 	assert.Equal(t, pass(20, 10, 10), 1)
 	assert.Assert(t, home())
-	asked = 0
-	for i := range 40 { // about the bound, to both sides of it
+	counted = 0
+	for i := range 40 { // close to the threshold, on both sides of it
 		assert.Equal(t, pass(1, 63+i%3, 100), 0)
 	}
-	assert.Assert(t, asked <= 41, "asked %d times in 40 s", asked)
+	assert.Assert(t, counted <= 41, "counted %d times in 40 s", counted)
 	assert.Assert(t, pass(30, 50, 100) == 1 && !home())
 }
 
--- a/internal/dataplane/homing/tally.go
+++ b/internal/dataplane/homing/tally.go
@@ -10,27 +10,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxReportedHosts is how many hosts a proxy reports; MaxCountedHosts how many it counts.
+// MaxReportedHosts is the maximum number of hosts that a proxy reports, and MaxCountedHosts of those that it counts.
 const (
 	MaxReportedHosts = 8
 	MaxCountedHosts  = 256
-	halfLife         = 5 * time.Second // after which a request counts for half
+	halfLife         = 5 * time.Second // after this time a request counts half as much
 )
 
-// HashHost returns a short hash that stands for a host.
+// HashHost returns a short hash that identifies a host.
 func HashHost(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// HostTraffic holds the smoothed counts of a host's requests, as made by Tally.
+// HostTraffic holds the smoothed counts of a host's requests, as made by a TrafficCounter.
 type HostTraffic struct {
-	Host uint32 // by the function Host
-	KB   uint32 // kilobytes, there and back, of those on routes that are bound to regions
-	Free uint32 // requests on the others
+	Host uint32 // from HashHost
+	KB   uint32 // kilobytes of bound requests and their answers
+	Free uint32 // number of free requests
 }
 
-// answerKB is the assumed size of an answer with the heads of request and answer, in kilobytes.
+// answerKB is the assumed size of an answer and of the headers of request and answer, in kilobytes.
 const answerKB = 2.0
 
-// TrafficCounter counts requests at a proxy. Its zero value is ready to use, and it is safe for concurrent use.
+// TrafficCounter counts the requests of a proxy by host. Its zero value is ready to use, and it is safe for concurrent use.
 type TrafficCounter struct {
 	mu        sync.Mutex
 	byHost    map[uint32]*hostCount
@@ -39,7 +39,7 @@
 
 type hostCount struct{ kb, free float64 }
 
-// Add counts a request with a body of some bytes. Times are those of one monotonic clock.
+// Add counts a request; body is the size of its body in bytes. All times come from one monotonic clock.
 func (t *TrafficCounter) Add(host uint32, bound bool, body int, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,7 +47,7 @@
 	c := t.byHost[host]
 	if c == nil {
 		if len(t.byHost) >= MaxCountedHosts {
-			return // what wears off makes room
+			return // there is room again once other hosts' counts have decayed
 		}
 		if t.byHost == nil {
 			t.byHost = map[uint32]*hostCount{}
@@ -62,7 +62,7 @@
 	}
 }
 
-// Top returns the hosts with the most traffic, in falling order.
+// Top returns the hosts with the most traffic, in descending order.
 func (t *TrafficCounter) Top(now time.Duration) []HostTraffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +77,7 @@
 	return out[:min(len(out), MaxReportedHosts)]
 }
 
-// decay decays the counts, in steps of a tenth of a half-life; the mutex is held.
+// decay reduces the counts in steps of a tenth of the half-life. The caller holds the mutex.
 func (t *TrafficCounter) decay(now time.Duration) {
 	const step = halfLife / 10
 	n := (now - t.decayedAt) / step
--- a/internal/dataplane/serverlist/example_test.go
+++ b/internal/dataplane/serverlist/example_test.go
@@ -7,8 +7,8 @@
 	"pepperfall.example/pepperfall/internal/dataplane/serverlist"
 )
 
-// Lists of servers are folded into lives. One seen draining stays closed, also where a list forgets that; servers of a
-// zone that is taken back count as cold.
+// A server once listed as draining stays closed, even if a later list says otherwise. The servers of a zone that is no longer
+// drained count as cold.
 func Example() {
 	g := &serverlist.ServerList{Settings: serverlist.Settings{Excess: 1.5, Slack: 5, Lag: time.Second, Regions: map[string]string{"z1": "north", "z2": "south"}}}
 	g.SetServices(map[string]serverlist.Service{"pears": {Warmup: 10 * time.Second, ColdRate: 2}})
@@ -20,7 +20,7 @@
 	}
 	g.Update(0, 1, []serverlist.Entry{one, two})
 	one.Draining = false
-	fmt.Println(g.Update(time.Second, 2, []serverlist.Entry{one, two}), g.Update(2*time.Second, 1, nil)) // an older list is not taken
+	fmt.Println(g.Update(time.Second, 2, []serverlist.Entry{one, two}), g.Update(2*time.Second, 1, nil)) // an older list is not used
 	g.SetDrainedZones(3*time.Second, map[string]bool{"z2": true})
 	show()
 	g.SetDrainedZones(5*time.Second, nil)
--- a/internal/dataplane/serverlist/serverlist.go
+++ b/internal/dataplane/serverlist/serverlist.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Entry is a server as the platform tells of it.
+// Entry is a server in the platform's list.
 type Entry struct {
 	ID       string
 	Service  string
@@ -14,52 +14,53 @@
 	Zone     string
 	Slots    int
 	Draining bool
-	WarmLeft time.Duration // it is cold for so much longer, as of the list
+	WarmLeft time.Duration // the server stays cold for this time after the list was received
 }
 
-// Service is what the operator says of a service.
+// Service holds the operator's settings for a service.
 type Service struct {
-	Warmup         time.Duration // how long its servers stay cold
-	ColdRate       float64       // requests a second that a cold one bears, from all proxies
-	MaxConnections int           // connections it takes from all proxies; 0: not told
+	Warmup         time.Duration // how long a server stays cold after its start
+	ColdRate       float64       // requests a second that a cold server can take from all proxies
+	MaxConnections int           // connections that a server accepts from all proxies; 0 if unknown
 }
 
-// Server is one life of a server, as a proxy may use it.
+// Server is one instance of a server, with what a proxy has to know to use it.
 type Server struct {
 	Entry
 	Region         string
-	Closed         bool          // nothing new goes there: it leaves, or its zone is drained
-	ColdUntil      time.Duration // by the caller's clock
-	MaxColdRate    float64       // requests a second from all proxies until then
-	MaxConnections int           // connections it takes from all proxies; 0: not told
+	Closed         bool          // it gets no new requests: it is draining, or its zone is drained
+	ColdUntil      time.Duration // on the caller's clock
+	MaxColdRate    float64       // requests a second from all proxies while it is cold
+	MaxConnections int           // connections that a server accepts from all proxies; 0 if unknown
 }
 
-// Settings are the rules' figures for cold servers.
+// Settings holds the limits for cold servers and the region of each zone.
 type Settings struct {
-	Excess, Slack float64       // a cold server bears ColdRate times Excess and Slack more
-	Lag           time.Duration // the list may be so old
+	Excess, Slack float64       // a cold server gets at most ColdRate*Excess+Slack requests a second
+	Lag           time.Duration // maximum age of the platform's list
 	Regions       map[string]string
 }
 
-// ServerList holds what is known. The zero value knows nothing; it is not safe for concurrent use.
+// ServerList combines the list, the drained zones and the settings. The zero value is an empty list; it is not safe for
+// concurrent use.
 type ServerList struct {
 	Settings     Settings
 	stamp        int64
 	servers      map[string]*Server
 	services     map[string]Service
 	drainedZones map[string]bool
-	leaving      map[string]time.Duration // lives once seen draining, and when last listed
+	leaving      map[string]time.Duration // servers that have been listed as draining, with the time when they were last listed
 	hasList      bool
 }
 
-// leavingRetention is how long a life that has left the list is remembered as leaving.
+// leavingRetention is how long a draining server is remembered after it has left the list.
 const leavingRetention = time.Minute
 
-// HasList tells whether a list has come.
+// HasList reports whether a list has been received.
 func (g *ServerList) HasList() bool { return g.hasList }
 
-// Update takes a whole list, unless it is older than the one held; it tells whether it was taken. A life once seen
-// draining stays so.
+// Update replaces the list, unless the new one is not newer than the current one. It reports whether it did. A server
+// that was listed as draining once stays draining.
 func (g *ServerList) Update(now time.Duration, stamp int64, list []Entry) bool {
 	if g.hasList && stamp <= g.stamp {
 		return false
@@ -68,7 +69,7 @@
 		g.leaving = map[string]time.Duration{}
 	}
 	g.hasList, g.stamp = true, stamp
-	lives := make(map[string]*Server, len(list))
+	servers := make(map[string]*Server, len(list))
 	for _, m := range list {
 		l := &Server{Entry: m, Region: g.Settings.Regions[m.Zone]}
 		if old := g.servers[m.ID]; old != nil {
@@ -81,9 +82,9 @@
 			l.Draining = true
 			g.leaving[m.ID] = now
 		}
-		lives[m.ID] = l
+		servers[m.ID] = l
 	}
-	g.servers = lives
+	g.servers = servers
 	for id, at := range g.leaving {
 		if now-at > leavingRetention {
 			delete(g.leaving, id)
@@ -92,7 +93,7 @@
 	return true
 }
 
-// SetSettings takes over other terms, also for the lives that are known.
+// SetSettings replaces the settings, also for the servers already in the list.
 func (g *ServerList) SetSettings(t Settings) {
 	g.Settings = t
 	for _, l := range g.servers {
@@ -100,11 +101,11 @@
 	}
 }
 
-// SetServices takes over the operator's services.
+// SetServices replaces the settings of the services.
 func (g *ServerList) SetServices(s map[string]Service) { g.services = s }
 
-// SetDrainedZones takes over which zones are drained. The servers of one that is taken back count as cold for as long as
-// their service's take, and as the list may be late in telling otherwise.
+// SetDrainedZones replaces the set of drained zones. If a zone is no longer drained, its servers count as cold for the
+// warm-up time of their service plus Lag, as the list may report a restart so much later.
 func (g *ServerList) SetDrainedZones(now time.Duration, zones map[string]bool) {
 	for _, l := range g.servers {
 		if g.drainedZones[l.Zone] && !zones[l.Zone] {
@@ -114,7 +115,7 @@
 	g.drainedZones = zones
 }
 
-// Servers are all lives in the list, in the order of their ids.
+// Servers returns all servers in the list, sorted by ID.
 func (g *ServerList) Servers() []Server {
 	out := make([]Server, 0, len(g.servers))
 	for _, l := range g.servers {
--- a/internal/dataplane/serverlist/serverlist_test.go
+++ b/internal/dataplane/serverlist/serverlist_test.go
@@ -30,10 +30,10 @@
 
 func TestDrainingIsNeverReadyAgain(t *testing.T) {
 	g := newServerList(t, draining, Entry{ID: "j", Zone: "b"})
-	g.Update(11*s, 6, []Entry{ready}) // an older list, asked for later
+	g.Update(11*s, 6, []Entry{ready}) // an older list that was requested later
 	assert.Assert(t, g.server("i").Closed)
 	g.Update(12*s, 7, nil)
-	g.Update(40*s, 8, []Entry{ready, {ID: "j", Zone: "b"}}) // from a caller that was cut off
+	g.Update(40*s, 8, []Entry{ready, {ID: "j", Zone: "b"}}) // from a replica that was disconnected for a while
 	assert.Assert(t, g.server("i").Closed)
 	assert.Assert(t, !g.server("j").Closed && g.server("j").Region == "q")
 }
@@ -47,7 +47,7 @@
 	assert.Equal(t, g.server("i").ID, "i")
 }
 
-// The servers of a zone that is taken back may have turned cold just before, and the list tells of it late.
+// When a zone is no longer drained, its servers may have just restarted, and the list reports that late.
 func TestZoneTakenBackIsCold(t *testing.T) {
 	g := newServerList(t, ready, Entry{ID: "j", Service: "x", Zone: "b"})
 	g.SetDrainedZones(11*s, map[string]bool{"a": true})
@@ -58,18 +58,18 @@
 	want := Server{Entry: ready, Region: "r", ColdUntil: 25 * s, MaxColdRate: 35}
 	assert.DeepEqual(t, g.server("i"), want)
 	assert.Equal(t, g.server("j").ColdUntil, time.Duration(0))
-	g.Update(21*s, 6, []Entry{ready}) // knows nothing of it
+	g.Update(21*s, 6, []Entry{ready}) // the list does not say that the server is cold
 	assert.DeepEqual(t, g.server("i"), want)
 }
 
-// A server is cold until the latest end that was told: a list may be older than what it follows.
+// A server is cold until the latest reported end: a list may hold older information than the one before.
 func TestColdUntilTheLatestEnd(t *testing.T) {
 	cold := ready
 	cold.WarmLeft = 4 * s
 	g := newServerList(t, cold)
-	for stamp, told := range []struct{ left, until time.Duration }{{1 * s, 14 * s}, {0, 14 * s}, {5 * s, 16 * s}} {
-		cold.WarmLeft = told.left
+	for stamp, reported := range []struct{ left, until time.Duration }{{1 * s, 14 * s}, {0, 14 * s}, {5 * s, 16 * s}} {
+		cold.WarmLeft = reported.left
 		g.Update(11*s, int64(6+stamp), []Entry{cold})
-		assert.Equal(t, g.server("i").ColdUntil, told.until)
+		assert.Equal(t, g.server("i").ColdUntil, reported.until)
 	}
 }
--- a/internal/dataplane/verdict/course.go
+++ b/internal/dataplane/verdict/course.go
@@ -5,70 +5,72 @@
 	"time"
 )
 
-// promisesNotRun tells whether a status promises that the request has not run and never will.
+// promisesNotRun reports whether a status tells the client that its request has not run and never will.
 func promisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-// RequestOutcome is what is known of a request over all its attempts. The zero value is that of one which was not sent.
+// RequestOutcome is what is known of a request from all its attempts. The zero value describes a request that was never
+// sent.
 type RequestOutcome struct {
-	mayHaveRun bool // it has, or may have
+	mayHaveRun bool // at least one attempt has run the request or may have
 	last       Verdict
 }
 
-// Add takes in how an attempt ended.
+// Add records how an attempt ended.
 func (c *RequestOutcome) Add(v Verdict) {
 	if ran := !v.RunState().NeverRan(); ran || !c.mayHaveRun {
 		c.mayHaveRun, c.last = ran, v
 	}
 }
 
-// MayHaveRun reports whether it has run or may have.
+// MayHaveRun reports whether the request has run or may have run.
 func (c *RequestOutcome) MayHaveRun() bool { return c.mayHaveRun }
 
-// Last is how the last attempt ended that may have run; where none may, the last of all.
+// Last returns the verdict of the last attempt that may have run. If none may have run, it returns the last verdict.
 func (c *RequestOutcome) Last() Verdict { return c.last }
 
-// GeneratedAnswer is an answer of the system's own. It has no exported maker but a Course's: so none with 408, 421, 429 or 503 is
-// ever made for a request that may have run.
+// GeneratedAnswer is an answer that the load balancer writes itself. Outside of this package only a RequestOutcome can
+// create one, so no answer with status 408, 421, 429 or 503 is created for a request that may have run.
 type GeneratedAnswer struct {
 	status int
 	fields string
 	text   string
 }
 
-// Status is the answer's status.
+// Status returns the HTTP status code.
 func (o GeneratedAnswer) Status() int { return o.status }
 
-// Fields are header lines, each with its end.
+// Fields returns additional header lines, each with its line ending.
 func (o GeneratedAnswer) Fields() string { return o.fields }
 
-// Text is the body.
+// Text returns the body.
 func (o GeneratedAnswer) Text() string { return o.text }
 
-// Answer is an answer of the system's own with a status, and advice when to come again (0: none). Of a status that
-// promises that the request has not run, and of a request that may have, it is 502.
-func (c *RequestOutcome) Answer(status int, after time.Duration, text string) GeneratedAnswer {
+// Answer creates an answer with a status, a body and a Retry-After time (0: none). If the status promises that the
+// request has not run, but the request may have run, the status becomes 502.
+func (c *RequestOutcome) Answer(status int, retryAfter time.Duration, text string) GeneratedAnswer {
 	if promisesNotRun(status) && c.mayHaveRun {
 		return GeneratedAnswer{status: 502, text: "failed"}
 	}
 	o := GeneratedAnswer{status: status, text: text}
-	if after > 0 {
-		o.fields = "Retry-After: " + strconv.FormatFloat(after.Seconds(), 'f', 3, 64) + "\r\n"
+	if retryAfter > 0 {
+		o.fields = "Retry-After: " + strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 	}
 	return o
 }
 
-// FailureAnswer is the answer to a request that nobody will serve any more: a refusal, with advice when to come again, where it
-// has not run, 429 where it is over its tenant's quota; else 504 where its time is over, and 502.
-func (c *RequestOutcome) FailureAnswer(over, late bool, after time.Duration) GeneratedAnswer {
+// FailureAnswer creates the answer to a request that will not be sent again. A request that has not run gets 429 if it is
+// over its tenant's quota and 503 otherwise, with a Retry-After time. A request that may have run gets 504 if its deadline
+// has passed and 502 otherwise.
+func (c *RequestOutcome) FailureAnswer(overQuota, pastDeadline bool, retryAfter time.Duration) GeneratedAnswer {
 	switch {
-	case c.mayHaveRun && late:
+	case c.mayHaveRun && pastDeadline:
 		return c.Answer(504, 0, "too late")
 	case c.mayHaveRun:
 		return c.Answer(502, 0, "failed")
-	case over:
-		return c.Answer(429, after, "refused")
+	case overQuota:
+		return c.Answer(429, retryAfter, "refused")
 	}
-	return c.Answer(503, after, "refused")
+	return c.Answer(503, retryAfter, "refused")
 }
--- a/internal/dataplane/verdict/verdict.go
+++ b/internal/dataplane/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict says what is known of a request that was sent on, or was not: whether it has surely not run, was
-// refused by its server, may have run or has run, and what its client may be told then.
+// Package verdict classifies how an attempt to serve a request ended. It tells whether the request has run, may have run,
+// was refused by its server or has certainly not run, and which answers its client may get in each case.
 package verdict
 
 import (
@@ -10,64 +10,64 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// RunState is what is known of whether a request has run. The zero value promises nothing.
+// RunState is what is known of whether a request has run. The zero value is MayHaveRun, the least certain one.
 type RunState int
 
-// What may be known.
+// The states of knowledge.
 const (
 	MayHaveRun RunState = iota
 	HasRun
-	NotRun        // and never will
-	RefusedNotRun // its server says that it has not, and never will
+	NotRun        // it has not run and never will
+	RefusedNotRun // its server says that it has not run and never will
 )
 
-// NeverRan reports whether it has surely not run and never will.
+// NeverRan reports whether the request has certainly not run and never will.
 func (r RunState) NeverRan() bool { return r == NotRun || r == RefusedNotRun }
 
 // End is how an attempt to have a request served ended.
 type End int
 
-// The ends of attempts. The zero value knows least.
+// The ends of attempts. The zero value is Broken, the least certain one.
 const (
-	Broken         End = iota // after its last byte was written its connection ended, or what came can't be an answer
-	TimedOut                  // no answer in its time
-	Cancelled                 // given up after it was written, or its client did not take the answer
-	Unsent                    // its last byte was not written
-	SendAborted               // its time was over before its last byte was written, or its client didn't send it
-	Declined                  // its server says that it did not run
-	InvalidRequest            // its server says that the request is at fault, and did not run it
-	Failed                    // it ran, and its answer is no success
+	Broken         End = iota // the connection ended after the last byte of the request was written, or the answer was malformed
+	TimedOut                  // no answer came before the deadline
+	Cancelled                 // it was cancelled after it was written, or its client did not read the answer
+	Unsent                    // the last byte of the request was not written
+	SendAborted               // the deadline passed before the last byte was written, or the client did not send the whole request
+	Declined                  // its server says that the request did not run
+	InvalidRequest            // its server says that the request is invalid and did not run
+	Failed                    // it ran, and its answer reports an error
 	Served
 )
 
-// endProperties are, by End, the words for it, what is known then and what the decisions are told.
+// endProperties holds, by End, its error text, whether the request has run, and the code for the policy package.
 var endProperties = [...]struct {
-	words string
-	run   RunState
+	text  string
+	state RunState
 	code  policy.Code
 }{
-	Broken: {"broken off", MayHaveRun, policy.Reset}, TimedOut: {"no answer", MayHaveRun, policy.TimedOut},
-	Cancelled: {"given up", MayHaveRun, policy.Cancelled}, Unsent: {"not sent", NotRun, policy.ConnectFailed},
-	SendAborted: {"too late to send", NotRun, policy.NoRetry}, Declined: {"refused", RefusedNotRun, policy.Full},
-	InvalidRequest: {"at fault", RefusedNotRun, policy.NoRetry}, Failed: {"failed", HasRun, policy.Error}, Served: {"served", HasRun, policy.OK},
+	Broken: {"connection broken", MayHaveRun, policy.Reset}, TimedOut: {"no answer", MayHaveRun, policy.TimedOut},
+	Cancelled: {"cancelled", MayHaveRun, policy.Cancelled}, Unsent: {"not sent", NotRun, policy.ConnectFailed},
+	SendAborted: {"sending aborted", NotRun, policy.NoRetry}, Declined: {"refused", RefusedNotRun, policy.Full},
+	InvalidRequest: {"invalid request", RefusedNotRun, policy.NoRetry}, Failed: {"failed", HasRun, policy.Error}, Served: {"served", HasRun, policy.OK},
 }
 
-// Verdict is an attempt's end with its cause, as an error. The zero value is that of an attempt that may have run.
+// Verdict is the end of an attempt with its cause. It is an error. The zero value describes an attempt that may have run.
 type Verdict struct {
 	End   End
 	cause error
 }
 
-// New is the verdict of an end. The cause may be nil.
+// New returns the verdict for an end. The cause may be nil.
 func New(end End, cause error) Verdict { return Verdict{end, cause} }
 
-// RunState is what is known of whether the request has run.
-func (v Verdict) RunState() RunState { return endProperties[v.End].run }
+// RunState returns what is known of whether the request has run.
+func (v Verdict) RunState() RunState { return endProperties[v.End].state }
 
-// Code is what the decisions are told.
+// Code returns the code that the policy package gets for this attempt.
 func (v Verdict) Code() policy.Code { return endProperties[v.End].code }
 
-// Cause is what lies at the root of it; nil: the end says all.
+// Cause returns the root cause, or nil if there is none beyond the end itself.
 func (v Verdict) Cause() error { return errors.Cause(v.cause) }
 
 // Unwrap lets errors.Is find the cause.
@@ -75,29 +75,29 @@
 
 func (v Verdict) Error() string {
 	if v.cause == nil {
-		return endProperties[v.End].words
+		return endProperties[v.End].text
 	}
-	return fmt.Sprintf("%s: %v", endProperties[v.End].words, v.cause)
+	return fmt.Sprintf("%s: %v", endProperties[v.End].text, v.cause)
 }
 
-// ServerAnswer is what a server's answer tells of itself.
+// ServerAnswer holds the properties of a server's answer by which it is classified.
 type ServerAnswer struct {
 	Status         int
-	NotRun         bool // it says that the request did not run
-	Sealed         bool // it bears one seal
-	ContentEncoded bool // its body is not the server's own bytes
-	Framed         bool // its end can be told
+	NotRun         bool // it has the header field for a request that did not run
+	Sealed         bool // it has exactly one seal field, which shows that the server itself wrote it
+	ContentEncoded bool // it has a Content-Encoding, so its body may not be what the server wrote
+	Framed         bool // its end is known from its framing
 }
 
-// ClassifyAnswer is the verdict of a server's answer, and whether the client may have the answer itself.
+// ClassifyAnswer returns the verdict for a server's answer and whether the answer may be passed on to the client.
 func ClassifyAnswer(a ServerAnswer) (v Verdict, pass bool) {
 	switch {
 	case a.NotRun || a.Status == 421:
 		return New(Declined, nil), false
 	case !a.Framed || a.ContentEncoded || a.Status/100 == 2 && !a.Sealed:
-		return New(Broken, errors.Errorf("status %d: its end, or that it is the server's, can't be told", a.Status)), false
-	case promisesNotRun(a.Status): // the server makes no promise, so that none may be made of its answer
-		return New(Failed, errors.Errorf("status %d without a promise", a.Status)), false
+		return New(Broken, errors.Errorf("status %d: the end of the answer is unknown, or the answer is not verifiably from the server", a.Status)), false
+	case promisesNotRun(a.Status): // without the header field, the client must not read this status as "not run"
+		return New(Failed, errors.Errorf("status %d without the header field for a request that did not run", a.Status)), false
 	case a.Status >= 500:
 		return New(Failed, errors.Errorf("status %d", a.Status)), true
 	}
--- a/internal/dataplane/verdict/verdict_test.go
+++ b/internal/dataplane/verdict/verdict_test.go
@@ -9,25 +9,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// All ends, alone and behind one another: what is known, what the decisions are told, and that no status which promises
-// is given to what may have run.
+// For every pair of ends, the state and the policy code are right, and a request that may have run never gets a status that
+// promises that it has not run.
 func TestEnds(t *testing.T) {
-	want := [...]struct{ promise, code string }{Broken: {"no", "5"}, TimedOut: {"no", "3"}, Cancelled: {"no", "6"}, Unsent: {"yes", "4"},
+	want := [...]struct{ notRun, code string }{Broken: {"no", "5"}, TimedOut: {"no", "3"}, Cancelled: {"no", "6"}, Unsent: {"yes", "4"},
 		SendAborted: {"yes", "7"}, Declined: {"yes", "2"}, InvalidRequest: {"yes", "7"}, Failed: {"no", "1"}, Served: {"no", "0"}}
 	assert.Equal(t, len(want), len(endProperties))
 	assert.Assert(t, !Verdict{}.RunState().NeverRan() && !RunState(0).NeverRan())
 	for a := range endProperties {
 		for b := range endProperties {
-			first, then := New(End(a), errors.WithMessage(io.EOF, "read")), New(End(b), nil)
+			first, second := New(End(a), errors.WithMessage(io.EOF, "read")), New(End(b), nil)
 			var c RequestOutcome
 			c.Add(first)
-			c.Add(then)
-			promise := want[a].promise == "yes" && want[b].promise == "yes"
-			assert.Equal(t, !c.MayHaveRun(), promise, "%v, then %v", first, then)
+			c.Add(second)
+			promise := want[a].notRun == "yes" && want[b].notRun == "yes"
+			assert.Equal(t, !c.MayHaveRun(), promise, "%v, then %v", first, second)
 			for status := 400; status < 600; status++ {
 				o := c.Answer(status, time.Second, "")
 				kept := promise || status != 408 && status != 421 && status != 429 && status != 503
-				assert.Assert(t, kept && o.Status() == status || !kept && o.Status() == 502, "%v, then %v: %d becomes %d", first, then, status, o.Status())
+				assert.Assert(t, kept && o.Status() == status || !kept && o.Status() == 502, "%v, then %v: %d becomes %d", first, second, status, o.Status())
 			}
 			for _, over := range []bool{false, true} {
 				for _, late := range []bool{false, true} {
@@ -36,38 +36,38 @@
 						status = map[bool]int{false: 503, true: 429}[over]
 					}
 					o := c.FailureAnswer(over, late, 250*time.Millisecond)
-					assert.Equal(t, o.Status(), status, "%v, then %v", first, then)
+					assert.Equal(t, o.Status(), status, "%v, then %v", first, second)
 					assert.Equal(t, o.Fields() == "Retry-After: 0.250\r\n", promise)
 				}
 			}
-			why := then
-			if then.RunState().NeverRan() && !first.RunState().NeverRan() {
-				why = first
+			last := second
+			if second.RunState().NeverRan() && !first.RunState().NeverRan() {
+				last = first
 			}
-			assert.Equal(t, c.Last(), why)
+			assert.Equal(t, c.Last(), last)
 			assert.Assert(t, errors.Is(first, io.EOF) && first.Cause() == io.EOF)
 		}
-		// What the module is told promises as much as the verdict.
+		// The code for the policy package says "not run" exactly when the verdict does.
 		v := New(End(a), nil)
 		assert.Equal(t, string(rune('0'+v.Code())), want[a].code)
 		assert.Equal(t, v.RunState().NeverRan(), v.Code().NeverRan())
 	}
 }
 
-// Answers of servers by status and by what they say of themselves.
+// Answers of servers are classified by their status and their header fields.
 func TestHeard(t *testing.T) {
 	for status := 200; status < 600; status++ {
 		for bits := range 16 {
 			a := ServerAnswer{status, bits&1 > 0, bits&2 > 0, bits&4 > 0, bits&8 > 0}
 			v, pass := ClassifyAnswer(a)
-			switch ours := status == 408 || status == 429 || status == 503; {
+			switch reserved := status == 408 || status == 429 || status == 503; {
 			case a.NotRun || status == 421:
 				assert.Assert(t, v.RunState() == RefusedNotRun && !pass, "%+v", a)
 			case !a.Framed || a.ContentEncoded || status < 300 && !a.Sealed:
 				assert.Assert(t, v.RunState() == MayHaveRun && !pass, "%+v", a)
 			default:
-				assert.Assert(t, v.RunState() == HasRun && pass == !ours, "%+v", a)
-				assert.Equal(t, v.End == Served, status < 500 && !ours, "%+v", a)
+				assert.Assert(t, v.RunState() == HasRun && pass == !reserved, "%+v", a)
+				assert.Equal(t, v.End == Served, status < 500 && !reserved, "%+v", a)
 			}
 		}
 	}
