--- a/internal/config/operator/routes.go
+++ b/internal/config/operator/routes.go
@@ -81,7 +81,7 @@
 
 // Options are the choices that a table takes over.
 func (r *Routes) Options() routing.Options {
-	return routing.Options{Clients: routing.Clients(r.Clients), Pass: r.Pass, PassKey: r.PassKey, Tell: r.Tell}
+	return routing.Options{Clients: routing.ClientMode(r.Clients), ForwardFields: r.Pass, ForwardKeys: r.PassKey, ExposeRouting: r.Tell}
 }
 
 // Beside is a path as seen from the operator file; empty stays empty.
--- a/internal/control/server_orders.go
+++ b/internal/control/server_orders.go
@@ -20,7 +20,7 @@
 var ErrUnknownServer = errors.New("no such server is listed")
 
 // orderedLevels maps the word of an operator's order about a server to the verdict that it sets.
-var orderedLevels = map[string]serverhealth.Level{api.WordFit: serverhealth.Fit, api.WordUnfit: serverhealth.UnfitRecord, api.WordUnfitAll: serverhealth.UnfitAll}
+var orderedLevels = map[string]serverhealth.Level{api.WordFit: serverhealth.Fit, api.WordUnfit: serverhealth.UnfitAtMostOnce, api.WordUnfitAll: serverhealth.UnfitAll}
 
 // OrderVerdict sets an operator's verdict on a server, which overrides the evidence of proxies for a time;
 // api.WordWithdrawn withdraws it.
@@ -84,8 +84,8 @@
 }
 
 // serverOrders returns the operators' verdicts that hold now, by server. The caller holds the mutex.
-func (b *Replica) serverOrders() map[string]serverhealth.Word {
-	var all map[string]serverhealth.Word
+func (b *Replica) serverOrders() map[string]serverhealth.Override {
+	var all map[string]serverhealth.Override
 	for _, z := range b.ordersInForce {
 		id, isServer := z.Server()
 		if !isServer {
@@ -93,9 +93,9 @@
 		}
 		if z, holds := b.serverOrder(id); holds {
 			if all == nil {
-				all = map[string]serverhealth.Word{}
+				all = map[string]serverhealth.Override{}
 			}
-			all[id] = serverhealth.Word{Level: orderedLevels[z.Word], Why: fmt.Sprintf("the operators' word until %s", time.UnixMilli(z.Until).UTC().Format(time.RFC3339))}
+			all[id] = serverhealth.Override{Level: orderedLevels[z.Word], Why: fmt.Sprintf("the operators' word until %s", time.UnixMilli(z.Until).UTC().Format(time.RFC3339))}
 		}
 	}
 	return all
@@ -105,7 +105,7 @@
 // order.
 func (b *Replica) ExplainVerdict(id string) *api.Explained {
 	b.healthJudge.evaluatorMu.Lock()
-	testimonies := b.healthJudge.evaluator.Testimonies(id)
+	testimonies := b.healthJudge.evaluator.EvidenceByProxy(id)
 	b.healthJudge.evaluatorMu.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,8 +127,8 @@
 	}
 	for _, t := range testimonies {
 		c := t.Counts
-		explained.Said = append(explained.Said, api.Testimony{Proxy: t.Witness, Zone: t.Zone, Record: t.Kind == serverhealth.Record, Confirmed: c[serverhealth.Confirmed],
-			TurnedAway: c[serverhealth.TurnedAway], Unclear: c[serverhealth.Unclear], Late: c[serverhealth.Late], WrongID: c[serverhealth.WrongID], Worth: t.Worth})
+		explained.Said = append(explained.Said, api.Testimony{Proxy: t.Proxy, Zone: t.Zone, Record: t.Kind == serverhealth.AtMostOnce, Confirmed: c[serverhealth.Confirmed],
+			TurnedAway: c[serverhealth.Rejected], Unclear: c[serverhealth.Unclear], Late: c[serverhealth.Late], WrongID: c[serverhealth.WrongID], Worth: t.Weight})
 	}
 	return explained
 }
--- a/internal/control/server_verdicts.go
+++ b/internal/control/server_verdicts.go
@@ -27,9 +27,9 @@
 // serverJudge evaluates what proxies report on servers. Each service is owned by one replica, which gives the verdicts on
 // its servers. The replica's mutex guards all but the evaluator.
 type serverJudge struct {
-	evaluatorMu     sync.Mutex          // guards the evaluator; taken before the replica's mutex
-	evaluator       *serverhealth.Floor // of the services that this replica owns
-	ownedServices   map[string]bool     // services that this replica owned at the last evaluation
+	evaluatorMu     sync.Mutex              // guards the evaluator; taken before the replica's mutex
+	evaluator       *serverhealth.Evaluator // of the services that this replica owns
+	ownedServices   map[string]bool         // services that this replica owned at the last evaluation
 	pendingReports  []timedReport
 	ownVerdicts     *serverhealth.Verdicts        // of the evaluator; nil: none yet
 	peerVerdicts    map[string]*peerVerdicts      // of other owners, by replica name
@@ -61,7 +61,7 @@
 }
 
 func newServerJudge() *serverJudge {
-	return &serverJudge{evaluator: serverhealth.NewFloor(), ownedServices: map[string]bool{}, peerVerdicts: map[string]*peerVerdicts{}, recentVerdicts: map[string]timedVerdict{}, recordedLevels: map[string]serverhealth.Level{}}
+	return &serverJudge{evaluator: serverhealth.NewEvaluator(), ownedServices: map[string]bool{}, peerVerdicts: map[string]*peerVerdicts{}, recentVerdicts: map[string]timedVerdict{}, recordedLevels: map[string]serverhealth.Level{}}
 }
 
 // nextConnectionNumber returns a number for a new agent connection.
@@ -141,12 +141,12 @@
 // handleProxyReport splits a proxy's report by service and sends each owner its part; the mutex is held.
 func (b *Replica) handleProxyReport(agent *agentConn, packed []byte) {
 	report, err := serverhealth.Unpack(packed)
-	if err != nil || report.Witness != agent.name || b.serverList == nil || !b.self.Judges {
+	if err != nil || report.Proxy != agent.name || b.serverList == nil || !b.self.Judges {
 		return
 	}
 	names := b.judgingReplicas()
 	for _, name := range names {
-		part := report.Part(func(id string) bool {
+		part := report.ForServers(func(id string) bool {
 			service := b.serviceOf(id)
 			return service != "" && ownerOf(service, names) == name
 		})
@@ -182,7 +182,7 @@
 	if change.Verdicts == nil || change.Verdicts.By != link.peer.Name {
 		return
 	}
-	if whole := change.Verdicts.Onto(link.receivedVerdicts); whole != nil {
+	if whole := change.Verdicts.ApplyTo(link.receivedVerdicts); whole != nil {
 		link.receivedVerdicts = whole
 		judge.peerVerdicts[link.peer.Name] = &peerVerdicts{whole, b.now()}
 	}
@@ -208,10 +208,10 @@
 		b.healthJudge.evaluatorMu.Lock()
 		b.healthJudge.evaluator.Adopt(now, adopted)
 		for _, report := range reports {
-			b.healthJudge.evaluator.Hear(report.receivedAt, report.report)
+			b.healthJudge.evaluator.AddReport(report.receivedAt, report.report)
 		}
-		b.healthJudge.evaluator.Place(regions)
-		verdicts := b.healthJudge.evaluator.Step(now, owned)
+		b.healthJudge.evaluator.SetRegions(regions)
+		verdicts := b.healthJudge.evaluator.Evaluate(now, owned)
 		b.healthJudge.evaluatorMu.Unlock()
 
 		b.mu.Lock()
@@ -261,12 +261,12 @@
 	judge.ownVerdicts = verdicts
 	for _, links := range b.links {
 		link := links[len(links)-1]
-		if change := verdicts.Since(link.sentVerdicts); change != nil && link.peer.Judges {
+		if change := verdicts.DiffFrom(link.sentVerdicts); change != nil && link.peer.Judges {
 			link.sentVerdicts = verdicts
 			link.sendChange(&peerlink.Change{Verdicts: change}, nil)
 		}
 	}
-	next := &serverhealth.Verdicts{By: b.self.Name, Stamp: verdicts.Stamp, List: serverhealth.Overrule(servers, serverhealth.Join(servers, b.verdictLists(now)...), b.serverOrders())}
+	next := &serverhealth.Verdicts{By: b.self.Name, Stamp: verdicts.Stamp, List: serverhealth.ApplyOverrides(servers, serverhealth.MergeVerdicts(servers, b.verdictLists(now)...), b.serverOrders())}
 	for _, verdict := range next.List {
 		judge.recentVerdicts[verdict.Server] = timedVerdict{verdict, now}
 	}
@@ -275,11 +275,11 @@
 			delete(judge.recentVerdicts, id)
 		}
 	}
-	if judge.mergedVerdicts == nil || next.Since(judge.mergedVerdicts) != nil {
+	if judge.mergedVerdicts == nil || next.DiffFrom(judge.mergedVerdicts) != nil {
 		judge.mergedVerdicts = next
 	}
 	for agent := range b.agents {
-		if change := judge.mergedVerdicts.Since(agent.sentVerdicts); agent.follows && agent.sentVerdicts != judge.mergedVerdicts && change != nil {
+		if change := judge.mergedVerdicts.DiffFrom(agent.sentVerdicts); agent.follows && agent.sentVerdicts != judge.mergedVerdicts && change != nil {
 			agent.sentVerdicts = judge.mergedVerdicts
 			agent.sendChange(&peerlink.Change{Verdicts: change})
 		}
@@ -295,7 +295,7 @@
 		if len(b.links[name]) > 0 {
 			peer.validAt = now
 		}
-		if now-peer.validAt > serverhealth.Expired {
+		if now-peer.validAt > serverhealth.ExpiredAfter {
 			delete(judge.peerVerdicts, name)
 			continue
 		}
--- a/internal/dataplane/agent/proxy.go
+++ b/internal/dataplane/agent/proxy.go
@@ -131,7 +131,7 @@
 		}
 		_ = g.conn.Send(&peerlink.Frame{Pong: pong})
 	}
-	if b := h.replicas[h.upstream.Chosen()]; f.Report != nil && b != nil && b.wanted != 0 && len(f.Report) <= serverhealth.MostReport {
+	if b := h.replicas[h.upstream.Chosen()]; f.Report != nil && b != nil && b.wanted != 0 && len(f.Report) <= serverhealth.MaxReportBytes {
 		b.send(&peerlink.Frame{Report: f.Report})
 	}
 	if f.Leaving != nil {
--- a/internal/dataplane/agent/replica.go
+++ b/internal/dataplane/agent/replica.go
@@ -192,7 +192,7 @@
 		b.census = c.Census
 	}
 	if c.Verdicts != nil {
-		if c.Verdicts = c.Verdicts.Onto(b.verdicts); c.Verdicts == nil {
+		if c.Verdicts = c.Verdicts.ApplyTo(b.verdicts); c.Verdicts == nil {
 			return errors.New("agent: a part of verdicts that were never told")
 		}
 		b.verdicts = c.Verdicts
--- a/internal/dataplane/node/bookrequest.go
+++ b/internal/dataplane/node/bookrequest.go
@@ -18,7 +18,7 @@
 // with the first such request.
 type bookReader struct {
 	mu               sync.Mutex
-	strictestEffects *routing.Careful
+	strictestEffects *routing.KeyHistory
 	random           io.Reader
 }
 
@@ -40,9 +40,9 @@
 		}
 		return c, nil
 	}
-	ticket, rejected := table.Read(routing.Request{Method: string(r.method), Target: string(r.target), Fields: r, Body: len(r.body)})
+	ticket, rejected := table.Resolve(routing.Request{Method: string(r.method), Target: string(r.target), Fields: r, Body: len(r.body)})
 	if rejected != nil {
-		answer := &rejection{status: rejected.Status, text: rejected.Why}
+		answer := &rejection{status: rejected.Status, text: rejected.Reason}
 		switch rejected.Status {
 		case 401:
 			answer.headerFields = "WWW-Authenticate: ApiKey\r\n" // RFC 9110, 11.6.1
@@ -59,32 +59,32 @@
 	}
 	r.id = c.clientID
 	c.Customer, c.Plan, c.Class, c.Units, c.FirstGateway, c.GatewayCount = ticket.Number, ticket.Plan, ticket.Class.Name, ticket.Units, ticket.First, ticket.Spread
-	c.Retry, c.Effect = ticket.Retry, c.effect
+	c.Retry, c.Effect = ticket.IsRetry, c.effect
 	return c, nil
 }
 
 // identify returns the request's id, generating one if the client sent none, and the strictest effect that has applied to
 // its idempotency key.
-func (b *bookReader) identify(c *openRequest, ticket *routing.Ticket) (id string, effect policy.Effect, err error) {
+func (b *bookReader) identify(c *openRequest, ticket *routing.ResolvedRequest) (id string, effect policy.Effect, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.strictestEffects == nil {
-		b.strictestEffects = routing.NewCareful(maxTrackedKeys)
+		b.strictestEffects = routing.NewKeyHistory(maxTrackedKeys)
 	}
-	if id = ticket.ID; id == "" {
+	if id = ticket.RequestID; id == "" {
 		var raw [16]byte
 		if _, err := io.ReadFull(b.random, raw[:]); err != nil {
 			return "", effect, err
 		}
 		id = hex.EncodeToString(raw[:])
 	}
-	return id, b.strictestEffects.Hold(c.arrived, ticket), nil
+	return id, b.strictestEffects.Update(c.arrived, ticket), nil
 }
 
 // bookFields returns the header fields that tell the client how its request was read (book generation, operation and
 // units), or nothing unless the operator has enabled them.
 func (r *clientRequest) bookFields() string {
-	if r.ticket == nil || !r.ticket.Table.Tell {
+	if r.ticket == nil || !r.ticket.Table.ExposeRouting {
 		return ""
 	}
 	return routing.BookField + ": " + r.ticket.Table.Book.Generation + "\r\n" +
@@ -119,12 +119,12 @@
 	pass("Idempotency-Key")
 	field("X-Class", ticket.Class.Name)
 	pass("Content-Type")
-	for _, name := range ticket.Table.Pass {
+	for _, name := range ticket.Table.ForwardFields {
 		if !strings.EqualFold(name, "Content-Type") {
 			pass(name)
 		}
 	}
-	if ticket.Table.PassKey {
+	if ticket.Table.ForwardKeys {
 		for _, p := range ticket.Table.Book.Keys {
 			switch p.In {
 			case "header":
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	if ticket.Table.Tell {
+	if ticket.Table.ExposeRouting {
 		b = append(b, "\r\n"...)
 		b = append(b, strings.TrimSuffix(r.bookFields(), "\r\n")...)
 	}
--- a/internal/dataplane/node/bookrequest_test.go
+++ b/internal/dataplane/node/bookrequest_test.go
@@ -30,7 +30,7 @@
 // newTestTable compiles a book for the test settings; change, if set, adjusts its routes and options.
 func newTestTable(t testing.TB, cfg *Config, revision string, change func(list []routebook.Route, o *routing.Options) []routebook.Route) *routing.Table {
 	t.Helper()
-	list, o := bookRoutes(), routing.Options{Tell: true}
+	list, o := bookRoutes(), routing.Options{ExposeRouting: true}
 	if change != nil {
 		list = change(list, &o)
 	}
@@ -94,7 +94,7 @@
 	})
 	n := startNodeFor(t, app.Addr())
 	n.setRoutes(newTestTable(t, n.cfg, "rev1", func(l []routebook.Route, o *routing.Options) []routebook.Route {
-		o.Pass = []string{"Accept-Language"}
+		o.ForwardFields = []string{"Accept-Language"}
 		return l
 	}))
 	last := func() *standin.Request {
@@ -135,7 +135,7 @@
 		}
 	}
 	n.setRoutes(newTestTable(t, n.cfg, "rev2", func(l []routebook.Route, o *routing.Options) []routebook.Route {
-		o.PassKey, o.Tell = true, false
+		o.ForwardKeys, o.ExposeRouting = true, false
 		return l
 	}))
 	resp, _ = sendTestRequest(t, newClientRequest("GET", n.url+"/v1/holdings?api_key="+townKey, "", "Cookie", "session="+townKey+"; a=b"))
--- a/internal/dataplane/node/clientrequest.go
+++ b/internal/dataplane/node/clientrequest.go
@@ -13,9 +13,9 @@
 	head
 	method, target []byte
 	body           []byte
-	managed        *managedRequest // state under the managed protocol
-	ticket         *routing.Ticket // its match in the book; nil under the standalone protocol
-	id             string          // if ticket is set: the id from the client or a generated one
+	managed        *managedRequest          // state under the managed protocol
+	ticket         *routing.ResolvedRequest // its match in the book; nil under the standalone protocol
+	id             string                   // if ticket is set: the id from the client or a generated one
 }
 
 // One returns a header field's value and how often the field occurs, as routing.Request requires.
--- a/internal/dataplane/node/health.go
+++ b/internal/dataplane/node/health.go
@@ -36,11 +36,11 @@
 func (e *ManagedNode) HealthReport(after uint64, maxObservations int) (report *serverhealth.Report, next uint64) {
 	e.runOnLoop(func(*loop) {
 		if e.health.recorder != nil {
-			report, next = e.health.recorder.Tell(e.recorderNow(), after, func(string) bool { return true })
+			report, next = e.health.recorder.ReportSince(e.recorderNow(), after, func(string) bool { return true })
 		}
 	})
 	if report != nil {
-		report.Thin(maxObservations)
+		report.Sample(maxObservations)
 	}
 	return report, next
 }
@@ -49,7 +49,7 @@
 func (e *ManagedNode) MarkUnreliable() {
 	e.runOnLoop(func(*loop) {
 		if e.health.recorder != nil {
-			e.health.recorder.Ill(e.recorderNow())
+			e.health.recorder.MarkUnreliable(e.recorderNow())
 		}
 	})
 }
@@ -80,9 +80,9 @@
 func (e *ManagedNode) recordOutcome(o outcome) {
 	observed, known := serverOutcome(&o, e.node.loop.clock.now())
 	if id := e.node.upstream.uid(o.attempt.server); known && id != "" {
-		kind := serverhealth.Record
+		kind := serverhealth.AtMostOnce
 		if o.request.effect == policy.Safe {
-			kind = serverhealth.Search
+			kind = serverhealth.Repeatable
 		}
 		e.health.recorder.Add(e.recorderNow(), id, kind, serverhealth.Group(o.request.managed.tenant), observed)
 	}
@@ -104,7 +104,7 @@
 		}
 		return serverhealth.Confirmed, true
 	case policy.Full:
-		return serverhealth.TurnedAway, true
+		return serverhealth.Rejected, true
 	case policy.TimedOut, policy.Reset, policy.Error:
 		if o.sawForeignAnswers {
 			return serverhealth.WrongID, true
--- a/internal/dataplane/node/swap_test.go
+++ b/internal/dataplane/node/swap_test.go
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	b.Keys = append(places, routebook.KeyPlace{In: "header", Name: "X-Api-Key"})
-	tab, err := routing.NewTable(&in.nodes[0].cfg.Settings, b, in.ring, in.libraries, routing.Options{Tell: true})
+	tab, err := routing.NewTable(&in.nodes[0].cfg.Settings, b, in.ring, in.libraries, routing.Options{ExposeRouting: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/node/tuning.go
+++ b/internal/dataplane/node/tuning.go
@@ -67,7 +67,7 @@
 	if old.Discovery != t.Discovery {
 		n.discovery.moveTo(n.discoveryAddress(t))
 	}
-	if was, is := old.Routes.Name(), t.Routes.Name(); was != is {
+	if was, is := old.Routes.Revision(), t.Routes.Revision(); was != is {
 		slog.Info("route book activated", "was", was, "is", is)
 	}
 	if old.Generation != t.Generation {
--- a/internal/dataplane/proxy/fit.go
+++ b/internal/dataplane/proxy/fit.go
@@ -80,9 +80,9 @@
 	wanted, after := f.wanted, f.no
 	due := wanted != 0 && (now-f.lookedAt >= tellEvery || wanted != f.told)
 	calm := wanted == f.told && now-f.toldAt < serverhealth.HeartbeatEvery && (f.verdicts == nil || len(f.verdicts.List) == 0)
-	most := serverhealth.MostTold
+	most := serverhealth.MaxDeltaObservations
 	if wanted != f.told {
-		after, most = 0, serverhealth.MostWhole
+		after, most = 0, serverhealth.MaxFullObservations
 	}
 	f.mu.Unlock()
 	if !due {
@@ -92,7 +92,7 @@
 	f.mu.Lock()
 	f.lookedAt = now
 	f.mu.Unlock()
-	if s == nil || calm && !s.Accuses() || c.Send(&peerlink.Frame{Report: s.Pack()}) != nil {
+	if s == nil || calm && !s.HasFailures() || c.Send(&peerlink.Frame{Report: s.Pack()}) != nil {
 		return
 	}
 	f.mu.Lock()
@@ -117,7 +117,7 @@
 			t := policy.Trust{Level: policy.TrustLevel(v.Level.Aged(now - f.heard))}
 			if round, had := f.tried[v.Server]; v.Trial && t.Level > policy.Trusted {
 				if t.Trial = !had || round != v.Round; t.Trial {
-					t.Trial = slices.Contains(serverhealth.Trialists(&v, f.proxies, max(leastTriers, len(f.proxies)/trialPart)), self)
+					t.Trial = slices.Contains(serverhealth.TrialProxies(&v, f.proxies, max(leastTriers, len(f.proxies)/trialPart)), self)
 				}
 				rounds[v.Server] = v.Round
 			}
--- a/internal/dataplane/proxy/fit_test.go
+++ b/internal/dataplane/proxy/fit_test.go
@@ -31,10 +31,10 @@
 	got, _ := at(2 * time.Second)
 	assert.Assert(t, got.Trial)
 	f.hears(&peerlink.Frame{Pong: &peerlink.Pong{}}, 30*time.Second) // the agent has no lead that judges
-	got, _ = at(2*time.Second + serverhealth.Stale + 1)
+	got, _ = at(2*time.Second + serverhealth.StaleAfter + 1)
 	assert.Equal(t, got.Level, policy.Suspect)
-	got, changed := at(2*time.Second + serverhealth.Expired + 1)
+	got, changed := at(2*time.Second + serverhealth.ExpiredAfter + 1)
 	assert.Assert(t, got.Level == policy.Trusted && changed) // told once more, that it is trusted again
-	_, changed = at(2*time.Second + serverhealth.Expired + 2)
+	_, changed = at(2*time.Second + serverhealth.ExpiredAfter + 2)
 	assert.Assert(t, !changed)
 }
--- a/internal/dataplane/routing/careful.go
+++ b/internal/dataplane/routing/careful.go
@@ -6,35 +6,35 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Careful remembers how careful the tries of each Idempotency-Key were, so that
+// KeyHistory remembers how careful the tries of each Idempotency-Key were, so that
 // a client's further try under another book is held to the more careful of the
 // two, as long as a rack may still know the key. It is bounded: the oldest key
 // gives way. It is not safe for use by several goroutines.
-type Careful struct {
-	most int
-	keys map[string]*trace
-	ring []string // in the order in which keys came; as long as most once full
-	next int
+type KeyHistory struct {
+	maxKeys        int
+	keys           map[string]*keyEntry
+	insertionOrder []string // in the order in which keys came; as long as most once full
+	oldest         int
 }
 
-type trace struct {
+type keyEntry struct {
 	effect policy.Effect
 	class  string
 	until  time.Duration
 }
 
-// NewCareful remembers so many keys.
-func NewCareful(most int) *Careful {
-	return &Careful{most: max(1, most), keys: map[string]*trace{}}
+// NewKeyHistory remembers so many keys.
+func NewKeyHistory(most int) *KeyHistory {
+	return &KeyHistory{maxKeys: max(1, most), keys: map[string]*keyEntry{}}
 }
 
-// Hold takes in a try and returns how careful it has to be. What repeats safely
+// Update takes in a try and returns how careful it has to be. What repeats safely
 // without end leaves no trace, but is held to one.
-func (c *Careful) Hold(now time.Duration, k *Ticket) policy.Effect {
-	if k.Key == "" {
+func (c *KeyHistory) Update(now time.Duration, k *ResolvedRequest) policy.Effect {
+	if k.IdempotencyKey == "" {
 		return k.Effect
 	}
-	name := k.Number + " " + k.Key
+	name := k.Number + " " + k.IdempotencyKey
 	t := c.keys[name]
 	effect := k.Effect
 	if t != nil && now < t.until {
@@ -54,16 +54,16 @@
 		t.effect, t.class, t.until = effect, k.Class.Name, until
 		return effect
 	}
-	c.keys[name] = &trace{effect, k.Class.Name, until}
-	if len(c.ring) < c.most {
-		c.ring = append(c.ring, name)
+	c.keys[name] = &keyEntry{effect, k.Class.Name, until}
+	if len(c.insertionOrder) < c.maxKeys {
+		c.insertionOrder = append(c.insertionOrder, name)
 		return effect
 	}
-	delete(c.keys, c.ring[c.next])
-	c.ring[c.next] = name
-	c.next = (c.next + 1) % c.most
+	delete(c.keys, c.insertionOrder[c.oldest])
+	c.insertionOrder[c.oldest] = name
+	c.oldest = (c.oldest + 1) % c.maxKeys
 	return effect
 }
 
 // Len returns how many keys are remembered.
-func (c *Careful) Len() int { return len(c.keys) }
+func (c *KeyHistory) Len() int { return len(c.keys) }
--- a/internal/dataplane/routing/read.go
+++ b/internal/dataplane/routing/read.go
@@ -14,94 +14,94 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Fields finds a header field: its first value, and how often it is there.
-type Fields interface {
+// HeaderFields finds a header field: its first value, and how often it is there.
+type HeaderFields interface {
 	One(name string) (value []byte, n int)
 }
 
 // Request is a client's request as it came.
 type Request struct {
 	Method, Target string
-	Fields         Fields
+	Fields         HeaderFields
 	Body           int // bytes
 }
 
-// Ticket is what a request is served by, from its reading to its answer: a
+// ResolvedRequest is what a request is served by, from its reading to its answer: a
 // book that comes into force meanwhile changes nothing of it.
-type Ticket struct {
+type ResolvedRequest struct {
 	Table  *Table
 	Route  *routebook.Route
 	Class  *policy.Class
 	Effect policy.Effect // the more careful of the class's and the operation's
 	keyring.Library
-	Units    float64
-	Deadline time.Duration // how long its client waits
-	ID       string        // empty: the client sent none
-	Key      string        // Idempotency-Key; empty: none
-	Retry    bool
-	Target   string // as loan servers get it
-	keyed    bool   // a key named the library
+	Units          float64
+	Deadline       time.Duration // how long its client waits
+	RequestID      string        // empty: the client sent none
+	IdempotencyKey string        // Idempotency-Key; empty: none
+	IsRetry        bool
+	Target         string // as loan servers get it
+	hasAPIKey      bool   // a key named the library
 }
 
-// Turned is a request that is not served. It took no units.
-type Turned struct {
+// Rejection is a request that is not served. It took no units.
+type Rejection struct {
 	Status int
-	Why    string // for the client; it never holds what a key might be
+	Reason string // for the client; it never holds what a key might be
 	Allow  string // with 405
 }
 
 // Bounds of what clients send.
 const (
-	mostID  = 64  // bytes of a request's id
-	mostKey = 128 // of an Idempotency-Key
+	maxRequestIDBytes      = 64  // bytes of a request's id
+	maxIdempotencyKeyBytes = 128 // of an Idempotency-Key
 )
 
-// once are the fields that must not stand there twice.
-var once = [...]string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key", "X-Call-Terms", "X-Retry", "Content-Type"}
+// singleFields are the fields that must not stand there twice.
+var singleFields = [...]string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key", "X-Call-Terms", "X-Retry", "Content-Type"}
 
-// Read finds what a request is. Exactly one of the two is not nil.
-func (t *Table) Read(r Request) (*Ticket, *Turned) {
+// Resolve finds what a request is. Exactly one of the two is not nil.
+func (t *Table) Resolve(r Request) (*ResolvedRequest, *Rejection) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	route, at, found := t.Book.Match(r.Method, path)
 	switch found {
 	case routebook.BadPath:
-		return nil, &Turned{Status: 400, Why: routebook.CheckPath(path).Error()}
+		return nil, &Rejection{Status: 400, Reason: routebook.CheckPath(path).Error()}
 	case routebook.NoPath:
-		return nil, &Turned{Status: 404, Why: "no operation has this path"}
+		return nil, &Rejection{Status: 404, Reason: "no operation has this path"}
 	case routebook.NoMethod:
-		return nil, &Turned{Status: 405, Why: "no operation has this method at this path", Allow: at.Allow()}
+		return nil, &Rejection{Status: 405, Reason: "no operation has this method at this path", Allow: at.Allow()}
 	}
-	for _, name := range once {
+	for _, name := range singleFields {
 		if _, n := r.Fields.One(name); n > 1 {
-			return nil, &Turned{Status: 400, Why: name + ": more than once"}
+			return nil, &Rejection{Status: 400, Reason: name + ": more than once"}
 		}
 	}
-	k := &Ticket{Table: t, Route: route, Class: t.classes[wire.Word(route.Class)], Target: r.Target}
-	if err := t.identify(k, r, path, query); err != nil {
-		if errors.Is(err, errUnknown) {
-			return nil, &Turned{Status: 401, Why: err.Error()}
+	k := &ResolvedRequest{Table: t, Route: route, Class: t.classes[wire.Word(route.Class)], Target: r.Target}
+	if err := t.identifyLibrary(k, r, path, query); err != nil {
+		if errors.Is(err, errUnknownKey) {
+			return nil, &Rejection{Status: 401, Reason: err.Error()}
 		}
-		return nil, &Turned{Status: 400, Why: err.Error()}
+		return nil, &Rejection{Status: 400, Reason: err.Error()}
 	}
 	k.Units = math.Ceil(route.Units.Of(query)) // quotas count whole units
-	if err := k.read(r); err != nil {
-		return nil, &Turned{Status: 400, Why: err.Error()}
+	if err := k.readHeaderFields(r); err != nil {
+		return nil, &Rejection{Status: 400, Reason: err.Error()}
 	}
 	return k, nil
 }
 
 var (
-	errUnknown = errors.New("no key that is known here")
-	errTwo     = errors.New("keys of two libraries")
+	errUnknownKey      = errors.New("no key that is known here")
+	errConflictingKeys = errors.New("keys of two libraries")
 )
 
-// identify finds the library, by a key or by the front's fields, and takes the
+// identifyLibrary finds the library, by a key or by the front's fields, and takes the
 // key out of what goes on.
-func (t *Table) identify(k *Ticket, r Request, path, query string) error {
+func (t *Table) identifyLibrary(k *ResolvedRequest, r Request, path, query string) error {
 	found, any := keyring.Library{}, false
 	if t.Clients != ByFront {
-		for _, p := range t.places {
-			key, n := place(p, r.Fields, query)
+		for _, p := range t.keyPlaces {
+			key, n := findKey(p, r.Fields, query)
 			if n == 0 {
 				continue
 			}
@@ -110,16 +110,16 @@
 			}
 			l, ok := t.ring.Find(key)
 			if !ok {
-				return errUnknown
+				return errUnknownKey
 			}
 			if any && l.Number != found.Number {
-				return errTwo
+				return errConflictingKeys
 			}
 			found, any = l, true
-			if !t.PassKey {
+			if !t.ForwardKeys {
 				if p.In == "query" {
 					k.Target = path
-					if query = without(query, p.Name); query != "" {
+					if query = removeParameter(query, p.Name); query != "" {
 						k.Target += "?" + query
 					}
 				}
@@ -128,16 +128,16 @@
 	}
 	switch {
 	case any:
-		k.Library, k.keyed = found, true
-		return k.agrees(r.Fields)
+		k.Library, k.hasAPIKey = found, true
+		return k.checkFrontFields(r.Fields)
 	case t.Clients == ByKey:
-		return errUnknown
+		return errUnknownKey
 	}
-	return k.front(r.Fields, t)
+	return k.readFrontFields(r.Fields, t)
 }
 
-// place looks for a key where a security scheme has it.
-func place(p routebook.KeyPlace, f Fields, query string) (key string, n int) {
+// findKey looks for a key where a security scheme has it.
+func findKey(p routebook.KeyPlace, f HeaderFields, query string) (key string, n int) {
 	switch p.In {
 	case "header":
 		v, n := f.One(p.Name)
@@ -168,8 +168,8 @@
 	return value, n
 }
 
-// without is a query text without a parameter.
-func without(query, name string) string {
+// removeParameter is a query text without a parameter.
+func removeParameter(query, name string) string {
 	var rest []string
 	for pair := range strings.SplitSeq(query, "&") {
 		if n, _, _ := strings.Cut(pair, "="); n != name {
@@ -179,22 +179,22 @@
 	return strings.Join(rest, "&")
 }
 
-// agrees checks the front's fields, where an ordinary client sends any, against
+// checkFrontFields checks the front's fields, where an ordinary client sends any, against
 // what its key says.
-func (k *Ticket) agrees(f Fields) error {
+func (k *ResolvedRequest) checkFrontFields(f HeaderFields) error {
 	if v, n := f.One("X-Tier"); n > 0 && wire.Word(string(v)) != wire.Word(k.Plan) {
 		return errors.New("X-Tier: not the plan of the key's library")
 	}
 	c, _ := f.One("Cookie")
-	if v, n := Cookie(string(c), "key"); n > 0 && !k.Table.cookieKey() && !strings.EqualFold(v, k.Number) {
+	if v, n := Cookie(string(c), "key"); n > 0 && !k.Table.hasCookieKey() && !strings.EqualFold(v, k.Number) {
 		return errors.New("cookie key: not the key's library")
 	}
 	return nil
 }
 
-// cookieKey tells whether a security scheme has its key in the front's cookie.
-func (t *Table) cookieKey() bool {
-	for _, p := range t.places {
+// hasCookieKey tells whether a security scheme has its key in the front's cookie.
+func (t *Table) hasCookieKey() bool {
+	for _, p := range t.keyPlaces {
 		if p.In == "cookie" && p.Name == "key" && t.Clients != ByFront {
 			return true
 		}
@@ -202,9 +202,9 @@
 	return false
 }
 
-// front reads the library from the front's fields (PROTOCOL, "Clients to edge
+// readFrontFields reads the library from the front's fields (PROTOCOL, "Clients to edge
 // nodes").
-func (k *Ticket) front(f Fields, t *Table) error {
+func (k *ResolvedRequest) readFrontFields(f HeaderFields, t *Table) error {
 	v, n := f.One("X-Tier")
 	if k.Plan = wire.Word(string(v)); n == 0 || !t.plans[k.Plan] {
 		return fmt.Errorf("X-Tier: unknown plan %.40q", k.Plan)
@@ -222,8 +222,8 @@
 	return nil
 }
 
-// read takes in what else a client may say, as far as the book lets it.
-func (k *Ticket) read(r Request) error {
+// readHeaderFields takes in what else a client may say, as far as the book lets it.
+func (k *ResolvedRequest) readHeaderFields(r Request) error {
 	f := r.Fields
 	if v, n := f.One("X-Class"); n > 0 && wire.Word(string(v)) != k.Class.Name {
 		return fmt.Errorf("X-Class: operation %s is of class %s", k.Route.Operation, k.Class.Name)
@@ -232,21 +232,21 @@
 		return fmt.Errorf("%s with a body", r.Method)
 	}
 	if v, n := f.One("X-Request-Id"); n > 0 {
-		if len(v) == 0 || len(v) > mostID || !visible(v) {
+		if len(v) == 0 || len(v) > maxRequestIDBytes || !isVisibleASCII(v) {
 			return errors.New("X-Request-Id: too long or not plain")
 		}
-		k.ID = string(v)
+		k.RequestID = string(v)
 	}
 	if v, n := f.One("Idempotency-Key"); n > 0 {
-		if len(v) == 0 || len(v) > mostKey || !visible(v) {
+		if len(v) == 0 || len(v) > maxIdempotencyKeyBytes || !isVisibleASCII(v) {
 			return errors.New("Idempotency-Key: too long or not plain")
 		}
-		k.Key = string(v)
+		k.IdempotencyKey = string(v)
 	}
 	if v, _ := f.One("X-Retry"); string(v) == "1" {
-		k.Retry = true
+		k.IsRetry = true
 	}
-	most := deadline(k.Route, k.Class)
+	most := maxDeadline(k.Route, k.Class)
 	k.Deadline = most
 	if v, n := f.One("X-Deadline-Ms"); n > 0 {
 		ms, err := strconv.ParseUint(string(v), 10, 31)
@@ -255,19 +255,19 @@
 		}
 		k.Deadline = time.Duration(ms) * time.Millisecond
 	}
-	k.Effect = max(k.Class.Effect, effectOf(k.Route.Repeat))
-	if k.Effect == policy.Keyed && k.Key == "" {
+	k.Effect = max(k.Class.Effect, policyEffect(k.Route.Repeat))
+	if k.Effect == policy.Keyed && k.IdempotencyKey == "" {
 		k.Effect = policy.Unsafe // no rack could drop its repeat
 	}
 	if v, n := f.One("X-Call-Terms"); n > 0 {
-		return k.terms(string(v))
+		return k.readCallTerms(string(v))
 	}
 	return nil
 }
 
-// terms reads X-Call-Terms: units must be the book's, and the set of edge nodes
+// readCallTerms reads X-Call-Terms: units must be the book's, and the set of edge nodes
 // the key's; the front tells the set of a library that it names itself.
-func (k *Ticket) terms(text string) error {
+func (k *ResolvedRequest) readCallTerms(text string) error {
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, v, _ := strings.Cut(strings.Trim(pair, " \t"), "=")
@@ -282,12 +282,12 @@
 				return fmt.Errorf("X-Call-Terms: units=%d, and operation %s takes %v", n, k.Route.Operation, k.Units)
 			}
 			continue
-		case name == "spread" && k.keyed && n == k.Spread, name == "first" && k.keyed && n == k.First:
+		case name == "spread" && k.hasAPIKey && n == k.Spread, name == "first" && k.hasAPIKey && n == k.First:
 			continue
-		case name == "spread" && !k.keyed && n >= 1 && n <= k.Table.gateways:
+		case name == "spread" && !k.hasAPIKey && n >= 1 && n <= k.Table.gateways:
 			k.Spread = n
 			continue
-		case name == "first" && !k.keyed && n < k.Table.gateways:
+		case name == "first" && !k.hasAPIKey && n < k.Table.gateways:
 			k.First = n
 			continue
 		}
@@ -296,7 +296,7 @@
 	return nil
 }
 
-func visible(b []byte) bool {
+func isVisibleASCII(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
 			return false
--- a/internal/dataplane/routing/read_test.go
+++ b/internal/dataplane/routing/read_test.go
@@ -121,7 +121,7 @@
 		{"an id that is none", "GET", "/holdings", withKey + "\nX-Request-Id: a b", 0, "400 X-Request-Id: "},
 		{"an empty id", "GET", "/holdings", withKey + "\nX-Request-Id: ", 0, "400 X-Request-Id: "},
 		{"two ids", "GET", "/holdings", withKey + "\nX-Request-Id: a\nX-Request-Id: a", 0, "400 X-Request-Id: more than once"},
-		{"a key of a loan that is none", "POST", "/loans", withKey + "\nIdempotency-Key: " + strings.Repeat("k", mostKey+1), 0, "400 Idempotency-Key: "},
+		{"a key of a loan that is none", "POST", "/loans", withKey + "\nIdempotency-Key: " + strings.Repeat("k", maxIdempotencyKeyBytes+1), 0, "400 Idempotency-Key: "},
 	} {
 		got := outcome(table(t, nil), Request{c.method, c.target, header(c.fields), c.body})
 		if !strings.HasPrefix(got, c.want) || c.want == "" {
@@ -134,9 +134,9 @@
 }
 
 func outcome(tab *Table, r Request) string {
-	k, turned := tab.Read(r)
+	k, turned := tab.Resolve(r)
 	if turned != nil {
-		return strings.Replace(fmt.Sprintf("%d %s %s", turned.Status, turned.Allow, turned.Why), "  ", " ", 1)
+		return strings.Replace(fmt.Sprintf("%d %s %s", turned.Status, turned.Allow, turned.Reason), "  ", " ", 1)
 	}
 	return fmt.Sprintf("%s %s %s %v units %s %v set %d+%d %s", k.Route.Operation, k.Number, k.Plan, k.Units,
 		[]string{"safe", "keyed", "never"}[k.Effect], k.Deadline, k.First, k.Spread, k.Target)
@@ -147,7 +147,7 @@
 func TestFront(t *testing.T) {
 	fields := "Cookie: key=00000000b4d65521\nX-Tier: municipal\nX-Call-Terms: units=1,spread=3,first=2"
 	want := "place 00000000b4d65521 municipal 1 units never 4s set 2+3 /loans"
-	for clients, more := range map[Clients]string{ByFront: "\nX-Api-Key: " + aKey, ByBoth: ""} {
+	for clients, more := range map[ClientMode]string{ByFront: "\nX-Api-Key: " + aKey, ByBoth: ""} {
 		tab := table(t, func(_ *routebook.Book, o *Options) { o.Clients = clients })
 		if got := outcome(tab, Request{"POST", "/loans", header(fields + more), 0}); got != want {
 			t.Errorf("%s: %s, want %s", clients, got, want)
@@ -167,9 +167,9 @@
 }
 
 func TestPassedKey(t *testing.T) {
-	tab := table(t, func(_ *routebook.Book, o *Options) { o.PassKey = true })
+	tab := table(t, func(_ *routebook.Book, o *Options) { o.ForwardKeys = true })
 	target := "/holdings?limit=1&api_key=" + aKey
-	if k, _ := tab.Read(Request{"GET", target, header(""), 0}); k == nil || k.Target != target {
+	if k, _ := tab.Resolve(Request{"GET", target, header(""), 0}); k == nil || k.Target != target {
 		t.Errorf("%+v", k)
 	}
 }
@@ -184,7 +184,7 @@
 	}
 	b.Keys = []routebook.KeyPlace{{In: "body", Name: "k"}, {In: "header", Name: "X-Api-Key"}}
 	_, err = NewTable(&settings, b, nil, []keyring.Library{{Number: aNumber, Plan: "none", Spread: 1}, {Number: aNumber, Plan: "scolar", First: 4, Spread: 1}},
-		Options{Pass: []string{"cookie", "X-Api-Key", "Accept"}})
+		Options{ForwardFields: []string{"cookie", "X-Api-Key", "Accept"}})
 	for _, want := range []string{"f:1: operation search: the settings have no class \"none\"", "f:2: operation place: units of up to 7", "f:3: operation end: class holdings-lookup is safe",
 		"no plan \"none\"", "from number 4, of 4", "its key in \"body\"", "the field cookie", "the field X-Api-Key holds keys"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -211,18 +211,18 @@
 			effect policy.Effect
 		}
 		var past []try
-		c := NewCareful(1000)
+		c := NewKeyHistory(1000)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "tries") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond
-			k := &Ticket{Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"), Effect: policy.Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
+			k := &ResolvedRequest{IdempotencyKey: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"), Effect: policy.Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
 				Class: &settings.Classes[rapid.IntRange(0, 1).Draw(t, "class")], Deadline: time.Second,
 				Library: keyring.Library{Number: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "library")}}
 			want := k.Effect
-			if k.Key != "" {
+			if k.IdempotencyKey != "" {
 				other, reach := false, time.Duration(0) // a live trace is carried on by each try that adds to it
 				for _, p := range past {
-					if p.key == k.Number+k.Key && now < p.until {
+					if p.key == k.Number+k.IdempotencyKey && now < p.until {
 						want, reach = max(want, p.effect), max(reach, p.until)
 						other = p.class != k.Class.Name // the last try's
 					}
@@ -231,10 +231,10 @@
 					want = policy.Unsafe
 				}
 				if want != policy.Safe {
-					past = append(past, try{k.Number + k.Key, k.Class.Name, max(reach, now+k.Deadline+k.Class.DedupWindow), want})
+					past = append(past, try{k.Number + k.IdempotencyKey, k.Class.Name, max(reach, now+k.Deadline+k.Class.DedupWindow), want})
 				}
 			}
-			if got := c.Hold(now, k); got != want {
+			if got := c.Update(now, k); got != want {
 				t.Fatalf("at %v: %v, want %v", now, got, want)
 			}
 		}
@@ -243,9 +243,9 @@
 
 // The oldest keys give way, and no more are remembered than bound.
 func TestCarefulIsBounded(t *testing.T) {
-	c := NewCareful(3)
+	c := NewKeyHistory(3)
 	hold := func(key string, e policy.Effect) policy.Effect {
-		return c.Hold(0, &Ticket{Key: key, Effect: e, Class: &settings.Classes[1], Deadline: time.Second})
+		return c.Update(0, &ResolvedRequest{IdempotencyKey: key, Effect: e, Class: &settings.Classes[1], Deadline: time.Second})
 	}
 	for _, key := range []string{"a", "b", "c", "d", "e"} {
 		hold(key, policy.Unsafe)
@@ -269,7 +269,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				tab.Read(c.r)
+				tab.Resolve(c.r)
 			}
 		})
 	}
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -13,39 +13,39 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Clients says who names the library of a request.
-type Clients string
+// ClientMode says who names the library of a request.
+type ClientMode string
 
 // Who may.
 const (
-	ByKey   Clients = "keys"  // ordinary clients, by an API key
-	ByFront Clients = "front" // the platform's front, by its own fields
-	ByBoth  Clients = "both"  // a request with a key by that, any other by the front's fields
+	ByKey   ClientMode = "keys"  // ordinary clients, by an API key
+	ByFront ClientMode = "front" // the platform's front, by its own fields
+	ByBoth  ClientMode = "both"  // a request with a key by that, any other by the front's fields
 )
 
 // Options are an operator's choices beside book and keys.
 type Options struct {
-	Clients Clients
-	Pass    []string // header fields that go on to loan servers beside those of the protocol
-	PassKey bool     // keys go on too
-	Tell    bool     // answers and attempts name revision, operation and units
+	Clients       ClientMode
+	ForwardFields []string // header fields that go on to loan servers beside those of the protocol
+	ForwardKeys   bool     // keys go on too
+	ExposeRouting bool     // answers and attempts name revision, operation and units
 }
 
 // Table is a book in force with all that requests are read by. It never
 // changes: a request keeps what it was read under.
 type Table struct {
 	Options
-	Book     *routebook.Book
-	ring     *keyring.Ring
-	places   []routebook.KeyPlace
-	classes  map[string]*policy.Class
-	plans    map[string]bool
-	gateways int
+	Book      *routebook.Book
+	ring      *keyring.Ring
+	keyPlaces []routebook.KeyPlace
+	classes   map[string]*policy.Class
+	plans     map[string]bool
+	gateways  int
 }
 
 // fields that this edge node writes itself, or that belong to one connection
 // (RFC 9110, 7.6.1): none is passed on by name.
-var ownFields = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
+var reservedFields = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host", "Cookie", "X-Request-Id", "Idempotency-Key", "X-Class",
 	"X-Deadline-Ms", "X-Tier", "X-Call-Terms", "X-Retry", OperationField, BookField, UnitsField}
 
@@ -59,7 +59,7 @@
 // NewTable puts a book in force under a node's settings. The error names every
 // route, key and field that does not fit them.
 func NewTable(set *policy.Settings, b *routebook.Book, ring *keyring.Ring, libraries []keyring.Library, o Options) (*Table, error) {
-	t := &Table{Options: o, Book: b, ring: ring, places: b.Keys, classes: map[string]*policy.Class{}, plans: map[string]bool{}, gateways: set.Gateways}
+	t := &Table{Options: o, Book: b, ring: ring, keyPlaces: b.Keys, classes: map[string]*policy.Class{}, plans: map[string]bool{}, gateways: set.Gateways}
 	if o.Clients == "" {
 		t.Clients = ByKey
 	}
@@ -99,11 +99,11 @@
 	if len(b.Keys) == 0 && t.Clients != ByFront {
 		fault("the book names no security scheme of type apiKey: there is no place where a client's key could stand")
 	}
-	for _, f := range o.Pass {
-		if slices.ContainsFunc(ownFields, func(own string) bool { return strings.EqualFold(own, f) }) {
+	for _, f := range o.ForwardFields {
+		if slices.ContainsFunc(reservedFields, func(own string) bool { return strings.EqualFold(own, f) }) {
 			fault("the field %s is not passed on by name", f)
 		}
-		if !o.PassKey && slices.ContainsFunc(b.Keys, func(k routebook.KeyPlace) bool { return k.In == "header" && strings.EqualFold(k.Name, f) }) {
+		if !o.ForwardKeys && slices.ContainsFunc(b.Keys, func(k routebook.KeyPlace) bool { return k.In == "header" && strings.EqualFold(k.Name, f) }) {
 			fault("the field %s holds keys, which go on only where pass_key says so", f)
 		}
 	}
@@ -113,16 +113,16 @@
 	return t, nil
 }
 
-// Name is the revision of the table's book; "none" where there is no table.
-func (t *Table) Name() string {
+// Revision is the revision of the table's book; "none" where there is no table.
+func (t *Table) Revision() string {
 	if t == nil {
 		return "none"
 	}
 	return t.Book.Generation
 }
 
-// effectOf is the decision module's word for a repeat.
-func effectOf(r routebook.Repeat) policy.Effect {
+// policyEffect is the decision module's word for a repeat.
+func policyEffect(r routebook.Repeat) policy.Effect {
 	switch r {
 	case routebook.Safe:
 		return policy.Safe
@@ -132,8 +132,8 @@
 	return policy.Unsafe
 }
 
-// deadline is how long a client of an operation may wait.
-func deadline(r *routebook.Route, c *policy.Class) time.Duration {
+// maxDeadline is how long a client of an operation may wait.
+func maxDeadline(r *routebook.Route, c *policy.Class) time.Duration {
 	if r.Deadline > 0 {
 		return min(r.Deadline, c.Deadline)
 	}
--- a/internal/dataplane/serverhealth/baseline.go
+++ b/internal/dataplane/serverhealth/baseline.go
@@ -10,15 +10,15 @@
 // A server is judged by comparison with the others of its keeper: with what is usual among them lately and for long, and
 // with a control group, which is what they showed in the very seconds from which the evidence against it stems.
 const (
-	leastOthers   = 3   // servers of which enough was seen lately, for what is usual lately
-	strata        = 7   // of the evidence: one for each of so many spans, what lies in it and in no shorter one
-	longSpan      = 6   // index in spans of what is usual for long
-	pseudoAgainst = 2.0 // outcomes that are added to those of a control group, so that few of them prove little:
-	pseudoAll     = 4.0 // the "plus four" estimate of a share (Agresti and Coull, 1998)
+	minOthers      = 3   // servers of which enough was seen lately, for what is usual lately
+	strataCount    = 7   // of the evidence: one for each of so many spans, what lies in it and in no shorter one
+	longSpan       = 6   // index in spans of what is usual for long
+	pseudoFailures = 2.0 // outcomes that are added to those of a control group, so that few of them prove little:
+	pseudoOutcomes = 4.0 // the "plus four" estimate of a share (Agresti and Coull, 1998)
 )
 
-// latelySpans are indices in spans.
-var latelySpans = [...]int{1, 3}
+// recentSpans are indices in spans.
+var recentSpans = [...]int{1, 3}
 
 // evidence is what speaks against a server and for it, in outcomes.
 type evidence struct{ bad, good float64 }
@@ -32,26 +32,26 @@
 
 // baseline is how all servers of a keeper did, by server.
 type baseline struct {
-	shares  [strata]map[string]float64  // in each span, of those of which enough was seen
-	stratum [strata]map[string]evidence // in each stratum
+	shares  [strataCount]map[string]float64  // in each span, of those of which enough was seen
+	stratum [strataCount]map[string]evidence // in each stratum
 }
 
-// baseline looks at all servers' evidence up to a moment.
-func (f *Floor) baseline(kind Kind, until time.Duration) *baseline {
+// computeBaseline looks at all servers' evidence up to a moment.
+func (f *Evaluator) computeBaseline(kind Kind, until time.Duration) *baseline {
 	b := &baseline{}
-	for i := range strata {
+	for i := range strataCount {
 		b.shares[i], b.stratum[i] = map[string]float64{}, map[string]evidence{}
 	}
 	for id := range f.cells {
-		voices := map[string]*voice{}
-		for i, list := range f.statements(id, kind, until-spans[longSpan], until, 0)[:strata] {
+		voices := map[string]*proxyTotals{}
+		for i, list := range f.weightedCells(id, kind, until-spans[longSpan], until, 0)[:strataCount] {
 			if len(list) > 0 {
-				r := f.join(add(map[string]*voice{}, list), barOf(0))
+				r := f.combine(addCells(map[string]*proxyTotals{}, list), thresholdFor(0))
 				b.stratum[i][id] = evidence{r.bad, r.good}
 			}
-			add(voices, list)
-			if r := f.join(voices, barOf(0)); r.bad+r.good >= need {
-				b.shares[i][id] = r.plain
+			addCells(voices, list)
+			if r := f.combine(voices, thresholdFor(0)); r.bad+r.good >= minFailures {
+				b.shares[i][id] = r.plainShare
 			}
 		}
 	}
@@ -68,9 +68,9 @@
 				others = append(others, x)
 			}
 		}
-		lately := slices.Contains(latelySpans[:], i) && len(others) >= leastOthers
+		lately := slices.Contains(recentSpans[:], i) && len(others) >= minOthers
 		if i == longSpan || lately {
-			usual = max(usual, middle(others))
+			usual = max(usual, lowerMedian(others))
 		}
 	}
 	return usual
@@ -80,7 +80,7 @@
 // is guarded against chance where little was seen of them.
 func (b *baseline) control(server string, stratum int) float64 {
 	var others []evidence
-	for id, e := range b.stratum[min(stratum, strata-1)] {
+	for id, e := range b.stratum[min(stratum, strataCount-1)] {
 		if id != server {
 			others = append(others, e)
 		}
@@ -93,38 +93,38 @@
 		group.bad += e.bad
 		group.good += e.good
 	}
-	return (group.bad + pseudoAgainst) / (group.bad + group.good + pseudoAll)
+	return (group.bad + pseudoFailures) / (group.bad + group.good + pseudoOutcomes)
 }
 
-// standard is what the control group's shares come to if they are weighted by the seconds from which a server's own
+// standardizedShare is what the control group's shares come to if they are weighted by the seconds from which a server's own
 // outcomes stem (direct standardization). So what befalls all at once condemns none, whichever shows it first.
-type standard struct{ expected, number float64 }
+type standardizedShare struct{ expected, outcomes float64 }
 
-func (s *standard) add(outcomes, share float64) {
+func (s *standardizedShare) add(outcomes, share float64) {
 	s.expected += outcomes * share
-	s.number += outcomes
+	s.outcomes += outcomes
 }
 
-func (s *standard) share() float64 {
-	if s.number == 0 {
+func (s *standardizedShare) share() float64 {
+	if s.outcomes == 0 {
 		return 0
 	}
-	return s.expected / s.number
+	return s.expected / s.outcomes
 }
 
-// bar is what evidence is held against.
-type bar struct {
-	share float64 // against a server, that condemns it
-	usual float64 // of outcomes that are unclear anyway, with something to spare
-	ill   float64 // of those of an ill server
+// threshold is what evidence is held against.
+type threshold struct {
+	share     float64 // against a server, that condemns it
+	usual     float64 // of outcomes that are unclear anyway, with something to spare
+	unhealthy float64 // of those of an ill server
 }
 
-// proof is how much likelier outcomes against and for a server are of an ill one than of a usual one, in e-folds.
-func (b bar) proof(bad, good float64) float64 {
-	return bad*math.Log(b.ill/b.usual) + good*math.Log((1-b.ill)/(1-b.usual))
+// logLikelihoodRatio is how much likelier outcomes against and for a server are of an ill one than of a usual one, in e-folds.
+func (b threshold) logLikelihoodRatio(bad, good float64) float64 {
+	return bad*math.Log(b.unhealthy/b.usual) + good*math.Log((1-b.unhealthy)/(1-b.usual))
 }
 
-func barOf(usual float64) bar {
-	p := min(mostUsual, max(leastUsual, spare*usual))
-	return bar{min(mostShare, max(leastShare, usualTimes*usual)), p, min(mostIll, max(leastIll, 2*p))}
+func thresholdFor(usual float64) threshold {
+	p := min(maxUsual, max(minUsual, usualMargin*usual))
+	return threshold{min(maxThresholdShare, max(minThresholdShare, usualFactor*usual)), p, min(maxUnhealthyShare, max(minUnhealthyShare, 2*p))}
 }
--- a/internal/dataplane/serverhealth/explore_test.go
+++ b/internal/dataplane/serverhealth/explore_test.go
@@ -8,29 +8,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// path is three proxies that tell one replica, as far as a row of steps has brought them.
-type path struct {
-	floor   *Floor
-	fault   string
-	proxies [3]*Recorder
-	told    [3]uint64
-	way     [3]*Report // sent and not arrived
-	seen    [3]int
-	late    *Report // a copy that comes once more
-	lost    int
-	again   int
-	starts  int
-	level   Level // the highest told
-	pardon  bool  // by a replica that began anew
-	servers []Server
+// exploredState is three proxies that tell one replica, as far as a row of steps has brought them.
+type exploredState struct {
+	evaluator        *Evaluator
+	fault            string
+	proxies          [3]*Recorder
+	reported         [3]uint64
+	inFlight         [3]*Report // sent and not arrived
+	seen             [3]int
+	late             *Report // a copy that comes once more
+	lost             int
+	duplicates       int
+	starts           int
+	level            Level // the highest told
+	clearedByRestart bool  // by a replica that began anew
+	servers          []Server
 }
 
 const pathNow = time.Hour
 
-// mostSeen are the outcomes that each proxy may see, mostTroubles what may go wrong in all.
-var mostSeen = [3]int{2, 2, 1}
+// maxOutcomes are the outcomes that each proxy may see, mostTroubles what may go wrong in all.
+var maxOutcomes = [3]int{2, 2, 1}
 
-const mostTroubles = 1
+const maxDisruptions = 1
 
 // step is one of what may happen: what, at a proxy.
 type step struct {
@@ -38,45 +38,45 @@
 	proxy int
 }
 
-func newPath(fault string) *path {
-	p := &path{floor: NewFloor(), fault: fault}
+func newExploredState(fault string) *exploredState {
+	p := &exploredState{evaluator: NewEvaluator(), fault: fault}
 	for i := range p.proxies {
 		p.proxies[i] = NewRecorder(fmt.Sprint("g", i), fmt.Sprint("z", i), 1)
 	}
 	for i := range 4 {
 		p.servers = append(p.servers, Server{ID: fmt.Sprint("s", i), Service: "loans", Region: "n", Capacity: 1})
 	}
-	p.floor.fault = fault
-	p.hearOthers()
+	p.evaluator.testFault = fault
+	p.reportOthers()
 	return p
 }
 
-// hearOthers has the floor hear that the other servers do well: those that s0 is compared with.
-func (p *path) hearOthers() {
+// reportOthers has the floor hear that the other servers do well: those that s0 is compared with.
+func (p *exploredState) reportOthers() {
 	b := NewRecorder("other", "z0", 1)
 	for _, s := range p.servers[1:] {
 		for group := range uint8(Groups) {
 			for range 3 {
-				b.Add(pathNow, s.ID, Record, group, Confirmed)
+				b.Add(pathNow, s.ID, AtMostOnce, group, Confirmed)
 			}
 		}
 	}
-	told, _ := b.Tell(pathNow, 0, func(string) bool { return true })
-	p.floor.Hear(pathNow, told)
+	told, _ := b.ReportSince(pathNow, 0, func(string) bool { return true })
+	p.evaluator.AddReport(pathNow, told)
 }
 
 // steps are what may happen next: a proxy sees an outcome, tells, its word arrives, arrives and comes again later, or
 // is lost with its connection; the late copy comes; the replica starts anew.
-func (p *path) steps() (all []step) {
-	well := p.again+p.lost+p.starts < mostTroubles
+func (p *exploredState) steps() (all []step) {
+	well := p.duplicates+p.lost+p.starts < maxDisruptions
 	for g := range p.proxies {
-		if p.seen[g] < mostSeen[g] {
+		if p.seen[g] < maxOutcomes[g] {
 			all = append(all, step{'s', g})
 		}
-		if p.way[g] == nil && p.proxies[g].no > p.told[g] {
+		if p.inFlight[g] == nil && p.proxies[g].sequence > p.reported[g] {
 			all = append(all, step{'t', g})
 		}
-		if p.way[g] != nil {
+		if p.inFlight[g] != nil {
 			all = append(all, step{'d', g})
 			if well {
 				all = append(all, step{'a', g})
@@ -95,61 +95,61 @@
 	return all
 }
 
-// do takes a step; look: the verdict is looked at after it.
-func (p *path) do(s step, look bool) {
+// apply takes a step; look: the verdict is looked at after it.
+func (p *exploredState) apply(s step, look bool) {
 	g := s.proxy
 	switch s.what {
 	case 's':
-		p.proxies[g].Add(pathNow, "s0", Record, uint8(g), Unclear)
+		p.proxies[g].Add(pathNow, "s0", AtMostOnce, uint8(g), Unclear)
 		p.seen[g]++
 	case 't':
-		p.way[g], p.told[g] = p.proxies[g].Tell(pathNow, p.told[g], func(string) bool { return true })
+		p.inFlight[g], p.reported[g] = p.proxies[g].ReportSince(pathNow, p.reported[g], func(string) bool { return true })
 	case 'd', 'a':
-		if p.floor.Hear(pathNow, p.way[g]); s.what == 'a' {
-			p.late, p.again = p.way[g], 1
+		if p.evaluator.AddReport(pathNow, p.inFlight[g]); s.what == 'a' {
+			p.late, p.duplicates = p.inFlight[g], 1
 		}
-		p.way[g] = nil
+		p.inFlight[g] = nil
 	case 'l':
-		p.way[g], p.told[g], p.lost = nil, 0, 1 // the connection is a new one
+		p.inFlight[g], p.reported[g], p.lost = nil, 0, 1 // the connection is a new one
 		if p.fault == "goes on after a loss" {
-			p.told[g] = p.proxies[g].no
+			p.reported[g] = p.proxies[g].sequence
 		}
 	case 'c':
-		p.floor.Hear(pathNow, p.late)
+		p.evaluator.AddReport(pathNow, p.late)
 		p.late = nil
 	case 'r':
-		list := p.floor.Step(pathNow, p.servers).List
-		p.floor, p.told, p.starts = NewFloor(), [3]uint64{}, 1
-		p.floor.fault = p.fault
-		p.hearOthers()
+		list := p.evaluator.Evaluate(pathNow, p.servers).List
+		p.evaluator, p.reported, p.starts = NewEvaluator(), [3]uint64{}, 1
+		p.evaluator.testFault = p.fault
+		p.reportOthers()
 		if p.fault != "adopts nothing" {
-			p.floor.Adopt(pathNow, list)
+			p.evaluator.Adopt(pathNow, list)
 		}
-		p.pardon = look && p.is() < p.level
+		p.clearedByRestart = look && p.currentLevel() < p.level
 	}
 	if look && s.what != 's' && s.what != 't' && s.what != 'l' {
-		p.level = max(p.level, p.is())
+		p.level = max(p.level, p.currentLevel())
 	}
 }
 
-func (p *path) is() Level {
-	if list := p.floor.Step(pathNow, p.servers).List; len(list) > 0 {
+func (p *exploredState) currentLevel() Level {
+	if list := p.evaluator.Evaluate(pathNow, p.servers).List; len(list) > 0 {
 		return list[0].Level
 	}
 	return Fit
 }
 
-func (p *path) held() (n [3]int) {
-	for k, c := range p.floor.cells["s0"] {
+func (p *exploredState) storedCounts() (n [3]int) {
+	for k, c := range p.evaluator.cells["s0"] {
 		n[k.group] += int(c.counts[Unclear])
 	}
 	return n
 }
 
 // key tells states apart that may go on differently.
-func (p *path) key() string {
+func (p *exploredState) key() string {
 	way := [3]int{}
-	for g, s := range p.way {
+	for g, s := range p.inFlight {
 		if s != nil {
 			way[g] = 1
 			for _, e := range s.Observations {
@@ -159,33 +159,33 @@
 	}
 	late := ""
 	if p.late != nil {
-		late = fmt.Sprint(p.late.Witness, p.late.Observations)
+		late = fmt.Sprint(p.late.Proxy, p.late.Observations)
 	}
-	return fmt.Sprint(p.seen, p.told, way, p.held(), late, p.lost, p.again, p.starts, p.level)
+	return fmt.Sprint(p.seen, p.reported, way, p.storedCounts(), late, p.lost, p.duplicates, p.starts, p.level)
 }
 
-// wrong is what is wrong with a state, now or once all that is owed has been told.
-func (p *path) wrong() string {
-	if p.pardon {
+// violation is what is wrong with a state, now or once all that is owed has been told.
+func (p *exploredState) violation() string {
+	if p.clearedByRestart {
 		return "a replica that began anew pardons"
 	}
-	for g, n := range p.held() {
+	for g, n := range p.storedCounts() {
 		if n > p.seen[g] {
 			return fmt.Sprintf("of %d outcomes at g%d %d are held", p.seen[g], g, n)
 		}
 	}
 	for g := range p.proxies {
-		if p.way[g] != nil {
-			p.floor.Hear(pathNow, p.way[g])
+		if p.inFlight[g] != nil {
+			p.evaluator.AddReport(pathNow, p.inFlight[g])
 		}
-		s, _ := p.proxies[g].Tell(pathNow, p.told[g], func(string) bool { return true })
-		p.floor.Hear(pathNow, s)
+		s, _ := p.proxies[g].ReportSince(pathNow, p.reported[g], func(string) bool { return true })
+		p.evaluator.AddReport(pathNow, s)
 	}
-	if held := p.held(); held != p.seen {
+	if held := p.storedCounts(); held != p.seen {
 		return fmt.Sprintf("%v were seen, %v are held in the end", p.seen, held)
 	}
-	is := p.is()
-	if all := p.seen[0] + p.seen[1] + p.seen[2]; is < UnfitRecord && (all > 4 || p.level >= UnfitRecord) {
+	is := p.currentLevel()
+	if all := p.seen[0] + p.seen[1] + p.seen[2]; is < UnfitAtMostOnce && (all > 4 || p.level >= UnfitAtMostOnce) {
 		return fmt.Sprintf("%s after %d unclear outcomes", is, all)
 	}
 	return ""
@@ -196,12 +196,12 @@
 	known := map[string]bool{}
 	var walk func(done []step, level Level) string
 	walk = func(done []step, level Level) string {
-		p := newPath(fault)
+		p := newExploredState(fault)
 		for i, s := range done {
 			if i == len(done)-1 {
 				p.level = level // as it was found before
 			}
-			p.do(s, i == len(done)-1)
+			p.apply(s, i == len(done)-1)
 		}
 		key := p.key()
 		if known[key] {
@@ -209,7 +209,7 @@
 		}
 		known[key] = true
 		next, level := p.steps(), p.level
-		if what := p.wrong(); what != "" {
+		if what := p.violation(); what != "" {
 			return fmt.Sprint(done, ": ", what)
 		}
 		for _, s := range next {
--- a/internal/dataplane/serverhealth/join.go
+++ b/internal/dataplane/serverhealth/join.go
@@ -10,79 +10,79 @@
 
 // Thresholds of a judgement. Weights are in outcomes.
 const (
-	need       = 4.0        // against a server, after all caps, that condemn it
-	groupBad   = 0.6 * need // at most of one tenant group, ...
-	witnessBad = 0.6 * need // ... and of one proxy: neither can condemn alone
-	groupMass  = 6.0        // at most of one group, for and against
-	illWorth   = 0.25       // of what one saw who was ill itself
-	leastShare = 0.25       // against a server, of all, that condemn it; and twice what is usual
-	mostShare  = 0.6
-	usualTimes = 2.0
-	proof      = 12.0 // in e-folds, that condemns
-	leastUsual = 0.02
-	mostUsual  = 0.45
-	spare      = 1.3
-	leastIll   = 0.5
-	mostIll    = 0.9
-	usualEvery = 5 * time.Second // what is usual changes slowly, and takes a look at all
-	restProof  = 4.0             // in e-folds, that is left without the region that speaks most against a server: see rest
-	lately     = 16 * Span       // for so long a zone that has used a server has a say in it
-	enoughSeen = 3               // servers that a proxy must have tried to be compared
-	zoneGood   = 2.0             // for a server, without one group, that let a zone speak for it
-	fullExcess = 0.75            // servers failing at it beyond what is usual among proxies, at which its statement counts nothing
+	minFailures           = 4.0               // against a server, after all caps, that condemn it
+	maxGroupFailures      = 0.6 * minFailures // at most of one tenant group, ...
+	maxProxyFailures      = 0.6 * minFailures // ... and of one proxy: neither can condemn alone
+	maxGroupOutcomes      = 6.0               // at most of one group, for and against
+	unreliableWeight      = 0.25              // of what one saw who was ill itself
+	minThresholdShare     = 0.25              // against a server, of all, that condemn it; and twice what is usual
+	maxThresholdShare     = 0.6
+	usualFactor           = 2.0
+	minLogLikelihoodRatio = 12.0 // in e-folds, that condemns
+	minUsual              = 0.02
+	maxUsual              = 0.45
+	usualMargin           = 1.3
+	minUnhealthyShare     = 0.5
+	maxUnhealthyShare     = 0.9
+	baselineInterval      = 5 * time.Second  // what is usual changes slowly, and takes a look at all
+	minRemainingRatio     = 4.0              // in e-folds, that is left without the region that speaks most against a server: see rest
+	recentUse             = 16 * BinDuration // for so long a zone that has used a server has a say in it
+	minServersTried       = 3                // servers that a proxy must have tried to be compared
+	minZoneSuccesses      = 2.0              // for a server, without one group, that let a zone speak for it
+	zeroWeightExcess      = 0.75             // servers failing at it beyond what is usual among proxies, at which its statement counts nothing
 )
 
 // spans are the last parts of the window that are looked at, the shortest first: what was good before a server fell ill
 // does not hide it.
-var spans = []time.Duration{Span, 2 * Span, 4 * Span, 8 * Span, 16 * Span, 32 * Span, 64 * Span, Window}
+var spans = []time.Duration{BinDuration, 2 * BinDuration, 4 * BinDuration, 8 * BinDuration, 16 * BinDuration, 32 * BinDuration, 64 * BinDuration, Window}
 
-// reading is the evaluation of the evidence on one server and kind in one span.
-type reading struct {
-	bad, good     float64
-	share         float64 // against it, without the group that speaks for it most
-	plain         float64 // share of all
-	proof         float64 // logarithm of how much likelier it is of an ill server than of a usual one
-	number        int
-	against, for_ int // witnesses
-	zonesAgainst  int
-	zonesFor      int
-	zones         map[string]*tally // what each said
-	bar           bar               // that it was held against
-	condemns      bool              // also beside the control group
+// evaluation is the evaluation of the evidence on one server and kind in one span.
+type evaluation struct {
+	bad, good           float64
+	share               float64 // against it, without the group that speaks for it most
+	plainShare          float64 // share of all
+	logLikelihoodRatio  float64 // logarithm of how much likelier it is of an ill server than of a usual one
+	number              int
+	against, supporting int // witnesses
+	zonesAgainst        int
+	zonesFor            int
+	zones               map[string]*tally // what each said
+	threshold           threshold         // that it was held against
+	unfit               bool              // also beside the control group
 }
 
-// credit returns the weight of a proxy's statement about a server, 0 to 1. It is small if the proxy's attempts fail at
+// proxyWeight returns the weight of a proxy's statement about a server, 0 to 1. It is small if the proxy's attempts fail at
 // many other servers too, beyond the median of all proxies.
-func (f *Floor) credit(w *witness, server string, usual float64) float64 {
-	if f.fault == "trusts all" {
+func (f *Evaluator) proxyWeight(w *proxyState, server string, usual float64) float64 {
+	if f.testFault == "trusts all" {
 		return 1
 	}
-	return 1 - min(1, max(0, w.failsBeside(server)-usual)/fullExcess)
+	return 1 - min(1, max(0, w.failingShareExcept(server)-usual)/zeroWeightExcess)
 }
 
-// failsBeside returns the share of other servers that fail for a proxy; 0 if it has tried too few.
-func (w *witness) failsBeside(server string) float64 {
-	tried, fails := w.tried, w.fails
+// failingShareExcept returns the share of other servers that fail for a proxy; 0 if it has tried too few.
+func (w *proxyState) failingShareExcept(server string) float64 {
+	tried, fails := w.serversTried, w.failingCount
 	if w.failing[server] {
 		tried, fails = tried-1, fails-1
 	}
-	if tried < enoughSeen {
+	if tried < minServersTried {
 		return 0
 	}
 	return float64(fails) / float64(tried)
 }
 
-func (f *Floor) usualFails(server string) float64 {
+func (f *Evaluator) medianFailingShare(server string) float64 {
 	var all []float64
-	for _, w := range f.witnesses {
-		if w.tried >= enoughSeen {
-			all = append(all, w.failsBeside(server))
+	for _, w := range f.proxies {
+		if w.serversTried >= minServersTried {
+			all = append(all, w.failingShareExcept(server))
 		}
 	}
-	return middle(all)
+	return lowerMedian(all)
 }
 
-func middle(all []float64) float64 {
+func lowerMedian(all []float64) float64 {
 	if len(all) == 0 {
 		return 0
 	}
@@ -90,31 +90,31 @@
 	return all[(len(all)-1)/2]
 }
 
-// voice holds one proxy's weighted statements, by group.
-type voice struct {
-	zone  string
-	count int
-	by    [Groups][2]int64 // against, for
+// proxyTotals holds one proxy's weighted statements, by group.
+type proxyTotals struct {
+	zone    string
+	count   int
+	byGroup [Groups][2]int64 // against, for
 }
 
-// statement is the weighted evidence of one cell.
-type statement struct {
+// weightedCell is the weighted evidence of one cell.
+type weightedCell struct {
 	name, zone string
 	group      uint8
 	number     int
 	bad, good  int64
 }
 
-// statements returns the evidence on a server from spans that began between two moments, sorted into the shortest of spans
+// weightedCells returns the evidence on a server from spans that began between two moments, sorted into the shortest of spans
 // that it falls in, counted back from until.
-func (f *Floor) statements(server string, kind Kind, since, until time.Duration, usual float64) (all [][]statement) {
-	all = make([][]statement, len(spans))
-	credit := map[*witness]float64{}
+func (f *Evaluator) weightedCells(server string, kind Kind, since, until time.Duration, usual float64) (all [][]weightedCell) {
+	all = make([][]weightedCell, len(spans))
+	credit := map[*proxyState]float64{}
 	for k, c := range f.cells[server] {
 		if k.kind != kind {
 			continue
 		}
-		at := f.begins(&k, c)
+		at := f.cellStart(&k, c)
 		if at < since || at > until {
 			continue
 		}
@@ -125,65 +125,65 @@
 		w := c.from
 		worth, ok := credit[w]
 		if !ok {
-			worth = f.credit(w, server, usual)
+			worth = f.proxyWeight(w, server, usual)
 			credit[w] = worth
 		}
-		worth *= math.Exp2(-float64(max(0, f.now-at)) / float64(half))
-		if c.ill && f.fault != "hears the ill" {
-			worth *= illWorth
+		worth *= math.Exp2(-float64(max(0, f.now-at)) / float64(halfLife))
+		if c.unreliable && f.testFault != "hears the ill" {
+			worth *= unreliableWeight
 		}
-		bad, good := c.counts.weigh()
-		all[i] = append(all[i], statement{k.name, w.zone, k.group, c.counts.number(), int64(float64(bad) * worth), int64(float64(good) * worth)})
+		bad, good := c.counts.weightedSums()
+		all[i] = append(all[i], weightedCell{k.name, w.zone, k.group, c.counts.total(), int64(float64(bad) * worth), int64(float64(good) * worth)})
 	}
 	return all
 }
 
-// add adds statements to voices, by proxy's name.
-func add(voices map[string]*voice, statements ...[]statement) map[string]*voice {
+// addCells adds statements to voices, by proxy's name.
+func addCells(voices map[string]*proxyTotals, statements ...[]weightedCell) map[string]*proxyTotals {
 	for _, list := range statements {
 		for _, x := range list {
 			v := voices[x.name]
 			if v == nil {
-				v = &voice{zone: x.zone}
+				v = &proxyTotals{zone: x.zone}
 				voices[x.name] = v
 			}
 			v.count += x.number
-			v.by[x.group][0] += x.bad
-			v.by[x.group][1] += x.good
+			v.byGroup[x.group][0] += x.bad
+			v.byGroup[x.group][1] += x.good
 		}
 	}
 	return voices
 }
 
-// join makes one reading of all voices: by group first, each with a cap, then by proxy, each with a cap.
-func (f *Floor) join(voices map[string]*voice, b bar) (r reading) {
+// combine makes one reading of all voices: by group first, each with a cap, then by proxy, each with a cap.
+func (f *Evaluator) combine(voices map[string]*proxyTotals, b threshold) (r evaluation) {
 	var group [Groups][2]float64
 	for _, v := range voices {
-		for g, x := range v.by {
-			group[g][0] += float64(x[0]) / one // whole multiples of 1/4096: exact in any order
-			group[g][1] += float64(x[1]) / one
+		for g, x := range v.byGroup {
+			group[g][0] += float64(x[0]) / weightUnit // whole multiples of 1/4096: exact in any order
+			group[g][1] += float64(x[1]) / weightUnit
 		}
 	}
 	var scale [Groups][2]float64
 	for g, x := range group {
-		all := min(1, groupMass/max(groupMass, x[0]+x[1]))
+		all := min(1, maxGroupOutcomes/max(maxGroupOutcomes, x[0]+x[1]))
 		scale[g] = [2]float64{all, all}
-		if x[0]*all > groupBad {
-			scale[g][0] = groupBad / x[0]
+		if x[0]*all > maxGroupFailures {
+			scale[g][0] = maxGroupFailures / x[0]
 		}
-		if f.fault == "no group cap" {
+		if f.testFault == "no group cap" {
 			scale[g] = [2]float64{1, 1}
 		}
 	}
 	all, zones := &tally{}, map[string]*tally{}
 	for _, name := range slices.Sorted(maps.Keys(voices)) {
 		v, t := voices[name], &tally{}
-		for g, x := range v.by {
-			t.bad += float64(x[0]) / one * scale[g][0]
-			t.good[g] = float64(x[1]) / one * scale[g][1]
+		for g, x := range v.byGroup {
+			t.bad += float64(x[0]) / weightUnit * scale[g][0]
+			t.good[g] = float64(x[1]) / weightUnit * scale[g][1]
 		}
-		if f.fault != "no witness cap" {
-			t.bad = min(t.bad, witnessBad)
+		if f.testFault != "no witness cap" {
+			t.bad = min(t.bad, maxProxyFailures)
 		}
 		if zones[v.zone] == nil {
 			zones[v.zone] = &tally{}
@@ -191,31 +191,31 @@
 		all.add(t)
 		zones[v.zone].add(t)
 		r.number += v.count
-		good, apart := t.sums()
+		good, apart := t.goodSums()
 		switch {
-		case t.against(apart, b):
+		case t.isAgainst(apart, b):
 			r.against++
 		case good > 0:
-			r.for_++
+			r.supporting++
 		}
 	}
-	r.bar, r.zones = b, zones
+	r.threshold, r.zones = b, zones
 	for _, z := range zones {
-		switch _, apart := z.sums(); {
-		case z.against(apart, b):
+		switch _, apart := z.goodSums(); {
+		case z.isAgainst(apart, b):
 			r.zonesAgainst++
-		case apart >= zoneGood:
+		case apart >= minZoneSuccesses:
 			r.zonesFor++
 		}
 	}
 	r.bad = all.bad
-	good, apart := all.sums()
+	good, apart := all.goodSums()
 	if r.good = good; r.bad > 0 {
-		r.plain, r.share = r.bad/(r.bad+good), r.bad/(r.bad+apart)
-		if f.fault == "one group absolves" {
-			r.share, apart = r.plain, good
+		r.plainShare, r.share = r.bad/(r.bad+good), r.bad/(r.bad+apart)
+		if f.testFault == "one group absolves" {
+			r.share, apart = r.plainShare, good
 		}
-		r.proof = b.proof(r.bad, apart)
+		r.logLikelihoodRatio = b.logLikelihoodRatio(r.bad, apart)
 	}
 	return r
 }
@@ -233,85 +233,85 @@
 	}
 }
 
-// sums are what speaks for it, with and without the group that does so most: so none can absolve alone.
-func (t *tally) sums() (all, apart float64) {
+// goodSums are what speaks for it, with and without the group that does so most: so none can absolve alone.
+func (t *tally) goodSums() (all, apart float64) {
 	for _, x := range t.good {
 		all += x
 	}
 	return all, all - slices.Max(t.good[:])
 }
 
-// proof is what it adds to the proof against a server, in e-folds.
-func (t *tally) proof(b bar) float64 {
-	_, apart := t.sums()
-	return b.proof(t.bad, apart)
+// logLikelihoodRatio is what it adds to the proof against a server, in e-folds.
+func (t *tally) logLikelihoodRatio(b threshold) float64 {
+	_, apart := t.goodSums()
+	return b.logLikelihoodRatio(t.bad, apart)
 }
 
-func (t *tally) against(apart float64, b bar) bool {
+func (t *tally) isAgainst(apart float64, b threshold) bool {
 	return t.bad > 0 && t.bad >= b.share*(t.bad+apart)
 }
 
-// read looks at all spans of a server's evidence from one moment to another, and gives the one that speaks most
+// evaluateServer looks at all spans of a server's evidence from one moment to another, and gives the one that speaks most
 // against it.
-func (f *Floor) read(server string, kind Kind, since, until time.Duration) (worst reading) {
-	if !f.anyBad(server, kind) {
+func (f *Evaluator) evaluateServer(server string, kind Kind, since, until time.Duration) (worst evaluation) {
+	if !f.hasFailures(server, kind) {
 		return worst
 	}
-	base := f.base[kind]
-	usual, group := base.usual(server), standard{}
-	voices := map[string]*voice{}
-	for i, list := range f.statements(server, kind, since, until, f.usualFails(server)) {
+	base := f.baselines[kind]
+	usual, group := base.usual(server), standardizedShare{}
+	voices := map[string]*proxyTotals{}
+	for i, list := range f.weightedCells(server, kind, since, until, f.medianFailingShare(server)) {
 		if len(list) > 0 {
-			own := f.join(add(map[string]*voice{}, list), barOf(usual))
+			own := f.combine(addCells(map[string]*proxyTotals{}, list), thresholdFor(usual))
 			group.add(own.bad+own.good, base.control(server, i))
 		}
-		add(voices, list)
-		r := f.join(voices, barOf(usual))
-		if r.bad >= need && f.condemns(server, f.join(voices, f.controlBar(usual, group.share()))) {
-			r.condemns = true
+		addCells(voices, list)
+		r := f.combine(voices, thresholdFor(usual))
+		if r.bad >= minFailures && f.isUnfit(server, f.combine(voices, f.controlThreshold(usual, group.share()))) {
+			r.unfit = true
 			return r
 		}
-		if worst.number == 0 || f.doubts(r) && !f.doubts(worst) {
+		if worst.number == 0 || f.isDoubtful(r) && !f.isDoubtful(worst) {
 			worst = r
 		}
 	}
 	return worst
 }
 
-// controlBar is what condemns a server is held against; what makes it doubtful needs no control group.
-func (f *Floor) controlBar(usual, control float64) bar {
-	if f.fault == "no control group" {
-		return barOf(usual)
+// controlThreshold is what condemns a server is held against; what makes it doubtful needs no control group.
+func (f *Evaluator) controlThreshold(usual, control float64) threshold {
+	if f.testFault == "no control group" {
+		return thresholdFor(usual)
 	}
-	return barOf(max(usual, control))
+	return thresholdFor(max(usual, control))
 }
 
-func (f *Floor) anyBad(server string, kind Kind) bool {
+func (f *Evaluator) hasFailures(server string, kind Kind) bool {
 	for k, c := range f.cells[server] {
-		if bad, _ := c.counts.weigh(); bad > 0 && k.kind == kind {
+		if bad, _ := c.counts.weightedSums(); bad > 0 && k.kind == kind {
 			return true
 		}
 	}
 	return false
 }
 
-// condemns tells whether a reading makes a server unfit.
-func (f *Floor) condemns(server string, r reading) bool {
-	if r.bad < need || r.share < r.bar.share || r.proof < proof || r.against < 2 {
+// isUnfit tells whether a reading makes a server unfit.
+func (f *Evaluator) isUnfit(server string, r evaluation) bool {
+	if r.bad < minFailures || r.share < r.threshold.share || r.logLikelihoodRatio < minLogLikelihoodRatio || r.against < 2 {
 		return false
 	}
-	if f.fault == "one zone condemns" || f.zones() < 2 {
+	if f.testFault == "one zone condemns" || f.zoneCount() < 2 {
 		return true
 	}
-	return r.zonesAgainst > r.zonesFor && r.zonesAgainst > 1 && f.rest(server, r) >= restProof
+	return r.zonesAgainst > r.zonesFor && r.zonesAgainst > 1 && f.remainingRatio(server, r) >= minRemainingRatio
 }
 
-// rest is the proof against a server that is left, in e-folds, without what one region saw of it: the region whose statements
+// remainingRatio is the proof against a server that is left, in e-folds, without what one region saw of it: the region whose statements
 // weighs most. Bad ways between a region and a server explain all but that. Where all who lately used the server are in
 // one region, it is what is left without one zone.
-func (f *Floor) rest(server string, r reading) float64 {
-	if f.fault == "no rest asked" {
-		return restProof
+func (f *Evaluator) remainingRatio(server string, r evaluation) float64 {
+	if f.testFault == "no rest asked" {
+		return minRemainingRatio
 	}
 	least := math.Inf(1)
 	for _, apart := range f.failureDomains(server) {
@@ -321,17 +321,17 @@
 				left.add(t)
 			}
 		}
-		least = min(least, left.proof(r.bar))
+		least = min(least, left.logLikelihoodRatio(r.threshold))
 	}
 	return least
 }
 
 // failureDomains are the zones of witnesses that lately used a server, by region, or each zone where there is one region.
-func (f *Floor) failureDomains(server string) [][]string {
+func (f *Evaluator) failureDomains(server string) [][]string {
 	regions, zones := map[string][]string{}, map[string]bool{}
 	for k, c := range f.cells[server] {
 		zone := c.from.zone
-		if zones[zone] || f.now-f.begins(&k, c) > lately {
+		if zones[zone] || f.now-f.cellStart(&k, c) > recentUse {
 			continue
 		}
 		zones[zone] = true
@@ -348,15 +348,15 @@
 	return all
 }
 
-// doubts tells whether a reading makes a server doubtful.
-func (f *Floor) doubts(r reading) bool {
-	return r.bad >= need/2 && r.share >= r.bar.share && r.proof >= proof/2 && r.zonesAgainst > r.zonesFor
+// isDoubtful tells whether a reading makes a server doubtful.
+func (f *Evaluator) isDoubtful(r evaluation) bool {
+	return r.bad >= minFailures/2 && r.share >= r.threshold.share && r.logLikelihoodRatio >= minLogLikelihoodRatio/2 && r.zonesAgainst > r.zonesFor
 }
 
-// zones are in how many zones there are proxies that told something.
-func (f *Floor) zones() int {
+// zoneCount are in how many zones there are proxies that told something.
+func (f *Evaluator) zoneCount() int {
 	all := map[string]bool{}
-	for _, w := range f.witnesses {
+	for _, w := range f.proxies {
 		all[w.zone] = true
 	}
 	return len(all)
--- a/internal/dataplane/serverhealth/measure_test.go
+++ b/internal/dataplane/serverhealth/measure_test.go
@@ -16,17 +16,17 @@
 	calmFor = flag.Duration("serverhealth.calm", time.Hour, "how long false verdicts are counted")
 )
 
-// alone is a proxy's own judging of one server, as policy/judge.go does it, but that nothing wears off: so it is better
+// localJudge is a proxy's own judging of one server, as policy/judge.go does it, but that nothing wears off: so it is better
 // here than there where outcomes are few.
-type alone struct {
-	errs  float64
-	till  time.Duration // out of use
-	first time.Duration // when it first was; 0: never
-	falls int
+type localJudge struct {
+	errs         float64
+	ejectedUntil time.Duration // out of use
+	first        time.Duration // when it first was; 0: never
+	ejections    int
 }
 
-func (a *alone) see(now time.Duration, o Outcome) {
-	if now < a.till {
+func (a *localJudge) observe(now time.Duration, o Outcome) {
+	if now < a.ejectedUntil {
 		return
 	}
 	if o == Confirmed {
@@ -35,38 +35,38 @@
 		a.errs += 0.19 * (1 - a.errs)
 	}
 	if a.errs > 0.45 {
-		a.falls++
-		a.till, a.errs = now+8*time.Second, 0.2
+		a.ejections++
+		a.ejectedUntil, a.errs = now+8*time.Second, 0.2
 		if a.first == 0 {
 			a.first = now
 		}
 	}
 }
 
-// large is 90 proxies in four zones before 40 servers of 8 services.
-type large struct {
-	*yard
+// largeFleet is 90 proxies in four zones before 40 servers of 8 services.
+type largeFleet struct {
+	*fleetFixture
 	rnd  *rand.Rand
 	rate float64 // records a second at each server, over all proxies
 	loss float64 // unclear by the network
-	own  map[[2]int]*alone
+	own  map[[2]int]*localJudge
 	cost time.Duration
 	done bool // the floor is not asked any more
 }
 
-func newLarge(seed uint64, rate, loss float64) *large {
-	y := newYard("", 90, 40)
+func newLargeFleet(seed uint64, rate, loss float64) *largeFleet {
+	y := newFleetFixture("", 90, 40)
 	for i, g := range y.proxies {
 		g.zone = string(rune('a' + i%4))
 	}
 	for i := range y.servers {
 		y.servers[i].Service = fmt.Sprint("v", i%8)
 	}
-	return &large{y, rand.New(rand.NewPCG(seed, 1)), rate, loss, map[[2]int]*alone{}, 0, false}
+	return &largeFleet{y, rand.New(rand.NewPCG(seed, 1)), rate, loss, map[[2]int]*localJudge{}, 0, false}
 }
 
 // second plays one, and gives how many records server 0 lost to both, to the floor's proxies and to those alone.
-func (l *large) second(bad bool) (fleet, apart int) {
+func (l *largeFleet) second(bad bool) (fleet, apart int) {
 	for s := range l.servers {
 		n := int(l.rate)
 		if l.rnd.Float64() < l.rate-float64(n) {
@@ -80,7 +80,7 @@
 			}
 			a := l.own[[2]int{g, s}]
 			if a == nil {
-				a = &alone{}
+				a = &localJudge{}
 				l.own[[2]int{g, s}] = a
 			}
 			if s == 0 && o == Unclear {
@@ -89,9 +89,9 @@
 					apart++
 				}
 			}
-			a.see(l.now, o)
+			a.observe(l.now, o)
 			if !l.done {
-				l.see(g, s, Record, group, o, 1)
+				l.observe(g, s, AtMostOnce, group, o, 1)
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 			var joined, apart []time.Duration
 			var lost, lostApart int
 			for seed := range uint64(*measure) {
-				l := newLarge(seed, rate, loss)
+				l := newLargeFleet(seed, rate, loss)
 				for range 60 {
 					l.second(false)
 				}
@@ -138,7 +138,7 @@
 				for l.now-onset < 10*time.Minute {
 					n, m := l.second(true)
 					if lostApart += m; verdict == 10*time.Minute {
-						if lost += n; l.verdict(0).Level >= UnfitRecord {
+						if lost += n; l.verdict(0).Level >= UnfitAtMostOnce {
 							verdict, l.done = l.now-onset, true
 						}
 					}
@@ -152,14 +152,14 @@
 					apart = append(apart, d)
 				}
 			}
-			l, falls, doubts, own := newLarge(99, rate, loss), 0, 0, 0
+			l, falls, doubts, own := newLargeFleet(99, rate, loss), 0, 0, 0
 			was := map[string]Level{}
 			for began := l.now; l.now-began < *calmFor; {
 				l.second(false)
 				now := index(l.last.List)
 				for _, s := range l.servers {
 					is := now[s.ID].Level
-					if is >= UnfitRecord && was[s.ID] < UnfitRecord {
+					if is >= UnfitAtMostOnce && was[s.ID] < UnfitAtMostOnce {
 						falls++
 					}
 					if is > Fit && was[s.ID] == Fit {
@@ -169,14 +169,14 @@
 				}
 			}
 			for _, a := range l.own {
-				own += a.falls
+				own += a.ejections
 			}
 			hours := calmFor.Hours()
 			fmt.Printf("| %g | %g%% | %s | %s | %.1f, %.1f | %.1f, %.0f | %.0f | %.1f |\n", rate, 100*loss, mid(joined), mid(apart),
 				float64(lost)/float64(*measure), float64(lostApart)/float64(*measure), float64(falls)/hours, float64(doubts)/hours, float64(own)/hours,
 				float64(l.cost.Milliseconds())/calmFor.Seconds())
-			if l.wrong != "" {
-				t.Error(l.wrong)
+			if l.violation != "" {
+				t.Error(l.violation)
 			}
 		}
 	}
@@ -187,20 +187,20 @@
 	if *measure == 0 {
 		t.Skip("a measurement")
 	}
-	l := newLarge(1, 90./40, 0.02)
+	l := newLargeFleet(1, 90./40, 0.02)
 	var up, down bytes.Buffer
 	tell, say, told, was := gob.NewEncoder(&up), gob.NewEncoder(&down), uint64(0), (*Verdicts)(nil)
 	began, first := l.now, 0
 	for l.now-began < 5*time.Minute {
 		l.second(l.now-began > time.Minute)
-		s, no := l.proxies[0].Tell(l.now, told, func(string) bool { return true })
+		s, no := l.proxies[0].ReportSince(l.now, told, func(string) bool { return true })
 		if told = no; s.Observations != nil && tell.Encode(s) != nil {
 			t.Fatal("not encoded")
 		}
 		if first == 0 {
 			first = up.Len()
 		}
-		if p := l.last.Since(was); p != nil && say.Encode(p) != nil {
+		if p := l.last.DiffFrom(was); p != nil && say.Encode(p) != nil {
 			t.Fatal("not encoded")
 		}
 		was = l.last
@@ -215,7 +215,7 @@
 		t.Skip("a measurement")
 	}
 	for _, ill := range []time.Duration{30 * time.Second, 30 * time.Minute} {
-		l, was, tries, lost, back, backs := newLarge(3, 1, 0.02), Verdict{}, 0, 0, time.Duration(0), 0
+		l, was, tries, lost, back, backs := newLargeFleet(3, 1, 0.02), Verdict{}, 0, 0, time.Duration(0), 0
 		var names []string
 		for _, g := range l.proxies {
 			names = append(names, g.name)
@@ -223,13 +223,13 @@
 		for began := l.now; l.now-began < 30*time.Minute; {
 			may := map[string]bool{}
 			if was.Trial {
-				for _, name := range Trialists(&was, names, 10) {
+				for _, name := range TrialProxies(&was, names, 10) {
 					may[name] = true
 				}
 			}
 			for s := range l.servers {
 				g, to, o := l.rnd.IntN(90), s, Confirmed
-				if out := !was.Level.Serves(Record); s%8 == 0 && may[names[g]] {
+				if out := !was.Level.Serves(AtMostOnce); s%8 == 0 && may[names[g]] {
 					to, may[names[g]] = 0, false
 					tries++
 				} else if s == 0 && out {
@@ -240,11 +240,11 @@
 						lost++
 					}
 				}
-				l.see(g, to, Record, uint8(l.rnd.IntN(Groups)), o, 1)
+				l.observe(g, to, AtMostOnce, uint8(l.rnd.IntN(Groups)), o, 1)
 			}
 			l.step()
 			now := l.verdict(0)
-			if now.Level < UnfitRecord && was.Level >= UnfitRecord {
+			if now.Level < UnfitAtMostOnce && was.Level >= UnfitAtMostOnce {
 				backs++
 				back = l.now - began
 			}
--- a/internal/dataplane/serverhealth/pack.go
+++ b/internal/dataplane/serverhealth/pack.go
@@ -11,29 +11,29 @@
 
 // Limits of reports.
 const (
-	MostReport = 16 << 10 // bytes of one packed
-	MostTold   = 24       // observations of a usual Report, ...
-	MostWhole  = 256      // ... and of a whole one
-	mostText   = 256      // bytes of a name
+	MaxReportBytes       = 16 << 10 // bytes of one packed
+	MaxDeltaObservations = 24       // observations of a usual Report, ...
+	MaxFullObservations  = 256      // ... and of a whole one
+	maxNameBytes         = 256      // bytes of a name
 )
 
 const packVersion = 1
 
-// Thin drops observations beyond a number. Which ones stay depends on server, group and span, never on how attempts ended,
+// Sample drops observations beyond a number. Which ones stay depends on server, group and span, never on how attempts ended,
 // so that the remaining evidence is an unbiased sample. Observations of records are preferred to those of searches, which
 // are many.
-func (s *Report) Thin(most int) {
+func (s *Report) Sample(most int) {
 	if len(s.Observations) <= most {
 		return
 	}
 	rank := func(e *Observation) uint64 {
 		h := fnv.New64a()
-		_, _ = h.Write([]byte(s.Witness + "\x00" + e.Server))
+		_, _ = h.Write([]byte(s.Proxy + "\x00" + e.Server))
 		_, _ = h.Write(binary.AppendVarint([]byte{e.Group}, int64(e.Bin)))
 		v := h.Sum64()
 		v = (v ^ v>>31) * 0x9e3779b97f4a7c15 // sums of like texts are near each other
-		if e.Kind == Record {
-			v /= recordsBefore
+		if e.Kind == AtMostOnce {
+			v /= atMostOncePreference
 		}
 		return v
 	}
@@ -54,20 +54,20 @@
 	s.Observations = kept[:most]
 }
 
-// recordsBefore is the factor by which observations of records are preferred to those of searches.
-const recordsBefore = 4
+// atMostOncePreference is the factor by which observations of records are preferred to those of searches.
+const atMostOncePreference = 4
 
-// Accuses tells whether a report holds evidence against a server.
-func (s *Report) Accuses() bool {
+// HasFailures tells whether a report holds evidence against a server.
+func (s *Report) HasFailures() bool {
 	return slices.ContainsFunc(s.Observations, func(e Observation) bool {
-		bad, _ := e.Counts.weigh()
+		bad, _ := e.Counts.weightedSums()
 		return bad > 0
 	})
 }
 
-// Part returns a report with the observations of some servers only. One without observations still tells up to when its
+// ForServers returns a report with the observations of some servers only. One without observations still tells up to when its
 // witness has reported.
-func (s *Report) Part(mine func(server string) bool) *Report {
+func (s *Report) ForServers(mine func(server string) bool) *Report {
 	p := *s
 	p.Observations = nil
 	for _, e := range s.Observations {
@@ -100,7 +100,7 @@
 	for _, e := range s.Observations {
 		tail = binary.AppendUvarint(tail, index(e.Server))
 		flags := byte(e.Kind) | e.Group<<2
-		if e.Ill {
+		if e.Unreliable {
 			flags |= 2
 		}
 		tail = append(tail, flags)
@@ -116,10 +116,10 @@
 	}
 	b := []byte{packVersion}
 	text := func(t string) { b = append(binary.AppendUvarint(b, uint64(len(t))), t...) }
-	text(s.Witness)
+	text(s.Proxy)
 	text(s.Zone)
-	b = binary.AppendVarint(b, s.Life)
-	for _, n := range []uint64{uint64(max(0, s.Now)), s.No, uint64(s.Tried), uint64(s.Fails), uint64(len(names))} {
+	b = binary.AppendVarint(b, s.Incarnation)
+	for _, n := range []uint64{uint64(max(0, s.Now)), s.Sequence, uint64(s.ServersTried), uint64(s.FailingCount), uint64(len(names))} {
 		b = binary.AppendUvarint(b, n)
 	}
 	for _, n := range names {
@@ -128,69 +128,69 @@
 	return append(b, tail...)
 }
 
-var errPacked = errors.New("serverhealth: not the form of a report")
+var errMalformedReport = errors.New("serverhealth: not the form of a report")
 
 // unpacker reads what Pack wrote; after the first thing that is wrong all it reads is zero.
 type unpacker struct {
-	b   []byte
-	bad bool
+	data   []byte
+	failed bool
 }
 
-func (u *unpacker) number() uint64 { return variable(u, binary.Uvarint) }
+func (u *unpacker) number() uint64 { return readVarint(u, binary.Uvarint) }
 
-func (u *unpacker) signed() int64 { return variable(u, binary.Varint) }
+func (u *unpacker) signed() int64 { return readVarint(u, binary.Varint) }
 
-// variable reads a number of variable length.
-func variable[N uint64 | int64](u *unpacker, read func([]byte) (N, int)) N {
-	v, n := read(u.b)
-	if u.bad = u.bad || n <= 0; u.bad {
+// readVarint reads a number of variable length.
+func readVarint[N uint64 | int64](u *unpacker, read func([]byte) (N, int)) N {
+	v, n := read(u.data)
+	if u.failed = u.failed || n <= 0; u.failed {
 		return 0
 	}
-	u.b = u.b[n:]
+	u.data = u.data[n:]
 	return v
 }
 
-// below reads a number that is no higher than the most.
-func (u *unpacker) below(most uint64) int {
+// numberUpTo reads a number that is no higher than the most.
+func (u *unpacker) numberUpTo(most uint64) int {
 	v := u.number()
-	if u.bad = u.bad || v > most; u.bad {
+	if u.failed = u.failed || v > most; u.failed {
 		return 0
 	}
 	return int(v)
 }
 
 func (u *unpacker) octet() byte {
-	if u.bad = u.bad || len(u.b) == 0; u.bad {
+	if u.failed = u.failed || len(u.data) == 0; u.failed {
 		return 0
 	}
-	c := u.b[0]
-	u.b = u.b[1:]
+	c := u.data[0]
+	u.data = u.data[1:]
 	return c
 }
 
 func (u *unpacker) text() string {
-	n := u.below(mostText)
-	if u.bad = u.bad || n > len(u.b); u.bad {
+	n := u.numberUpTo(maxNameBytes)
+	if u.failed = u.failed || n > len(u.data); u.failed {
 		return ""
 	}
-	t := string(u.b[:n])
-	u.b = u.b[n:]
+	t := string(u.data[:n])
+	u.data = u.data[n:]
 	return t
 }
 
 // Unpack reads a packed report. Malformed and oversized ones are errors.
 func Unpack(b []byte) (*Report, error) {
-	u := &unpacker{b: b}
-	if len(b) > MostReport || u.octet() != packVersion {
-		return nil, errPacked
+	u := &unpacker{data: b}
+	if len(b) > MaxReportBytes || u.octet() != packVersion {
+		return nil, errMalformedReport
 	}
-	s := &Report{Witness: u.text(), Zone: u.text(), Life: u.signed()}
-	s.Now, s.No = time.Duration(u.below(1<<62)), u.number()
-	s.Tried, s.Fails = u.below(1<<31), u.below(1<<31)
+	s := &Report{Proxy: u.text(), Zone: u.text(), Incarnation: u.signed()}
+	s.Now, s.Sequence = time.Duration(u.numberUpTo(1<<62)), u.number()
+	s.ServersTried, s.FailingCount = u.numberUpTo(1<<31), u.numberUpTo(1<<31)
 	var names []string
-	for range u.below(MostReport) {
-		if u.bad {
-			return nil, errPacked
+	for range u.numberUpTo(MaxReportBytes) {
+		if u.failed {
+			return nil, errMalformedReport
 		}
 		names = append(names, u.text())
 	}
@@ -198,31 +198,31 @@
 		if i := u.number(); i < uint64(len(names)) {
 			return names[i]
 		}
-		u.bad = true
+		u.failed = true
 		return ""
 	}
-	for range u.below(MostFailing) {
+	for range u.numberUpTo(MaxFailing) {
 		s.Failing = append(s.Failing, name())
 	}
-	for range u.below(MostReport) {
+	for range u.numberUpTo(MaxReportBytes) {
 		e := Observation{Server: name()}
 		flags := u.octet()
-		e.Kind, e.Ill, e.Group = Kind(flags&1), flags&2 > 0, flags>>2%Groups
-		e.Bin = binOf(s.Now) - int32(min(max(u.signed(), -mostAhead), 1<<30))
-		for i, mask := 0, u.octet(); i < int(outcomes); i++ {
+		e.Kind, e.Unreliable, e.Group = Kind(flags&1), flags&2 > 0, flags>>2%Groups
+		e.Bin = binOf(s.Now) - int32(min(max(u.signed(), -maxBinsAhead), 1<<30))
+		for i, mask := 0, u.octet(); i < int(outcomeCount); i++ {
 			if mask>>i&1 == 1 {
-				e.Counts[i] = uint16(u.below(countLimit))
+				e.Counts[i] = uint16(u.numberUpTo(maxCount))
 			}
 		}
-		if u.bad {
-			return nil, errPacked
+		if u.failed {
+			return nil, errMalformedReport
 		}
 		s.Observations = append(s.Observations, e)
 	}
-	if u.bad || len(u.b) > 0 {
-		return nil, errPacked
+	if u.failed || len(u.data) > 0 {
+		return nil, errMalformedReport
 	}
 	return s, nil
 }
 
-const mostAhead = 1 << 20 // spans by which an observation may lie ahead of its report; what lies so far is never taken in
+const maxBinsAhead = 1 << 20 // spans by which an observation may lie ahead of its report; what lies so far is never taken in
--- a/internal/dataplane/serverhealth/pack_test.go
+++ b/internal/dataplane/serverhealth/pack_test.go
@@ -12,10 +12,10 @@
 // What is packed comes out as it was, what is spoilt is an error and no more, and a thinned report is a fair part.
 func TestPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Report{Witness: rapid.String().Draw(t, "name"), Life: rapid.Int64().Draw(t, "life"), Zone: "a", Now: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "now")),
-			No: rapid.Uint64().Draw(t, "no"), Tried: 9, Fails: 2, Failing: []string{"s1", "s3"}}
+		s := &Report{Proxy: rapid.String().Draw(t, "name"), Incarnation: rapid.Int64().Draw(t, "life"), Zone: "a", Now: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "now")),
+			Sequence: rapid.Uint64().Draw(t, "no"), ServersTried: 9, FailingCount: 2, Failing: []string{"s1", "s3"}}
 		for i := range rapid.IntRange(0, 40).Draw(t, "observations") {
-			e := Observation{Server: fmt.Sprint("s", i%7), Kind: Kind(i % 2), Group: uint8(i % Groups), Bin: binOf(s.Now) - int32(i), Ill: i%3 == 0}
+			e := Observation{Server: fmt.Sprint("s", i%7), Kind: Kind(i % 2), Group: uint8(i % Groups), Bin: binOf(s.Now) - int32(i), Unreliable: i%3 == 0}
 			for o := range e.Counts {
 				e.Counts[o] = uint16(rapid.IntRange(0, 70000).Draw(t, "count") % 65536)
 			}
@@ -23,7 +23,7 @@
 		}
 		b := s.Pack()
 		got, err := Unpack(b)
-		if len(b) > MostReport {
+		if len(b) > MaxReportBytes {
 			return
 		}
 		assert.NilError(t, err)
@@ -37,16 +37,16 @@
 		}
 	})
 	of := func(share int) (bad, all int) {
-		s := &Report{Witness: "g"}
+		s := &Report{Proxy: "g"}
 		for i := range 4000 {
-			e := Observation{Server: fmt.Sprint("s", i%40), Kind: Record, Group: uint8(i % Groups), Bin: int32(i / 640)}
+			e := Observation{Server: fmt.Sprint("s", i%40), Kind: AtMostOnce, Group: uint8(i % Groups), Bin: int32(i / 640)}
 			e.Counts[Confirmed] = 1
 			if i*7919%100 < share {
 				e.Counts = Counts{Unclear: 1}
 			}
 			s.Observations = append(s.Observations, e)
 		}
-		s.Thin(400)
+		s.Sample(400)
 		for _, e := range s.Observations {
 			all++
 			bad += int(e.Counts[Unclear])
@@ -56,11 +56,11 @@
 	bad, all := of(30)
 	assert.Equal(t, all, 400)
 	assert.Assert(t, bad > 90 && bad < 150, "%d of %d", bad, all)
-	s := &Report{Witness: "g", Now: time.Hour, Tried: 40}
+	s := &Report{Proxy: "g", Now: time.Hour, ServersTried: 40}
 	for i := range 400 {
 		s.Observations = append(s.Observations, Observation{Server: fmt.Sprintf("i-%08x", i%40), Kind: Kind(i % 2), Group: uint8(i % 16), Bin: binOf(s.Now), Counts: Counts{Confirmed: 3}})
 	}
-	s.Thin(MostTold)
+	s.Sample(MaxDeltaObservations)
 	assert.Assert(t, len(s.Pack()) <= 500, "%d bytes", len(s.Pack()))
 }
 
@@ -68,8 +68,8 @@
 func TestBoundByRegion(t *testing.T) {
 	servers := []Server{{ID: "a", Service: "loans", Region: "n"}, {ID: "b", Service: "loans", Region: "n"}, {ID: "e", Service: "loans", Region: "n"}, {ID: "c", Service: "loans", Region: "s"},
 		{ID: "d", Service: "loans", Region: "n", Closed: true}}
-	list := Bound(servers, []Verdict{{Server: "a", Level: UnfitRecord}, {Server: "c", Level: UnfitRecord}, {Server: "d", Level: UnfitAll}})
-	assert.Equal(t, list[0].Level, UnfitRecord)
+	list := LimitExcluded(servers, []Verdict{{Server: "a", Level: UnfitAtMostOnce}, {Server: "c", Level: UnfitAtMostOnce}, {Server: "d", Level: UnfitAll}})
+	assert.Equal(t, list[0].Level, UnfitAtMostOnce)
 	assert.Equal(t, list[1].Level, Doubtful)
 	assert.Equal(t, list[2].Level, UnfitAll)
 }
--- a/internal/dataplane/serverhealth/record.go
+++ b/internal/dataplane/serverhealth/record.go
@@ -11,18 +11,18 @@
 
 // Conditions under which a server returns to use.
 const (
-	calm       = 5 * time.Second  // without doubt, before a doubtful one is fit
-	doubtWait  = time.Second      // before trials of a doubtful one, from which a verdict may follow
-	firstWait  = 5 * time.Second  // before the first trials; twice as long after each relapse
-	mostWait   = 5 * time.Minute  // at most
-	trialFor   = 30 * time.Second // in which trials must end, if anything in them was unclear
-	trialNeed  = 5.0              // confirmed, ...
-	trialGroup = 3.0              // ... at most so many of one group, ...
-	trialTimes = 8.0              // ... and so many for each unclear one
-	trialFail  = 1.5              // unclear, at most 1 of one group: a relapse
-	absolved   = 10 * time.Minute // fit for so long takes one relapse away; and so long without a statement ends a verdict
-	mostRelaps = 6
-	round      = time.Second // of trials
+	clearBeforeFit         = 5 * time.Second  // without doubt, before a doubtful one is fit
+	doubtTrialDelay        = time.Second      // before trials of a doubtful one, from which a verdict may follow
+	minTrialDelay          = 5 * time.Second  // before the first trials; twice as long after each relapse
+	maxTrialDelay          = 5 * time.Minute  // at most
+	trialTimeout           = 30 * time.Second // in which trials must end, if anything in them was unclear
+	minTrialSuccesses      = 5.0              // confirmed, ...
+	maxTrialGroupSuccesses = 3.0              // ... at most so many of one group, ...
+	minTrialSuccessRatio   = 8.0              // ... and so many for each unclear one
+	trialFailureLimit      = 1.5              // unclear, at most 1 of one group: a relapse
+	relapseDecay           = 10 * time.Minute // fit for so long takes one relapse away; and so long without a statement ends a verdict
+	maxRelapses            = 6
+	trialRound             = time.Second // of trials
 )
 
 // Reasons given for levels.
@@ -38,195 +38,197 @@
 // never is before all spans: those of a proxy that runs longer than its replica began before the replica's clock did.
 const never = time.Duration(math.MinInt64)
 
-// record is what a floor holds of one server.
-type record struct {
-	level    Level
-	why      string
-	since    time.Duration // of the level
-	trial    time.Duration // when trials began; 0: none
-	good     time.Duration // since when nothing speaks against it
-	last     reading
-	relapses int
-	returned time.Duration // when it last came back, or never; evidence from before counts no more
+// serverState is what a floor holds of one server.
+type serverState struct {
+	level          Level
+	why            string
+	since          time.Duration // of the level
+	trialStart     time.Duration // when trials began; 0: none
+	clearSince     time.Duration // since when nothing speaks against it
+	lastEvaluation evaluation
+	relapses       int
+	returned       time.Duration // when it last came back, or never; evidence from before counts no more
 }
 
-func (s *record) to(now time.Duration, l Level, why string) {
+func (s *serverState) setLevel(now time.Duration, l Level, why string) {
 	if s.level != l {
 		s.since = now
 	}
-	s.level, s.why, s.trial, s.good = l, why, 0, now
+	s.level, s.why, s.trialStart, s.clearSince = l, why, 0, now
 }
 
-func (s *record) wait() time.Duration { return min(mostWait, firstWait<<s.relapses) }
+func (s *serverState) trialDelay() time.Duration {
+	return min(maxTrialDelay, minTrialDelay<<s.relapses)
+}
 
-// Step joins all reports into verdicts on the given servers. The caller sets By and Stamp.
-func (f *Floor) Step(now time.Duration, servers []Server) *Verdicts {
+// Evaluate joins all reports into verdicts on the given servers. The caller sets By and Stamp.
+func (f *Evaluator) Evaluate(now time.Duration, servers []Server) *Verdicts {
 	f.now, f.servers = max(f.now, now), servers
-	f.forget()
-	f.settled = f.watermark()
-	if f.base[Search] == nil || f.now-f.baseAt >= usualEvery {
-		f.lookAround()
+	f.expire()
+	f.completeUntil = f.watermark()
+	if f.baselines[Repeatable] == nil || f.now-f.baselineTime >= baselineInterval {
+		f.updateBaselines()
 	}
 	list := []Verdict{}
 	for _, sv := range servers {
-		s := f.records[sv.ID]
+		s := f.states[sv.ID]
 		if s == nil {
-			s = &record{good: f.now, since: f.now, returned: never}
-			f.records[sv.ID] = s
+			s = &serverState{clearSince: f.now, since: f.now, returned: never}
+			f.states[sv.ID] = s
 		}
-		f.judge(sv.ID, s)
+		f.updateState(sv.ID, s)
 		if s.level == Fit && s.relapses == 0 {
 			continue
 		}
 		list = append(list, Verdict{Server: sv.ID, Service: sv.Service, Level: s.level, Why: s.why, Age: f.now - s.since,
-			Share: s.last.share, Number: s.last.number, For: s.last.for_, Against: s.last.against, Relapses: s.relapses,
-			Trial: s.trial > 0, Round: uint32(f.now / round)})
+			Share: s.lastEvaluation.share, Number: s.lastEvaluation.number, For: s.lastEvaluation.supporting, Against: s.lastEvaluation.against, Relapses: s.relapses,
+			Trial: s.trialStart > 0, Round: uint32(f.now / trialRound)})
 	}
 	slices.SortFunc(list, func(a, b Verdict) int { return strings.Compare(a.Server, b.Server) })
-	if f.fault == "no bound" {
+	if f.testFault == "no bound" {
 		return &Verdicts{List: list}
 	}
-	return &Verdicts{List: Bound(servers, list)}
+	return &Verdicts{List: LimitExcluded(servers, list)}
 }
 
-// lookAround takes what is usual anew.
-func (f *Floor) lookAround() {
-	f.base, f.baseAt = [kinds]*baseline{f.baseline(Search, f.settled), f.baseline(Record, f.settled)}, f.now
+// updateBaselines takes what is usual anew.
+func (f *Evaluator) updateBaselines() {
+	f.baselines, f.baselineTime = [kindCount]*baseline{f.computeBaseline(Repeatable, f.completeUntil), f.computeBaseline(AtMostOnce, f.completeUntil)}, f.now
 }
 
-// readings are what is settled of a server: what was seen up to the moment to which all proxies that are there have told.
-func (f *Floor) readings(id string, s *record) (search, record reading) {
-	return f.read(id, Search, s.returned, f.settled), f.read(id, Record, s.returned, f.settled)
+// evaluateComplete are what is settled of a server: what was seen up to the moment to which all proxies that are there have told.
+func (f *Evaluator) evaluateComplete(id string, s *serverState) (search, record evaluation) {
+	return f.evaluateServer(id, Repeatable, s.returned, f.completeUntil), f.evaluateServer(id, AtMostOnce, s.returned, f.completeUntil)
 }
 
-// doubted tells whether what is settled, or else what only some have told yet, makes a server doubtful. Proxies tell more
+// evaluateDoubt tells whether what is settled, or else what only some have told yet, makes a server doubtful. Proxies tell more
 // often while there is a doubt, so that more is settled soon.
-func (f *Floor) doubted(id string, s *record, search, record reading) (reading, bool) {
+func (f *Evaluator) evaluateDoubt(id string, s *serverState, search, record evaluation) (evaluation, bool) {
 	switch {
-	case f.doubts(record):
+	case f.isDoubtful(record):
 		return record, true
-	case f.doubts(search):
+	case f.isDoubtful(search):
 		return search, true
-	case f.settled == f.now:
-		return reading{}, false
+	case f.completeUntil == f.now:
+		return evaluation{}, false
 	}
-	record = f.read(id, Record, s.returned, f.now)
-	if f.doubts(record) {
+	record = f.evaluateServer(id, AtMostOnce, s.returned, f.now)
+	if f.isDoubtful(record) {
 		return record, true
 	}
-	search = f.read(id, Search, s.returned, f.now)
-	return search, f.doubts(search)
+	search = f.evaluateServer(id, Repeatable, s.returned, f.now)
+	return search, f.isDoubtful(search)
 }
 
-func (f *Floor) judge(id string, s *record) {
-	if s.level >= UnfitRecord {
-		f.tryAgain(id, s)
+func (f *Evaluator) updateState(id string, s *serverState) {
+	if s.level >= UnfitAtMostOnce {
+		f.updateTrials(id, s)
 		return
 	}
-	for s.relapses > 0 && s.level == Fit && f.now-s.since >= absolved {
+	for s.relapses > 0 && s.level == Fit && f.now-s.since >= relapseDecay {
 		s.relapses--
-		s.since += absolved
+		s.since += relapseDecay
 	}
-	search, record := f.readings(id, s)
-	doubt, doubted := f.doubted(id, s, search, record)
-	worse := doubted && s.level == Fit || search.condemns || record.condemns
-	if worse && f.baseAt != f.now { // what speaks against it may be new to all
-		f.lookAround()
-		search, record = f.readings(id, s)
-		doubt, doubted = f.doubted(id, s, search, record)
+	search, record := f.evaluateComplete(id, s)
+	doubt, doubted := f.evaluateDoubt(id, s, search, record)
+	worse := doubted && s.level == Fit || search.unfit || record.unfit
+	if worse && f.baselineTime != f.now { // what speaks against it may be new to all
+		f.updateBaselines()
+		search, record = f.evaluateComplete(id, s)
+		doubt, doubted = f.evaluateDoubt(id, s, search, record)
 	}
 	switch {
-	case search.condemns:
-		f.condemn(s, UnfitAll, whyFails, search)
-	case record.condemns:
-		f.condemn(s, UnfitRecord, whyUnclear, record)
+	case search.unfit:
+		f.markUnfit(s, UnfitAll, whyFails, search)
+	case record.unfit:
+		f.markUnfit(s, UnfitAtMostOnce, whyUnclear, record)
 	case doubted:
-		s.good = f.now
-		s.last = doubt
+		s.clearSince = f.now
+		s.lastEvaluation = doubt
 		if s.level == Fit {
-			s.to(f.now, Doubtful, whyFew)
+			s.setLevel(f.now, Doubtful, whyFew)
 		}
-		if s.trial == 0 && f.now-s.since >= doubtWait {
-			s.trial = f.now // records go elsewhere: without trials nothing more would be heard of it
+		if s.trialStart == 0 && f.now-s.since >= doubtTrialDelay {
+			s.trialStart = f.now // records go elsewhere: without trials nothing more would be heard of it
 		}
-	case record.bad >= need/4 && record.share >= record.bar.share/2:
-		s.good = f.now // neither: as it was
-	case s.level == Doubtful && f.now-s.good >= calm:
-		s.to(f.now, Fit, "")
+	case record.bad >= minFailures/4 && record.share >= record.threshold.share/2:
+		s.clearSince = f.now // neither: as it was
+	case s.level == Doubtful && f.now-s.clearSince >= clearBeforeFit:
+		s.setLevel(f.now, Fit, "")
 	}
 }
 
-func (f *Floor) condemn(s *record, l Level, why string, r reading) {
-	if s.returned != never && s.relapses < mostRelaps && f.fault != "forgives" {
+func (f *Evaluator) markUnfit(s *serverState, l Level, why string, r evaluation) {
+	if s.returned != never && s.relapses < maxRelapses && f.testFault != "forgives" {
 		s.relapses++
 	}
-	s.to(f.now, l, why)
-	s.last = r
+	s.setLevel(f.now, l, why)
+	s.lastEvaluation = r
 }
 
-// tryAgain lets a server that is out come back by its trials.
-func (f *Floor) tryAgain(id string, s *record) {
-	if s.trial == 0 {
-		if f.now-s.good >= s.wait() {
-			s.trial = f.now
+// updateTrials lets a server that is out come back by its trials.
+func (f *Evaluator) updateTrials(id string, s *serverState) {
+	if s.trialStart == 0 {
+		if f.now-s.clearSince >= s.trialDelay() {
+			s.trialStart = f.now
 		}
 		return
 	}
-	kind := Record
+	kind := AtMostOnce
 	if s.level == UnfitAll {
-		kind = Search
+		kind = Repeatable
 	}
-	good, bad := trialsOf(add(map[string]*voice{}, f.statements(id, kind, s.trial, f.now, f.usualFails(id))...))
+	good, bad := trialOutcomes(addCells(map[string]*proxyTotals{}, f.weightedCells(id, kind, s.trialStart, f.now, f.medianFailingShare(id))...))
 	switch {
-	case bad >= trialFail || bad > 0 && f.now-s.trial >= trialFor:
-		if s.relapses < mostRelaps && f.fault != "forgives" {
+	case bad >= trialFailureLimit || bad > 0 && f.now-s.trialStart >= trialTimeout:
+		if s.relapses < maxRelapses && f.testFault != "forgives" {
 			s.relapses++
 		}
-		s.to(f.now, s.level, whyRelapse)
-	case good >= trialNeed && good >= trialTimes*bad && s.level == UnfitAll:
-		s.to(f.now, UnfitRecord, whyTrials)
-		s.trial = f.now
-	case good >= trialNeed && good >= trialTimes*bad:
-		s.to(f.now, Doubtful, whyTrials)
+		s.setLevel(f.now, s.level, whyRelapse)
+	case good >= minTrialSuccesses && good >= minTrialSuccessRatio*bad && s.level == UnfitAll:
+		s.setLevel(f.now, UnfitAtMostOnce, whyTrials)
+		s.trialStart = f.now
+	case good >= minTrialSuccesses && good >= minTrialSuccessRatio*bad:
+		s.setLevel(f.now, Doubtful, whyTrials)
 		s.returned = f.now
-	case bad == 0 && good == 0 && f.now-s.trial >= absolved:
-		s.to(f.now, Doubtful, whySilent)
+	case bad == 0 && good == 0 && f.now-s.trialStart >= relapseDecay:
+		s.setLevel(f.now, Doubtful, whySilent)
 		s.returned = f.now
 	}
 }
 
-// trialsOf sums trials, with a cap for each group.
-func trialsOf(voices map[string]*voice) (good, bad float64) {
+// trialOutcomes sums trials, with a cap for each group.
+func trialOutcomes(voices map[string]*proxyTotals) (good, bad float64) {
 	var group [Groups][2]float64
 	for _, v := range voices {
-		for g, x := range v.by {
-			group[g][0] += float64(x[0]) / one
-			group[g][1] += float64(x[1]) / one
+		for g, x := range v.byGroup {
+			group[g][0] += float64(x[0]) / weightUnit
+			group[g][1] += float64(x[1]) / weightUnit
 		}
 	}
 	for _, x := range group {
 		bad += min(1, x[0])
-		good += min(trialGroup, x[1])
+		good += min(maxTrialGroupSuccesses, x[1])
 	}
 	return good, bad
 }
 
 // Adopt takes over another replica's verdicts on servers on which this one has none, so that a change of the keeping
 // replica does not clear them.
-func (f *Floor) Adopt(now time.Duration, list []Verdict) {
+func (f *Evaluator) Adopt(now time.Duration, list []Verdict) {
 	f.now = max(f.now, now)
 	for _, v := range list {
-		if s := f.records[v.Server]; s != nil && (s.level > Fit || s.relapses > 0) {
+		if s := f.states[v.Server]; s != nil && (s.level > Fit || s.relapses > 0) {
 			continue
 		}
-		f.records[v.Server] = &record{level: v.Level, why: v.Why, since: f.now - v.Age, good: f.now, relapses: v.Relapses, returned: never,
-			last: reading{share: v.Share, number: v.Number, for_: v.For, against: v.Against}}
+		f.states[v.Server] = &serverState{level: v.Level, why: v.Why, since: f.now - v.Age, clearSince: f.now, relapses: v.Relapses, returned: never,
+			lastEvaluation: evaluation{share: v.Share, number: v.Number, supporting: v.For, against: v.Against}}
 	}
 }
 
-// Trialists selects the proxies that may send one trial each in a round of a verdict: at most a number of them, others in
+// TrialProxies selects the proxies that may send one trial each in a round of a verdict: at most a number of them, others in
 // each round.
-func Trialists(v *Verdict, proxies []string, most int) []string {
+func TrialProxies(v *Verdict, proxies []string, most int) []string {
 	type ranked struct {
 		name   string
 		weight uint64
--- a/internal/dataplane/serverhealth/recorder.go
+++ b/internal/dataplane/serverhealth/recorder.go
@@ -10,11 +10,11 @@
 
 // Bounds of memory.
 const (
-	mostObservations = 8192 // at a proxy
-	triedFor         = time.Minute
-	failsFrom        = 0.25 // of what a proxy tried at a server
-	illBins          = 2    // before the one in which a proxy finds itself ill: it notices late
-	countLimit       = math.MaxUint16
+	maxObservations     = 8192 // at a proxy
+	recentlyTriedWindow = time.Minute
+	minFailingShare     = 0.25 // of what a proxy tried at a server
+	unreliableBinsBack  = 2    // before the one in which a proxy finds itself ill: it notices late
+	maxCount            = math.MaxUint16
 )
 
 type observationKey struct {
@@ -24,67 +24,67 @@
 	bin    int32
 }
 
-type held struct {
-	counts Counts
-	ill    bool
-	no     uint64 // of its last change
+type binCounts struct {
+	counts     Counts
+	unreliable bool
+	sequence   uint64 // of its last change
 }
 
 // Recorder collects a proxy's observations of servers. Times are those of the proxy's monotonic clock.
 type Recorder struct {
-	name, zone   string
-	life         int64
-	observations map[observationKey]*held
-	ill          map[int32]bool
-	no           uint64 // of the last change
+	name, zone     string
+	incarnation    int64
+	observations   map[observationKey]*binCounts
+	unreliableBins map[int32]bool
+	sequence       uint64 // of the last change
 }
 
 // NewRecorder makes an empty recorder.
 func NewRecorder(name, zone string, life int64) *Recorder {
-	return &Recorder{name: name, zone: zone, life: life, observations: map[observationKey]*held{}, ill: map[int32]bool{}}
+	return &Recorder{name: name, zone: zone, incarnation: life, observations: map[observationKey]*binCounts{}, unreliableBins: map[int32]bool{}}
 }
 
-func binOf(now time.Duration) int32 { return int32(now / Span) }
+func binOf(now time.Duration) int32 { return int32(now / BinDuration) }
 
 // Add records the outcome of an attempt.
 func (b *Recorder) Add(now time.Duration, server string, kind Kind, group uint8, o Outcome) {
-	if kind >= kinds || o >= outcomes {
+	if kind >= kindCount || o >= outcomeCount {
 		return
 	}
 	k := observationKey{server, kind, group % Groups, binOf(now)}
 	e := b.observations[k]
 	if e == nil {
-		if len(b.observations) >= mostObservations {
-			b.shed(now)
+		if len(b.observations) >= maxObservations {
+			b.expire(now)
 		}
-		e = &held{ill: b.ill[k.bin]}
+		e = &binCounts{unreliable: b.unreliableBins[k.bin]}
 		b.observations[k] = e
 	}
-	b.no++
-	e.no = b.no
-	if e.counts[o] < countLimit {
+	b.sequence++
+	e.sequence = b.sequence
+	if e.counts[o] < maxCount {
 		e.counts[o]++
 	}
 }
 
-// Ill records that the proxy itself is starved, cut off or leaving, so that its observations of this moment say little
+// MarkUnreliable records that the proxy itself is starved, cut off or leaving, so that its observations of this moment say little
 // about servers.
-func (b *Recorder) Ill(now time.Duration) {
-	b.no++
-	for bin := binOf(now) - illBins; bin <= binOf(now); bin++ {
-		b.ill[bin] = true
+func (b *Recorder) MarkUnreliable(now time.Duration) {
+	b.sequence++
+	for bin := binOf(now) - unreliableBinsBack; bin <= binOf(now); bin++ {
+		b.unreliableBins[bin] = true
 	}
 	for k, e := range b.observations {
-		if b.ill[k.bin] && !e.ill {
-			e.ill, e.no = true, b.no
+		if b.unreliableBins[k.bin] && !e.unreliable {
+			e.unreliable, e.sequence = true, b.sequence
 		}
 	}
 }
 
-// shed drops what is too old, and of too much the older half.
-func (b *Recorder) shed(now time.Duration) {
+// expire drops what is too old, and of too much the older half.
+func (b *Recorder) expire(now time.Duration) {
 	oldest := binOf(now - Window)
-	if len(b.observations) >= mostObservations {
+	if len(b.observations) >= maxObservations {
 		var bins []int32
 		for k := range b.observations {
 			bins = append(bins, k.bin)
@@ -97,42 +97,42 @@
 			delete(b.observations, k)
 		}
 	}
-	for bin := range b.ill {
+	for bin := range b.unreliableBins {
 		if bin < oldest {
-			delete(b.ill, bin)
+			delete(b.unreliableBins, bin)
 		}
 	}
 }
 
-// Tell returns a report of what has changed since a number, for one replica, and the number to pass the next time. 0 stands
+// ReportSince returns a report of what has changed since a number, for one replica, and the number to pass the next time. 0 stands
 // for all, as for a new replica or connection. Observations are of servers that mine selects; Tried and Fails are of all.
-func (b *Recorder) Tell(now time.Duration, after uint64, mine func(server string) bool) (*Report, uint64) {
-	b.shed(now)
-	s := &Report{Witness: b.name, Life: b.life, Zone: b.zone, Now: now, No: b.no}
+func (b *Recorder) ReportSince(now time.Duration, after uint64, mine func(server string) bool) (*Report, uint64) {
+	b.expire(now)
+	s := &Report{Proxy: b.name, Incarnation: b.incarnation, Zone: b.zone, Now: now, Sequence: b.sequence}
 	seen := map[string][2]int64{}
 	for k, e := range b.observations {
-		if k.bin >= binOf(now-triedFor) {
-			bad, good := e.counts.weigh()
+		if k.bin >= binOf(now-recentlyTriedWindow) {
+			bad, good := e.counts.weightedSums()
 			v := seen[k.server]
 			seen[k.server] = [2]int64{v[0] + bad, v[1] + good}
 		}
-		if e.no > after && mine(k.server) {
-			s.Observations = append(s.Observations, Observation{k.server, k.kind, k.group, k.bin, e.ill, e.counts})
+		if e.sequence > after && mine(k.server) {
+			s.Observations = append(s.Observations, Observation{k.server, k.kind, k.group, k.bin, e.unreliable, e.counts})
 		}
 	}
 	for id, v := range seen {
 		if v[0]+v[1] == 0 {
 			continue
 		}
-		if s.Tried++; float64(v[0]) >= failsFrom*float64(v[0]+v[1]) {
+		if s.ServersTried++; float64(v[0]) >= minFailingShare*float64(v[0]+v[1]) {
 			s.Failing = append(s.Failing, id)
 		}
 	}
 	slices.Sort(s.Failing)
-	s.Fails = len(s.Failing)
-	s.Failing = s.Failing[:min(s.Fails, MostFailing)]
+	s.FailingCount = len(s.Failing)
+	s.Failing = s.Failing[:min(s.FailingCount, MaxFailing)]
 	slices.SortFunc(s.Observations, func(x, y Observation) int {
 		return cmp.Or(strings.Compare(x.Server, y.Server), cmp.Compare(x.Bin, y.Bin), cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Group, y.Group))
 	})
-	return s, b.no
+	return s, b.sequence
 }
--- a/internal/dataplane/serverhealth/report.go
+++ b/internal/dataplane/serverhealth/report.go
@@ -10,9 +10,9 @@
 
 // The kinds.
 const (
-	Search Kind = iota // may run more than once
-	Record             // at most once: loans, payments, holds, reservations
-	kinds
+	Repeatable Kind = iota // may run more than once
+	AtMostOnce             // at most once: loans, payments, holds, reservations
+	kindCount
 )
 
 // Outcome is how one attempt at a server ended, as its proxy saw it.
@@ -20,12 +20,12 @@
 
 // The outcomes.
 const (
-	Confirmed  Outcome = iota // a whole answer under its id and seal, in time
-	TurnedAway                // it said that it has not run
-	Unclear                   // reset, silence, cut short, garbled, without a seal: it may have run
-	Late                      // confirmed, but long after its aim
-	WrongID                   // another request's answer
-	outcomes
+	Confirmed Outcome = iota // a whole answer under its id and seal, in time
+	Rejected                 // it said that it has not run
+	Unclear                  // reset, silence, cut short, garbled, without a seal: it may have run
+	Late                     // confirmed, but long after its aim
+	WrongID                  // another request's answer
+	outcomeCount
 )
 
 // Groups is the number of tenant groups. A tenant is always in the same group.
@@ -40,64 +40,64 @@
 
 // Spans of evidence.
 const (
-	Span   = 2 * time.Second   // of one bin
-	Window = 300 * time.Second // what is older counts no more
-	half   = 150 * time.Second // after so long it counts half
+	BinDuration = 2 * time.Second   // of one bin
+	Window      = 300 * time.Second // what is older counts no more
+	halfLife    = 150 * time.Second // after so long it counts half
 )
 
 // Report holds a proxy's observations of servers. Reports may be joined in any order and repeatedly; a lost one is made up
 // for by the next complete one.
 type Report struct {
-	Witness      string        // the proxy's name
-	Life         int64         // of the proxy's process
+	Proxy        string        // the proxy's name
+	Incarnation  int64         // of the proxy's process
 	Zone         string        // the proxy's
 	Now          time.Duration // its own steady clock; it means nothing to others but as an origin of bins
-	No           uint64        // of the proxy's last change; a later Report has a later Now or a higher No
-	Tried        int           // servers, of whatever service, tried in the last minute
-	Failing      []string      // those of them at which a quarter or more was unclear; at most MostFailing, by name
-	Fails        int           // how many those are, named or not
+	Sequence     uint64        // of the proxy's last change; a later Report has a later Now or a higher No
+	ServersTried int           // servers, of whatever service, tried in the last minute
+	Failing      []string      // those of them at which a quarter or more was unclear; at most MaxFailing, by name
+	FailingCount int           // how many those are, named or not
 	Observations []Observation
 }
 
-// MostFailing is the most names in Report.Failing.
-const MostFailing = 64
+// MaxFailing is the most names in Report.Failing.
+const MaxFailing = 64
 
 // Observation is what a proxy saw of one server, of one kind and group of tenants, in one span.
 type Observation struct {
-	Server string // its life
-	Kind   Kind
-	Group  uint8
-	Bin    int32 // the witness's steady clock by Span
-	Ill    bool  // the witness itself was starved, cut off or leaving
-	Counts Counts
+	Server     string // its life
+	Kind       Kind
+	Group      uint8
+	Bin        int32 // the witness's steady clock by Span
+	Unreliable bool  // the witness itself was starved, cut off or leaving
+	Counts     Counts
 }
 
 // Counts holds the numbers of attempts by outcome. Those of one Observation never fall.
-type Counts [outcomes]uint16
+type Counts [outcomeCount]uint16
 
-// onto joins the counts of one observation that were sent at two times.
-func (c *Counts) onto(o Counts) {
+// mergeMax joins the counts of one observation that were sent at two times.
+func (c *Counts) mergeMax(o Counts) {
 	for i := range c {
 		c[i] = max(c[i], o[i])
 	}
 }
 
-func (c *Counts) number() (n int) {
+func (c *Counts) total() (n int) {
 	for _, k := range c {
 		n += int(k)
 	}
 	return n
 }
 
-// one is the weight of one outcome. Weights are integers, so that sums do not depend on their order.
-const one = 1 << 12
+// weightUnit is the weight of one outcome. Weights are integers, so that sums do not depend on their order.
+const weightUnit = 1 << 12
 
 // weights are the weights of outcomes against a server and for it. Turning away is honest and counts for neither.
-var weights = [outcomes]struct{ bad, good int64 }{
-	Confirmed: {0, one}, TurnedAway: {0, 0}, Unclear: {one, 0}, Late: {one / 4, one / 2}, WrongID: {one, 0},
+var weights = [outcomeCount]struct{ bad, good int64 }{
+	Confirmed: {0, weightUnit}, Rejected: {0, 0}, Unclear: {weightUnit, 0}, Late: {weightUnit / 4, weightUnit / 2}, WrongID: {weightUnit, 0},
 }
 
-func (c *Counts) weigh() (bad, good int64) {
+func (c *Counts) weightedSums() (bad, good int64) {
 	for i, n := range c {
 		bad += int64(n) * weights[i].bad
 		good += int64(n) * weights[i].good
--- a/internal/dataplane/serverhealth/serverhealth_test.go
+++ b/internal/dataplane/serverhealth/serverhealth_test.go
@@ -16,21 +16,21 @@
 // What is drawn is the same in every run, unless -rapid.seed says otherwise.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// yard is a fleet of proxies in three zones, two services of servers, and one floor that hears all proxies each second.
-type yard struct {
-	floor   *Floor
-	proxies []*Recorder
-	told    []uint64
-	servers []Server
-	now     time.Duration
-	last    *Verdicts
-	wrong   string
-	times   int // each report is heard so often
+// fleetFixture is a fleet of proxies in three zones, two services of servers, and one floor that hears all proxies each second.
+type fleetFixture struct {
+	evaluator  *Evaluator
+	proxies    []*Recorder
+	reported   []uint64
+	servers    []Server
+	now        time.Duration
+	last       *Verdicts
+	violation  string
+	duplicates int // each report is heard so often
 }
 
-func newYard(fault string, proxies, servers int) *yard {
-	y := &yard{floor: NewFloor(), told: make([]uint64, proxies), times: 1, now: time.Hour}
-	y.floor.fault = fault
+func newFleetFixture(fault string, proxies, servers int) *fleetFixture {
+	y := &fleetFixture{evaluator: NewEvaluator(), reported: make([]uint64, proxies), duplicates: 1, now: time.Hour}
+	y.evaluator.testFault = fault
 	for i := range proxies {
 		y.proxies = append(y.proxies, NewRecorder(fmt.Sprintf("g%02d", i), string(rune('a'+i%3)), 1))
 	}
@@ -40,81 +40,81 @@
 	return y
 }
 
-func (y *yard) see(proxy, server int, kind Kind, group uint8, o Outcome, times int) {
+func (y *fleetFixture) observe(proxy, server int, kind Kind, group uint8, o Outcome, times int) {
 	for range times {
 		y.proxies[proxy].Add(y.now-time.Duration(proxy)*time.Minute/7, y.servers[server].ID, kind, group, o) // clocks differ
 	}
 }
 
-// tell has the floor hear a proxy.
-func (y *yard) tell(i int) {
-	s, no := y.proxies[i].Tell(y.now-time.Duration(i)*time.Minute/7, y.told[i], func(string) bool { return true })
-	y.told[i] = no
-	for range y.times {
-		y.floor.Hear(y.now, s)
+// report has the floor hear a proxy.
+func (y *fleetFixture) report(i int) {
+	s, no := y.proxies[i].ReportSince(y.now-time.Duration(i)*time.Minute/7, y.reported[i], func(string) bool { return true })
+	y.reported[i] = no
+	for range y.duplicates {
+		y.evaluator.AddReport(y.now, s)
 	}
 }
 
-func (y *yard) step() { y.stepWith(func(int) bool { return true }) }
+func (y *fleetFixture) step() { y.stepWith(func(int) bool { return true }) }
 
 // stepWith is a second in which some proxies tell.
-func (y *yard) stepWith(tells func(proxy int) bool) {
+func (y *fleetFixture) stepWith(tells func(proxy int) bool) {
 	for i := range y.proxies {
 		if tells(i) {
-			y.tell(i)
+			y.report(i)
 		}
 	}
-	y.last = y.floor.Step(y.now, y.servers)
+	y.last = y.evaluator.Evaluate(y.now, y.servers)
 	y.now += time.Second
 	out := map[string]int{}
 	for _, v := range y.last.List {
-		if v.Level >= UnfitRecord {
+		if v.Level >= UnfitAtMostOnce {
 			out[v.Service]++
 		}
 	}
 	for s, n := range out {
 		if n > len(y.servers)/4 {
-			y.wrong = fmt.Sprint(n, " servers of ", s, " are out at once")
+			y.violation = fmt.Sprint(n, " servers of ", s, " are out at once")
 		}
 	}
 }
 
-func (y *yard) verdict(server int) Verdict { return index(y.last.List)[y.servers[server].ID] }
+func (y *fleetFixture) verdict(server int) Verdict { return index(y.last.List)[y.servers[server].ID] }
 
-// othersWell has all proxies see all servers but the first do well: those that it is compared with.
-func (y *yard) othersWell(kind Kind) {
+// observeOthersHealthy has all proxies see all servers but the first do well: those that it is compared with.
+func (y *fleetFixture) observeOthersHealthy(kind Kind) {
 	for g := range y.proxies {
 		for s := range y.servers[1:] {
-			y.see(g, s+1, kind, uint8(g%8), Confirmed, 1)
+			y.observe(g, s+1, kind, uint8(g%8), Confirmed, 1)
 		}
 	}
 }
 
-// want says what is wrong where server 0 isn't of one of the levels.
-func (y *yard) want(levels ...Level) string {
+// wantLevel says what is wrong where server 0 isn't of one of the levels.
+func (y *fleetFixture) wantLevel(levels ...Level) string {
 	y.step()
 	v := y.verdict(0)
 	for _, l := range levels {
 		if v.Level == l {
-			return y.wrong
+			return y.violation
 		}
 	}
 	return fmt.Sprintf("%s %v", v.Level, v)
 }
 
-// all has every proxy see some at each server, of four groups.
-func (y *yard) all(o func(proxy, server, group int) Outcome) {
+// observeAll has every proxy see some at each server, of four groups.
+func (y *fleetFixture) observeAll(o func(proxy, server, group int) Outcome) {
 	for g := range y.proxies {
 		for s := range y.servers {
-			y.see(g, s, Record, uint8(g%4), o(g, s, g%4), 1)
-			y.see(g, s, Search, uint8(g%4), Confirmed, 1)
+			y.observe(g, s, AtMostOnce, uint8(g%4), o(g, s, g%4), 1)
+			y.observe(g, s, Repeatable, uint8(g%4), Confirmed, 1)
 		}
 	}
 }
 
-// mill plays a server that loses every second record from the start till it is mended, and gives the moments at which
+// runFaultyServer plays a server that loses every second record from the start till it is mended, and gives the moments at which
 // its trials begin, and the one at which it is fit again; trials go by three proxies a round.
-func (y *yard) mill(mended, till time.Duration) (trials []time.Duration, fit time.Duration, lost int) {
+func (y *fleetFixture) runFaultyServer(mended, till time.Duration) (trials []time.Duration, fit time.Duration, lost int) {
 	var names []string
 	for _, g := range y.proxies {
 		names = append(names, g.name)
@@ -123,12 +123,12 @@
 	for y.now-began < till {
 		may := map[string]bool{}
 		if was.Trial {
-			for _, name := range Trialists(&was, names, 3) {
+			for _, name := range TrialProxies(&was, names, 3) {
 				may[name] = true
 			}
 		}
 		for g, name := range names {
-			if n++; !was.Level.Serves(Record) && !may[name] {
+			if n++; !was.Level.Serves(AtMostOnce) && !may[name] {
 				continue
 			}
 			o := Confirmed
@@ -136,9 +136,9 @@
 				o = Unclear
 				lost++
 			}
-			y.see(g, 0, Record, uint8(n%7), o, 1)
+			y.observe(g, 0, AtMostOnce, uint8(n%7), o, 1)
 		}
-		y.othersWell(Record)
+		y.observeOthersHealthy(AtMostOnce)
 		y.step()
 		now := y.verdict(0)
 		if now.Trial && !was.Trial {
@@ -155,34 +155,34 @@
 // Evidence in any order, doubled, and lost and made good by a whole one comes to the same.
 func TestFolding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		y := newYard("", 6, 6)
+		y := newFleetFixture("", 6, 6)
 		var reports []*Report
 		for range rapid.IntRange(1, 4).Draw(t, "rounds") {
 			for range rapid.IntRange(1, 60).Draw(t, "outcomes") {
-				y.see(rapid.IntRange(0, 5).Draw(t, "proxy"), rapid.IntRange(0, 5).Draw(t, "server"), Kind(rapid.IntRange(0, 1).Draw(t, "kind")),
+				y.observe(rapid.IntRange(0, 5).Draw(t, "proxy"), rapid.IntRange(0, 5).Draw(t, "server"), Kind(rapid.IntRange(0, 1).Draw(t, "kind")),
 					uint8(rapid.IntRange(0, 15).Draw(t, "group")), Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")), rapid.IntRange(1, 5).Draw(t, "times"))
 			}
 			y.now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
 			for i, g := range y.proxies {
 				var s *Report
-				s, y.told[i] = g.Tell(y.now-time.Duration(i)*time.Minute/7, y.told[i], func(string) bool { return true })
+				s, y.reported[i] = g.ReportSince(y.now-time.Duration(i)*time.Minute/7, y.reported[i], func(string) bool { return true })
 				if rapid.IntRange(0, 3).Draw(t, "lost") > 0 {
 					reports = append(reports, s)
 				}
 			}
 		}
 		for i, g := range y.proxies {
-			s, _ := g.Tell(y.now-time.Duration(i)*time.Minute/7, 0, func(string) bool { return true })
+			s, _ := g.ReportSince(y.now-time.Duration(i)*time.Minute/7, 0, func(string) bool { return true })
 			reports = append(reports, s)
 		}
-		other := NewFloor()
+		other := NewEvaluator()
 		for _, s := range reports {
-			y.floor.Hear(y.now, s)
+			y.evaluator.AddReport(y.now, s)
 		}
 		for _, s := range append(rapid.Permutation(reports).Draw(t, "order"), reports[:len(reports)/2]...) {
-			other.Hear(y.now, s)
+			other.AddReport(y.now, s)
 		}
-		assert.DeepEqual(t, y.floor.Step(y.now, y.servers), other.Step(y.now, y.servers))
+		assert.DeepEqual(t, y.evaluator.Evaluate(y.now, y.servers), other.Evaluate(y.now, y.servers))
 	})
 }
 
@@ -190,27 +190,27 @@
 func TestNoTenantAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		good := rapid.Bool().Draw(t, "good")
-		others, both := newYard("one group absolves", 6, 9), newYard("", 6, 9)
+		others, both := newFleetFixture("one group absolves", 6, 9), newFleetFixture("", 6, 9)
 		for range rapid.IntRange(0, 80).Draw(t, "outcomes") {
 			g, group, o := rapid.IntRange(0, 5).Draw(t, "proxy"), uint8(rapid.IntRange(0, 14).Draw(t, "group")), Confirmed
 			if !good {
 				o = rapid.SampledFrom([]Outcome{Confirmed, Unclear, Unclear, Late, WrongID}).Draw(t, "outcome")
 			}
-			others.see(g, 0, Record, group, o, 1)
-			both.see(g, 0, Record, group, o, 1)
+			others.observe(g, 0, AtMostOnce, group, o, 1)
+			both.observe(g, 0, AtMostOnce, group, o, 1)
 		}
 		for g := range 6 {
 			o := Confirmed
 			if good {
 				o = Unclear
 			}
-			both.see(g, 0, Record, 15, o, rapid.IntRange(0, 100).Draw(t, "alone"))
+			both.observe(g, 0, AtMostOnce, 15, o, rapid.IntRange(0, 100).Draw(t, "alone"))
 		}
-		others.othersWell(Record)
-		both.othersWell(Record)
+		others.observeOthersHealthy(AtMostOnce)
+		both.observeOthersHealthy(AtMostOnce)
 		others.step()
 		both.step()
-		if a, b := others.verdict(0).Level, both.verdict(0).Level; good && b >= UnfitRecord || a >= UnfitRecord && b < UnfitRecord {
+		if a, b := others.verdict(0).Level, both.verdict(0).Level; good && b >= UnfitAtMostOnce || a >= UnfitAtMostOnce && b < UnfitAtMostOnce {
 			t.Fatalf("without the tenant %s, with it %s", a, b)
 		}
 	})
@@ -219,7 +219,7 @@
 // Lists of verdicts fold as they were, age, and keep to the part of a service when two replicas' are joined.
 func TestVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		servers := newYard("", 1, 8).servers
+		servers := newFleetFixture("", 1, 8).servers
 		draw := func(stamp int64) *Verdicts {
 			all := map[string]Verdict{}
 			for _, s := range servers {
@@ -230,62 +230,62 @@
 			return &Verdicts{By: "b1", Stamp: stamp, List: sorted(all)}
 		}
 		a, b := draw(1), draw(2)
-		if part := b.Since(a); part != nil {
+		if part := b.DiffFrom(a); part != nil {
 			var text bytes.Buffer
 			assert.NilError(t, gob.NewEncoder(&text).Encode(part))
 			came := &Verdicts{}
 			assert.NilError(t, gob.NewDecoder(&text).Decode(came))
-			assert.DeepEqual(t, came.Onto(a), b)
-			assert.DeepEqual(t, came.Onto(came.Onto(a)), b)
-			assert.Assert(t, came.Onto(nil) == nil)
+			assert.DeepEqual(t, came.ApplyTo(a), b)
+			assert.DeepEqual(t, came.ApplyTo(came.ApplyTo(a)), b)
+			assert.Assert(t, came.ApplyTo(nil) == nil)
 		} else {
 			assert.Assert(t, reflect.DeepEqual(a.List, b.List))
 		}
 		out := map[string]int{}
-		x, y := Join(servers, a.List, b.List), Join(servers, b.List, a.List)
+		x, y := MergeVerdicts(servers, a.List, b.List), MergeVerdicts(servers, b.List, a.List)
 		assert.DeepEqual(t, x, y)
 		for _, v := range x {
-			if v.Level >= UnfitRecord {
+			if v.Level >= UnfitAtMostOnce {
 				out[v.Service]++
 			}
 		}
 		assert.Assert(t, out["loans"] <= 2 && out["holds"] <= 2, "%v", out)
 	})
-	assert.Equal(t, UnfitAll.Aged(Stale), UnfitAll)
-	assert.Equal(t, UnfitAll.Aged(Stale+1), Doubtful)
-	assert.Equal(t, Doubtful.Aged(Expired+1), Fit)
+	assert.Equal(t, UnfitAll.Aged(StaleAfter), UnfitAll)
+	assert.Equal(t, UnfitAll.Aged(StaleAfter+1), Doubtful)
+	assert.Equal(t, Doubtful.Aged(ExpiredAfter+1), Fit)
 }
 
 // A replica that becomes a server's keeper pardons nothing, and memory has bounds.
 func TestAdoptAndBounds(t *testing.T) {
-	y := newYard("", 12, 12)
-	_, _, _ = y.mill(time.Hour, time.Minute)
-	next := NewFloor()
+	y := newFleetFixture("", 12, 12)
+	_, _, _ = y.runFaultyServer(time.Hour, time.Minute)
+	next := NewEvaluator()
 	next.Adopt(y.now, y.last.List)
-	v, w := y.verdict(0), index(next.Step(y.now, y.servers).List)["s00"]
+	v, w := y.verdict(0), index(next.Evaluate(y.now, y.servers).List)["s00"]
 	assert.Equal(t, v.Level, w.Level)
 	assert.Equal(t, v.Relapses, w.Relapses)
 	assert.Assert(t, w.Age >= v.Age)
-	y = newYard("", 12, 4) // and one that has just started hears of what was before
+	y = newFleetFixture("", 12, 4) // and one that has just started hears of what was before
 	for g := range y.proxies {
-		y.see(g, 0, Record, uint8(g), Unclear, 2)
+		y.observe(g, 0, AtMostOnce, uint8(g), Unclear, 2)
 	}
-	y.othersWell(Record)
-	y.now, next = y.now+10*time.Second, NewFloor()
+	y.observeOthersHealthy(AtMostOnce)
+	y.now, next = y.now+10*time.Second, NewEvaluator()
 	for i, g := range y.proxies {
-		s, _ := g.Tell(y.now-time.Duration(i)*time.Minute/7, 0, func(string) bool { return true })
-		next.Hear(0, s)
+		s, _ := g.ReportSince(y.now-time.Duration(i)*time.Minute/7, 0, func(string) bool { return true })
+		next.AddReport(0, s)
 	}
-	assert.Equal(t, index(next.Step(0, y.servers).List)["s00"].Level, UnfitRecord)
-	for i := range 3 * mostObservations {
+	assert.Equal(t, index(next.Evaluate(0, y.servers).List)["s00"].Level, UnfitAtMostOnce)
+	for i := range 3 * maxObservations {
 		b := y.proxies[0]
-		b.Add(y.now+time.Duration(i)*time.Millisecond*30, fmt.Sprint("x", i%9000), Record, uint8(i), Unclear)
-		assert.Assert(t, len(b.observations) <= mostObservations)
+		b.Add(y.now+time.Duration(i)*time.Millisecond*30, fmt.Sprint("x", i%9000), AtMostOnce, uint8(i), Unclear)
+		assert.Assert(t, len(b.observations) <= maxObservations)
 	}
-	for i := range 3 * mostCells { // with all the others a full one has fewer
-		y.floor.Hear(y.now, &Report{Witness: "g00", Now: Window, Observations: []Observation{{Server: "s00", Bin: int32(i % 150), Group: uint8(i % 16)}, {Server: fmt.Sprint(i)}}, Life: int64(i / 1000)})
+	for i := range 3 * maxCellsPerServer { // with all the others a full one has fewer
+		y.evaluator.AddReport(y.now, &Report{Proxy: "g00", Now: Window, Observations: []Observation{{Server: "s00", Bin: int32(i % 150), Group: uint8(i % 16)}, {Server: fmt.Sprint(i)}}, Incarnation: int64(i / 1000)})
 	}
-	assert.Assert(t, len(y.floor.cells["s00"]) <= 2*mostAll/mostServers && len(y.floor.cells) <= mostServers)
-	y.floor.Step(y.now+2*Window, nil)
-	assert.Equal(t, len(y.floor.cells)+len(y.floor.records)+len(y.floor.witnesses), 0)
+	assert.Assert(t, len(y.evaluator.cells["s00"]) <= 2*maxCells/maxServers && len(y.evaluator.cells) <= maxServers)
+	y.evaluator.Evaluate(y.now+2*Window, nil)
+	assert.Equal(t, len(y.evaluator.cells)+len(y.evaluator.states)+len(y.evaluator.proxies), 0)
 }
--- a/internal/dataplane/serverhealth/stories_test.go
+++ b/internal/dataplane/serverhealth/stories_test.go
@@ -8,84 +8,84 @@
 	"gotest.tools/v3/assert"
 )
 
-var stories = map[string]func(y *yard) string{
-	"one tenant condemns none": func(y *yard) string {
+var scenarios = map[string]func(y *fleetFixture) string{
+	"one tenant condemns none": func(y *fleetFixture) string {
 		for g := range y.proxies {
-			y.see(g, 0, Record, 3, Unclear, 40)
+			y.observe(g, 0, AtMostOnce, 3, Unclear, 40)
 		}
-		return y.want(Fit, Doubtful)
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"one tenant absolves none": func(y *yard) string {
+	"one tenant absolves none": func(y *fleetFixture) string {
 		for g := range y.proxies {
-			y.see(g, 0, Record, uint8(g%4), Unclear, 3)
-			y.see(g, 0, Record, uint8(g%4), Confirmed, 6)
-			y.see(g, 0, Record, 9, Confirmed, 100)
+			y.observe(g, 0, AtMostOnce, uint8(g%4), Unclear, 3)
+			y.observe(g, 0, AtMostOnce, uint8(g%4), Confirmed, 6)
+			y.observe(g, 0, AtMostOnce, 9, Confirmed, 100)
 		}
 		for range 3 {
-			y.othersWell(Record)
+			y.observeOthersHealthy(AtMostOnce)
 		}
-		return y.want(UnfitRecord)
+		return y.wantLevel(UnfitAtMostOnce)
 	},
-	"a path condemns for nobody": func(y *yard) string {
+	"a path condemns for nobody": func(y *fleetFixture) string {
 		for range 2 {
-			y.all(func(g, s, _ int) Outcome {
+			y.observeAll(func(g, s, _ int) Outcome {
 				if g%3 == 0 && s == 0 {
 					return Unclear
 				}
 				return Confirmed
 			})
 		}
-		return y.want(Fit, Doubtful)
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"a bad recorder serves searches": func(y *yard) string {
+	"a bad recorder serves searches": func(y *fleetFixture) string {
 		lost := 0
-		for n := 0; y.last == nil || y.verdict(0).Level < UnfitRecord; n++ {
-			if y.see(n%len(y.proxies), 0, Record, uint8(n%5), Outcome(n%2*int(Unclear)), 1); n%2 == 1 {
+		for n := 0; y.last == nil || y.verdict(0).Level < UnfitAtMostOnce; n++ {
+			if y.observe(n%len(y.proxies), 0, AtMostOnce, uint8(n%5), Outcome(n%2*int(Unclear)), 1); n%2 == 1 {
 				lost++
 			}
-			y.see(n%len(y.proxies), 0, Search, uint8(n%5), Confirmed, 1)
-			y.othersWell(Record)
+			y.observe(n%len(y.proxies), 0, Repeatable, uint8(n%5), Confirmed, 1)
+			y.observeOthersHealthy(AtMostOnce)
 			if y.step(); lost > 8 {
 				return "not condemned by the eighth unclear outcome"
 			}
 		}
-		if v := y.verdict(0); !v.Level.Serves(Search) || v.Level.Serves(Record) || v.Against < 2 {
+		if v := y.verdict(0); !v.Level.Serves(Repeatable) || v.Level.Serves(AtMostOnce) || v.Against < 2 {
 			return fmt.Sprint(v)
 		}
 		return ""
 	},
-	"one proxy condemns none": func(y *yard) string {
+	"one proxy condemns none": func(y *fleetFixture) string {
 		for group := range uint8(8) {
-			y.see(0, 0, Record, group, Unclear, 10)
+			y.observe(0, 0, AtMostOnce, group, Unclear, 10)
 		}
-		y.othersWell(Record)
-		y.see(1, 0, Record, 2, Unclear, 1)
-		if wrong := y.want(Fit, Doubtful); wrong != "" {
+		y.observeOthersHealthy(AtMostOnce)
+		y.observe(1, 0, AtMostOnce, 2, Unclear, 1)
+		if wrong := y.wantLevel(Fit, Doubtful); wrong != "" {
 			return wrong
 		}
 		for _, g := range y.proxies { // nor where there is no second zone that would have to agree
 			g.zone = "a"
 		}
-		return y.want(Fit, Doubtful)
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"one region condemns none": func(y *yard) string {
-		y.floor.Place(map[string]string{"a": "north", "b": "north", "c": "south", "d": "south"})
+	"one region condemns none": func(y *fleetFixture) string {
+		y.evaluator.SetRegions(map[string]string{"a": "north", "b": "north", "c": "south", "d": "south"})
 		for i, g := range y.proxies {
 			g.zone = string(rune('a' + i%4))
-			y.see(i, 0, Record, uint8(i), Confirmed, 1)
+			y.observe(i, 0, AtMostOnce, uint8(i), Confirmed, 1)
 		}
 		y.step()
-		y.now += 2 * Span // lately the south has not been at server 0
+		y.now += 2 * BinDuration // lately the south has not been at server 0
 		for i := range y.proxies {
 			if i%4 < 2 {
-				y.see(i, 0, Record, uint8(i), Unclear, 2)
+				y.observe(i, 0, AtMostOnce, uint8(i), Unclear, 2)
 			}
 		}
-		y.othersWell(Record)
-		return y.want(Fit, Doubtful)
+		y.observeOthersHealthy(AtMostOnce)
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"who accuses does not go before who has nothing to tell": func(y *yard) string {
-		y.all(func(int, int, int) Outcome { return Confirmed })
+	"who accuses does not go before who has nothing to tell": func(y *fleetFixture) string {
+		y.observeAll(func(int, int, int) Outcome { return Confirmed })
 		y.step()
 		accuses := func(g int) bool { return g < 3 } // one in each zone
 		for range 3 {
@@ -94,92 +94,92 @@
 				if accuses(g) {
 					o, times = Unclear, 1
 				}
-				y.see(g, 0, Record, uint8(g), o, times)
+				y.observe(g, 0, AtMostOnce, uint8(g), o, times)
 			}
-			y.othersWell(Record)
+			y.observeOthersHealthy(AtMostOnce)
 			y.stepWith(accuses)
-			if y.verdict(0).Level >= UnfitRecord {
+			if y.verdict(0).Level >= UnfitAtMostOnce {
 				return fmt.Sprint("before the others have told: ", y.verdict(0))
 			}
 		}
-		return y.want(Fit, Doubtful)
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"a proxy that has fallen silent holds up no verdict": func(y *yard) string {
-		y.all(func(int, int, int) Outcome { return Confirmed })
+	"a proxy that has fallen silent holds up no verdict": func(y *fleetFixture) string {
+		y.observeAll(func(int, int, int) Outcome { return Confirmed })
 		y.step()
 		for range int(SilentAfter/time.Second) + 2 {
 			for g := range y.proxies[1:] {
-				y.see(g+1, 0, Record, uint8(g), Outcome(g%2*int(Unclear)), 1)
+				y.observe(g+1, 0, AtMostOnce, uint8(g), Outcome(g%2*int(Unclear)), 1)
 			}
-			y.othersWell(Record)
+			y.observeOthersHealthy(AtMostOnce)
 			y.stepWith(func(g int) bool { return g > 0 })
 		}
-		return y.want(UnfitRecord)
+		return y.wantLevel(UnfitAtMostOnce)
 	},
-	"proxies that fail at all condemn none": func(y *yard) string {
-		y.all(func(g, s, _ int) Outcome { return Confirmed })
+	"proxies that fail at all condemn none": func(y *fleetFixture) string {
+		y.observeAll(func(g, s, _ int) Outcome { return Confirmed })
 		for _, g := range []int{0, 1, 3, 4} {
-			y.proxies[g].observations = map[observationKey]*held{} // it has seen these four alone
+			y.proxies[g].observations = map[observationKey]*binCounts{} // it has seen these four alone
 			for s := range 4 {
-				y.see(g, s, Record, uint8(g), Unclear, 5)
+				y.observe(g, s, AtMostOnce, uint8(g), Unclear, 5)
 			}
 		}
-		return y.want(Fit)
+		return y.wantLevel(Fit)
 	},
-	"ill proxies count little": func(y *yard) string {
+	"ill proxies count little": func(y *fleetFixture) string {
 		for g := range 6 {
-			y.see(g, 0, Record, uint8(g), Unclear, 1)
-			y.proxies[g].Ill(y.now - time.Duration(g)*time.Minute/7)
+			y.observe(g, 0, AtMostOnce, uint8(g), Unclear, 1)
+			y.proxies[g].MarkUnreliable(y.now - time.Duration(g)*time.Minute/7)
 		}
 		for g := 6; g < len(y.proxies); g++ {
 			for s := range y.servers[1:] {
-				y.see(g, s+1, Record, uint8(g), Confirmed, 2)
+				y.observe(g, s+1, AtMostOnce, uint8(g), Confirmed, 2)
 			}
 		}
-		return y.want(Fit)
+		return y.wantLevel(Fit)
 	},
-	"half of a service stays": func(y *yard) string {
+	"half of a service stays": func(y *fleetFixture) string {
 		for range 20 {
-			y.all(func(_, s, _ int) Outcome { return Outcome(s % 2 * int(Unclear)) })
-			y.all(func(_, s, _ int) Outcome { return Confirmed })
+			y.observeAll(func(_, s, _ int) Outcome { return Outcome(s % 2 * int(Unclear)) })
+			y.observeAll(func(_, s, _ int) Outcome { return Confirmed })
 			y.step()
 		}
 		out := 0
 		for _, v := range y.last.List {
-			if v.Level >= UnfitRecord {
+			if v.Level >= UnfitAtMostOnce {
 				out++
 			}
 		}
 		if out == 0 {
 			return "none is out"
 		}
-		return y.wrong
+		return y.violation
 	},
-	"doubled evidence counts once": func(y *yard) string {
-		y.times = 3
+	"doubled evidence counts once": func(y *fleetFixture) string {
+		y.duplicates = 3
 		for g := range 3 {
-			y.see(g, 0, Record, uint8(g), Unclear, 1)
+			y.observe(g, 0, AtMostOnce, uint8(g), Unclear, 1)
 		}
-		y.othersWell(Record)
-		return y.want(Fit, Doubtful)
+		y.observeOthersHealthy(AtMostOnce)
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"what all show condemns not the first to show it": func(y *yard) string {
+	"what all show condemns not the first to show it": func(y *fleetFixture) string {
 		for range 3 {
-			y.all(func(int, int, int) Outcome { return Confirmed })
+			y.observeAll(func(int, int, int) Outcome { return Confirmed })
 			y.step()
 		}
-		y.now += 2 * Span // of the others nothing is seen in the seconds in which this one falls ill
+		y.now += 2 * BinDuration // of the others nothing is seen in the seconds in which this one falls ill
 		for g := range y.proxies {
-			y.see(g, 0, Record, uint8(g%4), Unclear, 1)
+			y.observe(g, 0, AtMostOnce, uint8(g%4), Unclear, 1)
 		}
-		if wrong := y.want(Doubtful); wrong != "" {
+		if wrong := y.wantLevel(Doubtful); wrong != "" {
 			return wrong
 		}
-		y.all(func(int, int, int) Outcome { return Unclear })
-		return y.want(Fit, Doubtful)
+		y.observeAll(func(int, int, int) Outcome { return Unclear })
+		return y.wantLevel(Fit, Doubtful)
 	},
-	"relapses slow the return": func(y *yard) string {
-		trials, _, lost := y.mill(time.Hour, 4*time.Minute)
+	"relapses slow the return": func(y *fleetFixture) string {
+		trials, _, lost := y.runFaultyServer(time.Hour, 4*time.Minute)
 		if len(trials) < 3 || lost > 60 {
 			return fmt.Sprint("trials at ", trials, ", lost ", lost)
 		}
@@ -188,26 +188,26 @@
 				return fmt.Sprint("trials at ", trials)
 			}
 		}
-		return y.wrong
+		return y.violation
 	},
-	"a mended one returns": func(y *yard) string {
-		if _, fit, _ := y.mill(6*time.Second, 40*time.Second); fit == 0 {
+	"a mended one returns": func(y *fleetFixture) string {
+		if _, fit, _ := y.runFaultyServer(6*time.Second, 40*time.Second); fit == 0 {
 			return fmt.Sprint("it does not: ", y.verdict(0))
 		}
-		return y.wrong
+		return y.violation
 	},
-	"a server that fails at all goes": func(y *yard) string {
+	"a server that fails at all goes": func(y *fleetFixture) string {
 		for g := range y.proxies {
-			y.see(g, 0, Search, uint8(g%4), Unclear, 2)
+			y.observe(g, 0, Repeatable, uint8(g%4), Unclear, 2)
 		}
-		y.othersWell(Search)
-		return y.want(UnfitAll)
+		y.observeOthersHealthy(Repeatable)
+		return y.wantLevel(UnfitAll)
 	},
 }
 
 func TestStories(t *testing.T) {
-	for name, story := range stories {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, story(newYard("", 12, 12)), "") })
+	for name, story := range scenarios {
+		t.Run(name, func(t *testing.T) { assert.Equal(t, story(newFleetFixture("", 12, 12)), "") })
 	}
 }
 
@@ -219,6 +219,6 @@
 		"no rest asked": "one region condemns none", "no watermark": "who accuses does not go before who has nothing to tell",
 		"no control group": "what all show condemns not the first to show it", "no bound": "half of a service stays", "adds": "doubled evidence counts once", "forgives": "relapses slow the return",
 	} {
-		t.Run(fault, func(t *testing.T) { assert.Assert(t, stories[name](newYard(fault, 12, 12)) != "") })
+		t.Run(fault, func(t *testing.T) { assert.Assert(t, scenarios[name](newFleetFixture(fault, 12, 12)) != "") })
 	}
 }
--- a/internal/dataplane/serverhealth/verdict.go
+++ b/internal/dataplane/serverhealth/verdict.go
@@ -12,10 +12,10 @@
 
 // The levels.
 const (
-	Fit         Level = iota
-	Doubtful          // what may not be repeated goes elsewhere first
-	UnfitRecord       // nothing that may not be repeated, but for trials
-	UnfitAll          // nothing, but for trials
+	Fit             Level = iota
+	Doubtful              // what may not be repeated goes elsewhere first
+	UnfitAtMostOnce       // nothing that may not be repeated, but for trials
+	UnfitAll              // nothing, but for trials
 )
 
 func (l Level) String() string {
@@ -23,7 +23,9 @@
 }
 
 // Serves tells whether a server at this level gets requests of the kind, trials aside.
-func (l Level) Serves(k Kind) bool { return l < UnfitRecord || l == UnfitRecord && k == Search }
+func (l Level) Serves(k Kind) bool {
+	return l < UnfitAtMostOnce || l == UnfitAtMostOnce && k == Repeatable
+}
 
 // Verdict is the verdict on one life of a server.
 type Verdict struct {
@@ -52,17 +54,17 @@
 
 // Ages of a verdict that is not renewed.
 const (
-	Stale   = 10 * time.Second // from then on it counts as Doubtful at most
-	Expired = time.Minute      // from then on it no longer holds
+	StaleAfter   = 10 * time.Second // from then on it counts as Doubtful at most
+	ExpiredAfter = time.Minute      // from then on it no longer holds
 )
 
 // Aged returns what is left of a level at a proxy that has heard nothing for silent. After Expired it goes by its own
 // outcomes alone.
 func (l Level) Aged(silent time.Duration) Level {
 	switch {
-	case silent > Expired:
+	case silent > ExpiredAfter:
 		return Fit
-	case silent > Stale && l > Doubtful:
+	case silent > StaleAfter && l > Doubtful:
 		return Doubtful
 	}
 	return l
@@ -75,8 +77,8 @@
 	return v != y
 }
 
-// Since returns the part that a receiver of old lacks; nil: it lacks nothing.
-func (s *Verdicts) Since(old *Verdicts) *Verdicts {
+// DiffFrom returns the part that a receiver of old lacks; nil: it lacks nothing.
+func (s *Verdicts) DiffFrom(old *Verdicts) *Verdicts {
 	if old == nil || old.By != s.By {
 		return s
 	}
@@ -98,9 +100,9 @@
 	return p
 }
 
-// Onto returns the complete verdicts after s is applied to old. If s is not newer, that is old; if s is a part and old
+// ApplyTo returns the complete verdicts after s is applied to old. If s is not newer, that is old; if s is a part and old
 // is not of the same replica, it is nil.
-func (s *Verdicts) Onto(old *Verdicts) *Verdicts {
+func (s *Verdicts) ApplyTo(old *Verdicts) *Verdicts {
 	if old != nil && old.By == s.By && old.Stamp >= s.Stamp {
 		return old
 	}
@@ -148,16 +150,16 @@
 
 // Parts of a service's capacity in a region that are out at once at most.
 const (
-	mostOutRecord = 1. / 2
-	mostOutAll    = 1. / 3
+	maxExcludedAtMostOnce = 1. / 2
+	maxExcludedAll        = 1. / 3
 )
 
-// leastBad is the reason given for a server that serves only because of Bound.
-const leastBad = "enough of its service is out: the least bad serve"
+// whyLeastBad is the reason given for a server that serves only because of Bound.
+const whyLeastBad = "enough of its service is out: the least bad serve"
 
-// Join merges the verdicts of several replicas into one list. Where they differ the stricter one holds, within the limits
+// MergeVerdicts merges the verdicts of several replicas into one list. Where they differ the stricter one holds, within the limits
 // of Bound.
-func Join(servers []Server, lists ...[]Verdict) []Verdict {
+func MergeVerdicts(servers []Server, lists ...[]Verdict) []Verdict {
 	all := map[string]Verdict{}
 	for _, list := range lists {
 		for _, v := range list {
@@ -167,12 +169,12 @@
 			}
 		}
 	}
-	return Bound(servers, sorted(all))
+	return LimitExcluded(servers, sorted(all))
 }
 
-// Bound limits how much of a service's capacity in a region is out: beyond that the least bad servers serve. It changes
+// LimitExcluded limits how much of a service's capacity in a region is out: beyond that the least bad servers serve. It changes
 // the given list.
-func Bound(servers []Server, list []Verdict) []Verdict {
+func LimitExcluded(servers []Server, list []Verdict) []Verdict {
 	type field struct{ service, region string }
 	size, of, total := map[string]int{}, map[string]field{}, map[field]int{}
 	for _, s := range servers {
@@ -183,7 +185,7 @@
 	}
 	worst := make([]*Verdict, 0, len(list))
 	for i := range list {
-		if size[list[i].Server] > 0 && list[i].Level >= UnfitRecord {
+		if size[list[i].Server] > 0 && list[i].Level >= UnfitAtMostOnce {
 			worst = append(worst, &list[i])
 		}
 	}
@@ -194,11 +196,11 @@
 	for _, v := range worst {
 		n, in := size[v.Server], of[v.Server]
 		all := float64(total[in])
-		if v.Level == UnfitAll && float64(outAll[in]+n) > all*mostOutAll {
-			v.Level = UnfitRecord
+		if v.Level == UnfitAll && float64(outAll[in]+n) > all*maxExcludedAll {
+			v.Level = UnfitAtMostOnce
 		}
-		if float64(outRecord[in]+n) > all*mostOutRecord {
-			v.Level, v.Why = Doubtful, leastBad
+		if float64(outRecord[in]+n) > all*maxExcludedAtMostOnce {
+			v.Level, v.Why = Doubtful, whyLeastBad
 			continue
 		}
 		outRecord[in] += n
--- a/internal/dataplane/serverhealth/word.go
+++ b/internal/dataplane/serverhealth/word.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Word is an operator's judgement of a server.
-type Word struct {
+// Override is an operator's judgement of a server.
+type Override struct {
 	Level Level
 	Why   string
 }
 
-// Overrule replaces verdicts by operators' judgements, which hold regardless of Bound, and returns a new list.
-func Overrule(servers []Server, list []Verdict, words map[string]Word) []Verdict {
+// ApplyOverrides replaces verdicts by operators' judgements, which hold regardless of Bound, and returns a new list.
+func ApplyOverrides(servers []Server, list []Verdict, words map[string]Override) []Verdict {
 	if len(words) == 0 {
 		return list
 	}
@@ -30,40 +30,40 @@
 	return sorted(all)
 }
 
-// Testimony sums up what one proxy observed of a server with requests of one kind.
-type Testimony struct {
-	Witness, Zone string
-	Kind          Kind
-	Counts        [outcomes]int
-	Worth         float64 // of its statements, 0 to 1
+// ProxyEvidence sums up what one proxy observed of a server with requests of one kind.
+type ProxyEvidence struct {
+	Proxy, Zone string
+	Kind        Kind
+	Counts      [outcomeCount]int
+	Weight      float64 // of its statements, 0 to 1
 }
 
-// Testimonies returns the evidence on a server by proxy and kind, summed over the lives of a proxy.
-func (f *Floor) Testimonies(server string) (list []Testimony) {
+// EvidenceByProxy returns the evidence on a server by proxy and kind, summed over the lives of a proxy.
+func (f *Evaluator) EvidenceByProxy(server string) (list []ProxyEvidence) {
 	type key struct {
 		name string
 		kind Kind
 	}
-	all, usual := map[key]*Testimony{}, f.usualFails(server)
+	all, usual := map[key]*ProxyEvidence{}, f.medianFailingShare(server)
 	for k, c := range f.cells[server] {
-		if f.now-f.begins(&k, c) > Window {
+		if f.now-f.cellStart(&k, c) > Window {
 			continue
 		}
 		t := all[key{k.name, k.kind}]
 		if t == nil {
-			t = &Testimony{Witness: k.name, Zone: c.from.zone, Kind: k.kind}
+			t = &ProxyEvidence{Proxy: k.name, Zone: c.from.zone, Kind: k.kind}
 			all[key{k.name, k.kind}] = t
 		}
 		for i, n := range c.counts {
 			t.Counts[i] += int(n)
 		}
-		t.Worth = max(t.Worth, f.credit(c.from, server, usual))
+		t.Weight = max(t.Weight, f.proxyWeight(c.from, server, usual))
 	}
 	for _, t := range all {
 		list = append(list, *t)
 	}
-	slices.SortFunc(list, func(a, b Testimony) int {
-		return cmp.Or(strings.Compare(a.Witness, b.Witness), cmp.Compare(a.Kind, b.Kind))
+	slices.SortFunc(list, func(a, b ProxyEvidence) int {
+		return cmp.Or(strings.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Kind, b.Kind))
 	})
 	return list
 }
