--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -16,14 +16,14 @@
 // ClientMode says who names the library of a request.
 type ClientMode string
 
-// Who may.
+// The client modes.
 const (
 	ByKey   ClientMode = "keys"  // ordinary clients, by an API key
 	ByFront ClientMode = "front" // the platform's front, by its own fields
 	ByBoth  ClientMode = "both"  // a request with a key by that, any other by the front's fields
 )
 
-// Options are an operator's choices beside book and keys.
+// Options are the operator's settings other than the route book and the keys.
 type Options struct {
 	Clients       ClientMode
 	ForwardFields []string // header fields that go on to loan servers beside those of the protocol
@@ -31,8 +31,8 @@
 	ExposeRouting bool     // answers and attempts name revision, operation and units
 }
 
-// Table is a book in force with all that requests are read by. It never
-// changes: a request keeps what it was read under.
+// Table holds a route book and the settings that requests are resolved by. It is
+// immutable, so a request can keep the table that it was resolved by.
 type Table struct {
 	Options
 	Book      *routebook.Book
@@ -49,15 +49,15 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host", "Cookie", "X-Request-Id", "Idempotency-Key", "X-Class",
 	"X-Deadline-Ms", "X-Tier", "X-Call-Terms", "X-Retry", OperationField, BookField, UnitsField}
 
-// The fields that tell what a request was read as, where Options.Tell says so.
+// The fields that describe a resolved request, added if Options.ExposeRouting is set.
 const (
 	OperationField = "Pepperfall-Operation"
 	BookField      = "Pepperfall-Book"
 	UnitsField     = "Pepperfall-Units"
 )
 
-// NewTable puts a book in force under a node's settings. The error names every
-// route, key and field that does not fit them.
+// NewTable combines a route book with a proxy's settings. The error lists every
+// route, key and header field that is incompatible with them.
 func NewTable(set *policy.Settings, b *routebook.Book, ring *keyring.Ring, libraries []keyring.Library, o Options) (*Table, error) {
 	t := &Table{Options: o, Book: b, ring: ring, keyPlaces: b.Keys, classes: map[string]*policy.Class{}, plans: map[string]bool{}, gateways: set.Gateways}
 	if o.Clients == "" {
@@ -73,12 +73,12 @@
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
 	for _, r := range b.Routes() {
 		c := t.classes[wire.Word(r.Class)]
-		most := max(set.MaxRequestUnits, 1)
+		maxUnits := max(set.MaxRequestUnits, 1)
 		switch {
 		case c == nil:
 			fault("%s: operation %s: the settings have no class %q", r.Place, r.Operation, r.Class)
-		case r.Units.Base > most || r.Units.Param != "" && r.Units.Most > most:
-			fault("%s: operation %s: units of up to %v, the settings' largest are %v", r.Place, r.Operation, max(r.Units.Base, r.Units.Most), most)
+		case r.Units.Base > maxUnits || r.Units.Param != "" && r.Units.Most > maxUnits:
+			fault("%s: operation %s: units of up to %v, the settings' largest are %v", r.Place, r.Operation, max(r.Units.Base, r.Units.Most), maxUnits)
 		case r.Repeat != routebook.Safe && c.Effect == policy.Safe:
 			fault("%s: operation %s: class %s is safe to repeat, the operation is not marked so", r.Place, r.Operation, r.Class)
 		}
--- a/internal/dataplane/serverhealth/baseline.go
+++ b/internal/dataplane/serverhealth/baseline.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A server is judged by comparison with the others of its keeper: with what is usual among them lately and for long, and
-// with a control group, which is what they showed in the very seconds from which the evidence against it stems.
+// A server is compared with the other servers of the same control replica: with their usual share of failures, recent and
+// long-term, and with a control group, which is the others' outcomes in the same seconds as the evidence against the server.
 const (
 	minOthers      = 3   // servers of which enough was seen lately, for what is usual lately
 	strataCount    = 7   // of the evidence: one for each of so many spans, what lies in it and in no shorter one
@@ -20,7 +20,7 @@
 // recentSpans are indices in spans.
 var recentSpans = [...]int{1, 3}
 
-// evidence is what speaks against a server and for it, in outcomes.
+// evidence holds the weights against and for a server, in outcomes.
 type evidence struct{ bad, good float64 }
 
 func (e evidence) share() float64 {
@@ -30,7 +30,7 @@
 	return e.bad / (e.bad + e.good)
 }
 
-// baseline is how all servers of a keeper did, by server.
+// baseline summarizes the evidence on all servers of a control replica, by server.
 type baseline struct {
 	shares  [strataCount]map[string]float64  // in each span, of those of which enough was seen
 	stratum [strataCount]map[string]evidence // in each stratum
@@ -58,7 +58,7 @@
 	return b
 }
 
-// usual is the share against the middle one of a server's others, for long or lately, whichever is more.
+// usual returns the median share of failures of the other servers, long-term or recent, whichever is higher.
 func (b *baseline) usual(server string) float64 {
 	usual := 0.0
 	for i, shares := range b.shares {
@@ -76,8 +76,8 @@
 	return usual
 }
 
-// control is the share against the better half of a server's others in one stratum: the worse half may be ill too. It
-// is guarded against chance where little was seen of them.
+// control returns the share of failures of the healthier half of the other servers in one stratum; the worse half may be
+// unhealthy too. The added pseudo-outcomes limit the effect of chance when there is little evidence.
 func (b *baseline) control(server string, stratum int) float64 {
 	var others []evidence
 	for id, e := range b.stratum[min(stratum, strataCount-1)] {
--- a/internal/dataplane/serverhealth/join.go
+++ b/internal/dataplane/serverhealth/evaluate.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// Thresholds of a judgement. Weights are in outcomes.
+// Thresholds of an evaluation. Weights are in outcomes; logarithms of likelihood ratios are natural.
 const (
-	minFailures           = 4.0               // against a server, after all caps, that condemn it
-	maxGroupFailures      = 0.6 * minFailures // at most of one tenant group, ...
-	maxProxyFailures      = 0.6 * minFailures // ... and of one proxy: neither can condemn alone
-	maxGroupOutcomes      = 6.0               // at most of one group, for and against
-	unreliableWeight      = 0.25              // of what one saw who was ill itself
-	minThresholdShare     = 0.25              // against a server, of all, that condemn it; and twice what is usual
+	minFailures           = 4.0               // weight against a server, after all caps, that makes it unfit
+	maxGroupFailures      = 0.6 * minFailures // cap on one tenant group's weight against a server, ...
+	maxProxyFailures      = 0.6 * minFailures // ... and on one proxy's: neither alone can make a server unfit
+	maxGroupOutcomes      = 6.0               // cap on one group's weight, for and against together
+	unreliableWeight      = 0.25              // weight of an observation by a proxy that was itself unreliable
+	minThresholdShare     = 0.25              // share against a server that makes it unfit; the usual share times usualFactor, within these limits
 	maxThresholdShare     = 0.6
 	usualFactor           = 2.0
-	minLogLikelihoodRatio = 12.0 // in e-folds, that condemns
+	minLogLikelihoodRatio = 12.0 // that makes a server unfit
 	minUsual              = 0.02
 	maxUsual              = 0.45
 	usualMargin           = 1.3
 	minUnhealthyShare     = 0.5
 	maxUnhealthyShare     = 0.9
-	baselineInterval      = 5 * time.Second  // what is usual changes slowly, and takes a look at all
-	minRemainingRatio     = 4.0              // in e-folds, that is left without the region that speaks most against a server: see rest
-	recentUse             = 16 * BinDuration // for so long a zone that has used a server has a say in it
-	minServersTried       = 3                // servers that a proxy must have tried to be compared
-	minZoneSuccesses      = 2.0              // for a server, without one group, that let a zone speak for it
-	zeroWeightExcess      = 0.75             // servers failing at it beyond what is usual among proxies, at which its statement counts nothing
+	baselineInterval      = 5 * time.Second  // baselines change slowly, and computing them reads all evidence
+	minRemainingRatio     = 4.0              // without the region with the strongest evidence against a server: see remainingRatio
+	recentUse             = 16 * BinDuration // a zone that used a server within this time counts as one of its failure domains
+	minServersTried       = 3                // servers that a proxy must have tried before its failing share is used
+	minZoneSuccesses      = 2.0              // weight for a server, without the zone's largest group, at which a zone counts for it
+	zeroWeightExcess      = 0.75             // excess of a proxy's failing share over the median of proxies at which its evidence has no weight
 )
 
-// spans are the last parts of the window that are looked at, the shortest first: what was good before a server fell ill
-// does not hide it.
+// spans are the periods before the evaluation that are examined, shortest first, so that good outcomes from before a fault
+// don't hide it.
 var spans = []time.Duration{BinDuration, 2 * BinDuration, 4 * BinDuration, 8 * BinDuration, 16 * BinDuration, 32 * BinDuration, 64 * BinDuration, Window}
 
-// evaluation is the evaluation of the evidence on one server and kind in one span.
+// evaluation is the result of combining the evidence on one server and kind in one span.
 type evaluation struct {
 	bad, good           float64
-	share               float64 // against it, without the group that speaks for it most
-	plainShare          float64 // share of all
-	logLikelihoodRatio  float64 // logarithm of how much likelier it is of an ill server than of a usual one
-	number              int
-	against, supporting int // witnesses
+	share               float64 // against the server, without the group with the most weight for it
+	plainShare          float64 // share against the server, with all groups
+	logLikelihoodRatio  float64 // natural logarithm of the likelihood of the outcomes for an unhealthy server over that for a healthy one
+	number              int     // attempts
+	against, supporting int     // proxies
 	zonesAgainst        int
 	zonesFor            int
-	zones               map[string]*tally // what each said
-	threshold           threshold         // that it was held against
-	unfit               bool              // also beside the control group
+	zones               map[string]*tally // evidence by zone
+	threshold           threshold         // that the evidence was compared with
+	unfit               bool              // also when compared with the control group
 }
 
-// proxyWeight returns the weight of a proxy's statement about a server, 0 to 1. It is small if the proxy's attempts fail at
-// many other servers too, beyond the median of all proxies.
+// proxyWeight returns the weight of a proxy's evidence on a server, 0 to 1. It is small if the proxy's attempts also fail at
+// many other servers, beyond the median of all proxies.
 func (f *Evaluator) proxyWeight(w *proxyState, server string, usual float64) float64 {
 	if f.testFault == "trusts all" {
 		return 1
@@ -60,7 +60,7 @@
 	return 1 - min(1, max(0, w.failingShareExcept(server)-usual)/zeroWeightExcess)
 }
 
-// failingShareExcept returns the share of other servers that fail for a proxy; 0 if it has tried too few.
+// failingShareExcept returns the share of other servers that fail for a proxy, or 0 if it has tried too few.
 func (w *proxyState) failingShareExcept(server string) float64 {
 	tried, fails := w.serversTried, w.failingCount
 	if w.failing[server] {
@@ -90,11 +90,11 @@
 	return all[(len(all)-1)/2]
 }
 
-// proxyTotals holds one proxy's weighted statements, by group.
+// proxyTotals holds one proxy's weighted evidence, by group.
 type proxyTotals struct {
 	zone    string
 	count   int
-	byGroup [Groups][2]int64 // against, for
+	byGroup [Groups][2]int64 // weights against and for, in units of 1/weightUnit
 }
 
 // weightedCell is the weighted evidence of one cell.
@@ -105,8 +105,8 @@
 	bad, good  int64
 }
 
-// weightedCells returns the evidence on a server from spans that began between two moments, sorted into the shortest of spans
-// that it falls in, counted back from until.
+// weightedCells returns the evidence on a server from bins that began between since and until. Element i holds the cells
+// whose shortest span, counted back from until, is spans[i].
 func (f *Evaluator) weightedCells(server string, kind Kind, since, until time.Duration, usual float64) (all [][]weightedCell) {
 	all = make([][]weightedCell, len(spans))
 	credit := map[*proxyState]float64{}
@@ -123,44 +123,44 @@
 			continue
 		}
 		w := c.from
-		worth, ok := credit[w]
+		weight, ok := credit[w]
 		if !ok {
-			worth = f.proxyWeight(w, server, usual)
-			credit[w] = worth
+			weight = f.proxyWeight(w, server, usual)
+			credit[w] = weight
 		}
-		worth *= math.Exp2(-float64(max(0, f.now-at)) / float64(halfLife))
+		weight *= math.Exp2(-float64(max(0, f.now-at)) / float64(halfLife))
 		if c.unreliable && f.testFault != "hears the ill" {
-			worth *= unreliableWeight
+			weight *= unreliableWeight
 		}
 		bad, good := c.counts.weightedSums()
-		all[i] = append(all[i], weightedCell{k.name, w.zone, k.group, c.counts.total(), int64(float64(bad) * worth), int64(float64(good) * worth)})
+		all[i] = append(all[i], weightedCell{k.name, w.zone, k.group, c.counts.total(), int64(float64(bad) * weight), int64(float64(good) * weight)})
 	}
 	return all
 }
 
-// addCells adds statements to voices, by proxy's name.
-func addCells(voices map[string]*proxyTotals, statements ...[]weightedCell) map[string]*proxyTotals {
+// addCells adds weighted cells to the totals of their proxies, by proxy name.
+func addCells(totals map[string]*proxyTotals, statements ...[]weightedCell) map[string]*proxyTotals {
 	for _, list := range statements {
 		for _, x := range list {
-			v := voices[x.name]
+			v := totals[x.name]
 			if v == nil {
 				v = &proxyTotals{zone: x.zone}
-				voices[x.name] = v
+				totals[x.name] = v
 			}
 			v.count += x.number
 			v.byGroup[x.group][0] += x.bad
 			v.byGroup[x.group][1] += x.good
 		}
 	}
-	return voices
+	return totals
 }
 
-// combine makes one reading of all voices: by group first, each with a cap, then by proxy, each with a cap.
-func (f *Evaluator) combine(voices map[string]*proxyTotals, b threshold) (r evaluation) {
+// combine evaluates the totals of all proxies. It caps the weight of each group first, then the weight of each proxy.
+func (f *Evaluator) combine(totals map[string]*proxyTotals, b threshold) (r evaluation) {
 	var group [Groups][2]float64
-	for _, v := range voices {
+	for _, v := range totals {
 		for g, x := range v.byGroup {
-			group[g][0] += float64(x[0]) / weightUnit // whole multiples of 1/4096: exact in any order
+			group[g][0] += float64(x[0]) / weightUnit // whole multiples of 1/4096, so the sum is exact in any order
 			group[g][1] += float64(x[1]) / weightUnit
 		}
 	}
@@ -176,8 +176,8 @@
 		}
 	}
 	all, zones := &tally{}, map[string]*tally{}
-	for _, name := range slices.Sorted(maps.Keys(voices)) {
-		v, t := voices[name], &tally{}
+	for _, name := range slices.Sorted(maps.Keys(totals)) {
+		v, t := totals[name], &tally{}
 		for g, x := range v.byGroup {
 			t.bad += float64(x[0]) / weightUnit * scale[g][0]
 			t.good[g] = float64(x[1]) / weightUnit * scale[g][1]
@@ -191,9 +191,9 @@
 		all.add(t)
 		zones[v.zone].add(t)
 		r.number += v.count
-		good, apart := t.goodSums()
+		good, withoutLargest := t.goodSums()
 		switch {
-		case t.isAgainst(apart, b):
+		case t.isAgainst(withoutLargest, b):
 			r.against++
 		case good > 0:
 			r.supporting++
@@ -201,26 +201,26 @@
 	}
 	r.threshold, r.zones = b, zones
 	for _, z := range zones {
-		switch _, apart := z.goodSums(); {
-		case z.isAgainst(apart, b):
+		switch _, withoutLargest := z.goodSums(); {
+		case z.isAgainst(withoutLargest, b):
 			r.zonesAgainst++
-		case apart >= minZoneSuccesses:
+		case withoutLargest >= minZoneSuccesses:
 			r.zonesFor++
 		}
 	}
 	r.bad = all.bad
-	good, apart := all.goodSums()
+	good, withoutLargest := all.goodSums()
 	if r.good = good; r.bad > 0 {
-		r.plainShare, r.share = r.bad/(r.bad+good), r.bad/(r.bad+apart)
+		r.plainShare, r.share = r.bad/(r.bad+good), r.bad/(r.bad+withoutLargest)
 		if f.testFault == "one group absolves" {
-			r.share, apart = r.plainShare, good
+			r.share, withoutLargest = r.plainShare, good
 		}
-		r.logLikelihoodRatio = b.logLikelihoodRatio(r.bad, apart)
+		r.logLikelihoodRatio = b.logLikelihoodRatio(r.bad, withoutLargest)
 	}
 	return r
 }
 
-// tally is what speaks against a server, and for it by group.
+// tally holds the weight against a server, and the weight for it by group.
 type tally struct {
 	bad  float64
 	good [Groups]float64
@@ -233,41 +233,41 @@
 	}
 }
 
-// goodSums are what speaks for it, with and without the group that does so most: so none can absolve alone.
-func (t *tally) goodSums() (all, apart float64) {
+// goodSums returns the weight for the server, with and without its largest group, so that no group alone can clear a server.
+func (t *tally) goodSums() (all, withoutLargest float64) {
 	for _, x := range t.good {
 		all += x
 	}
 	return all, all - slices.Max(t.good[:])
 }
 
-// logLikelihoodRatio is what it adds to the proof against a server, in e-folds.
+// logLikelihoodRatio returns the tally's contribution to the log-likelihood ratio, without its largest group for the server.
 func (t *tally) logLikelihoodRatio(b threshold) float64 {
-	_, apart := t.goodSums()
-	return b.logLikelihoodRatio(t.bad, apart)
+	_, withoutLargest := t.goodSums()
+	return b.logLikelihoodRatio(t.bad, withoutLargest)
 }
 
-func (t *tally) isAgainst(apart float64, b threshold) bool {
-	return t.bad > 0 && t.bad >= b.share*(t.bad+apart)
+func (t *tally) isAgainst(withoutLargest float64, b threshold) bool {
+	return t.bad > 0 && t.bad >= b.share*(t.bad+withoutLargest)
 }
 
-// evaluateServer looks at all spans of a server's evidence from one moment to another, and gives the one that speaks most
-// against it.
+// evaluateServer evaluates a server's evidence from since to until over all spans. It returns the first evaluation that
+// makes the server unfit, else the first that makes it doubtful, else the first one with evidence.
 func (f *Evaluator) evaluateServer(server string, kind Kind, since, until time.Duration) (worst evaluation) {
 	if !f.hasFailures(server, kind) {
 		return worst
 	}
 	base := f.baselines[kind]
 	usual, group := base.usual(server), standardizedShare{}
-	voices := map[string]*proxyTotals{}
+	totals := map[string]*proxyTotals{}
 	for i, list := range f.weightedCells(server, kind, since, until, f.medianFailingShare(server)) {
 		if len(list) > 0 {
 			own := f.combine(addCells(map[string]*proxyTotals{}, list), thresholdFor(usual))
 			group.add(own.bad+own.good, base.control(server, i))
 		}
-		addCells(voices, list)
-		r := f.combine(voices, thresholdFor(usual))
-		if r.bad >= minFailures && f.isUnfit(server, f.combine(voices, f.controlThreshold(usual, group.share()))) {
+		addCells(totals, list)
+		r := f.combine(totals, thresholdFor(usual))
+		if r.bad >= minFailures && f.isUnfit(server, f.combine(totals, f.controlThreshold(usual, group.share()))) {
 			r.unfit = true
 			return r
 		}
@@ -278,7 +278,7 @@
 	return worst
 }
 
-// controlThreshold is what condemns a server is held against; what makes it doubtful needs no control group.
+// controlThreshold returns the threshold for an unfit server. The threshold for a doubtful one uses no control group.
 func (f *Evaluator) controlThreshold(usual, control float64) threshold {
 	if f.testFault == "no control group" {
 		return thresholdFor(usual)
@@ -295,7 +295,7 @@
 	return false
 }
 
-// isUnfit tells whether a reading makes a server unfit.
+// isUnfit reports whether an evaluation makes a server unfit.
 func (f *Evaluator) isUnfit(server string, r evaluation) bool {
 	if r.bad < minFailures || r.share < r.threshold.share || r.logLikelihoodRatio < minLogLikelihoodRatio || r.against < 2 {
 		return false
@@ -306,18 +306,18 @@
 	return r.zonesAgainst > r.zonesFor && r.zonesAgainst > 1 && f.remainingRatio(server, r) >= minRemainingRatio
 }
 
-// remainingRatio is the proof against a server that is left, in e-folds, without what one region saw of it: the region whose statements
-// weighs most. Bad ways between a region and a server explain all but that. Where all who lately used the server are in
-// one region, it is what is left without one zone.
+// remainingRatio returns the lowest log-likelihood ratio that remains when the evidence of one region is left out. A faulty
+// network path between a region and the server can explain that region's evidence, but not the remainder. If all zones that
+// recently used the server are in one region, single zones are left out instead.
 func (f *Evaluator) remainingRatio(server string, r evaluation) float64 {
 	if f.testFault == "no rest asked" {
 		return minRemainingRatio
 	}
 	least := math.Inf(1)
-	for _, apart := range f.failureDomains(server) {
+	for _, domain := range f.failureDomains(server) {
 		left := &tally{}
 		for zone, t := range r.zones {
-			if !slices.Contains(apart, zone) {
+			if !slices.Contains(domain, zone) {
 				left.add(t)
 			}
 		}
@@ -326,7 +326,8 @@
 	return least
 }
 
-// failureDomains are the zones of witnesses that lately used a server, by region, or each zone where there is one region.
+// failureDomains returns the zones of proxies that recently used a server, grouped by region, or each zone by itself if
+// there is only one region.
 func (f *Evaluator) failureDomains(server string) [][]string {
 	regions, zones := map[string][]string{}, map[string]bool{}
 	for k, c := range f.cells[server] {
@@ -348,12 +349,12 @@
 	return all
 }
 
-// isDoubtful tells whether a reading makes a server doubtful.
+// isDoubtful reports whether an evaluation makes a server doubtful.
 func (f *Evaluator) isDoubtful(r evaluation) bool {
 	return r.bad >= minFailures/2 && r.share >= r.threshold.share && r.logLikelihoodRatio >= minLogLikelihoodRatio/2 && r.zonesAgainst > r.zonesFor
 }
 
-// zoneCount are in how many zones there are proxies that told something.
+// zoneCount returns the number of zones with proxies that have reported.
 func (f *Evaluator) zoneCount() int {
 	all := map[string]bool{}
 	for _, w := range f.proxies {
--- a/internal/dataplane/serverhealth/floor.go
+++ b/internal/dataplane/serverhealth/evaluator.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Limits of a floor's memory.
+// Limits of an evaluator's memory.
 const (
-	maxServers        = 4096    // whose evidence is kept
-	maxCellsPerServer = 4096    // of evidence of one server, some 150 bytes each
-	maxCells          = 1 << 18 // of all servers together
-	minCellsPerServer = 64      // of one, however many there are
+	maxServers        = 4096    // with evidence
+	maxCellsPerServer = 4096    // of evidence on one server, some 150 bytes each
+	maxCells          = 1 << 18 // of evidence on all servers together
+	minCellsPerServer = 64      // that each server may have, however many servers there are
 	maxProxies        = 4096
-	maxFutureBins     = 4    // by which a bin may lie ahead of what its report tells as now
-	clockDriftDivisor = 5000 // one part in so many is by how much two steady clocks may differ
+	maxFutureBins     = 4    // bins by which an observation may be later than its report's time
+	clockDriftDivisor = 5000 // two monotonic clocks may drift apart by 1 part in 5000
 )
 
 type proxyIncarnation struct {
@@ -39,42 +39,44 @@
 
 type proxyState struct {
 	zone         string
-	clockOrigin  time.Duration // its clock's origin in ours, less drift: the earliest that any of its reports lets be
-	lastReport   time.Duration // its own clock in its newest report
-	lastSequence uint64        // and that one's number
+	clockOrigin  time.Duration // origin of the proxy's clock on this replica's clock, less drift; the earliest that its reports allow
+	lastReport   time.Duration // proxy's clock in its newest report
+	lastSequence uint64        // sequence number of that report
 	serversTried int
 	failingCount int
 	failing      map[string]bool
 }
 
-// origin is when the witness's clock stood at 0.
+// origin returns the time on this replica's clock at which the proxy's clock was 0.
 func (w *proxyState) origin(now time.Duration) time.Duration {
 	return w.clockOrigin + now/clockDriftDivisor
 }
 
-// Evaluator joins the reports of proxies at one replica. Times are those of the replica's monotonic clock.
+// Evaluator combines the reports of proxies at one control replica and computes verdicts. Times are those of the replica's
+// monotonic clock. It is not safe for concurrent use.
 type Evaluator struct {
 	now           time.Duration
-	completeUntil time.Duration // up to then all witnesses that are there have told: see watermark
+	completeUntil time.Duration // all active proxies have reported up to this time: see watermark
 	proxies       map[proxyIncarnation]*proxyState
 	cells         map[string]map[cellKey]*cell // by server
 	states        map[string]*serverState
 	servers       []Server
-	regions       map[string]string    // of zones
-	baselines     [kindCount]*baseline // as it was at baselineTime
+	regions       map[string]string    // by zone
+	baselines     [kindCount]*baseline // computed at baselineTime
 	baselineTime  time.Duration
-	testFault     string // planted by tests
+	testFault     string // fault injected by tests
 }
 
-// NewEvaluator makes an empty floor.
+// NewEvaluator returns an evaluator without evidence.
 func NewEvaluator() *Evaluator {
 	return &Evaluator{proxies: map[proxyIncarnation]*proxyState{}, cells: map[string]map[cellKey]*cell{}, states: map[string]*serverState{}}
 }
 
-// SetRegions sets the region of each zone. A zone that is not named is a region by itself.
+// SetRegions sets the region of each zone. A zone without an entry is its own region.
 func (f *Evaluator) SetRegions(regions map[string]string) { f.regions = regions }
 
-// AddReport adds a proxy's report.
+// AddReport adds a proxy's report. Reports of more than maxProxies incarnations of proxies are ignored, as are observations
+// that are outside of the window.
 func (f *Evaluator) AddReport(now time.Duration, s *Report) {
 	f.now = max(f.now, now)
 	k := proxyIncarnation{s.Proxy, s.Incarnation}
@@ -102,22 +104,22 @@
 }
 
 func (f *Evaluator) addObservation(e Observation, by proxyIncarnation, w *proxyState) {
-	of := f.cells[e.Server]
-	if of == nil {
+	serverCells := f.cells[e.Server]
+	if serverCells == nil {
 		if len(f.cells) >= maxServers {
 			return
 		}
-		of = map[cellKey]*cell{}
-		f.cells[e.Server] = of
+		serverCells = map[cellKey]*cell{}
+		f.cells[e.Server] = serverCells
 	}
 	k := cellKey{by, e.Kind, e.Group, e.Bin}
-	c := of[k]
+	c := serverCells[k]
 	if c == nil {
-		if len(of) >= min(maxCellsPerServer, max(minCellsPerServer, maxCells/len(f.cells))) {
-			f.dropOldest(of)
+		if len(serverCells) >= min(maxCellsPerServer, max(minCellsPerServer, maxCells/len(f.cells))) {
+			f.dropOldest(serverCells)
 		}
 		c = &cell{from: w}
-		of[k] = c
+		serverCells[k] = c
 	}
 	if f.testFault == "adds" {
 		for i := range c.counts {
@@ -128,63 +130,64 @@
 	c.unreliable = c.unreliable || e.Unreliable
 }
 
-// SilentAfter is for how long a witness may send no report before judgements no longer wait for it. Each witness reports
-// at least once each HeartbeatEvery, even without observations.
+// SilentAfter is the time without a report after which evaluations no longer wait for a proxy. Each proxy reports at least
+// once per HeartbeatEvery, even without observations.
 const (
 	HeartbeatEvery = 4 * time.Second
 	SilentAfter    = HeartbeatEvery + 2*time.Second
 )
 
-// watermark returns the moment up to which all witnesses that are not silent have reported; now, if there is none. Later
-// evidence would be biased: it comes only from witnesses that had something to report, often against a server.
+// watermark returns the time up to which all proxies that are not silent have reported, or now if there are none. Later
+// evidence would be biased: it comes only from proxies that had something to report, often against a server.
 func (f *Evaluator) watermark() time.Duration {
 	least := f.now
 	if f.testFault == "no watermark" {
 		return least
 	}
 	for _, w := range f.proxies {
-		if told := w.origin(f.now) + w.lastReport; f.now-told <= SilentAfter {
-			least = min(least, told)
+		if reported := w.origin(f.now) + w.lastReport; f.now-reported <= SilentAfter {
+			least = min(least, reported)
 		}
 	}
 	return least
 }
 
-// cellStart is when a cell's span began.
+// cellStart returns the start of a cell's bin on this replica's clock.
 func (f *Evaluator) cellStart(k *cellKey, c *cell) time.Duration {
 	return c.from.origin(f.now) + time.Duration(k.bin)*BinDuration
 }
 
 // dropOldest drops the older half of a server's cells.
-func (f *Evaluator) dropOldest(of map[cellKey]*cell) {
-	keys := make([]cellKey, 0, len(of))
-	for k := range of {
+func (f *Evaluator) dropOldest(serverCells map[cellKey]*cell) {
+	keys := make([]cellKey, 0, len(serverCells))
+	for k := range serverCells {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b cellKey) int {
-		return cmp.Or(cmp.Compare(f.cellStart(&a, of[a]), f.cellStart(&b, of[b])), strings.Compare(a.name, b.name), cmp.Compare(a.kind, b.kind), cmp.Compare(a.group, b.group))
+		return cmp.Or(cmp.Compare(f.cellStart(&a, serverCells[a]), f.cellStart(&b, serverCells[b])), strings.Compare(a.name, b.name), cmp.Compare(a.kind, b.kind), cmp.Compare(a.group, b.group))
 	})
 	for _, k := range keys[:len(keys)/2] {
-		delete(of, k)
+		delete(serverCells, k)
 	}
 }
 
-// expire drops what is too old, and servers and witnesses of whom nothing is left.
+// expire drops evidence older than the window, servers that are no longer listed, and proxies without evidence or recent
+// reports.
 func (f *Evaluator) expire() {
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for _, s := range f.servers {
-		there[s.ID] = true
+		listed[s.ID] = true
 	}
 	used := map[proxyIncarnation]bool{}
-	for id, of := range f.cells {
-		for k, c := range of {
+	for id, serverCells := range f.cells {
+		for k, c := range serverCells {
 			if f.now-f.cellStart(&k, c) > Window {
-				delete(of, k)
+				delete(serverCells, k)
 				continue
 			}
 			used[k.proxyIncarnation] = true
 		}
-		if len(of) == 0 || f.states[id] != nil && !there[id] {
+		if len(serverCells) == 0 || f.states[id] != nil && !listed[id] {
 			delete(f.cells, id)
 		}
 	}
@@ -194,7 +197,7 @@
 		}
 	}
 	for id := range f.states {
-		if !there[id] {
+		if !listed[id] {
 			delete(f.states, id)
 		}
 	}
--- a/internal/dataplane/serverhealth/explore_test.go
+++ b/internal/dataplane/serverhealth/explore_test.go
@@ -32,7 +32,7 @@
 
 const maxDisruptions = 1
 
-// step is one of what may happen: what, at a proxy.
+// step is one event, at one proxy.
 type step struct {
 	what  byte
 	proxy int
@@ -171,7 +171,7 @@
 	}
 	for g, n := range p.storedCounts() {
 		if n > p.seen[g] {
-			return fmt.Sprintf("of %d outcomes at g%d %d are held", p.seen[g], g, n)
+			return fmt.Sprintf("g%[2]d observed %[1]d outcomes, the replica holds %[3]d", p.seen[g], g, n)
 		}
 	}
 	for g := range p.proxies {
@@ -191,7 +191,7 @@
 	return ""
 }
 
-// explore goes through all orders of steps, each state once.
+// explore visits all states reachable by any order of steps, each once.
 func explore(fault string) (states int, wrong string) {
 	known := map[string]bool{}
 	var walk func(done []step, level Level) string
@@ -199,7 +199,7 @@
 		p := newExploredState(fault)
 		for i, s := range done {
 			if i == len(done)-1 {
-				p.level = level // as it was found before
+				p.level = level // as found on the way to this state
 			}
 			p.apply(s, i == len(done)-1)
 		}
@@ -223,7 +223,8 @@
 	return len(known), wrong
 }
 
-// Whatever is lost, doubled, late, or begun anew: in the end a replica holds what was seen, never more, and pardons nobody.
+// With lost, duplicated and late reports and restarts of the replica, the replica finally holds exactly the observed outcomes,
+// and a restart never clears a verdict.
 func TestExplore(t *testing.T) {
 	states, wrong := explore("")
 	assert.Equal(t, wrong, "")
--- a/internal/dataplane/serverhealth/measure_test.go
+++ b/internal/dataplane/serverhealth/measure_test.go
@@ -51,7 +51,7 @@
 	loss float64 // unclear by the network
 	own  map[[2]int]*localJudge
 	cost time.Duration
-	done bool // the floor is not asked any more
+	done bool // skip further evaluations
 }
 
 func newLargeFleet(seed uint64, rate, loss float64) *largeFleet {
@@ -182,14 +182,14 @@
 	}
 }
 
-// TestBytes prints what telling costs on held connections: 90 proxies of one outcome a second each, and one verdict.
+// TestBytes prints the bytes sent on open connections for 90 proxies with one outcome per second each, and one verdict.
 func TestBytes(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("a measurement")
 	}
 	l := newLargeFleet(1, 90./40, 0.02)
 	var up, down bytes.Buffer
-	tell, say, told, was := gob.NewEncoder(&up), gob.NewEncoder(&down), uint64(0), (*Verdicts)(nil)
+	reportEncoder, verdictEncoder, sequence, previous := gob.NewEncoder(&up), gob.NewEncoder(&down), uint64(0), (*Verdicts)(nil)
 	began, first := l.now, 0
 	for l.now-began < 5*time.Minute {
 		l.second(l.now-began > time.Minute)
@@ -203,13 +203,13 @@
 		if p := l.last.DiffFrom(was); p != nil && say.Encode(p) != nil {
 			t.Fatal("not encoded")
 		}
-		was = l.last
+		previous = l.last
 	}
 	fmt.Printf("a proxy tells %d bytes a second, and %d at first; it is told %d of verdicts in %v\n", (up.Len()-first)/300, first, down.Len(), l.now-began)
 }
 
-// TestReturn prints what it costs that a server that lost half of its records for half a minute, or for good, returns by
-// trials: a ninth of the proxies in each round, each with the first record of the service that it has.
+// TestReturn prints the cost of trials for a server that fails half of its at-most-once requests, for half a minute or for
+// good. A ninth of the proxies run trials in each round, each with its first at-most-once request for the service.
 func TestReturn(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("a measurement")
--- a/internal/dataplane/serverhealth/word.go
+++ b/internal/dataplane/serverhealth/override.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Override is an operator's judgement of a server.
+// Override is a level that an operator set for a server.
 type Override struct {
 	Level Level
 	Why   string
 }
 
-// ApplyOverrides replaces verdicts by operators' judgements, which hold regardless of Bound, and returns a new list.
-func ApplyOverrides(servers []Server, list []Verdict, words map[string]Override) []Verdict {
-	if len(words) == 0 {
+// ApplyOverrides replaces verdicts by operators' overrides, to which LimitExcluded does not apply, and returns a new list.
+func ApplyOverrides(servers []Server, list []Verdict, overrides map[string]Override) []Verdict {
+	if len(overrides) == 0 {
 		return list
 	}
 	all := index(list)
 	for _, s := range servers {
-		w, ok := words[s.ID]
+		w, ok := overrides[s.ID]
 		if !ok {
 			continue
 		}
@@ -35,10 +35,10 @@
 	Proxy, Zone string
 	Kind        Kind
 	Counts      [outcomeCount]int
-	Weight      float64 // of its statements, 0 to 1
+	Weight      float64 // of the proxy's evidence, 0 to 1
 }
 
-// EvidenceByProxy returns the evidence on a server by proxy and kind, summed over the lives of a proxy.
+// EvidenceByProxy returns the evidence on a server by proxy and kind, summed over the incarnations of each proxy.
 func (f *Evaluator) EvidenceByProxy(server string) (list []ProxyEvidence) {
 	type key struct {
 		name string
--- a/internal/dataplane/serverhealth/pack.go
+++ b/internal/dataplane/serverhealth/pack.go
@@ -51,7 +51,7 @@
 		}
 		return 0
 	})
-	s.Observations = kept[:most]
+	s.Observations = kept[:limit]
 }
 
 // atMostOncePreference is the factor by which observations of records are preferred to those of searches.
@@ -78,7 +78,7 @@
 	return &p
 }
 
-// Pack returns the compact form of a report, in which each server is named once.
+// Pack encodes a report compactly; each server name is written once.
 func (s *Report) Pack() []byte {
 	var names []string
 	at := map[string]int{}
@@ -130,7 +130,7 @@
 
 var errMalformedReport = errors.New("serverhealth: not the form of a report")
 
-// unpacker reads what Pack wrote; after the first thing that is wrong all it reads is zero.
+// unpacker decodes the output of Pack. After the first error, every read returns a zero value.
 type unpacker struct {
 	data   []byte
 	failed bool
@@ -178,7 +178,7 @@
 	return t
 }
 
-// Unpack reads a packed report. Malformed and oversized ones are errors.
+// Unpack decodes a packed report. It returns an error for a malformed report and for one larger than MaxReportBytes.
 func Unpack(b []byte) (*Report, error) {
 	u := &unpacker{data: b}
 	if len(b) > MaxReportBytes || u.octet() != packVersion {
--- a/internal/dataplane/serverhealth/recorder.go
+++ b/internal/dataplane/serverhealth/recorder.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds of memory.
+// Limits and thresholds of a recorder.
 const (
 	maxObservations     = 8192 // at a proxy
 	recentlyTriedWindow = time.Minute
@@ -30,7 +30,8 @@
 	sequence   uint64 // of its last change
 }
 
-// Recorder collects a proxy's observations of servers. Times are those of the proxy's monotonic clock.
+// Recorder collects a proxy's observations of servers. Times are those of the proxy's monotonic clock. It is not safe for
+// concurrent use.
 type Recorder struct {
 	name, zone     string
 	incarnation    int64
@@ -39,14 +40,14 @@
 	sequence       uint64 // of the last change
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder for one incarnation of a proxy.
 func NewRecorder(name, zone string, life int64) *Recorder {
 	return &Recorder{name: name, zone: zone, incarnation: life, observations: map[observationKey]*binCounts{}, unreliableBins: map[int32]bool{}}
 }
 
 func binOf(now time.Duration) int32 { return int32(now / BinDuration) }
 
-// Add records the outcome of an attempt.
+// Add records the outcome of an attempt. It ignores unknown kinds and outcomes.
 func (b *Recorder) Add(now time.Duration, server string, kind Kind, group uint8, o Outcome) {
 	if kind >= kindCount || o >= outcomeCount {
 		return
--- a/internal/dataplane/serverhealth/report.go
+++ b/internal/dataplane/serverhealth/report.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind tells whether a request may be repeated.
+// Kind is whether a request may run more than once.
 type Kind uint8
 
 // The kinds.
@@ -15,7 +15,7 @@
 	kindCount
 )
 
-// Outcome is how one attempt at a server ended, as its proxy saw it.
+// Outcome is the result of one attempt at a server, as observed by the proxy.
 type Outcome uint8
 
 // The outcomes.
@@ -28,25 +28,25 @@
 	outcomeCount
 )
 
-// Groups is the number of tenant groups. A tenant is always in the same group.
+// Groups is the number of tenant groups. Each tenant is always in the same group.
 const Groups = 16
 
-// Group returns the group of a tenant, the same at all proxies. Requests without a tenant are in that of the empty name.
+// Group returns the group of a tenant, the same at all proxies. Requests without a tenant are in the group of the empty name.
 func Group(tenant string) uint8 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(tenant))
 	return uint8(h.Sum32() % Groups)
 }
 
-// Spans of evidence.
+// Times of evidence.
 const (
 	BinDuration = 2 * time.Second   // of one bin
 	Window      = 300 * time.Second // what is older counts no more
 	halfLife    = 150 * time.Second // after so long it counts half
 )
 
-// Report holds a proxy's observations of servers. Reports may be joined in any order and repeatedly; a lost one is made up
-// for by the next complete one.
+// Report holds a proxy's observations of servers. Reports may be combined in any order and more than once; the next complete
+// report replaces a lost one.
 type Report struct {
 	Proxy        string        // the proxy's name
 	Incarnation  int64         // of the proxy's process
@@ -62,7 +62,7 @@
 // MaxFailing is the most names in Report.Failing.
 const MaxFailing = 64
 
-// Observation is what a proxy saw of one server, of one kind and group of tenants, in one span.
+// Observation holds a proxy's outcomes at one server, for one kind and tenant group, in one bin.
 type Observation struct {
 	Server     string // its life
 	Kind       Kind
--- a/internal/dataplane/serverhealth/stories_test.go
+++ b/internal/dataplane/serverhealth/scenarios_test.go
@@ -9,13 +9,13 @@
 )
 
 var scenarios = map[string]func(y *fleetFixture) string{
-	"one tenant condemns none": func(y *fleetFixture) string {
+	"one tenant cannot make a server unfit": func(y *fleetFixture) string {
 		for g := range y.proxies {
 			y.observe(g, 0, AtMostOnce, 3, Unclear, 40)
 		}
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"one tenant absolves none": func(y *fleetFixture) string {
+	"one tenant cannot clear a server": func(y *fleetFixture) string {
 		for g := range y.proxies {
 			y.observe(g, 0, AtMostOnce, uint8(g%4), Unclear, 3)
 			y.observe(g, 0, AtMostOnce, uint8(g%4), Confirmed, 6)
@@ -26,7 +26,7 @@
 		}
 		return y.wantLevel(UnfitAtMostOnce)
 	},
-	"a path condemns for nobody": func(y *fleetFixture) string {
+	"one faulty network path does not make a server unfit": func(y *fleetFixture) string {
 		for range 2 {
 			y.observeAll(func(g, s, _ int) Outcome {
 				if g%3 == 0 && s == 0 {
@@ -37,7 +37,7 @@
 		}
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"a bad recorder serves searches": func(y *fleetFixture) string {
+	"a server that fails at-most-once requests keeps repeatable ones": func(y *fleetFixture) string {
 		lost := 0
 		for n := 0; y.last == nil || y.verdict(0).Level < UnfitAtMostOnce; n++ {
 			if y.observe(n%len(y.proxies), 0, AtMostOnce, uint8(n%5), Outcome(n%2*int(Unclear)), 1); n%2 == 1 {
@@ -46,7 +46,7 @@
 			y.observe(n%len(y.proxies), 0, Repeatable, uint8(n%5), Confirmed, 1)
 			y.observeOthersHealthy(AtMostOnce)
 			if y.step(); lost > 8 {
-				return "not condemned by the eighth unclear outcome"
+				return "not unfit after the eighth unclear outcome"
 			}
 		}
 		if v := y.verdict(0); !v.Level.Serves(Repeatable) || v.Level.Serves(AtMostOnce) || v.Against < 2 {
@@ -54,7 +54,7 @@
 		}
 		return ""
 	},
-	"one proxy condemns none": func(y *fleetFixture) string {
+	"one proxy cannot make a server unfit": func(y *fleetFixture) string {
 		for group := range uint8(8) {
 			y.observe(0, 0, AtMostOnce, group, Unclear, 10)
 		}
@@ -63,19 +63,19 @@
 		if wrong := y.wantLevel(Fit, Doubtful); wrong != "" {
 			return wrong
 		}
-		for _, g := range y.proxies { // nor where there is no second zone that would have to agree
+		for _, g := range y.proxies { // nor if there is no second zone to confirm it
 			g.zone = "a"
 		}
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"one region condemns none": func(y *fleetFixture) string {
+	"one region cannot make a server unfit": func(y *fleetFixture) string {
 		y.evaluator.SetRegions(map[string]string{"a": "north", "b": "north", "c": "south", "d": "south"})
 		for i, g := range y.proxies {
 			g.zone = string(rune('a' + i%4))
 			y.observe(i, 0, AtMostOnce, uint8(i), Confirmed, 1)
 		}
 		y.step()
-		y.now += 2 * BinDuration // lately the south has not been at server 0
+		y.now += 2 * BinDuration // the south has not used server 0 recently
 		for i := range y.proxies {
 			if i%4 < 2 {
 				y.observe(i, 0, AtMostOnce, uint8(i), Unclear, 2)
@@ -84,10 +84,10 @@
 		y.observeOthersHealthy(AtMostOnce)
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"who accuses does not go before who has nothing to tell": func(y *fleetFixture) string {
+	"reports of failures are not evaluated before the other proxies have reported": func(y *fleetFixture) string {
 		y.observeAll(func(int, int, int) Outcome { return Confirmed })
 		y.step()
-		accuses := func(g int) bool { return g < 3 } // one in each zone
+		accuses := func(g int) bool { return g < 3 } // one proxy in each zone
 		for range 3 {
 			for g := range y.proxies {
 				o, times := Confirmed, 2
@@ -99,12 +99,12 @@
 			y.observeOthersHealthy(AtMostOnce)
 			y.stepWith(accuses)
 			if y.verdict(0).Level >= UnfitAtMostOnce {
-				return fmt.Sprint("before the others have told: ", y.verdict(0))
+				return fmt.Sprint("unfit before the other proxies have reported: ", y.verdict(0))
 			}
 		}
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"a proxy that has fallen silent holds up no verdict": func(y *fleetFixture) string {
+	"a silent proxy does not delay verdicts": func(y *fleetFixture) string {
 		y.observeAll(func(int, int, int) Outcome { return Confirmed })
 		y.step()
 		for range int(SilentAfter/time.Second) + 2 {
@@ -116,17 +116,17 @@
 		}
 		return y.wantLevel(UnfitAtMostOnce)
 	},
-	"proxies that fail at all condemn none": func(y *fleetFixture) string {
+	"proxies that fail at all servers make none unfit": func(y *fleetFixture) string {
 		y.observeAll(func(g, s, _ int) Outcome { return Confirmed })
 		for _, g := range []int{0, 1, 3, 4} {
-			y.proxies[g].observations = map[observationKey]*binCounts{} // it has seen these four alone
+			y.proxies[g].observations = map[observationKey]*binCounts{} // the proxy has used only these four servers
 			for s := range 4 {
 				y.observe(g, s, AtMostOnce, uint8(g), Unclear, 5)
 			}
 		}
 		return y.wantLevel(Fit)
 	},
-	"ill proxies count little": func(y *fleetFixture) string {
+	"unreliable proxies have little weight": func(y *fleetFixture) string {
 		for g := range 6 {
 			y.observe(g, 0, AtMostOnce, uint8(g), Unclear, 1)
 			y.proxies[g].MarkUnreliable(y.now - time.Duration(g)*time.Minute/7)
@@ -138,7 +138,7 @@
 		}
 		return y.wantLevel(Fit)
 	},
-	"half of a service stays": func(y *fleetFixture) string {
+	"half of a service stays in use": func(y *fleetFixture) string {
 		for range 20 {
 			y.observeAll(func(_, s, _ int) Outcome { return Outcome(s % 2 * int(Unclear)) })
 			y.observeAll(func(_, s, _ int) Outcome { return Confirmed })
@@ -151,11 +151,11 @@
 			}
 		}
 		if out == 0 {
-			return "none is out"
+			return "no server is excluded"
 		}
 		return y.violation
 	},
-	"doubled evidence counts once": func(y *fleetFixture) string {
+	"duplicated reports count once": func(y *fleetFixture) string {
 		y.duplicates = 3
 		for g := range 3 {
 			y.observe(g, 0, AtMostOnce, uint8(g), Unclear, 1)
@@ -163,12 +163,12 @@
 		y.observeOthersHealthy(AtMostOnce)
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"what all show condemns not the first to show it": func(y *fleetFixture) string {
+	"a fault of all servers does not make the first one unfit": func(y *fleetFixture) string {
 		for range 3 {
 			y.observeAll(func(int, int, int) Outcome { return Confirmed })
 			y.step()
 		}
-		y.now += 2 * BinDuration // of the others nothing is seen in the seconds in which this one falls ill
+		y.now += 2 * BinDuration // the other servers have no outcomes in the seconds in which this one fails
 		for g := range y.proxies {
 			y.observe(g, 0, AtMostOnce, uint8(g%4), Unclear, 1)
 		}
@@ -178,7 +178,7 @@
 		y.observeAll(func(int, int, int) Outcome { return Unclear })
 		return y.wantLevel(Fit, Doubtful)
 	},
-	"relapses slow the return": func(y *fleetFixture) string {
+	"relapses delay the return": func(y *fleetFixture) string {
 		trials, _, lost := y.runFaultyServer(time.Hour, 4*time.Minute)
 		if len(trials) < 3 || lost > 60 {
 			return fmt.Sprint("trials at ", trials, ", lost ", lost)
@@ -190,13 +190,13 @@
 		}
 		return y.violation
 	},
-	"a mended one returns": func(y *fleetFixture) string {
+	"a repaired server returns": func(y *fleetFixture) string {
 		if _, fit, _ := y.runFaultyServer(6*time.Second, 40*time.Second); fit == 0 {
-			return fmt.Sprint("it does not: ", y.verdict(0))
+			return fmt.Sprint("it has not returned: ", y.verdict(0))
 		}
 		return y.violation
 	},
-	"a server that fails at all goes": func(y *fleetFixture) string {
+	"a server that fails repeatable requests is unfit for all": func(y *fleetFixture) string {
 		for g := range y.proxies {
 			y.observe(g, 0, Repeatable, uint8(g%4), Unclear, 2)
 		}
@@ -213,11 +213,11 @@
 
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for fault, name := range map[string]string{
-		"no group cap": "one tenant condemns none", "one group absolves": "one tenant absolves none",
-		"one zone condemns": "a path condemns for nobody", "no witness cap": "one proxy condemns none",
-		"trusts all": "proxies that fail at all condemn none", "hears the ill": "ill proxies count little",
-		"no rest asked": "one region condemns none", "no watermark": "who accuses does not go before who has nothing to tell",
-		"no control group": "what all show condemns not the first to show it", "no bound": "half of a service stays", "adds": "doubled evidence counts once", "forgives": "relapses slow the return",
+		"no group cap": "one tenant cannot make a server unfit", "one group absolves": "one tenant cannot clear a server",
+		"one zone condemns": "one faulty network path does not make a server unfit", "no witness cap": "one proxy cannot make a server unfit",
+		"trusts all": "proxies that fail at all servers make none unfit", "hears the ill": "unreliable proxies have little weight",
+		"no rest asked": "one region cannot make a server unfit", "no watermark": "reports of failures are not evaluated before the other proxies have reported",
+		"no control group": "a fault of all servers does not make the first one unfit", "no bound": "half of a service stays in use", "adds": "duplicated reports count once", "forgives": "relapses delay the return",
 	} {
 		t.Run(fault, func(t *testing.T) { assert.Assert(t, scenarios[name](newFleetFixture(fault, 12, 12)) != "") })
 	}
--- a/internal/dataplane/serverhealth/serverhealth_test.go
+++ b/internal/dataplane/serverhealth/serverhealth_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// What is drawn is the same in every run, unless -rapid.seed says otherwise.
+// Property tests use a fixed seed, unless -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 // fleetFixture is a fleet of proxies in three zones, two services of servers, and one floor that hears all proxies each second.
@@ -42,7 +42,7 @@
 
 func (y *fleetFixture) observe(proxy, server int, kind Kind, group uint8, o Outcome, times int) {
 	for range times {
-		y.proxies[proxy].Add(y.now-time.Duration(proxy)*time.Minute/7, y.servers[server].ID, kind, group, o) // clocks differ
+		y.proxies[proxy].Add(y.now-time.Duration(proxy)*time.Minute/7, y.servers[server].ID, kind, group, o) // the proxies' clocks differ
 	}
 }
 
@@ -152,7 +152,7 @@
 	return trials, fit, lost
 }
 
-// Evidence in any order, doubled, and lost and made good by a whole one comes to the same.
+// Reports in any order, duplicated, or lost and followed by a complete report give the same verdicts.
 func TestFolding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		y := newFleetFixture("", 6, 6)
@@ -186,7 +186,7 @@
 	})
 }
 
-// Whatever one tenant sees, it neither condemns one of whom all others speak well nor absolves one whom they condemn.
+// Outcomes of one tenant neither make a server unfit that all others find healthy, nor clear one that the others find unfit.
 func TestNoTenantAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		good := rapid.Bool().Draw(t, "good")
@@ -216,7 +216,7 @@
 	})
 }
 
-// Lists of verdicts fold as they were, age, and keep to the part of a service when two replicas' are joined.
+// Partial verdicts restore the complete list, levels age, and merged lists stay within the limit of excluded servers.
 func TestVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := newFleetFixture("", 1, 8).servers
@@ -256,7 +256,7 @@
 	assert.Equal(t, Doubtful.Aged(ExpiredAfter+1), Fit)
 }
 
-// A replica that becomes a server's keeper pardons nothing, and memory has bounds.
+// A replica that becomes responsible for a server clears no verdict, and memory stays bounded.
 func TestAdoptAndBounds(t *testing.T) {
 	y := newFleetFixture("", 12, 12)
 	_, _, _ = y.runFaultyServer(time.Hour, time.Minute)
--- a/internal/dataplane/serverhealth/record.go
+++ b/internal/dataplane/serverhealth/serverstate.go
@@ -11,18 +11,18 @@
 
 // Conditions under which a server returns to use.
 const (
-	clearBeforeFit         = 5 * time.Second  // without doubt, before a doubtful one is fit
-	doubtTrialDelay        = time.Second      // before trials of a doubtful one, from which a verdict may follow
-	minTrialDelay          = 5 * time.Second  // before the first trials; twice as long after each relapse
-	maxTrialDelay          = 5 * time.Minute  // at most
-	trialTimeout           = 30 * time.Second // in which trials must end, if anything in them was unclear
-	minTrialSuccesses      = 5.0              // confirmed, ...
-	maxTrialGroupSuccesses = 3.0              // ... at most so many of one group, ...
-	minTrialSuccessRatio   = 8.0              // ... and so many for each unclear one
-	trialFailureLimit      = 1.5              // unclear, at most 1 of one group: a relapse
-	relapseDecay           = 10 * time.Minute // fit for so long takes one relapse away; and so long without a statement ends a verdict
+	clearBeforeFit         = 5 * time.Second  // without evidence against a doubtful server, before it is fit
+	doubtTrialDelay        = time.Second      // before trials of a doubtful server, whose outcomes allow a verdict
+	minTrialDelay          = 5 * time.Second  // before the first trials; doubled by each relapse
+	maxTrialDelay          = 5 * time.Minute  // limit of that delay
+	trialTimeout           = 30 * time.Second // after which trials with any weight against the server have failed
+	minTrialSuccesses      = 5.0              // weight of confirmed trials that ends them, ...
+	maxTrialGroupSuccesses = 3.0              // ... counting at most this much of one group, ...
+	minTrialSuccessRatio   = 8.0              // ... and at least this much for each unclear one
+	trialFailureLimit      = 1.5              // weight of unclear trials, counting at most 1 of one group, that is a relapse
+	relapseDecay           = 10 * time.Minute // each such time as fit removes one relapse; such a time of trials without any outcome ends a verdict
 	maxRelapses            = 6
-	trialRound             = time.Second // of trials
+	trialRound             = time.Second // duration of a round of trials
 )
 
 // Reasons given for levels.
@@ -35,19 +35,19 @@
 	whyFew     = "some unclear outcomes"
 )
 
-// never is before all spans: those of a proxy that runs longer than its replica began before the replica's clock did.
+// never is earlier than all bins. Bins of a proxy that has run longer than the replica have negative times.
 const never = time.Duration(math.MinInt64)
 
-// serverState is what a floor holds of one server.
+// serverState is an evaluator's state of one server.
 type serverState struct {
 	level          Level
 	why            string
-	since          time.Duration // of the level
-	trialStart     time.Duration // when trials began; 0: none
-	clearSince     time.Duration // since when nothing speaks against it
+	since          time.Duration // start of the level
+	trialStart     time.Duration // start of trials; 0 if there are none
+	clearSince     time.Duration // start of the time without evidence against the server
 	lastEvaluation evaluation
 	relapses       int
-	returned       time.Duration // when it last came back, or never; evidence from before counts no more
+	returned       time.Duration // time of the last return to use, or never; earlier evidence is ignored
 }
 
 func (s *serverState) setLevel(now time.Duration, l Level, why string) {
@@ -61,7 +61,7 @@
 	return min(maxTrialDelay, minTrialDelay<<s.relapses)
 }
 
-// Evaluate joins all reports into verdicts on the given servers. The caller sets By and Stamp.
+// Evaluate computes verdicts on the given servers from all reports. The caller sets By and Stamp.
 func (f *Evaluator) Evaluate(now time.Duration, servers []Server) *Verdicts {
 	f.now, f.servers = max(f.now, now), servers
 	f.expire()
@@ -91,18 +91,18 @@
 	return &Verdicts{List: LimitExcluded(servers, list)}
 }
 
-// updateBaselines takes what is usual anew.
+// updateBaselines recomputes the baselines of both kinds.
 func (f *Evaluator) updateBaselines() {
 	f.baselines, f.baselineTime = [kindCount]*baseline{f.computeBaseline(Repeatable, f.completeUntil), f.computeBaseline(AtMostOnce, f.completeUntil)}, f.now
 }
 
-// evaluateComplete are what is settled of a server: what was seen up to the moment to which all proxies that are there have told.
+// evaluateComplete evaluates a server's evidence up to the time to which all active proxies have reported.
 func (f *Evaluator) evaluateComplete(id string, s *serverState) (search, record evaluation) {
 	return f.evaluateServer(id, Repeatable, s.returned, f.completeUntil), f.evaluateServer(id, AtMostOnce, s.returned, f.completeUntil)
 }
 
-// evaluateDoubt tells whether what is settled, or else what only some have told yet, makes a server doubtful. Proxies tell more
-// often while there is a doubt, so that more is settled soon.
+// evaluateDoubt reports whether a server is doubtful by the complete evidence, or else by evidence that only some proxies
+// have reported yet. Proxies report more often while a server is doubtful, so the evidence is complete sooner.
 func (f *Evaluator) evaluateDoubt(id string, s *serverState, search, record evaluation) (evaluation, bool) {
 	switch {
 	case f.isDoubtful(record):
@@ -132,7 +132,7 @@
 	search, record := f.evaluateComplete(id, s)
 	doubt, doubted := f.evaluateDoubt(id, s, search, record)
 	worse := doubted && s.level == Fit || search.unfit || record.unfit
-	if worse && f.baselineTime != f.now { // what speaks against it may be new to all
+	if worse && f.baselineTime != f.now { // the failures may have begun at all servers since the last baseline
 		f.updateBaselines()
 		search, record = f.evaluateComplete(id, s)
 		doubt, doubted = f.evaluateDoubt(id, s, search, record)
@@ -149,10 +149,10 @@
 			s.setLevel(f.now, Doubtful, whyFew)
 		}
 		if s.trialStart == 0 && f.now-s.since >= doubtTrialDelay {
-			s.trialStart = f.now // records go elsewhere: without trials nothing more would be heard of it
+			s.trialStart = f.now // at-most-once requests go elsewhere, so only trials give further evidence
 		}
 	case record.bad >= minFailures/4 && record.share >= record.threshold.share/2:
-		s.clearSince = f.now // neither: as it was
+		s.clearSince = f.now // too little to be doubtful, too much to be fit: keep the level
 	case s.level == Doubtful && f.now-s.clearSince >= clearBeforeFit:
 		s.setLevel(f.now, Fit, "")
 	}
@@ -166,7 +166,7 @@
 	s.lastEvaluation = r
 }
 
-// updateTrials lets a server that is out come back by its trials.
+// updateTrials returns an unfit server to use if its trials succeed.
 func (f *Evaluator) updateTrials(id string, s *serverState) {
 	if s.trialStart == 0 {
 		if f.now-s.clearSince >= s.trialDelay() {
@@ -197,10 +197,10 @@
 	}
 }
 
-// trialOutcomes sums trials, with a cap for each group.
-func trialOutcomes(voices map[string]*proxyTotals) (good, bad float64) {
+// trialOutcomes sums the outcomes of trials, with a cap for each group.
+func trialOutcomes(totals map[string]*proxyTotals) (good, bad float64) {
 	var group [Groups][2]float64
-	for _, v := range voices {
+	for _, v := range totals {
 		for g, x := range v.byGroup {
 			group[g][0] += float64(x[0]) / weightUnit
 			group[g][1] += float64(x[1]) / weightUnit
@@ -213,8 +213,8 @@
 	return good, bad
 }
 
-// Adopt takes over another replica's verdicts on servers on which this one has none, so that a change of the keeping
-// replica does not clear them.
+// Adopt takes over another replica's verdicts on servers for which this evaluator has none, so that a change of the
+// responsible replica does not clear them.
 func (f *Evaluator) Adopt(now time.Duration, list []Verdict) {
 	f.now = max(f.now, now)
 	for _, v := range list {
@@ -226,9 +226,9 @@
 	}
 }
 
-// TrialProxies selects the proxies that may send one trial each in a round of a verdict: at most a number of them, others in
-// each round.
-func TrialProxies(v *Verdict, proxies []string, most int) []string {
+// TrialProxies selects the proxies that may send one trial request each in a verdict's current round, at most the given
+// number. The selection changes with each round.
+func TrialProxies(v *Verdict, proxies []string, limit int) []string {
 	type ranked struct {
 		name   string
 		weight uint64
@@ -251,7 +251,7 @@
 		return strings.Compare(a.name, b.name)
 	})
 	var names []string
-	for _, r := range all[:min(most, len(all))] {
+	for _, r := range all[:min(limit, len(all))] {
 		names = append(names, r.name)
 	}
 	return names
