--- a/internal/dataplane/routing/routing_test.go
+++ b/internal/dataplane/routing/routing_test.go
@@ -220,7 +220,7 @@
 				Library: keyring.Library{Number: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "library")}}
 			want := k.Effect
 			if k.IdempotencyKey != "" {
-				other, reach := false, time.Duration(0) // a live trace is carried on by each try that adds to it
+				other, reach := false, time.Duration(0) // each attempt extends an entry that is still valid
 				for _, p := range past {
 					if p.key == k.Number+k.IdempotencyKey && now < p.until {
 						want, reach = max(want, p.effect), max(reach, p.until)
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -13,22 +13,22 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// ClientMode says who names the library of a request.
+// ClientMode defines how the library of a request is identified.
 type ClientMode string
 
 // The client modes.
 const (
-	ByKey   ClientMode = "keys"  // ordinary clients, by an API key
-	ByFront ClientMode = "front" // the platform's front, by its own fields
-	ByBoth  ClientMode = "both"  // a request with a key by that, any other by the front's fields
+	ByKey   ClientMode = "keys"  // by the client's API key
+	ByFront ClientMode = "front" // by the fields that the platform's front end sends
+	ByBoth  ClientMode = "both"  // by the API key if the request has one, else by the front end's fields
 )
 
 // Options are the operator's settings other than the route book and the keys.
 type Options struct {
 	Clients       ClientMode
-	ForwardFields []string // header fields that go on to loan servers beside those of the protocol
-	ForwardKeys   bool     // keys go on too
-	ExposeRouting bool     // answers and attempts name revision, operation and units
+	ForwardFields []string // header fields forwarded to servers in addition to the protocol's
+	ForwardKeys   bool     // also forward API keys
+	ExposeRouting bool     // add revision, operation and units to responses and to requests to servers
 }
 
 // Table holds a route book and the settings that requests are resolved by. It is
@@ -43,8 +43,8 @@
 	gateways  int
 }
 
-// fields that this edge node writes itself, or that belong to one connection
-// (RFC 9110, 7.6.1): none is passed on by name.
+// reservedFields are the fields that the proxy writes itself and the hop-by-hop fields
+// (RFC 9110, 7.6.1). ForwardFields must not contain any of them.
 var reservedFields = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host", "Cookie", "X-Request-Id", "Idempotency-Key", "X-Class",
 	"X-Deadline-Ms", "X-Tier", "X-Call-Terms", "X-Retry", OperationField, BookField, UnitsField}
@@ -113,7 +113,7 @@
 	return t, nil
 }
 
-// Revision is the revision of the table's book; "none" where there is no table.
+// Revision returns the revision of the route book, or "none" for a nil table.
 func (t *Table) Revision() string {
 	if t == nil {
 		return "none"
@@ -121,7 +121,7 @@
 	return t.Book.Generation
 }
 
-// policyEffect is the decision module's word for a repeat.
+// policyEffect converts a route's repeat rule to the policy package's effect.
 func policyEffect(r routebook.Repeat) policy.Effect {
 	switch r {
 	case routebook.Safe:
@@ -132,7 +132,7 @@
 	return policy.Unsafe
 }
 
-// maxDeadline is how long a client of an operation may wait.
+// maxDeadline returns the longest deadline that a client of an operation may set.
 func maxDeadline(r *routebook.Route, c *policy.Class) time.Duration {
 	if r.Deadline > 0 {
 		return min(r.Deadline, c.Deadline)
--- a/internal/dataplane/serverhealth/baseline.go
+++ b/internal/dataplane/serverhealth/baseline.go
@@ -10,14 +10,14 @@
 // A server is compared with the other servers of the same control replica: with their usual share of failures, recent and
 // long-term, and with a control group, which is the others' outcomes in the same seconds as the evidence against the server.
 const (
-	minOthers      = 3   // servers of which enough was seen lately, for what is usual lately
-	strataCount    = 7   // of the evidence: one for each of so many spans, what lies in it and in no shorter one
-	longSpan       = 6   // index in spans of what is usual for long
-	pseudoFailures = 2.0 // outcomes that are added to those of a control group, so that few of them prove little:
+	minOthers      = 3   // servers with enough recent evidence, before a recent usual share is used
+	strataCount    = 7   // stratum i holds the evidence that lies in spans[i] but in no shorter span
+	longSpan       = 6   // index in spans for the long-term usual share
+	pseudoFailures = 2.0 // outcomes added to those of a control group, so that a small group carries little weight:
 	pseudoOutcomes = 4.0 // the "plus four" estimate of a share (Agresti and Coull, 1998)
 )
 
-// recentSpans are indices in spans.
+// recentSpans are the indices in spans for the recent usual share.
 var recentSpans = [...]int{1, 3}
 
 // evidence holds the weights against and for a server, in outcomes.
@@ -32,25 +32,25 @@
 
 // baseline summarizes the evidence on all servers of a control replica, by server.
 type baseline struct {
-	shares  [strataCount]map[string]float64  // in each span, of those of which enough was seen
+	shares  [strataCount]map[string]float64  // share of failures in each span, for servers with enough evidence
 	stratum [strataCount]map[string]evidence // in each stratum
 }
 
-// computeBaseline looks at all servers' evidence up to a moment.
+// computeBaseline summarizes all servers' evidence up to a time.
 func (f *Evaluator) computeBaseline(kind Kind, until time.Duration) *baseline {
 	b := &baseline{}
 	for i := range strataCount {
 		b.shares[i], b.stratum[i] = map[string]float64{}, map[string]evidence{}
 	}
 	for id := range f.cells {
-		voices := map[string]*proxyTotals{}
+		totals := map[string]*proxyTotals{}
 		for i, list := range f.weightedCells(id, kind, until-spans[longSpan], until, 0)[:strataCount] {
 			if len(list) > 0 {
 				r := f.combine(addCells(map[string]*proxyTotals{}, list), thresholdFor(0))
 				b.stratum[i][id] = evidence{r.bad, r.good}
 			}
-			addCells(voices, list)
-			if r := f.combine(voices, thresholdFor(0)); r.bad+r.good >= minFailures {
+			addCells(totals, list)
+			if r := f.combine(totals, thresholdFor(0)); r.bad+r.good >= minFailures {
 				b.shares[i][id] = r.plainShare
 			}
 		}
@@ -68,8 +68,8 @@
 				others = append(others, x)
 			}
 		}
-		lately := slices.Contains(recentSpans[:], i) && len(others) >= minOthers
-		if i == longSpan || lately {
+		isRecent := slices.Contains(recentSpans[:], i) && len(others) >= minOthers
+		if i == longSpan || isRecent {
 			usual = max(usual, lowerMedian(others))
 		}
 	}
@@ -96,8 +96,8 @@
 	return (group.bad + pseudoFailures) / (group.bad + group.good + pseudoOutcomes)
 }
 
-// standardizedShare is what the control group's shares come to if they are weighted by the seconds from which a server's own
-// outcomes stem (direct standardization). So what befalls all at once condemns none, whichever shows it first.
+// standardizedShare is the control group's share of failures, weighted by the strata of the server's own outcomes (direct
+// standardization). So a fault that affects all servers at once makes none unfit, whichever server shows it first.
 type standardizedShare struct{ expected, outcomes float64 }
 
 func (s *standardizedShare) add(outcomes, share float64) {
@@ -112,14 +112,15 @@
 	return s.expected / s.outcomes
 }
 
-// threshold is what evidence is held against.
+// threshold holds the shares of failures that evidence on a server is compared with.
 type threshold struct {
-	share     float64 // against a server, that condemns it
-	usual     float64 // of outcomes that are unclear anyway, with something to spare
-	unhealthy float64 // of those of an ill server
+	share     float64 // at or above which a server is unfit
+	usual     float64 // expected of a healthy server, with a margin
+	unhealthy float64 // expected of an unhealthy server
 }
 
-// logLikelihoodRatio is how much likelier outcomes against and for a server are of an ill one than of a usual one, in e-folds.
+// logLikelihoodRatio returns the natural logarithm of how much likelier the outcomes are for an unhealthy server than for a
+// healthy one.
 func (b threshold) logLikelihoodRatio(bad, good float64) float64 {
 	return bad*math.Log(b.unhealthy/b.usual) + good*math.Log((1-b.unhealthy)/(1-b.usual))
 }
--- a/internal/dataplane/serverhealth/explore_test.go
+++ b/internal/dataplane/serverhealth/explore_test.go
@@ -8,26 +8,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// exploredState is three proxies that tell one replica, as far as a row of steps has brought them.
+// exploredState is the state of three proxies and one replica after a sequence of steps.
 type exploredState struct {
 	evaluator        *Evaluator
 	fault            string
 	proxies          [3]*Recorder
 	reported         [3]uint64
-	inFlight         [3]*Report // sent and not arrived
+	inFlight         [3]*Report // sent, not yet arrived
 	seen             [3]int
-	late             *Report // a copy that comes once more
+	late             *Report // a duplicate that is still to arrive
 	lost             int
 	duplicates       int
 	starts           int
-	level            Level // the highest told
-	clearedByRestart bool  // by a replica that began anew
+	level            Level // highest level so far
+	clearedByRestart bool  // a restart of the replica lowered the level
 	servers          []Server
 }
 
 const pathNow = time.Hour
 
-// maxOutcomes are the outcomes that each proxy may see, mostTroubles what may go wrong in all.
+// maxOutcomes limits the outcomes that each proxy observes, maxDisruptions the losses, duplicates and restarts in total.
 var maxOutcomes = [3]int{2, 2, 1}
 
 const maxDisruptions = 1
@@ -51,7 +51,7 @@
 	return p
 }
 
-// reportOthers has the floor hear that the other servers do well: those that s0 is compared with.
+// reportOthers reports good outcomes of the other servers, which s0 is compared with.
 func (p *exploredState) reportOthers() {
 	b := NewRecorder("other", "z0", 1)
 	for _, s := range p.servers[1:] {
@@ -61,12 +61,12 @@
 			}
 		}
 	}
-	told, _ := b.ReportSince(pathNow, 0, func(string) bool { return true })
-	p.evaluator.AddReport(pathNow, told)
+	report, _ := b.ReportSince(pathNow, 0, func(string) bool { return true })
+	p.evaluator.AddReport(pathNow, report)
 }
 
-// steps are what may happen next: a proxy sees an outcome, tells, its word arrives, arrives and comes again later, or
-// is lost with its connection; the late copy comes; the replica starts anew.
+// steps returns the events that may happen next: a proxy observes an outcome (s), sends a report (t), its report arrives (d),
+// arrives and will be duplicated (a), or is lost with its connection (l); the duplicate arrives (c); the replica restarts (r).
 func (p *exploredState) steps() (all []step) {
 	well := p.duplicates+p.lost+p.starts < maxDisruptions
 	for g := range p.proxies {
@@ -95,7 +95,7 @@
 	return all
 }
 
-// apply takes a step; look: the verdict is looked at after it.
+// apply executes a step. With look, it evaluates the verdict afterwards.
 func (p *exploredState) apply(s step, look bool) {
 	g := s.proxy
 	switch s.what {
@@ -110,7 +110,7 @@
 		}
 		p.inFlight[g] = nil
 	case 'l':
-		p.inFlight[g], p.reported[g], p.lost = nil, 0, 1 // the connection is a new one
+		p.inFlight[g], p.reported[g], p.lost = nil, 0, 1 // a new connection starts with a complete report
 		if p.fault == "goes on after a loss" {
 			p.reported[g] = p.proxies[g].sequence
 		}
@@ -146,7 +146,7 @@
 	return n
 }
 
-// key tells states apart that may go on differently.
+// key returns a text that differs between states with different possible continuations.
 func (p *exploredState) key() string {
 	way := [3]int{}
 	for g, s := range p.inFlight {
@@ -164,10 +164,10 @@
 	return fmt.Sprint(p.seen, p.reported, way, p.storedCounts(), late, p.lost, p.duplicates, p.starts, p.level)
 }
 
-// violation is what is wrong with a state, now or once all that is owed has been told.
+// violation returns the invariant that a state violates, now or after all pending reports have arrived; "" if none.
 func (p *exploredState) violation() string {
 	if p.clearedByRestart {
-		return "a replica that began anew pardons"
+		return "a restart of the replica cleared a verdict"
 	}
 	for g, n := range p.storedCounts() {
 		if n > p.seen[g] {
@@ -182,7 +182,7 @@
 		p.evaluator.AddReport(pathNow, s)
 	}
 	if held := p.storedCounts(); held != p.seen {
-		return fmt.Sprintf("%v were seen, %v are held in the end", p.seen, held)
+		return fmt.Sprintf("%v outcomes were observed, the replica finally holds %v", p.seen, held)
 	}
 	is := p.currentLevel()
 	if all := p.seen[0] + p.seen[1] + p.seen[2]; is < UnfitAtMostOnce && (all > 4 || p.level >= UnfitAtMostOnce) {
--- a/internal/dataplane/serverhealth/measure_test.go
+++ b/internal/dataplane/serverhealth/measure_test.go
@@ -16,12 +16,12 @@
 	calmFor = flag.Duration("serverhealth.calm", time.Hour, "how long false verdicts are counted")
 )
 
-// localJudge is a proxy's own judging of one server, as policy/judge.go does it, but that nothing wears off: so it is better
-// here than there where outcomes are few.
+// localJudge is a proxy's own ejection of one server, a simplified form of the policy package's. Here errors don't decay with
+// time, so it performs better than the policy package when outcomes are few.
 type localJudge struct {
 	errs         float64
-	ejectedUntil time.Duration // out of use
-	first        time.Duration // when it first was; 0: never
+	ejectedUntil time.Duration // ejected until then
+	first        time.Duration // time of the first ejection; 0 if none
 	ejections    int
 }
 
@@ -43,12 +43,12 @@
 	}
 }
 
-// largeFleet is 90 proxies in four zones before 40 servers of 8 services.
+// largeFleet has 90 proxies in four zones and 40 servers of 8 services.
 type largeFleet struct {
 	*fleetFixture
 	rnd  *rand.Rand
-	rate float64 // records a second at each server, over all proxies
-	loss float64 // unclear by the network
+	rate float64 // at-most-once requests per second at each server, over all proxies
+	loss float64 // share of outcomes made unclear by the network
 	own  map[[2]int]*localJudge
 	cost time.Duration
 	done bool // skip further evaluations
@@ -65,7 +65,7 @@
 	return &largeFleet{y, rand.New(rand.NewPCG(seed, 1)), rate, loss, map[[2]int]*localJudge{}, 0, false}
 }
 
-// second plays one, and gives how many records server 0 lost to both, to the floor's proxies and to those alone.
+// second simulates one second. It returns how many unclear outcomes server 0 caused with combined and with local verdicts.
 func (l *largeFleet) second(bad bool) (fleet, apart int) {
 	for s := range l.servers {
 		n := int(l.rate)
@@ -193,14 +193,14 @@
 	began, first := l.now, 0
 	for l.now-began < 5*time.Minute {
 		l.second(l.now-began > time.Minute)
-		s, no := l.proxies[0].ReportSince(l.now, told, func(string) bool { return true })
-		if told = no; s.Observations != nil && tell.Encode(s) != nil {
+		s, no := l.proxies[0].ReportSince(l.now, sequence, func(string) bool { return true })
+		if sequence = no; s.Observations != nil && reportEncoder.Encode(s) != nil {
 			t.Fatal("not encoded")
 		}
 		if first == 0 {
 			first = up.Len()
 		}
-		if p := l.last.DiffFrom(was); p != nil && say.Encode(p) != nil {
+		if p := l.last.DiffFrom(previous); p != nil && verdictEncoder.Encode(p) != nil {
 			t.Fatal("not encoded")
 		}
 		previous = l.last
--- a/internal/dataplane/serverhealth/pack.go
+++ b/internal/dataplane/serverhealth/pack.go
@@ -11,19 +11,19 @@
 
 // Limits of reports.
 const (
-	MaxReportBytes       = 16 << 10 // bytes of one packed
-	MaxDeltaObservations = 24       // observations of a usual Report, ...
-	MaxFullObservations  = 256      // ... and of a whole one
-	maxNameBytes         = 256      // bytes of a name
+	MaxReportBytes       = 16 << 10 // size of a packed report
+	MaxDeltaObservations = 24       // observations in a report of changes, ...
+	MaxFullObservations  = 256      // ... and in a complete report
+	maxNameBytes         = 256      // of the name of a proxy, zone or server
 )
 
 const packVersion = 1
 
-// Sample drops observations beyond a number. Which ones stay depends on server, group and span, never on how attempts ended,
-// so that the remaining evidence is an unbiased sample. Observations of records are preferred to those of searches, which
-// are many.
-func (s *Report) Sample(most int) {
-	if len(s.Observations) <= most {
+// Sample reduces the observations to the given number. The choice depends on server, group and bin, never on outcomes, so
+// the remaining evidence is an unbiased sample. Observations of at-most-once requests are preferred to those of repeatable
+// requests, which are far more frequent.
+func (s *Report) Sample(limit int) {
+	if len(s.Observations) <= limit {
 		return
 	}
 	rank := func(e *Observation) uint64 {
@@ -31,7 +31,7 @@
 		_, _ = h.Write([]byte(s.Proxy + "\x00" + e.Server))
 		_, _ = h.Write(binary.AppendVarint([]byte{e.Group}, int64(e.Bin)))
 		v := h.Sum64()
-		v = (v ^ v>>31) * 0x9e3779b97f4a7c15 // sums of like texts are near each other
+		v = (v ^ v>>31) * 0x9e3779b97f4a7c15 // FNV hashes of similar inputs are close to each other
 		if e.Kind == AtMostOnce {
 			v /= atMostOncePreference
 		}
@@ -54,10 +54,10 @@
 	s.Observations = kept[:limit]
 }
 
-// atMostOncePreference is the factor by which observations of records are preferred to those of searches.
+// atMostOncePreference is the factor by which observations of at-most-once requests are preferred to those of repeatable ones.
 const atMostOncePreference = 4
 
-// HasFailures tells whether a report holds evidence against a server.
+// HasFailures reports whether a report holds evidence against any server.
 func (s *Report) HasFailures() bool {
 	return slices.ContainsFunc(s.Observations, func(e Observation) bool {
 		bad, _ := e.Counts.weightedSums()
@@ -65,8 +65,8 @@
 	})
 }
 
-// ForServers returns a report with the observations of some servers only. One without observations still tells up to when its
-// witness has reported.
+// ForServers returns a copy of the report with only the observations of the selected servers. A report without observations
+// still shows up to what time its proxy has reported.
 func (s *Report) ForServers(mine func(server string) bool) *Report {
 	p := *s
 	p.Observations = nil
@@ -128,7 +128,7 @@
 	return append(b, tail...)
 }
 
-var errMalformedReport = errors.New("serverhealth: not the form of a report")
+var errMalformedReport = errors.New("serverhealth: malformed report")
 
 // unpacker decodes the output of Pack. After the first error, every read returns a zero value.
 type unpacker struct {
@@ -140,7 +140,7 @@
 
 func (u *unpacker) signed() int64 { return readVarint(u, binary.Varint) }
 
-// readVarint reads a number of variable length.
+// readVarint reads a variable-length integer.
 func readVarint[N uint64 | int64](u *unpacker, read func([]byte) (N, int)) N {
 	v, n := read(u.data)
 	if u.failed = u.failed || n <= 0; u.failed {
@@ -150,10 +150,10 @@
 	return v
 }
 
-// numberUpTo reads a number that is no higher than the most.
-func (u *unpacker) numberUpTo(most uint64) int {
+// numberUpTo reads an integer; one above the limit is an error.
+func (u *unpacker) numberUpTo(limit uint64) int {
 	v := u.number()
-	if u.failed = u.failed || v > most; u.failed {
+	if u.failed = u.failed || v > limit; u.failed {
 		return 0
 	}
 	return int(v)
@@ -225,4 +225,4 @@
 	return s, nil
 }
 
-const maxBinsAhead = 1 << 20 // spans by which an observation may lie ahead of its report; what lies so far is never taken in
+const maxBinsAhead = 1 << 20 // limit on the bins by which a decoded observation is later than its report; AddReport ignores such observations
--- a/internal/dataplane/serverhealth/recorder.go
+++ b/internal/dataplane/serverhealth/recorder.go
@@ -10,10 +10,10 @@
 
 // Limits and thresholds of a recorder.
 const (
-	maxObservations     = 8192 // at a proxy
+	maxObservations     = 8192 // kept by a proxy
 	recentlyTriedWindow = time.Minute
-	minFailingShare     = 0.25 // of what a proxy tried at a server
-	unreliableBinsBack  = 2    // before the one in which a proxy finds itself ill: it notices late
+	minFailingShare     = 0.25 // share of failures at which a server is reported as failing
+	unreliableBinsBack  = 2    // bins before the current one that are marked too: a proxy detects its own trouble late
 	maxCount            = math.MaxUint16
 )
 
@@ -27,7 +27,7 @@
 type binCounts struct {
 	counts     Counts
 	unreliable bool
-	sequence   uint64 // of its last change
+	sequence   uint64 // recorder's sequence number at the last change
 }
 
 // Recorder collects a proxy's observations of servers. Times are those of the proxy's monotonic clock. It is not safe for
@@ -37,7 +37,7 @@
 	incarnation    int64
 	observations   map[observationKey]*binCounts
 	unreliableBins map[int32]bool
-	sequence       uint64 // of the last change
+	sequence       uint64 // incremented by each change
 }
 
 // NewRecorder returns an empty recorder for one incarnation of a proxy.
@@ -68,8 +68,8 @@
 	}
 }
 
-// MarkUnreliable records that the proxy itself is starved, cut off or leaving, so that its observations of this moment say little
-// about servers.
+// MarkUnreliable records that the proxy itself is short of CPU, disconnected or shutting down, so its current observations
+// say little about servers.
 func (b *Recorder) MarkUnreliable(now time.Duration) {
 	b.sequence++
 	for bin := binOf(now) - unreliableBinsBack; bin <= binOf(now); bin++ {
@@ -82,7 +82,7 @@
 	}
 }
 
-// expire drops what is too old, and of too much the older half.
+// expire drops observations older than the window, and the older half if there are too many.
 func (b *Recorder) expire(now time.Duration) {
 	oldest := binOf(now - Window)
 	if len(b.observations) >= maxObservations {
@@ -105,8 +105,9 @@
 	}
 }
 
-// ReportSince returns a report of what has changed since a number, for one replica, and the number to pass the next time. 0 stands
-// for all, as for a new replica or connection. Observations are of servers that mine selects; Tried and Fails are of all.
+// ReportSince returns a report for one replica of what has changed after a sequence number, and the sequence number to pass
+// the next time. 0 selects everything, as for a new replica or connection. The report has observations only of servers that
+// mine selects, but ServersTried and FailingCount cover all servers.
 func (b *Recorder) ReportSince(now time.Duration, after uint64, mine func(server string) bool) (*Report, uint64) {
 	b.expire(now)
 	s := &Report{Proxy: b.name, Incarnation: b.incarnation, Zone: b.zone, Now: now, Sequence: b.sequence}
--- a/internal/dataplane/serverhealth/report.go
+++ b/internal/dataplane/serverhealth/report.go
@@ -10,8 +10,8 @@
 
 // The kinds.
 const (
-	Repeatable Kind = iota // may run more than once
-	AtMostOnce             // at most once: loans, payments, holds, reservations
+	Repeatable Kind = iota // may run more than once, such as a search
+	AtMostOnce             // must run at most once: loans, payments, holds, reservations
 	kindCount
 )
 
@@ -20,11 +20,11 @@
 
 // The outcomes.
 const (
-	Confirmed Outcome = iota // a whole answer under its id and seal, in time
-	Rejected                 // it said that it has not run
-	Unclear                  // reset, silence, cut short, garbled, without a seal: it may have run
-	Late                     // confirmed, but long after its aim
-	WrongID                  // another request's answer
+	Confirmed Outcome = iota // complete response with the request's id and a valid seal, in time
+	Rejected                 // the server stated that it did not run the request
+	Unclear                  // reset, timeout, truncated, malformed or unsealed response: the request may have run
+	Late                     // confirmed, but long after the latency target
+	WrongID                  // response to another request
 	outcomeCount
 )
 
@@ -40,42 +40,42 @@
 
 // Times of evidence.
 const (
-	BinDuration = 2 * time.Second   // of one bin
-	Window      = 300 * time.Second // what is older counts no more
-	halfLife    = 150 * time.Second // after so long it counts half
+	BinDuration = 2 * time.Second   // length of one bin
+	Window      = 300 * time.Second // older evidence is ignored
+	halfLife    = 150 * time.Second // of the weight of evidence
 )
 
 // Report holds a proxy's observations of servers. Reports may be combined in any order and more than once; the next complete
 // report replaces a lost one.
 type Report struct {
-	Proxy        string        // the proxy's name
-	Incarnation  int64         // of the proxy's process
-	Zone         string        // the proxy's
-	Now          time.Duration // its own steady clock; it means nothing to others but as an origin of bins
-	Sequence     uint64        // of the proxy's last change; a later Report has a later Now or a higher No
-	ServersTried int           // servers, of whatever service, tried in the last minute
-	Failing      []string      // those of them at which a quarter or more was unclear; at most MaxFailing, by name
-	FailingCount int           // how many those are, named or not
+	Proxy        string        // name of the proxy
+	Incarnation  int64         // of the proxy
+	Zone         string        // zone of the proxy
+	Now          time.Duration // proxy's monotonic clock; other processes use it only to locate bins
+	Sequence     uint64        // of the recorder's last change; a later report has a later Now or a higher Sequence
+	ServersTried int           // servers of all services with attempts in the last minute
+	Failing      []string      // those with a failure share of 1/4 or more; at most MaxFailing, sorted by name
+	FailingCount int           // number of failing servers, listed or not
 	Observations []Observation
 }
 
-// MaxFailing is the most names in Report.Failing.
+// MaxFailing is the maximum number of names in Report.Failing.
 const MaxFailing = 64
 
 // Observation holds a proxy's outcomes at one server, for one kind and tenant group, in one bin.
 type Observation struct {
-	Server     string // its life
+	Server     string // incarnation of the server
 	Kind       Kind
 	Group      uint8
-	Bin        int32 // the witness's steady clock by Span
-	Unreliable bool  // the witness itself was starved, cut off or leaving
+	Bin        int32 // proxy's monotonic clock divided by BinDuration
+	Unreliable bool  // the proxy itself was short of CPU, disconnected or shutting down
 	Counts     Counts
 }
 
-// Counts holds the numbers of attempts by outcome. Those of one Observation never fall.
+// Counts holds the numbers of attempts by outcome. The counts of one observation never decrease.
 type Counts [outcomeCount]uint16
 
-// mergeMax joins the counts of one observation that were sent at two times.
+// mergeMax merges another report of the same observation. Counts only grow, so the higher value is the newer one.
 func (c *Counts) mergeMax(o Counts) {
 	for i := range c {
 		c[i] = max(c[i], o[i])
@@ -89,10 +89,10 @@
 	return n
 }
 
-// weightUnit is the weight of one outcome. Weights are integers, so that sums do not depend on their order.
+// weightUnit is the weight of one outcome. Weights are integers, so sums don't depend on their order.
 const weightUnit = 1 << 12
 
-// weights are the weights of outcomes against a server and for it. Turning away is honest and counts for neither.
+// weights are the weights of outcomes against and for a server. A rejection is a valid response and counts for neither.
 var weights = [outcomeCount]struct{ bad, good int64 }{
 	Confirmed: {0, weightUnit}, Rejected: {0, 0}, Unclear: {weightUnit, 0}, Late: {weightUnit / 4, weightUnit / 2}, WrongID: {weightUnit, 0},
 }
--- a/internal/dataplane/serverhealth/serverhealth_test.go
+++ b/internal/dataplane/serverhealth/serverhealth_test.go
@@ -16,7 +16,8 @@
 // Property tests use a fixed seed, unless -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// fleetFixture is a fleet of proxies in three zones, two services of servers, and one floor that hears all proxies each second.
+// fleetFixture has proxies in three zones, servers of two services, and one evaluator that gets all proxies' reports each
+// second.
 type fleetFixture struct {
 	evaluator  *Evaluator
 	proxies    []*Recorder
@@ -25,7 +26,7 @@
 	now        time.Duration
 	last       *Verdicts
 	violation  string
-	duplicates int // each report is heard so often
+	duplicates int // number of times that each report is delivered
 }
 
 func newFleetFixture(fault string, proxies, servers int) *fleetFixture {
@@ -46,7 +47,7 @@
 	}
 }
 
-// report has the floor hear a proxy.
+// report delivers a proxy's report to the evaluator.
 func (y *fleetFixture) report(i int) {
 	s, no := y.proxies[i].ReportSince(y.now-time.Duration(i)*time.Minute/7, y.reported[i], func(string) bool { return true })
 	y.reported[i] = no
@@ -57,7 +58,7 @@
 
 func (y *fleetFixture) step() { y.stepWith(func(int) bool { return true }) }
 
-// stepWith is a second in which some proxies tell.
+// stepWith simulates one second in which only some proxies report.
 func (y *fleetFixture) stepWith(tells func(proxy int) bool) {
 	for i := range y.proxies {
 		if tells(i) {
@@ -74,14 +75,14 @@
 	}
 	for s, n := range out {
 		if n > len(y.servers)/4 {
-			y.violation = fmt.Sprint(n, " servers of ", s, " are out at once")
+			y.violation = fmt.Sprint(n, " servers of ", s, " are excluded at once")
 		}
 	}
 }
 
 func (y *fleetFixture) verdict(server int) Verdict { return index(y.last.List)[y.servers[server].ID] }
 
-// observeOthersHealthy has all proxies see all servers but the first do well: those that it is compared with.
+// observeOthersHealthy records good outcomes of all proxies at all servers but the first, which is compared with them.
 func (y *fleetFixture) observeOthersHealthy(kind Kind) {
 	for g := range y.proxies {
 		for s := range y.servers[1:] {
@@ -90,7 +91,7 @@
 	}
 }
 
-// wantLevel says what is wrong where server 0 isn't of one of the levels.
+// wantLevel returns an error text if server 0 has none of the given levels, else the fixture's violation.
 func (y *fleetFixture) wantLevel(levels ...Level) string {
 	y.step()
 	v := y.verdict(0)
@@ -102,7 +103,7 @@
 	return fmt.Sprintf("%s %v", v.Level, v)
 }
 
-// observeAll has every proxy see some at each server, of four groups.
+// observeAll records outcomes of every proxy at each server, from four groups.
 func (y *fleetFixture) observeAll(o func(proxy, server, group int) Outcome) {
 	for g := range y.proxies {
 		for s := range y.servers {
@@ -112,8 +113,8 @@
 	}
 }
 
-// runFaultyServer plays a server that loses every second record from the start till it is mended, and gives the moments at which
-// its trials begin, and the one at which it is fit again; trials go by three proxies a round.
+// runFaultyServer simulates a server that fails every second at-most-once request until it is mended. It returns the starts
+// of its trials, the time at which it is fit again, and the number of failures. Three proxies run trials in each round.
 func (y *fleetFixture) runFaultyServer(mended, till time.Duration) (trials []time.Duration, fit time.Duration, lost int) {
 	var names []string
 	for _, g := range y.proxies {
@@ -266,7 +267,7 @@
 	assert.Equal(t, v.Level, w.Level)
 	assert.Equal(t, v.Relapses, w.Relapses)
 	assert.Assert(t, w.Age >= v.Age)
-	y = newFleetFixture("", 12, 4) // and one that has just started hears of what was before
+	y = newFleetFixture("", 12, 4) // a replica that has just started uses evidence from before its start
 	for g := range y.proxies {
 		y.observe(g, 0, AtMostOnce, uint8(g), Unclear, 2)
 	}
@@ -282,7 +283,7 @@
 		b.Add(y.now+time.Duration(i)*time.Millisecond*30, fmt.Sprint("x", i%9000), AtMostOnce, uint8(i), Unclear)
 		assert.Assert(t, len(b.observations) <= maxObservations)
 	}
-	for i := range 3 * maxCellsPerServer { // with all the others a full one has fewer
+	for i := range 3 * maxCellsPerServer { // with many servers, each keeps fewer cells
 		y.evaluator.AddReport(y.now, &Report{Proxy: "g00", Now: Window, Observations: []Observation{{Server: "s00", Bin: int32(i % 150), Group: uint8(i % 16)}, {Server: fmt.Sprint(i)}}, Incarnation: int64(i / 1000)})
 	}
 	assert.Assert(t, len(y.evaluator.cells["s00"]) <= 2*maxCells/maxServers && len(y.evaluator.cells) <= maxServers)
--- a/internal/dataplane/serverhealth/verdict.go
+++ b/internal/dataplane/serverhealth/verdict.go
@@ -13,16 +13,16 @@
 // The levels.
 const (
 	Fit             Level = iota
-	Doubtful              // what may not be repeated goes elsewhere first
-	UnfitAtMostOnce       // nothing that may not be repeated, but for trials
-	UnfitAll              // nothing, but for trials
+	Doubtful              // at-most-once requests prefer other servers
+	UnfitAtMostOnce       // no at-most-once requests, except trials
+	UnfitAll              // no requests, except trials
 )
 
 func (l Level) String() string {
 	return [...]string{"fit", "doubtful", "unfit for recording", "unfit for all"}[min(l, UnfitAll)]
 }
 
-// Serves tells whether a server at this level gets requests of the kind, trials aside.
+// Serves reports whether a server at this level gets requests of the kind, apart from trials.
 func (l Level) Serves(k Kind) bool {
 	return l < UnfitAtMostOnce || l == UnfitAtMostOnce && k == Repeatable
 }
@@ -54,8 +54,8 @@
 
 // Ages of verdicts that are not renewed.
 const (
-	StaleAfter   = 10 * time.Second // from then on it counts as Doubtful at most
-	ExpiredAfter = time.Minute      // from then on it no longer holds
+	StaleAfter   = 10 * time.Second // past this age a level counts as Doubtful at most
+	ExpiredAfter = time.Minute      // past this age a verdict is ignored
 )
 
 // Aged returns the level that a proxy applies when it has received no verdicts for the time silent. After ExpiredAfter the
@@ -77,7 +77,7 @@
 	return v != y
 }
 
-// DiffFrom returns the part that a receiver of old lacks; nil: it lacks nothing.
+// DiffFrom returns what a receiver of old needs to be up to date, or nil if nothing has changed.
 func (s *Verdicts) DiffFrom(old *Verdicts) *Verdicts {
 	if old == nil || old.By != s.By {
 		return s
@@ -100,8 +100,8 @@
 	return p
 }
 
-// ApplyTo returns the complete verdicts after s is applied to old. If s is not newer, that is old; if s is a part and old
-// is not of the same replica, it is nil.
+// ApplyTo returns the complete verdicts after s is applied to old. It returns old if s is not newer, and nil if s is partial
+// and old is nil or from another replica.
 func (s *Verdicts) ApplyTo(old *Verdicts) *Verdicts {
 	if old != nil && old.By == s.By && old.Stamp >= s.Stamp {
 		return old
@@ -154,11 +154,11 @@
 	maxExcludedAll        = 1. / 3
 )
 
-// whyLeastBad is the reason given for a server that serves only because of Bound.
+// whyLeastBad is the reason given for a server that stays in use only because of LimitExcluded.
 const whyLeastBad = "enough of its service is out: the least bad serve"
 
-// MergeVerdicts merges the verdicts of several replicas into one list. Where they differ the stricter one holds, within the limits
-// of Bound.
+// MergeVerdicts merges the verdicts of several replicas into one list. Where they differ, the stricter one applies, within
+// the limits of LimitExcluded.
 func MergeVerdicts(servers []Server, lists ...[]Verdict) []Verdict {
 	all := map[string]Verdict{}
 	for _, list := range lists {
@@ -172,11 +172,11 @@
 	return LimitExcluded(servers, sorted(all))
 }
 
-// LimitExcluded limits how much of a service's capacity in a region is out: beyond that the least bad servers serve. It changes
-// the given list.
+// LimitExcluded limits the share of a service's capacity in a region that is excluded. Beyond the limit, the servers with
+// the least evidence against them stay in use. It modifies and returns the given list.
 func LimitExcluded(servers []Server, list []Verdict) []Verdict {
-	type field struct{ service, region string }
-	size, of, total := map[string]int{}, map[string]field{}, map[field]int{}
+	type serviceRegion struct{ service, region string }
+	capacity, regionOf, total := map[string]int{}, map[string]serviceRegion{}, map[serviceRegion]int{}
 	for _, s := range servers {
 		if !s.Closed {
 			capacity[s.ID], regionOf[s.ID] = max(1, s.Capacity), serviceRegion{s.Service, s.Region}
@@ -185,7 +185,7 @@
 	}
 	worst := make([]*Verdict, 0, len(list))
 	for i := range list {
-		if size[list[i].Server] > 0 && list[i].Level >= UnfitAtMostOnce {
+		if capacity[list[i].Server] > 0 && list[i].Level >= UnfitAtMostOnce {
 			worst = append(worst, &list[i])
 		}
 	}
