--- a/internal/dataplane/handover/explore_test.go
+++ b/internal/dataplane/handover/explore_test.go
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestModelFindsInjectedFaults(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"not numbered", "to any incarnation", "keeps using its shares", "no reserved unit", "offered again without a rejection", "takes shares back",
 		"ends with held requests", "stops leaving"} {
--- a/internal/dataplane/handover/shares_test.go
+++ b/internal/dataplane/handover/shares_test.go
@@ -96,7 +96,7 @@
 	return len(seen), ""
 }
 
-func TestSharesMakeOneWholeInAllOrders(t *testing.T) {
+func TestSharesNeverExceedTheTotal(t *testing.T) {
 	states, violation := exploreShares("")
 	assert.Equal(t, violation, "")
 	t.Logf("%d states, parts never above the total", states)
@@ -108,7 +108,7 @@
 }
 
 // A leave goes through its stages in order and ends within the grace period, whatever is acknowledged.
-func TestLeaveKeepsItsGrace(t *testing.T) {
+func TestLeaveEndsWithinGrace(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, open := range []int{0, 3} {
 		for _, quiet := range []time.Duration{0, time.Second} {
@@ -132,7 +132,7 @@
 }
 
 // The parts of joiners, of silent proxies (which still divide by the smaller number) and of all others add up to at most 1.
-func TestJoinersTakeNothingFromTheSilent(t *testing.T) {
+func TestJoinersUseNoShareOfSilentProxies(t *testing.T) {
 	for shares := 1; shares <= 40; shares++ {
 		for joined := 0; joined <= shares; joined++ {
 			for silent := 0; silent <= shares-joined; silent++ {
@@ -148,7 +148,7 @@
 }
 
 // While it is unknown which proxies know of the join, all joiners together use at most maxInitialExcess of a second's units.
-func TestEarlyPartsAreFew(t *testing.T) {
+func TestInitialSharesAreLimited(t *testing.T) {
 	for shares := 1; shares <= 100; shares++ {
 		for joined := 1; joined <= shares; joined++ {
 			sum := float64(joined) * InitialShare(shares, joined) / float64(shares)
@@ -159,7 +159,7 @@
 }
 
 // A growing part of the places has the joiner in its answers, and a place that has it once keeps it.
-func TestRisesByPlace(t *testing.T) {
+func TestAdvertisedPlacesGrow(t *testing.T) {
 	for tenth := range 11 {
 		n, age := 0, RampStart+(RampEnd-RampStart)*time.Duration(tenth)/10
 		for i := range 1000 {
@@ -174,7 +174,7 @@
 	assert.Assert(t, CanOmitJoiners(1, 4) && CanOmitJoiners(1, 1) && !CanOmitJoiners(3, 0) && !CanOmitJoiners(3, 2))
 }
 
-func TestMessagesAreReadWhole(t *testing.T) {
+func TestDecodeRejectsIncompleteMessages(t *testing.T) {
 	m := &Message{Kind: Offer, From: 1, To: 2, Number: 3}
 	for i := range MaxShares {
 		m.Shares = append(m.Shares, Share{uint64(i), 7})
--- a/internal/dataplane/handover/tries_test.go
+++ b/internal/dataplane/handover/tries_test.go
@@ -10,7 +10,7 @@
 
 // The retry shares of all proxies add up to at most the total, for any number of proxies. Each share that is not zero allows
 // at least one retry, and most proxies have a share for some service.
-func TestTriesMakeOneWhole(t *testing.T) {
+func TestRetrySharesAddUpToTheTotal(t *testing.T) {
 	sum := func(total float64, proxies, s int, served map[int]bool) {
 		sum, parts, service := 0.0, 0, fmt.Sprint("service", s)
 		for me := range proxies {
--- a/internal/dataplane/homing/homing_test.go
+++ b/internal/dataplane/homing/homing_test.go
@@ -8,7 +8,7 @@
 )
 
 // With one bound and one free route, the counted requests decide, and small changes around the threshold change nothing.
-func TestTrafficDecidesAndStands(t *testing.T) {
+func TestCountedTrafficDecides(t *testing.T) {
 	var proxy TrafficCounter
 	var decisions Decisions
 	now := time.Hour
@@ -53,7 +53,7 @@
 	assert.Assert(t, pass(30, 50, 100) == 1 && !home())
 }
 
-func TestTallyIsBoundedAndForgets(t *testing.T) {
+func TestTrafficCounterIsBoundedAndDecays(t *testing.T) {
 	var proxy TrafficCounter
 	for i := range 2 * MaxCountedHosts {
 		for range 1 + i%7 {
--- a/internal/dataplane/serverlist/serverlist_test.go
+++ b/internal/dataplane/serverlist/serverlist_test.go
@@ -28,7 +28,7 @@
 
 var ready, draining = Entry{ID: "i", Service: "x", Zone: "a"}, Entry{ID: "i", Service: "x", Zone: "a", Draining: true}
 
-func TestDrainingIsNeverReadyAgain(t *testing.T) {
+func TestDrainingServerStaysClosed(t *testing.T) {
 	g := newServerList(t, draining, Entry{ID: "j", Zone: "b"})
 	g.Update(11*s, 6, []Entry{ready}) // an older list that was requested later
 	assert.Assert(t, g.server("i").Closed)
@@ -48,7 +48,7 @@
 }
 
 // When a zone is no longer drained, its servers may have just restarted, and the list reports that late.
-func TestZoneTakenBackIsCold(t *testing.T) {
+func TestUndrainedZoneIsCold(t *testing.T) {
 	g := newServerList(t, ready, Entry{ID: "j", Service: "x", Zone: "b"})
 	g.SetDrainedZones(11*s, map[string]bool{"a": true})
 	assert.Assert(t, g.server("i").Closed && g.server("i").ColdUntil == 0 && !g.server("j").Closed)
@@ -63,7 +63,7 @@
 }
 
 // A server is cold until the latest reported end: a list may hold older information than the one before.
-func TestColdUntilTheLatestEnd(t *testing.T) {
+func TestColdUntilTheLatestReportedEnd(t *testing.T) {
 	cold := ready
 	cold.WarmLeft = 4 * s
 	g := newServerList(t, cold)
--- a/internal/dataplane/verdict/verdict_test.go
+++ b/internal/dataplane/verdict/verdict_test.go
@@ -55,7 +55,7 @@
 }
 
 // Answers of servers are classified by their status and their header fields.
-func TestHeard(t *testing.T) {
+func TestClassifyAnswer(t *testing.T) {
 	for status := 200; status < 600; status++ {
 		for bits := range 16 {
 			a := ServerAnswer{status, bits&1 > 0, bits&2 > 0, bits&4 > 0, bits&8 > 0}
