--- a/internal/dataplane/handover/shares_test.go
+++ b/internal/dataplane/handover/shares_test.go
@@ -8,17 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// shareModel are three proxies and control, which says in how many parts quotas are divided. The first leaves, crashes
-// and comes back. Control's word comes to each proxy at any time or never, and whether it came is known at any time later.
+// shareModel is the state of three proxies and of control, which decides how many parts the quotas are divided into. The
+// first proxy leaves, crashes and restarts. Control's message reaches each other proxy at any time or never, and the first
+// proxy learns at any later time that it did.
 type shareModel struct {
 	fault        string
-	stage        byte // of the first: 's'erving, 'y'ielded, 'g'one, 'd'ead, 'b'ack and not told, 'j'oined
-	shareCount   int  // shares by control
-	hasRejoined  bool // the first has joined anew
-	saidReleased bool // it has said that its parts are given up
+	stage        byte // of the first proxy: 's'erving, 'y'ielded, 'g'one, 'd'ead, 'b'ack without the current configuration, 'j'oined
+	shareCount   int  // number of parts that control has decided
+	hasRejoined  bool // the first proxy has joined again
+	saidReleased bool // the first proxy has reported that it released its part
 	knownCounts  [2]int
-	knowsJoin    [2]bool // known to have heard of the join
-	firstPart    int     // of the first in sixths; -1: it is not told
+	knowsJoin    [2]bool // the first proxy knows that the other one knows of the join
+	firstPart    int     // of the first proxy, in sixths
 }
 
 func (f shareModel) joinerPart() int {
@@ -28,11 +29,11 @@
 			silent++
 		}
 	}
-	less := 0.0
+	unused := 0.0
 	if f.hasRejoined && f.fault != "joiner takes all" {
-		less = UnusedShare(f.shareCount, 1, silent)
+		unused = UnusedShare(f.shareCount, 1, silent)
 	}
-	return int(6*(1-less)/float64(f.shareCount) + 1e-9)
+	return int(6*(1-unused)/float64(f.shareCount) + 1e-9)
 }
 
 func (f shareModel) next() (all []shareModel) {
@@ -45,45 +46,45 @@
 	case 's':
 		add(func(c *shareModel) {
 			c.stage = 'y'
-			if f.fault != "serves on" {
+			if f.fault != "keeps using its share" {
 				c.firstPart = 0
 			}
 		})
 		add(func(c *shareModel) { c.stage, c.firstPart = 'd', 0 })
-		if f.fault == "word before the stop" {
+		if f.fault == "reported before the stop" {
 			add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 })
 		}
 	case 'y':
 		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 })
 		add(func(c *shareModel) { c.stage, c.firstPart = 'g', 0 })
 	case 'g', 'd':
-		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 }) // its time is over
-		add(func(c *shareModel) {                                           // it is back, and control hears of it
+		add(func(c *shareModel) { c.saidReleased, c.shareCount = true, 2 }) // its time limit has passed
+		add(func(c *shareModel) {                                           // it has restarted, and control knows
 			c.stage, c.hasRejoined, c.knowsJoin = 'b', c.shareCount == 2, [2]bool{}
 			c.shareCount, c.saidReleased = 3, false
 		})
 	case 'b', 'j':
 		add(func(c *shareModel) { c.stage, c.firstPart = 'j', c.joinerPart() })
-		if f.fault == "ready before it is told" && f.stage == 'b' {
+		if f.fault == "ready without a configuration" && f.stage == 'b' {
 			add(func(c *shareModel) { c.stage, c.firstPart = 'j', 6 })
 		}
 	}
 	for i := range f.knownCounts {
 		add(func(c *shareModel) { c.knownCounts[i] = c.shareCount })
-		if f.knownCounts[i] == f.shareCount || f.fault == "heard before told" {
+		if f.knownCounts[i] == f.shareCount || f.fault == "known before the message" {
 			add(func(c *shareModel) { c.knowsJoin[i] = true })
 		}
 	}
 	return all
 }
 
-func exploreShares(fault string) (states int, wrong string) {
+func exploreShares(fault string) (states int, violation string) {
 	first := shareModel{fault: fault, stage: 's', shareCount: 3, knownCounts: [2]int{3, 3}, firstPart: 2}
 	seen := map[shareModel]bool{first: true}
 	for queue := []shareModel{first}; len(queue) > 0; queue = queue[1:] {
 		f := queue[0]
 		if sum := f.firstPart + 6/f.knownCounts[0] + 6/f.knownCounts[1]; sum > 6 {
-			return len(seen), fmt.Sprintf("%d of 6 parts: %c", sum, f.stage)
+			return len(seen), fmt.Sprintf("%d of 6 parts in stage %c", sum, f.stage)
 		}
 		for _, n := range f.next() {
 			if !seen[n] {
--- a/internal/dataplane/serverlist/serverlist_test.go
+++ b/internal/dataplane/serverlist/serverlist_test.go
@@ -30,10 +30,10 @@
 
 func TestDrainingServerStaysClosed(t *testing.T) {
 	g := newServerList(t, draining, Entry{ID: "j", Zone: "b"})
-	g.Update(11*s, 6, []Entry{ready}) // an older list, asked for later
+	g.Update(11*s, 6, []Entry{ready}) // an older list that was requested later
 	assert.Assert(t, g.server("i").Closed)
 	g.Update(12*s, 7, nil)
-	g.Update(40*s, 8, []Entry{ready, {ID: "j", Zone: "b"}}) // from a caller that was cut off
+	g.Update(40*s, 8, []Entry{ready, {ID: "j", Zone: "b"}}) // from a replica that was disconnected for a while
 	assert.Assert(t, g.server("i").Closed)
 	assert.Assert(t, !g.server("j").Closed && g.server("j").Region == "q")
 }
@@ -58,7 +58,7 @@
 	want := Server{Entry: ready, Region: "r", ColdUntil: 25 * s, MaxColdRate: 35}
 	assert.DeepEqual(t, g.server("i"), want)
 	assert.Equal(t, g.server("j").ColdUntil, time.Duration(0))
-	g.Update(21*s, 6, []Entry{ready}) // knows nothing of it
+	g.Update(21*s, 6, []Entry{ready}) // the list does not say that the server is cold
 	assert.DeepEqual(t, g.server("i"), want)
 }
 
@@ -67,9 +67,9 @@
 	cold := ready
 	cold.WarmLeft = 4 * s
 	g := newServerList(t, cold)
-	for stamp, told := range []struct{ left, until time.Duration }{{1 * s, 14 * s}, {0, 14 * s}, {5 * s, 16 * s}} {
-		cold.WarmLeft = told.left
+	for stamp, reported := range []struct{ left, until time.Duration }{{1 * s, 14 * s}, {0, 14 * s}, {5 * s, 16 * s}} {
+		cold.WarmLeft = reported.left
 		g.Update(11*s, int64(6+stamp), []Entry{cold})
-		assert.Equal(t, g.server("i").ColdUntil, told.until)
+		assert.Equal(t, g.server("i").ColdUntil, reported.until)
 	}
 }
