--- a/internal/dataplane/handover/leave.go
+++ b/internal/dataplane/handover/leave.go
@@ -19,11 +19,11 @@
 // The stages in their order. From the first one on, the proxy is not ready, and it closes each client connection after the
 // next answer.
 const (
-	Unadvertised Stage = iota // clients are not told of it any more; those that know it come
-	NoColdSends               // it sends nothing to cold servers: others may, ColdSendDelay later
-	NotAccepting              // it accepts no connections; it no longer uses its shares, and transfers them to others
-	Answering                 // its shares are nobody's or others'; what is out is answered
-	Finalizing                // nothing that is out is waited for any more: it is answered with what is known of it
+	Unadvertised Stage = iota // answers to clients no longer contain the proxy; clients that know its address still connect
+	NoColdSends               // it sends nothing to cold servers; other proxies may, ColdSendDelay later
+	NotAccepting              // it accepts no connections, no longer uses its shares and hands them over
+	Answering                 // the handover of its shares is over; it answers the requests in flight
+	Finalizing                // it no longer waits for servers: it answers each request in flight from what is known of it
 	Ended
 )
 
--- a/internal/dataplane/handover/shares_test.go
+++ b/internal/dataplane/handover/shares_test.go
@@ -97,17 +97,17 @@
 }
 
 func TestSharesNeverExceedTheTotal(t *testing.T) {
-	states, wrong := exploreShares("")
-	assert.Equal(t, wrong, "")
-	t.Logf("%d states, parts never above the whole", states)
-	for _, fault := range []string{"serves on", "word before the stop", "joiner takes all", "ready before it is told", "heard before told"} {
-		states, wrong := exploreShares(fault)
-		assert.Assert(t, wrong != "", fault)
-		t.Logf("%s: %s, after %d states", fault, wrong, states)
+	states, violation := exploreShares("")
+	assert.Equal(t, violation, "")
+	t.Logf("%d states, parts never above the total", states)
+	for _, fault := range []string{"keeps using its share", "reported before the stop", "joiner takes all", "ready without a configuration", "known before the message"} {
+		states, violation := exploreShares(fault)
+		assert.Assert(t, violation != "", fault)
+		t.Logf("%s: %s, after %d states", fault, violation, states)
 	}
 }
 
-// A leave ends in order, in the grace, whatever is acknowledged.
+// A leave goes through its stages in order and ends within the grace period, whatever is acknowledged.
 func TestLeaveEndsWithinGrace(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, open := range []int{0, 3} {
@@ -131,7 +131,7 @@
 	}
 }
 
-// Joiners' parts, those of the silent, who go by the smaller number, and of all others make one whole.
+// The parts of joiners, of silent proxies (which still divide by the smaller number) and of all others add up to at most 1.
 func TestJoinersUseNoShareOfSilentProxies(t *testing.T) {
 	for shares := 1; shares <= 40; shares++ {
 		for joined := 0; joined <= shares; joined++ {
@@ -147,7 +147,7 @@
 	}
 }
 
-// Before it can be known who has heard, all joiners together use no more than a stated part of a second's units.
+// While it is unknown which proxies know of the join, all joiners together use at most maxInitialExcess of a second's units.
 func TestInitialSharesAreLimited(t *testing.T) {
 	for shares := 1; shares <= 100; shares++ {
 		for joined := 1; joined <= shares; joined++ {
@@ -158,7 +158,7 @@
 	assert.Equal(t, InitialShare(12, 1), 1.0)
 }
 
-// A joiner comes into a rising part of places' answers, and each place keeps it once it has it.
+// A growing part of the places has the joiner in its answers, and a place that has it once keeps it.
 func TestAdvertisedPlacesGrow(t *testing.T) {
 	for tenth := range 11 {
 		n, age := 0, RampStart+(RampEnd-RampStart)*time.Duration(tenth)/10
--- a/internal/dataplane/handover/tries_test.go
+++ b/internal/dataplane/handover/tries_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// What all proxies may save up of further tries makes no more than the whole, with any number of proxies and of numbers that
-// nobody has, and is of use: each part is a whole try at least, and no proxy is left without for all services.
+// The retry shares of all proxies add up to at most the total, for any number of proxies. Each share that is not zero allows
+// at least one retry, and most proxies have a share for some service.
 func TestRetrySharesAddUpToTheTotal(t *testing.T) {
-	sum := func(whole float64, proxies, s int, served map[int]bool) {
+	sum := func(total float64, proxies, s int, served map[int]bool) {
 		sum, parts, service := 0.0, 0, fmt.Sprint("service", s)
 		for me := range proxies {
 			part := RetryShare(total, proxies, proxies, me, service)
--- a/internal/dataplane/homing/homing_test.go
+++ b/internal/dataplane/homing/homing_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Where one route is bound and one is free, requests decide and not routes, and not on each breath of theirs.
+// With one bound and one free route, the counted requests decide, and small changes around the threshold change nothing.
 func TestCountedTrafficDecides(t *testing.T) {
 	var proxy TrafficCounter
 	var decisions Decisions
--- a/internal/dataplane/serverlist/serverlist_test.go
+++ b/internal/dataplane/serverlist/serverlist_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, g.server("i").ID, "i")
 }
 
-// The servers of a zone that is taken back may have turned cold just before, and the list tells of it late.
+// When a zone is no longer drained, its servers may have just restarted, and the list reports that late.
 func TestUndrainedZoneIsCold(t *testing.T) {
 	g := newServerList(t, ready, Entry{ID: "j", Service: "x", Zone: "b"})
 	g.SetDrainedZones(11*s, map[string]bool{"a": true})
@@ -62,7 +62,7 @@
 	assert.DeepEqual(t, g.server("i"), want)
 }
 
-// A server is cold until the latest end that was told: a list may be older than what it follows.
+// A server is cold until the latest reported end: a list may hold older information than the one before.
 func TestColdUntilTheLatestReportedEnd(t *testing.T) {
 	cold := ready
 	cold.WarmLeft = 4 * s
--- a/internal/dataplane/verdict/verdict_test.go
+++ b/internal/dataplane/verdict/verdict_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Answers of servers by status and by what they say of themselves.
+// Answers of servers are classified by their status and their header fields.
 func TestClassifyAnswer(t *testing.T) {
 	for status := 200; status < 600; status++ {
 		for bits := range 16 {
