--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// newPong answers a Ping. It says how recently what the proxy has in force was confirmed, and whether this replica is in
-// touch with a majority. The mutex is held.
+// newPong answers a Ping. It says how long ago the proxy's configuration in force was last confirmed, and whether this
+// replica is in touch with a majority. The mutex is held.
 func (b *Replica) newPong(ping *peerlink.Ping, now time.Duration) *peerlink.Pong {
 	pong := &peerlink.Pong{Sent: ping.Sent, InTouch: b.majorityContact.IsKnown, List: b.latestListRead.message(now)}
 	if pong.List != nil {
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -26,8 +26,8 @@
 	heldChecksum uint32 // its checksum
 	list         *peerlink.Servers
 	census       *peerlink.Census
-	confirmedAge time.Duration // of what is in force, since its last confirmation, by the last Pong
-	confirmed    bool          // the last Pong confirmed what is in force
+	confirmedAge time.Duration // time since the configuration in force was last confirmed, according to the last Pong
+	confirmed    bool          // the last Pong confirmed the configuration in force
 	stop         context.CancelFunc
 	conn         *peerlink.Conn
 }
@@ -108,7 +108,7 @@
 	return response.StatusCode, string(got)
 }
 
-// Agents are sent only configurations that a majority has decided, and how recently these were confirmed.
+// Agents are sent only configurations that a majority has decided. They are also told how long ago these were confirmed.
 func TestAgentsGetOnlyDecidedConfigurations(t *testing.T) {
 	runCluster(t, 3, func(f *clusterFixture) {
 		a, b := f.startAgent("1", 0), f.startAgent("2", 2)
@@ -296,9 +296,9 @@
 	})
 }
 
-// What a proxy has in force is confirmed only up to the decision of the next configuration. Otherwise a proxy would go on
-// accepting keys that have been revoked, while the next configuration is being sent, while only the agent holds it, or
-// while another text of the same number is in force.
+// The time at which a proxy's configuration was confirmed is never later than the decision of the next one. Otherwise a
+// proxy would go on accepting keys that have been revoked, while the next configuration is being sent, while only the
+// agent holds it, or while another text of the same number is in force.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
 	playAgents(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
@@ -332,7 +332,7 @@
 		proxy.ping = ping(3)
 		newest("the next in force")
 		proxy.ping.Gen, proxy.ping.Held = 4, 4
-		newest("one above in force")
+		newest("one in force that is newer than the decided one")
 	})
 }
 
@@ -376,6 +376,6 @@
 		two.mu.Lock()
 		calls := two.calls - before
 		two.mu.Unlock()
-		assert.Assert(t, calls >= 9 && calls <= 11, "%d calls", calls) // one a second: the rate changed too
+		assert.Assert(t, calls >= 9 && calls <= 11, "%d calls", calls) // one a second: reads use an eighth of the new rate
 	})
 }
--- a/internal/control/census.go
+++ b/internal/control/census.go
@@ -34,8 +34,8 @@
 	joinAcknowledged bool          // all others have reported that they divide quotas by a number that includes it
 	quotaParts       int           // the number by which it divides quotas, as last reported; 0: never reported
 
-	readyButResting bool // it would be ready without the order to rest
-	figures         *peerlink.Figures
+	readyButResting bool              // it would be ready without the order to rest
+	figures         *peerlink.Figures // its traffic figures, as last reported; nil: none
 	figuresAt       time.Duration
 	requestCounts   *peerlink.Asked
 	requestCountsAt time.Duration
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -20,7 +20,7 @@
 
 const (
 	drainTime        = 5 * time.Second         // drain_ms of the large deployments
-	upstreamLossTime = 1500 * time.Millisecond // part of it, for an agent that loses its upstream replica at the same time
+	upstreamLossTime = 1500 * time.Millisecond // part of drainTime reserved for an agent that loses its upstream replica at the same time
 	manyReplicas     = 24
 	tenReplicas      = 10               // more than the voters
 	settleTime       = 10 * time.Second // by then only one replica reads the list
@@ -182,7 +182,8 @@
 	}
 }
 
-// If the period between reads is long, replicas that didn't know it would read the list in between.
+// If the period between reads is long, replicas that do not know the period would read the list between the reads of the
+// lease holder.
 func TestOneReplicaAloneReadsALongListWhenCalm(t *testing.T) {
 	const drain = 4 * drainTime
 	p := &longListPlatform{}
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -153,7 +153,7 @@
 	})
 }
 
-// parseMinAwake reads which parts of the proxies have to stay awake.
+// parseMinAwake reads the minimum fractions of proxies, of each zone and of all, that must stay awake.
 func parseMinAwake(query url.Values) (MinAwake, error) {
 	minAwake := MinAwake{Zone: api.LeastAwake, All: api.LeastAwake, Force: query.Get(api.RestForce) == "true"}
 	for name, target := range map[string]*float64{api.RestZone: &minAwake.Zone, api.RestAll: &minAwake.All} {
@@ -243,18 +243,19 @@
 	return mux
 }
 
-// lookupRegions returns the regions whose proxies a client in a region gets for a host; the mutex is held.
+// lookupRegions returns the regions whose proxies are listed to a client that is in region and asks for hostName; the
+// mutex is held.
 func (b *Replica) lookupRegions(hostName, region string) []string {
 	if b.parsedConfiguration == nil {
 		return []string{region}
 	}
-	homeRegions, bound, free := b.parsedConfiguration.HomesOf(hostName)
+	homeRegions, boundRoutes, freeRoutes := b.parsedConfiguration.HomesOf(hostName)
 	if len(homeRegions) == 0 || slices.Contains(homeRegions, region) {
 		return []string{region}
 	}
 	host, now := homing.HashHost(routeconfig.Bare(hostName)), b.now()
-	if !b.hostRoutes.SendsHome(host, bound, free, func() homing.HostTraffic { return b.proxies.sumHostCounts(host, now) }, now) {
+	if !b.hostRoutes.SendsHome(host, boundRoutes, freeRoutes, func() homing.HostTraffic { return b.proxies.sumHostCounts(host, now) }, now) {
 		return []string{region}
 	}
-	return homeRegions // otherwise every body of a bound request would be sent from one region to another
+	return homeRegions // otherwise proxies would forward the body of each request on a region-bound route to another region
 }
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -31,7 +31,7 @@
 }
 
 // A leaving proxy that has released its quota shares no longer counts, even if it sends heartbeats later. Its next
-// incarnation joins like a new proxy, and leaves unused the shares that a proxy behind a cut may still use.
+// incarnation joins like a new proxy: it does not use the shares that a proxy cut off from the replica may still be using.
 func TestReleasedQuotaSharesAreFreeAtOnce(t *testing.T) {
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
--- a/internal/control/lease/explore_test.go
+++ b/internal/control/lease/explore_test.go
@@ -378,7 +378,7 @@
 	return ""
 }
 
-// settledModel lets the replicas run until one holds the duty.
+// settledModel lets the replicas run until one holds the lease.
 func settledModel(m *model) *model {
 	for range 60 {
 		for i := range m.nodes {
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -8,7 +8,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Timeouts and intervals of a duty.
+// Timeouts and intervals of a lease.
 const (
 	HeartbeatInterval = 600 * time.Millisecond // maximum time between two messages of a holder
 	SilenceTimeout    = 900 * time.Millisecond // a holder that is silent for so long is considered lost
@@ -65,7 +65,7 @@
 	return &Lease{duty: duty, self: self, zone: zone}
 }
 
-// Holds reports whether this replica holds the duty.
+// Holds reports whether this replica holds the lease.
 func (s *Lease) Holds() bool { return !s.hasLeft && s.known.Holder == s.self }
 
 // Known returns the newest term that this replica knows, with its holder and successor.
@@ -128,7 +128,7 @@
 	return slices.ContainsFunc(v.Peers, func(p Peer) bool { return p.Seat == who })
 }
 
-// takeoverTime returns when this replica, being the successor, takes over the duty.
+// takeoverTime returns when this replica, being the successor, takes over the lease.
 func (s *Lease) takeoverTime(v View) time.Duration {
 	if !isConnected(v, s.known.Holder) {
 		return s.holderHeardAt + DisconnectTimeout
@@ -319,7 +319,7 @@
 	return []Message{{Duty: statement}}
 }
 
-// Leave gives up the duty for good, because this replica is shutting down, and returns the messages to send.
+// Leave gives up the lease for good, because this replica is shutting down, and returns the messages to send.
 func (s *Lease) Leave() []Message {
 	out := s.Yield()
 	s.hasLeft = true
--- a/internal/control/lease/schedule.go
+++ b/internal/control/lease/schedule.go
@@ -6,10 +6,10 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Timing of the periodic task that belongs to a duty.
+// Timing of the periodic task that the holder of the lease runs.
 const (
-	MinUnclaimedInterval = time.Second            // minimum time between two runs by a replica that does not hold the duty
-	unclaimedDelay       = 700 * time.Millisecond // beyond the period, until replicas that do not hold the duty run the task
+	MinUnclaimedInterval = time.Second            // minimum time between two runs by a replica that does not hold the lease
+	unclaimedDelay       = 700 * time.Millisecond // after a period without a known run, until replicas that do not hold the lease run the task
 	distinctRankDelays   = 4                      // number of different rank delays; replicas of higher rank share the longest one
 )
 
@@ -22,7 +22,7 @@
 	LastByOther time.Duration // start of the last run by another replica; 0 if there was none
 }
 
-// NextRun returns when this replica is to run the task next. A replica that does not hold the duty runs the task only
+// NextRun returns when this replica is to run the task next. A replica that does not hold the lease runs the task only
 // if it learns of no run by any other replica, at a lower rate and staggered by rank.
 func (s *Lease) NextRun(v View, w TaskTimes) time.Duration {
 	if s.hasLeft {
@@ -38,7 +38,7 @@
 	delay := time.Duration(min(s.Rank(v), distinctRankDelays-1)) * RankDelay
 	at := w.LastOwn + max(w.Period, MinUnclaimedInterval)
 	if w.LastKnown == 0 && s.known.Term == (peerlink.Term{}) {
-		return max(at, delay) // the first start: nobody has held the duty yet
+		return max(at, delay) // the first start: nobody has held the lease yet
 	}
 	return max(at, w.LastKnown+w.Period+unclaimedDelay+delay)
 }
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -28,7 +28,7 @@
 	return all
 }
 
-// memberSilentFor returns a member that is eligible and has caught up, and whose last message is so long ago.
+// memberSilentFor returns a member that is eligible and has caught up, and whose last message came silent ago.
 func memberSilentFor(id string, silent time.Duration) Member {
 	return Member{Voter: voter(id), Eligible: true, CaughtUp: true, SilentFor: silent}
 }
@@ -48,22 +48,22 @@
 		stable  time.Duration
 		want    string
 	}{
-		"nothing to do":                 {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0)), stable, ""},
-		"one joins":                     {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), stable, "+d"},
-		"not before all are calm":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), stable - 1, ""},
-		"not before it has caught up":   {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), behind), stable, ""},
-		"nor one whose disk is none":    {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), observer), stable, ""},
-		"not while one is silent":       {voters("a", "b", "c"), withAAndB(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
-		"it replaces one that is gone":  {voters("a", "b", "c"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
-		"or one that leaves":            {voters("a", "b", "c"), withAAndB(leaving, memberSilentFor("d", 0)), stable, "+d-c"},
-		"its own machine's old disk":    {voters("a", "b", "c1"), withAAndB(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
-		"none leaves three":             {voters("a", "b", "c"), withAAndB(leaving), stable, ""},
-		"nor is removed from them":      {voters("a", "b", "c"), withAAndB(memberSilentFor("c", RemoveAfter)), 0, ""},
-		"one leaves four":               {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", 0)), stable, "-c"},
-		"one is gone from four":         {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
-		"not before it is for long":     {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
-		"who leaves goes before silent": {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", RemoveAfter)), 0, "-c"},
-		"one that was never heard":      {voters("a", "b", "c"), withAAndB(memberSilentFor("d", 0)), 0, ""},
+		"nothing to do":                              {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0)), stable, ""},
+		"one joins":                                  {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), stable, "+d"},
+		"not before all voters are stable":           {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), memberSilentFor("d", 0)), stable - 1, ""},
+		"not before it has caught up":                {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), behind), stable, ""},
+		"nor one that is not eligible":               {voters("a", "b", "c"), withAAndB(memberSilentFor("c", 0), observer), stable, ""},
+		"not while one is silent":                    {voters("a", "b", "c"), withAAndB(memberSilentFor("c", AliveTimeout), memberSilentFor("d", 0)), 0, ""},
+		"it replaces one that is gone":               {voters("a", "b", "c"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, "+d-c"},
+		"or one that leaves":                         {voters("a", "b", "c"), withAAndB(leaving, memberSilentFor("d", 0)), stable, "+d-c"},
+		"new disk replaces old one of its machine":   {voters("a", "b", "c1"), withAAndB(memberSilentFor("c1", 0), memberSilentFor("c2", 0)), 0, "+c2-c1"},
+		"leaving voter is kept in a set of three":    {voters("a", "b", "c"), withAAndB(leaving), stable, ""},
+		"silent voter is kept in a set of three":     {voters("a", "b", "c"), withAAndB(memberSilentFor("c", RemoveAfter)), 0, ""},
+		"leaving voter is removed from four":         {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", 0)), stable, "-c"},
+		"silent voter is removed from four":          {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", RemoveAfter), memberSilentFor("d", 0)), 0, "-c"},
+		"not before RemoveAfter":                     {voters("a", "b", "c", "d"), withAAndB(memberSilentFor("c", long), memberSilentFor("d", 0)), 0, ""},
+		"leaving voter is removed before silent one": {voters("a", "b", "c", "d"), withAAndB(leaving, memberSilentFor("d", RemoveAfter)), 0, "-c"},
+		"voter without a member entry is kept":       {voters("a", "b", "c"), withAAndB(memberSilentFor("d", 0)), 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, ok := NextChange(test.voters, test.members, test.stable)
@@ -82,7 +82,7 @@
 func TestNoZoneHoldsAMajorityOfTheVoters(t *testing.T) {
 	var current []state.Voter
 	var members []Member
-	for i := range 15 { // five per zone; the voters of the first start are all in the first zone, which their records do not name
+	for i := range 15 { // five per zone; the initial voters are all in the first zone, but their records have an empty Zone
 		m := memberSilentFor(machineName(i), 0)
 		if m.Zone = fmt.Sprint("z", i/5); i < 3 {
 			current = append(current, m.Voter)
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	maxOperatorCalls = 4                       // calls at once that read what operators ask
+	maxOperatorCalls = 4                       // concurrent read calls of operators
 	maxSubjectBytes  = 64                      // of the version, zone, proxy or server that an order in the history is about
 	figuresWantedFor = 10 * time.Second        // for which proxies send their figures after a status call
 	maxFiguresAge    = 3500 * time.Millisecond // older ones aren't shown
 )
 
-// operatorState holds what only the operators' read calls need. Nothing of it runs without such calls.
+// operatorState holds what only the operators' read calls need. Proxies send figures and counts only after such calls.
 type operatorState struct {
 	logRing                *logring.Ring
 	orders                 []api.Order     // a ring buffer
@@ -38,7 +38,7 @@
 	persistOrder           func(api.Order) // writes an order down; nil: orders are kept in memory only
 	figuresWantedUntil     time.Duration   // until when proxies are to send their figures
 	routeCountsWantedUntil time.Duration   // until when proxies are to send their requests by route
-	routeCountsWantedSince time.Duration   // since when they are to do so without a pause
+	routeCountsWantedSince time.Duration   // start of the current uninterrupted period in which they are to do so
 }
 
 var errBusy = errors.New("too many operator calls at once")
@@ -231,7 +231,8 @@
 	return status
 }
 
-// newestConfig returns the configuration that a replica has accepted, if it is above the decided one, or else that one.
+// newestConfig returns the configuration that a replica has accepted if it is newer than the decided one, otherwise the
+// decided one.
 func newestConfig(report quorum.Report) state.ConfigID {
 	if report.Value != nil && report.Value.Config.Above(report.Config) {
 		return report.Value.Config
--- a/internal/control/orderlog/orderlog_test.go
+++ b/internal/control/orderlog/orderlog_test.go
@@ -12,6 +12,7 @@
 	"pepperfall.example/pepperfall/api"
 )
 
+// openLog opens a log without delay and returns it with up to 3 of the newest earlier orders.
 func openLog(fs vfs.FS) (*Log, []api.Order) {
 	opened := make(chan []api.Order, 1)
 	t := Open(fs, "tally", 0, 3, logr.Discard(), func(all []api.Order) { opened <- all })
--- a/internal/control/random_test.go
+++ b/internal/control/random_test.go
@@ -28,7 +28,7 @@
 type operatorLedger struct {
 	mu                sync.Mutex
 	acknowledgedGen   int           // the highest acknowledged generation number
-	possibleDrain     map[bool]bool // the zone's possible states, by the last acknowledged drain order and those after it
+	possibleDrain     map[bool]bool // the states that the zone may have: that of the last acknowledged drain order and of later ones with unknown outcome
 	sentTexts         map[string]bool
 	acknowledgedTexts map[int]string // by generation number: the body that was acknowledged as the one in force
 	violations        []string
@@ -222,7 +222,7 @@
 				f.waitFor(6*time.Second, "all replicas vote", func() bool { return f.countVoting() == n })
 				var p *peerlink.Configuration
 				f.waitFor(6*time.Second, "a configuration is shown", func() bool { // connections that were cut a moment ago have to be made again
-					time.Sleep(time.Second) // values of orders with an unknown outcome are decided, or found not to be
+					time.Sleep(time.Second) // meanwhile orders with an unknown outcome are decided or turn out not to be
 					first, err := f.replicas[0].CurrentConfiguration(context.Background())
 					if p = first; err != nil {
 						return false
--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -114,7 +114,8 @@
 	})
 }
 
-// acceptOnOneDisk leaves a configuration accepted on one replica's disk only, and so not decided.
+// acceptOnOneDisk leaves a configuration accepted on one replica's disk only, and so not decided: the disks of the others
+// hang until the test releases them.
 func (f *clusterFixture) acceptOnOneDisk(i int, body []byte) {
 	f.t.Helper()
 	done := make(chan error, 1)
--- a/internal/control/rest_orders.go
+++ b/internal/control/rest_orders.go
@@ -16,7 +16,7 @@
 // TooFewAwakeError is the error of an order to rest that would leave too few proxies awake.
 type TooFewAwakeError struct{ error }
 
-// MinAwake says which parts of the proxies have to stay awake, so that one more may rest.
+// MinAwake holds the minimum fractions of proxies that must stay awake, so that one more may rest.
 type MinAwake = peerlink.Floor
 
 var nodeNamePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
--- a/internal/dataplane/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -1,6 +1,6 @@
 package node
 
-// Streaming of bodies that are longer than the window: requests to servers and answers to clients.
+// Streaming of bodies that are longer than the window (bodyWindowBytes): requests to servers and answers to clients.
 
 import (
 	"errors"
@@ -103,8 +103,8 @@
 	return err
 }
 
-// upload streams the part of a request's body that is beyond the window. If the server sends something before the
-// body is complete, upload returns unsent as true without a result. If the attempt is over, it returns its result.
+// upload streams the part of a request's body that is beyond the window. unsent reports that the body was not sent
+// completely. end is nil unless the attempt has ended: if the server answers early, unsent is true and end is nil.
 func (u *upstream) upload(a *attempt, c *upConn, req *clientRequest) (unsent bool, end *result) {
 	f := &req.managed.client
 	if !f.pin(a) {
@@ -169,7 +169,7 @@
 			return nil, errDeadlinePassed
 		case now >= stalled:
 			return nil, err
-		case !a.setConn(c):
+		case !a.setConn(c): // it has this connection already: only the result matters
 			return nil, errAttemptCancelled
 		}
 	}
--- a/policy/waitorder_test.go
+++ b/policy/waitorder_test.go
@@ -134,8 +134,8 @@
 	assert.Assert(t, !refused)
 }
 
-// Requests that wait for the same servers are sent in this order: those that can still meet their latency target, by the
-// operator's priority, by arrival. A new request does not overtake them.
+// Requests that wait for the same servers are sorted by three keys: first whether they can still meet their latency
+// target, then the operator's priority, then arrival. A new request does not overtake them.
 func TestWaitingOrderTargetPriorityArrival(t *testing.T) {
 	b := newManualGateway(t, oneSlotServer(1, "s", "r"))
 	inFlight := b.fill("s")
@@ -154,8 +154,8 @@
 	assert.DeepEqual(t, b.sentIDs()[n:], []RequestID{first, second, third, fresh, late})
 }
 
-// A request that will miss its target on any server is sent after the others, and only where they would not have to wait
-// for it.
+// A request that will miss its target on any server is sent after the others, and only to a server at which none of the
+// others would have to wait because of it.
 func TestLateRequestYields(t *testing.T) {
 	b := newManualGateway(t, oneSlotServer(1, "s", "r"))
 	inFlight := b.fill("s")
