--- a/internal/control/agent_updates_test.go
+++ b/internal/control/agent_updates_test.go
@@ -20,8 +20,8 @@
 	agentsMu sync.Mutex // guards all agents
 }
 
-// playAgents runs a test with n replicas and agents.
-func playAgents(t *testing.T, n int, story func(f *agentCluster)) {
+// runAgentCluster runs a test with n replicas and agents.
+func runAgentCluster(t *testing.T, n int, story func(f *agentCluster)) {
 	runCluster(t, n, func(f *clusterFixture) { story(&agentCluster{clusterFixture: f}) })
 }
 
@@ -116,7 +116,7 @@
 }
 
 func TestOnlyFollowingAgentsGetUpdates(t *testing.T) {
-	playAgents(t, 3, func(f *agentCluster) {
+	runAgentCluster(t, 3, func(f *agentCluster) {
 		a, b := peerlink.Server{ID: "a", Capacity: 1}, peerlink.Server{ID: "b", Capacity: 1}
 		f.applyListRead(0, a, b)
 		follower, stopFollower := f.startAgentWithPing(0, "1", peerlink.Ping{Upstream: true, Ready: true})
@@ -161,7 +161,7 @@
 
 // Replicas send each other partial lists too, and a server that was seen draining stays draining.
 func TestReplicasExchangePartialLists(t *testing.T) {
-	playAgents(t, 3, func(f *agentCluster) {
+	runAgentCluster(t, 3, func(f *agentCluster) {
 		agent, stop := f.startAgentWithPing(1, "1", peerlink.Ping{Upstream: true})
 		defer stop()
 		a, b := peerlink.Server{ID: "a"}, peerlink.Server{ID: "b", WarmLeft: 3 * time.Second}
@@ -187,7 +187,7 @@
 }
 
 func TestLargeCensusIsSentLessOften(t *testing.T) {
-	playAgents(t, 1, func(f *agentCluster) {
+	runAgentCluster(t, 1, func(f *agentCluster) {
 		var agents []*pingingAgent
 		for i := range maxSmallCensusProxies + 2 {
 			agent, stop := f.startAgentWithPing(0, fmt.Sprint(10+i), peerlink.Ping{Ready: true, Every: time.Second})
--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -133,7 +133,7 @@
 		}
 		proxy.readyButResting = ping.Rests
 		if ping.Parts > 0 {
-			proxy.quotaParts = ping.Parts
+			proxy.quotaDivisor = ping.Parts
 		}
 		if ping.Figures != nil {
 			proxy.figures, proxy.figuresAt = ping.Figures, now
@@ -148,7 +148,7 @@
 		b.deliverConfiguration(agent)
 		b.setFollowing(agent, ping.Upstream) // before the Pong, which says how old the sent list is
 		pong := b.newPong(ping, now)
-		pong.Want, pong.Asks, pong.Wanted = now < b.ops.figuresWantedUntil, now < b.ops.routeCountsWantedUntil, b.healthJudge.evidenceNumber(agent)
+		pong.Want, pong.Asks, pong.Wanted = now < b.ops.figuresWantedUntil, now < b.ops.routeCountsWantedUntil, b.healthJudge.evidenceRequestNumber(agent)
 		_ = agent.conn.Send(&peerlink.Frame{Pong: pong})
 	}
 	if frame.Report != nil && agent.follows {
@@ -159,9 +159,9 @@
 	}
 	if frame.Leaving != nil {
 		if proxy.leftAt = max(now, 1); *frame.Leaving != peerlink.Gone {
-			proxy.grace = b.liveSettings.Load().Terms.Bounds.Grace
+			proxy.leaveGrace = b.liveSettings.Load().Terms.Bounds.Grace
 		} else {
-			proxy.grace = 0
+			proxy.leaveGrace = 0
 		}
 		proxy.quotaReleased = proxy.quotaReleased || *frame.Leaving == peerlink.Given
 		b.log.Info("proxy leaves", "name", agent.name, "why", *frame.Leaving)
--- a/internal/control/agents_test.go
+++ b/internal/control/agents_test.go
@@ -285,7 +285,7 @@
 
 // An agent that holds another text under the number of the configuration in force is sent the one in force.
 func TestOtherTextOfTheSameNumberIsReplaced(t *testing.T) {
-	playAgents(t, 3, func(f *agentCluster) {
+	runAgentCluster(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(5, "a"))
 		held := f.replicas[0].configurationInForce()
 		agent, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 5, Held: 5, Sum: held.Sum() + 1})
@@ -300,7 +300,7 @@
 // proxy would go on accepting keys that have been revoked, while the next configuration is being sent, while only the
 // agent holds it, or while another text of the same number is in force.
 func TestConfirmedUntilTheNextIsDecided(t *testing.T) {
-	playAgents(t, 3, func(f *agentCluster) {
+	runAgentCluster(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		ping := func(gen uint64) peerlink.Ping {
 			return peerlink.Ping{Gen: gen, Held: gen, Sum: f.replicas[0].configurationInForce().Sum()}
--- a/internal/control/census.go
+++ b/internal/control/census.go
@@ -26,13 +26,13 @@
 	lastHeard    time.Duration
 	pingInterval time.Duration // between two pings of its agent; 0: the default
 	leftAt       time.Duration // when it announced that it leaves; 0: it did not
-	grace        time.Duration // after leftAt; then it has ended
+	leaveGrace   time.Duration // after leftAt; then it has ended
 
 	joinedAt         time.Duration // when it began to be counted; 0: before this replica started
 	firstReadyAt     time.Duration // when it was first ready after joinedAt; 0: not yet
 	quotaReleased    bool          // it has given up its share of the quotas
 	joinAcknowledged bool          // all others have reported that they divide quotas by a number that includes it
-	quotaParts       int           // the number by which it divides quotas, as last reported; 0: never reported
+	quotaDivisor     int           // the number by which it divides quotas, as last reported; 0: never reported
 
 	readyButResting bool              // it would be ready without the order to rest
 	figures         *peerlink.Figures // its traffic figures, as last reported; nil: none
@@ -49,9 +49,9 @@
 	return g.connected && now-g.lastHeard < peerlink.Patience(g.pingInterval)
 }
 
-// isCounted reports whether the proxy may be serving requests and so has a share of the quotas.
-func (g *proxy) isCounted(now time.Duration) bool {
-	if g.quotaReleased || g.leftAt > 0 && now-g.leftAt >= g.grace+leaveMargin {
+// hasQuotaShare reports whether the proxy may be serving requests and so has a share of the quotas.
+func (g *proxy) hasQuotaShare(now time.Duration) bool {
+	if g.quotaReleased || g.leftAt > 0 && now-g.leftAt >= g.leaveGrace+leaveMargin {
 		return false
 	}
 	return now-g.lastHeard < maxProxySilence
@@ -83,7 +83,7 @@
 		g = &proxy{}
 		r.proxies[h.Name], r.sortedNames = g, nil
 	}
-	if isNew || !g.isCounted(now) {
+	if isNew || !g.hasQuotaShare(now) {
 		g.joinedAt, g.firstReadyAt, g.joinAcknowledged = max(now, 1), 0, false
 	}
 	g.hello, g.lastHeard, g.leftAt, g.quotaReleased, g.connected = h, now, 0, false, true
@@ -113,13 +113,13 @@
 func (r *proxyRegistry) members(now time.Duration) (all []peerlink.Member, shares int, same bool) {
 	all = r.spareMembers[:0]
 	for _, g := range r.proxies {
-		if g.isCounted(now) {
+		if g.hasQuotaShare(now) {
 			shares++
 		}
 	}
 	for slot, n := range r.names() {
 		g := r.proxies[n]
-		if !g.isCounted(now) {
+		if !g.hasQuotaShare(now) {
 			continue
 		}
 		if g.hello.Front == "" && g.hello.Peer == "" {
@@ -145,7 +145,7 @@
 		return 0
 	}
 	for _, o := range r.proxies {
-		if o != g && o.joinedAt < g.joinedAt && o.isCounted(now) && !o.isAwareOf(g, shares) {
+		if o != g && o.joinedAt < g.joinedAt && o.hasQuotaShare(now) && !o.isAwareOf(g, shares) {
 			n++
 		}
 	}
@@ -156,10 +156,10 @@
 // isAwareOf reports whether a proxy divides quotas by a number that includes g. Earlier versions don't report that
 // number: they are taken to be aware once their agent has sent something handover.JoinKnownAfter after the join.
 func (o *proxy) isAwareOf(g *proxy, shares int) bool {
-	if o.quotaParts == 0 {
+	if o.quotaDivisor == 0 {
 		return o.lastHeard >= g.joinedAt+handover.JoinKnownAfter
 	}
-	return o.quotaParts >= shares
+	return o.quotaDivisor >= shares
 }
 
 // memberHello returns the part of a proxy's Hello that others need.
@@ -176,7 +176,7 @@
 		switch g := r.proxies[n]; {
 		case g.hello.Front == "" || !g.isAlive(now):
 		case g.leftAt > 0:
-			if !g.quotaReleased && handover.SurelyAccepts(g.grace, now-g.leftAt) {
+			if !g.quotaReleased && handover.SurelyAccepts(g.leaveGrace, now-g.leftAt) {
 				leaving = append(leaving, g)
 			}
 		case g.ready && !r.resting[n]:
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -188,7 +188,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", jsonContentType)
-	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: apiVersion(done.Held)})
+	_ = json.NewEncoder(w).Encode(api.Replaced{InForce: done.InForce, Held: apiVersion(done.InForceID)})
 }
 
 // httpStatus returns the status for an order that failed. 503 says that it's unknown whether the order is in force.
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -41,7 +41,7 @@
 	now += 5 * time.Second
 	heartbeatAll(r, now)
 	leaver := r.proxies["a"]
-	leaver.leftAt, leaver.grace, leaver.quotaReleased = now, 6*time.Second, true
+	leaver.leftAt, leaver.leaveGrace, leaver.quotaReleased = now, 6*time.Second, true
 	_, shares, _ := r.members(now)
 	assert.Equal(t, shares, 2)
 
@@ -103,7 +103,7 @@
 	r := newProxyRegistry(nil, 0)
 	now := time.Second
 	for _, n := range []string{"a", "b"} {
-		joinProxy(r, n, now).quotaParts = 2
+		joinProxy(r, n, now).quotaDivisor = 2
 	}
 	now += time.Second
 	joinProxy(r, "c", now)
@@ -114,13 +114,13 @@
 		return all[i].Silent
 	}
 	assert.Equal(t, silent("c", 0), 2)
-	r.proxies["a"].quotaParts = 3
+	r.proxies["a"].quotaDivisor = 3
 	assert.Equal(t, silent("c", 20*time.Millisecond), 1) // it doesn't wait any longer for a
 	assert.Equal(t, silent("c", 20*time.Second), 1)      // no time is enough: b doesn't know of c, since its upstream replica doesn't
-	r.proxies["b"].quotaParts = 4
+	r.proxies["b"].quotaDivisor = 4
 	assert.Equal(t, silent("c", 20*time.Second), 0)
 	now += 21 * time.Second
-	r.proxies["c"].quotaParts = 3
+	r.proxies["c"].quotaDivisor = 3
 	joinProxy(r, "d", now)
 	assert.Equal(t, silent("c", 0), 0)
 	assert.Equal(t, silent("d", 0), 2)
@@ -136,7 +136,7 @@
 	now += 10 * time.Second
 	heartbeatAll(r, now)
 	leave := func(name string) {
-		r.proxies[name].leftAt, r.proxies[name].grace, r.proxies[name].ready = now, 6*time.Second, false
+		r.proxies[name].leftAt, r.proxies[name].leaveGrace, r.proxies[name].ready = now, 6*time.Second, false
 	}
 	leave("a")
 	assert.DeepEqual(t, r.frontAddresses([]string{"r"}, "p", now), []string{"b"})
--- a/internal/control/linearizability_test.go
+++ b/internal/control/linearizability_test.go
@@ -153,7 +153,7 @@
 	done, err := r.Replace(ctx, configurationBody(op.gen, op.text))
 	switch err.(type) {
 	case nil:
-		return outcome{inForce: done.InForce, gen: int(done.Held.Gen)}
+		return outcome{inForce: done.InForce, gen: int(done.InForceID.Gen)}
 	case ConflictError:
 		return outcome{conflict: true}
 	}
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -22,7 +22,7 @@
 
 // The metrics show that a replica is cut off, and that an agent lacks the configuration in force.
 func TestMetricsShowWhoIsBehind(t *testing.T) {
-	playAgents(t, 3, func(f *agentCluster) {
+	runAgentCluster(t, 3, func(f *agentCluster) {
 		f.replaceUntilAcknowledged(0, configurationBody(2, "a"))
 		held := f.replicas[0].configurationInForce().Sum()
 		agent, stop := f.startAgentWithPing(0, "1", peerlink.Ping{Gen: 2, Held: 2, Sum: held, Upstream: true})
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -287,7 +287,7 @@
 	}
 	status.Versions = routeconfig.VersionsAt(slices.Values(status.Proxies))
 	for _, name := range names {
-		if b.proxies.proxies[name].isCounted(now) {
+		if b.proxies.proxies[name].hasQuotaShare(now) {
 			status.Shares++
 		}
 	}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -35,8 +35,8 @@
 
 // ReplaceResult is the outcome of an acknowledged configuration.
 type ReplaceResult struct {
-	InForce bool           // the acknowledged configuration is the one in force
-	Held    state.ConfigID // the one in force; newer than the acknowledged one if InForce is false
+	InForce   bool           // the acknowledged configuration is the one in force
+	InForceID state.ConfigID // the one in force; newer than the acknowledged one if InForce is false
 }
 
 // Replace puts a configuration in force. If the error is nil, the configuration or a newer one is decided. It returns
@@ -49,7 +49,7 @@
 	}
 	config := (&peerlink.Configuration{Gen: parsed.Gen, Digest: sha256.Sum256(body), Body: body}).Pack()
 	held, err := b.submit(ctx, peerlink.Command{Config: config})
-	return ReplaceResult{InForce: held == configIDOf(config), Held: held}, err
+	return ReplaceResult{InForce: held == configIDOf(config), InForceID: held}, err
 }
 
 // executeReplace executes the command to put a configuration in force, and returns the ID of the one in force then.
--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -216,9 +216,9 @@
 			}
 			f.replaceUntilAcknowledged(2, configurationBody(7, "c"))
 			done, err := f.replicas[1].Replace(context.Background(), texts[one]) // a newer one is in force
-			assert.Assert(t, err == nil && !done.InForce && done.Held.Gen == 7, "%+v, %v", done, err)
+			assert.Assert(t, err == nil && !done.InForce && done.InForceID.Gen == 7, "%+v, %v", done, err)
 			done, err = f.replicas[1].Replace(context.Background(), texts[1-one])
-			assert.Assert(t, err == nil && !done.InForce && done.Held.Gen == 7, "%+v, %v", done, err)
+			assert.Assert(t, err == nil && !done.InForce && done.InForceID.Gen == 7, "%+v, %v", done, err)
 		})
 	}
 }
--- a/internal/control/rest_orders.go
+++ b/internal/control/rest_orders.go
@@ -69,7 +69,7 @@
 	count := func(zone string) (awakeCount, total int) {
 		for _, other := range r.names() {
 			proxy, rests := r.proxies[other], decided.Order(state.NodeSubject(other)).Drain
-			if zone != "" && proxy.hello.Zone != zone || !rests && !proxy.isCounted(now) {
+			if zone != "" && proxy.hello.Zone != zone || !rests && !proxy.hasQuotaShare(now) {
 				continue // a proxy that has left counts only while it is ordered to rest
 			}
 			if total++; !rests && other != name && proxy.ready && proxy.leftAt == 0 && proxy.isAlive(now) {
--- a/internal/control/server_verdicts.go
+++ b/internal/control/server_verdicts.go
@@ -70,9 +70,9 @@
 	return j.connectionCount
 }
 
-// evidenceNumber returns the number under which an agent is asked for evidence; 0: none is wanted. It changes on a new
+// evidenceRequestNumber returns the number under which an agent is asked for evidence; 0: none is wanted. It changes on a new
 // connection and when the owners of services change; the agent then sends all evidence again.
-func (j *serverJudge) evidenceNumber(agent *agentConn) uint64 {
+func (j *serverJudge) evidenceRequestNumber(agent *agentConn) uint64 {
 	if j.ownershipEpoch == 0 {
 		return 0
 	}
@@ -125,7 +125,7 @@
 }
 
 // ownershipEpoch returns a number above 0 that changes with the judging processes. Its lower 32 bits are 0 but for that;
-// evidenceNumber puts the connection's number there. The mutex is held.
+// evidenceRequestNumber puts the connection's number there. The mutex is held.
 func (b *Replica) ownershipEpoch(names []string) uint64 {
 	digest := xxhash.New()
 	for _, name := range names {
--- a/internal/dataplane/node/actions.go
+++ b/internal/dataplane/node/actions.go
@@ -57,7 +57,7 @@
 // is past its deadline, nothing is sent and the gateway receives an outcome without a retry.
 func (l *loop) sendAttempt(s policy.Send) {
 	c, now := l.requests[s.ID], l.clock.now()
-	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, Final: c == nil}
+	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NoRetry, ClientAnswered: c == nil}
 	if c != nil {
 		notSent.Attempt = c.attempts
 		c.attempts++
--- a/internal/dataplane/node/loop.go
+++ b/internal/dataplane/node/loop.go
@@ -139,7 +139,7 @@
 	case o.cannotRepeat: // the request's body is no longer held, so it can't be sent again
 		l.answer(c, command{retryAfter: refusalRetryAfter})
 	}
-	ev.Final = l.requests[c.ID] == nil
+	ev.ClientAnswered = l.requests[c.ID] == nil
 	l.decide(ev)
 }
 
--- a/internal/dataplane/wire/decode.go
+++ b/internal/dataplane/wire/decode.go
@@ -162,7 +162,7 @@
 		f.skip() // the meter's figure: peers' totals are what counts here
 		o.Latency = f.ms()
 		o.Server = f.server()
-		o.Final = f.bool()
+		o.ClientAnswered = f.bool()
 		o.ActualUnits = f.num()
 		o.Code = f.code()
 		o.Load = f.row()
--- a/internal/dataplane/wire/wire_test.go
+++ b/internal/dataplane/wire/wire_test.go
@@ -39,7 +39,7 @@
 		policy.ServerList{Kind: policy.WatchFailed},
 		policy.Request{ID: id, GatewayCount: 3, Class: "lookup", FirstGateway: 1, Remaining: 240 * ms, Units: 2,
 			Retry: true, Customer: "acct:k", Plan: "basic"},
-		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Final: true, ActualUnits: 3,
+		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, ClientAnswered: true, ActualUnits: 3,
 			Load: []float64{1, 0.5}},
 		policy.Started{ID: id, Attempt: 1, Server: 7},
 		policy.ClientGone{ID: id},
--- a/policy/api.go
+++ b/policy/api.go
@@ -148,14 +148,14 @@
 
 // Outcome reports how an attempt ended; there is one for each Send.
 type Outcome struct {
-	ID          RequestID
-	Attempt     int // number of the attempt within the request, from 0
-	Server      ServerID
-	Code        Code
-	Latency     time.Duration
-	Final       bool      // whether the client has its final answer
-	ActualUnits float64   // true units of the request, if they are known only afterwards; else 0
-	Load        []float64 // load report, in the order of Settings.LoadReportNames; or nil
+	ID             RequestID
+	Attempt        int // number of the attempt within the request, from 0
+	Server         ServerID
+	Code           Code
+	Latency        time.Duration
+	ClientAnswered bool      // whether the client has its final answer
+	ActualUnits    float64   // true units of the request, if they are known only afterwards; else 0
+	Load           []float64 // load report, in the order of Settings.LoadReportNames; or nil
 }
 
 // ClientGone reports that the client has left; the request needs no answer any more.
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -121,7 +121,7 @@
 			if !c.held { // a place becomes free, and the root's grant is lost
 				w.dropMessage = func(from, _ int) bool { return from == root }
 				s := w.sends[0]
-				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Final: true})
+				w.do(i, Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, ClientAnswered: true})
 				w.pass(40*ms, nil)
 				if k.inFlight != 2 || len(k.held) != 0 {
 					t.Fatalf("%d granted, %d held after an end", k.inFlight, len(k.held))
--- a/policy/buckets_test.go
+++ b/policy/buckets_test.go
@@ -94,7 +94,7 @@
 	w := newTestGateway(t, testSettings(), testServers(8))
 	w.report(1, 1, 1, true)
 	s := w.send("safe", "rate")
-	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Final: true, ActualUnits: 9})
+	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, ClientAnswered: true, ActualUnits: 9})
 	if n := w.requestMany(5, "rate"); n > 1 {
 		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
 	}
--- a/policy/hold_test.go
+++ b/policy/hold_test.go
@@ -75,7 +75,7 @@
 			w.advance(25 * ms)
 			_, acts := w.request("safe", "free", "c", 1)
 			for _, s := range actionsOf[Send](acts) {
-				w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Final: true, Latency: latency})
+				w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, ClientAnswered: true, Latency: latency})
 				if i >= 200 {
 					n++
 				}
--- a/policy/manygateways_test.go
+++ b/policy/manygateways_test.go
@@ -94,7 +94,7 @@
 			}
 			c.endedAttempts[s.ID]++
 			c.do(c.sentFrom[c.endedSends], Outcome{ID: s.ID, Attempt: c.endedAttempts[s.ID] - 1, Server: s.Server, Code: code,
-				Latency: c.attemptTime, Final: code == OK})
+				Latency: c.attemptTime, ClientAnswered: code == OK})
 		}
 		if step != nil {
 			step(c.now)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -23,7 +23,7 @@
 		c.adjustUnits(ev.ActualUnits - r.units)
 	}
 	switch {
-	case r.done || ev.Final || ev.Code == OK:
+	case r.done || ev.ClientAnswered || ev.Code == OK:
 		g.finish(r)
 	case ev.Code == NoRetry || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
 		g.refuse(r)
--- a/policy/servicegateways_test.go
+++ b/policy/servicegateways_test.go
@@ -94,7 +94,7 @@
 			}
 			m.inTransit = append(m.inTransit, delayedEvent{m.now + m.attemptTime, m.gateways[i],
 				Outcome{ID: a.ID, Attempt: attempt, Server: a.Server,
-					Code: code, Latency: m.attemptTime, Final: code == OK}})
+					Code: code, Latency: m.attemptTime, ClientAnswered: code == OK}})
 		case Cancel:
 			m.cancelledAt[a.ID] = m.now
 		}
--- a/policy/testgateway_test.go
+++ b/policy/testgateway_test.go
@@ -88,7 +88,7 @@
 // finish reports the outcome of an attempt to the gateway.
 func (w *testGateway) finish(s Send, attempt int, code Code) []Action {
 	return w.do(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
-		Final: code == OK})
+		ClientAnswered: code == OK})
 }
 
 // send makes a request that must be sent to a server at once, and returns that Send.
--- a/policy/trust_test.go
+++ b/policy/trust_test.go
@@ -51,7 +51,7 @@
 				case s.Server == servers[1].ID && mustNotRepeat:
 					t.Fatal("sent to a suspect server though others have room")
 				}
-				handle(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, Final: true})
+				handle(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 30 * ms, ClientAnswered: true})
 			}
 		}
 		assert.Assert(t, trials <= 1, "%d trials", trials)
--- a/policy/waitorder_test.go
+++ b/policy/waitorder_test.go
@@ -64,7 +64,7 @@
 func (b *manualGateway) end(id RequestID) {
 	for _, s := range b.sent {
 		if s.ID == id {
-			b.do(Outcome{ID: id, Attempt: b.attempts[id], Server: s.Server, Latency: 100 * ms, Final: true})
+			b.do(Outcome{ID: id, Attempt: b.attempts[id], Server: s.Server, Latency: 100 * ms, ClientAnswered: true})
 			return
 		}
 	}
