--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -125,7 +125,7 @@
 		}
 	}
 	c.Seed = parseSeed(raw.Seed)
-	facts, err := wire.FactsFromJSON(raw.Settings)
+	facts, err := wire.SettingPairsFromJSON(raw.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/node/discovery.go
+++ b/internal/dataplane/node/discovery.go
@@ -76,7 +76,7 @@
 // policyServer converts a target for the policy package. The loop's clock counts from the Unix epoch, as the start time
 // does.
 func (t *target) policyServer() policy.Server {
-	return policy.Server{ID: serverID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: targetStates[t.State],
+	return policy.Server{ID: serverID(t.UID), Zone: wire.PairValue(t.Zone), Cell: t.Cell, State: targetStates[t.State],
 		HasStartTime: t.BootMS > 0, StartTime: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
 }
 
--- a/internal/dataplane/node/request.go
+++ b/internal/dataplane/node/request.go
@@ -74,7 +74,7 @@
 	if err := s.parseClass(c, r); err != nil {
 		return nil, err
 	}
-	c.Plan = wire.Word(string(r.get("X-Tier")))
+	c.Plan = wire.PairValue(string(r.get("X-Tier")))
 	known := false
 	for i := range s.settings.Plans {
 		known = known || s.settings.Plans[i].Name == c.Plan
@@ -98,7 +98,7 @@
 
 // parseClass sets the request's class and checks that method, path and body fit it.
 func (s *server) parseClass(c *openRequest, r *clientRequest) error {
-	c.Class = wire.Word(string(r.get("X-Class")))
+	c.Class = wire.PairValue(string(r.get("X-Class")))
 	for i := range s.settings.Classes {
 		if s.settings.Classes[i].Name == c.Class {
 			c.class = &s.settings.Classes[i]
@@ -110,7 +110,7 @@
 	first, _, _ := strings.Cut(targetPath(r.target)[1:], "/")
 	key := r.get("Idempotency-Key")
 	switch {
-	case wire.Word(first) != c.Class:
+	case wire.PairValue(first) != c.Class:
 		return errors.New("X-Class: not the path's")
 	case c.class.Effect == policy.Safe && (string(r.method) != "GET" || len(r.body) > 0):
 		return fmt.Errorf("class %s: not GET without a body", c.Class)
--- a/internal/dataplane/proxy/figures.go
+++ b/internal/dataplane/proxy/figures.go
@@ -6,10 +6,10 @@
 	"pepperfall.example/pepperfall/internal/platform/metrics"
 )
 
-// figures are what this proxy tells of itself to whoever watches it.
-func (g *Proxy) figures() []metrics.Figure {
-	f, ready := g.estate.TrafficStats(), 0
-	if g.estate.Ready() {
+// collectMetrics are what this proxy tells of itself to whoever watches it.
+func (g *Proxy) collectMetrics() []metrics.Figure {
+	f, ready := g.managed.TrafficStats(), 0
+	if g.managed.Ready() {
 		ready = 1
 	}
 	counter := func(name, help string, n uint64) metrics.Figure {
@@ -17,14 +17,14 @@
 	}
 	return []metrics.Figure{
 		metrics.Count("proxy_ready", "1 where clients are to come.", ready),
-		metrics.Count("proxy_configuration", "Number of the configuration in force.", int(g.gen.Load())),
-		metrics.Seconds("proxy_confirmed_age_seconds", "Since what is in force was last confirmed to be the newest.", g.estate.ConfirmedAge()),
+		metrics.Count("proxy_configuration", "Number of the configuration in force.", int(g.generation.Load())),
+		metrics.Seconds("proxy_confirmed_age_seconds", "Since what is in force was last confirmed to be the newest.", g.managed.ConfirmedAge()),
 		metrics.Seconds("proxy_list_age_seconds", "Since the reading of the servers' list in force began.", g.listAge()),
 		metrics.Count("proxy_requests_open", "Requests that are not answered yet.", f.Open),
 		metrics.Count("proxy_client_connections", "Connections of clients.", f.Clients),
-		counter("proxy_client_left_total", "Requests whose client left before its answer.", g.estate.DisconnectedClients()),
+		counter("proxy_client_left_total", "Requests whose client left before its answer.", g.managed.DisconnectedClients()),
 	}
 }
 
 // listAge is how old the list of servers in force is; since the start where none is known.
-func (g *Proxy) listAge() time.Duration { return g.now() - time.Duration(g.list.Load()) }
+func (g *Proxy) listAge() time.Duration { return g.now() - time.Duration(g.listReadAt.Load()) }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -23,38 +23,38 @@
 )
 
 const (
-	heartbeat       = 250 * time.Millisecond // between two pings to the agent
-	askedHeartbeats = 20                     // such pings between two that tell what was asked for
-	lastWord        = 200 * time.Millisecond // for what is to be told at the end
+	heartbeatInterval  = 250 * time.Millisecond // between two pings to the agent
+	heartbeatsPerCount = 20                     // such pings between two that tell what was asked for
+	finalSendTimeout   = 200 * time.Millisecond // for what is to be told at the end
 )
 
 // Proxy is a proxy.
 type Proxy struct {
-	set    *settings.Settings
-	w      world.World
-	log    logr.Logger
-	estate *node.ManagedNode
-	start  time.Time
-	life   int64
+	settings    *settings.Settings
+	world       world.World
+	log         logr.Logger
+	managed     *node.ManagedNode
+	start       time.Time
+	incarnation int64
 
-	mu    sync.Mutex
-	early *peerlink.Census // taken over before it was known who had heard of this proxy; nil: a later one was
+	mu          sync.Mutex
+	earlyCensus *peerlink.Census // taken over before it was known who had heard of this proxy; nil: a later one was
 
-	held  *peerlink.Configuration  // in force
-	zones map[string]peerlink.Zone // orders in force: an agent that starts anew may first hear of older ones
-	gen   atomic.Uint64
-	parts atomic.Int64 // by which quotas are divided
-	list  atomic.Int64 // nanoseconds of its steady clock at which the reading of the list in force began; 0: none is known
-	conn  atomic.Pointer[peerlink.Conn]
-	fit   fit
+	configuration *peerlink.Configuration  // in force
+	zoneOrders    map[string]peerlink.Zone // orders in force: an agent that starts anew may first hear of older ones
+	generation    atomic.Uint64
+	quotaDivisor  atomic.Int64 // by which quotas are divided
+	listReadAt    atomic.Int64 // nanoseconds of its steady clock at which the reading of the list in force began; 0: none is known
+	conn          atomic.Pointer[peerlink.Conn]
+	health        healthExchange
 }
 
 // New opens a proxy's sockets.
 func New(s *settings.Settings, w world.World, log logr.Logger) (*Proxy, error) {
 	now := w.Now()
-	g := &Proxy{set: s, w: w, log: log, start: now, life: now.UnixNano(), zones: map[string]peerlink.Zone{}}
-	cfg := estateOf(s, w, uint64(now.UnixNano()))
-	cfg.OnUnitsTransferred = g.given
+	g := &Proxy{settings: s, world: w, log: log, start: now, incarnation: now.UnixNano(), zoneOrders: map[string]peerlink.Zone{}}
+	cfg := managedConfig(s, w, uint64(now.UnixNano()))
+	cfg.OnUnitsTransferred = g.reportUnitsTransferred
 	cfg.OnRequestFailed = func(id string, why verdict.Verdict) {
 		log.V(1).Info("request failed", "attempt", id, "why", why.Error())
 	}
@@ -62,12 +62,12 @@
 	if err != nil {
 		return nil, err
 	}
-	g.estate = e
+	g.managed = e
 	return g, nil
 }
 
-// estateOf is what an edge node is told by the settings.
-func estateOf(s *settings.Settings, w world.World, seed uint64) node.ManagedConfig {
+// managedConfig is what an edge node is told by the settings.
+func managedConfig(s *settings.Settings, w world.World, seed uint64) node.ManagedConfig {
 	h := fnv.New64a()
 	h.Write([]byte(s.Self.Name))
 	b := s.Terms.Bounds
@@ -79,7 +79,7 @@
 }
 
 // SetSettings takes over what of the settings may change in service, once Run serves.
-func (g *Proxy) SetSettings(s *settings.Settings) { g.estate.Retune(estateOf(s, g.w, 0)) }
+func (g *Proxy) SetSettings(s *settings.Settings) { g.managed.Retune(managedConfig(s, g.world, 0)) }
 
 // Run serves until leave is closed, and then until what is open is answered.
 func (g *Proxy) Run(ctx context.Context, leave <-chan struct{}) error {
@@ -88,11 +88,11 @@
 	if err := g.serveReady(ctx); err != nil {
 		return err
 	}
-	go metrics.Serve(ctx, g.w, g.set.Self.IP, metrics.PortProxy, g.log, g.figures)
-	d := peerlink.Dialer{Net: g.w, Log: g.log, Hello: peerlink.Hello{Version: peerlink.Version, Role: peerlink.Proxy, Name: g.set.Self.Name,
-		Life: g.life, IP: g.set.Self.IP, Zone: g.set.Self.Zone, Region: g.set.Self.Region, Front: g.set.Network.Listen.HTTP,
-		Peer: g.set.Peer(g.set.Self.IP)}}
-	go d.Keep(ctx, g.set.AgentInner(), g.follow)
+	go metrics.Serve(ctx, g.world, g.settings.Self.IP, metrics.PortProxy, g.log, g.collectMetrics)
+	d := peerlink.Dialer{Net: g.world, Log: g.log, Hello: peerlink.Hello{Version: peerlink.Version, Role: peerlink.Proxy, Name: g.settings.Self.Name,
+		Life: g.incarnation, IP: g.settings.Self.IP, Zone: g.settings.Self.Zone, Region: g.settings.Self.Region, Front: g.settings.Network.Listen.HTTP,
+		Peer: g.settings.Peer(g.settings.Self.IP)}}
+	go d.Keep(ctx, g.settings.AgentInner(), g.receiveFromAgent)
 	end, done := context.WithCancel(ctx)
 	defer done()
 	go func() {
@@ -106,22 +106,22 @@
 		}
 		done()
 	}()
-	err := g.estate.Run(end)
+	err := g.managed.Run(end)
 	if c := g.conn.Load(); c != nil { // nothing more passes here: its parts are others'
 		why := peerlink.Gone
 		_ = c.Send(&peerlink.Frame{Leaving: &why})
-		c.Finish(lastWord)
+		c.Finish(finalSendTimeout)
 	}
 	return err
 }
 
-// InForce is the number of the configuration that requests are served by; 0: none.
-func (g *Proxy) InForce() uint64 { return g.gen.Load() }
+// ConfigurationInForce is the number of the configuration that requests are served by; 0: none.
+func (g *Proxy) ConfigurationInForce() uint64 { return g.generation.Load() }
 
-func (g *Proxy) now() time.Duration { return g.w.Now().Sub(g.start) }
+func (g *Proxy) now() time.Duration { return g.world.Now().Sub(g.start) }
 
-// given tells that nothing is taken in here any more, and that what was held of quotas is others'.
-func (g *Proxy) given(units, of int) {
+// reportUnitsTransferred tells that nothing is taken in here any more, and that what was held of quotas is others'.
+func (g *Proxy) reportUnitsTransferred(units, of int) {
 	g.log.Info("parts given up", "units taken over", units, "of", of)
 	if c := g.conn.Load(); c != nil {
 		why := peerlink.Given
@@ -129,8 +129,8 @@
 	}
 }
 
-// follow takes in what the agent says while the connection lasts.
-func (g *Proxy) follow(ctx context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
+// receiveFromAgent takes in what the agent says while the connection lasts.
+func (g *Proxy) receiveFromAgent(ctx context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
 	g.conn.Store(c)
 	defer g.conn.CompareAndSwap(c, nil)
 	go g.ping(ctx, c)
@@ -140,33 +140,35 @@
 			return err
 		}
 		if p := f.Pong; p != nil && p.Fresh {
-			g.estate.ConfirmConfiguration(g.now() - p.Sent + p.Age)
+			g.managed.ConfirmConfiguration(g.now() - p.Sent + p.Age)
 		}
 		if p := f.Pong; p != nil && p.List != nil {
-			g.list.Store(int64(p.Sent - p.List.Age))
+			g.listReadAt.Store(int64(p.Sent - p.List.Age))
 		}
-		g.fit.hears(f, g.now())
+		g.health.receive(f, g.now())
 		if ch := f.Change; ch != nil {
-			g.take(ch)
-			if err := c.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: ch.No, Gen: g.gen.Load()}}); err != nil {
+			g.applyChange(ch)
+			if err := c.Send(&peerlink.Frame{Ack: &peerlink.Ack{No: ch.No, Gen: g.generation.Load()}}); err != nil {
 				return err
 			}
-			g.heartbeat(c)
+			g.sendHeartbeat(c)
 		}
 	}
 }
 
-func (g *Proxy) heartbeat(c *peerlink.Conn) error { return c.Send(&peerlink.Frame{Ping: g.tells()}) }
+func (g *Proxy) sendHeartbeat(c *peerlink.Conn) error {
+	return c.Send(&peerlink.Frame{Ping: g.newPing()})
+}
 
-func (g *Proxy) tells() *peerlink.Ping {
-	f := g.estate.TrafficStats()
-	return &peerlink.Ping{Sent: g.now(), Ready: g.estate.Ready(), Rests: g.estate.ReadyButResting(), Gen: g.gen.Load(),
-		Parts: int(g.parts.Load()), Figures: (*peerlink.Figures)(&f), Heads: g.estate.RequestsByHost()}
+func (g *Proxy) newPing() *peerlink.Ping {
+	f := g.managed.TrafficStats()
+	return &peerlink.Ping{Sent: g.now(), Ready: g.managed.Ready(), Rests: g.managed.ReadyButResting(), Gen: g.generation.Load(),
+		Parts: int(g.quotaDivisor.Load()), Figures: (*peerlink.Figures)(&f), Heads: g.managed.RequestsByHost()}
 }
 
-// asked tells the agent what was asked for lately, by route.
-func (g *Proxy) asked() *peerlink.Asked {
-	a := g.estate.RequestCounts()
+// requestCounts tells the agent what was asked for lately, by route.
+func (g *Proxy) requestCounts() *peerlink.Asked {
+	a := g.managed.RequestCounts()
 	if a == nil {
 		return nil
 	}
@@ -179,48 +181,48 @@
 
 func (g *Proxy) ping(ctx context.Context, c *peerlink.Conn) {
 	for n := 0; ; n++ {
-		p := g.tells()
-		if n%askedHeartbeats == 0 {
-			p.Asked = g.asked()
+		p := g.newPing()
+		if n%heartbeatsPerCount == 0 {
+			p.Asked = g.requestCounts()
 		}
-		if c.Send(&peerlink.Frame{Ping: p}) != nil || !world.Sleep(ctx, g.w, heartbeat) {
+		if c.Send(&peerlink.Frame{Ping: p}) != nil || !world.Sleep(ctx, g.world, heartbeatInterval) {
 			return
 		}
-		g.settle()
-		if g.set.Judge.Records {
-			g.judges(c)
+		g.reapplyEarlyCensus()
+		if g.settings.Judge.Records {
+			g.reportHealth(c)
 		}
 	}
 }
 
-// take puts a change in force. What can't be read changes nothing: control has checked it, so the fault is here.
-func (g *Proxy) take(c *peerlink.Change) {
-	if p := c.Configuration; p != nil && (g.held == nil || routeconfig.Above(p.Gen, p.Digest, g.held.Gen, g.held.Digest)) {
+// applyChange puts a change in force. What can't be read changes nothing: control has checked it, so the fault is here.
+func (g *Proxy) applyChange(c *peerlink.Change) {
+	if p := c.Configuration; p != nil && (g.configuration == nil || routeconfig.Above(p.Gen, p.Digest, g.configuration.Gen, g.configuration.Digest)) {
 		if parsed, err := routeconfig.Parse(p.Body); err != nil {
 			g.log.Error(err, "a configuration that can't be read", "gen", p.Gen)
 		} else {
-			g.estate.SetConfiguration(parsed)
-			g.held = p
-			g.gen.Store(p.Gen)
+			g.managed.SetConfiguration(parsed)
+			g.configuration = p
+			g.generation.Store(p.Gen)
 			g.log.Info("configuration in force", "gen", p.Gen)
 		}
 	}
 	if c.Zones != nil {
 		drained, rest := map[string]bool{}, false
 		for _, z := range c.Zones {
-			if z.Supersedes(g.zones[z.Zone]) {
-				g.zones[z.Zone] = z
+			if z.Supersedes(g.zoneOrders[z.Zone]) {
+				g.zoneOrders[z.Zone] = z
 			}
 		}
-		for name, z := range g.zones {
+		for name, z := range g.zoneOrders {
 			if node, is := z.Node(); !is {
 				drained[name] = z.Drain
-			} else if node == g.set.Self.Name {
+			} else if node == g.settings.Self.Name {
 				rest = z.Drain
 			}
 		}
-		g.estate.SetResting(rest)
-		g.estate.SetDrainedZones(drained)
+		g.managed.SetResting(rest)
+		g.managed.SetDrainedZones(drained)
 	}
 	if s := c.Servers; s != nil && s.List != nil {
 		list := make([]serverlist.Entry, 0, len(s.List))
@@ -228,32 +230,32 @@
 			list = append(list, serverlist.Entry{ID: v.ID, Service: v.Backend, Address: v.Address, Zone: v.Zone, Slots: v.Capacity,
 				Draining: v.Draining, WarmLeft: v.WarmLeft})
 		}
-		g.estate.SetServers(s.Stamp, list)
+		g.managed.SetServers(s.Stamp, list)
 	}
 	if s := c.Census; s != nil {
-		g.peers(s)
+		g.applyCensus(s)
 	}
 }
 
-// settle takes the census over again once it is known who has heard of this proxy.
-func (g *Proxy) settle() {
+// reapplyEarlyCensus takes the census over again once it is known who has heard of this proxy.
+func (g *Proxy) reapplyEarlyCensus() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.early != nil && g.now() >= handover.InitialPhase {
-		g.meet(g.early)
+	if g.earlyCensus != nil && g.now() >= handover.InitialPhase {
+		g.applyCensusLocked(g.earlyCensus)
 	}
 }
 
-// peers takes over who the other proxies are.
-func (g *Proxy) peers(s *peerlink.Census) {
+// applyCensus takes over who the other proxies are.
+func (g *Proxy) applyCensus(s *peerlink.Census) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.meet(s)
+	g.applyCensusLocked(s)
 }
 
-func (g *Proxy) meet(s *peerlink.Census) {
-	g.fit.meets(s.Proxies)
-	me := slices.IndexFunc(s.Proxies, func(m peerlink.Member) bool { return m.Hello.Name == g.set.Self.Name })
+func (g *Proxy) applyCensusLocked(s *peerlink.Census) {
+	g.health.setTrialCandidates(s.Proxies)
+	me := slices.IndexFunc(s.Proxies, func(m peerlink.Member) bool { return m.Hello.Name == g.settings.Self.Name })
 	if me < 0 {
 		return // control doesn't know of this one yet
 	}
@@ -264,8 +266,8 @@
 		}
 	}
 	less := handover.UnusedShare(s.Shares, joined, s.Proxies[me].Silent)
-	if g.early = nil; less > 0 && g.now() < handover.InitialPhase {
-		less, g.early = min(less, 1-handover.InitialShare(s.Shares, joined)), s
+	if g.earlyCensus = nil; less > 0 && g.now() < handover.InitialPhase {
+		less, g.earlyCensus = min(less, 1-handover.InitialShare(s.Shares, joined)), s
 	}
 	at, regions := make([]netip.AddrPort, 0, len(s.Proxies)), make([]string, 0, len(s.Proxies))
 	for _, m := range s.Proxies {
@@ -280,8 +282,8 @@
 			at[m.Slot] = a
 		}
 	}
-	g.estate.SetPeers(s.Proxies[me].Slot, s.Shares, less, at, regions)
-	g.parts.Store(int64(s.Shares)) // it holds no more than its part of so many from here on
+	g.managed.SetPeers(s.Proxies[me].Slot, s.Shares, less, at, regions)
+	g.quotaDivisor.Store(int64(s.Shares)) // it holds no more than its part of so many from here on
 }
 
 const maxSlot = 1 << 12 // proxies ever known
--- a/internal/dataplane/proxy/ready.go
+++ b/internal/dataplane/proxy/ready.go
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-const readyWait = 2 * time.Second // for a call to be read and answered
+const readyTimeout = 2 * time.Second // for a call to be read and answered
 
 // serveReady answers the platform's looks until ctx ends.
 func (g *Proxy) serveReady(ctx context.Context) error {
-	addr := g.set.Network.Listen.Readyz
+	addr := g.settings.Network.Listen.Readyz
 	if addr == "" {
 		return nil
 	}
-	ln, err := g.w.Listen(ctx, "tcp", addr)
+	ln, err := g.world.Listen(ctx, "tcp", addr)
 	if err != nil {
 		return errors.WithMessage(err, "readyz")
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !g.estate.Ready() {
+		if !g.managed.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	srv := &http.Server{Handler: mux, ReadTimeout: readyWait, WriteTimeout: readyWait, IdleTimeout: time.Minute, ErrorLog: nil}
+	srv := &http.Server{Handler: mux, ReadTimeout: readyTimeout, WriteTimeout: readyTimeout, IdleTimeout: time.Minute, ErrorLog: nil}
 	go func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			g.log.Error(err, "readyz no longer answers")
--- a/internal/dataplane/routing/resolve.go
+++ b/internal/dataplane/routing/resolve.go
@@ -80,7 +80,7 @@
 			return nil, &Rejection{Status: 400, Reason: name + ": more than once"}
 		}
 	}
-	k := &ResolvedRequest{Table: t, Route: route, Class: t.classes[wire.Word(route.Class)], Target: r.Target}
+	k := &ResolvedRequest{Table: t, Route: route, Class: t.classes[wire.PairValue(route.Class)], Target: r.Target}
 	if err := t.identifyLibrary(k, r, path, query); err != nil {
 		if errors.Is(err, errUnknownKey) {
 			return nil, &Rejection{Status: 401, Reason: err.Error()}
@@ -187,7 +187,7 @@
 // checkFrontFields returns an error if a client that uses an API key also sends
 // the front end's fields and they contradict the key.
 func (k *ResolvedRequest) checkFrontFields(f HeaderFields) error {
-	if v, n := f.One("X-Tier"); n > 0 && wire.Word(string(v)) != wire.Word(k.Plan) {
+	if v, n := f.One("X-Tier"); n > 0 && wire.PairValue(string(v)) != wire.PairValue(k.Plan) {
 		return errors.New("X-Tier: not the plan of the key's library")
 	}
 	c, _ := f.One("Cookie")
@@ -212,7 +212,7 @@
 // sends (PROTOCOL, "Clients to edge nodes").
 func (k *ResolvedRequest) readFrontFields(f HeaderFields, t *Table) error {
 	v, n := f.One("X-Tier")
-	if k.Plan = wire.Word(string(v)); n == 0 || !t.plans[k.Plan] {
+	if k.Plan = wire.PairValue(string(v)); n == 0 || !t.plans[k.Plan] {
 		return fmt.Errorf("X-Tier: unknown plan %.40q", k.Plan)
 	}
 	c, _ := f.One("Cookie")
@@ -232,7 +232,7 @@
 // route book.
 func (k *ResolvedRequest) readHeaderFields(r Request) error {
 	f := r.Fields
-	if v, n := f.One("X-Class"); n > 0 && wire.Word(string(v)) != k.Class.Name {
+	if v, n := f.One("X-Class"); n > 0 && wire.PairValue(string(v)) != k.Class.Name {
 		return fmt.Errorf("X-Class: operation %s is of class %s", k.Route.Operation, k.Class.Name)
 	}
 	if (r.Method == "GET" || r.Method == "HEAD" || r.Method == "TRACE") && r.Body > 0 {
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -72,7 +72,7 @@
 	var faults []error
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
 	for _, r := range b.Routes() {
-		c := t.classes[wire.Word(r.Class)]
+		c := t.classes[wire.PairValue(r.Class)]
 		maxUnits := max(set.MaxRequestUnits, 1)
 		switch {
 		case c == nil:
@@ -85,7 +85,7 @@
 	}
 	for _, l := range libraries {
 		switch {
-		case !t.plans[wire.Word(l.Plan)]:
+		case !t.plans[wire.PairValue(l.Plan)]:
 			fault("key of library %s: the settings have no plan %q", l.Number, l.Plan)
 		case l.Spread < 1 || l.Spread > set.Gateways || l.First < 0 || l.First >= set.Gateways:
 			fault("key of library %s: a set of %d edge nodes from number %d, of %d", l.Number, l.Spread, l.First, set.Gateways)
--- a/internal/dataplane/wire/decode.go
+++ b/internal/dataplane/wire/decode.go
@@ -64,7 +64,7 @@
 	return strings.TrimRight(s, "\r\n"), nil
 }
 
-func (d *Decoder) fail(format string, args ...any) error {
+func (d *Decoder) errorf(format string, args ...any) error {
 	return fmt.Errorf("line %d: %s", d.line, fmt.Sprintf(format, args...))
 }
 
@@ -79,25 +79,25 @@
 			return b, io.EOF
 		}
 		if err != nil {
-			return b, d.fail("%v", err)
+			return b, d.errorf("%v", err)
 		}
 		head = s
 	}
-	f := parser{words: strings.Split(head, " ")}
+	f := parser{fields: strings.Split(head, " ")}
 	if f.text() != "FRAME" {
-		return b, d.fail("a batch starts with FRAME, not %q", clip(head))
+		return b, d.errorf("a batch starts with FRAME, not %q", clip(head))
 	}
 	b.Now = f.ms()
 	if err := f.end(); err != nil {
-		return b, d.fail("FRAME: %v", err)
+		return b, d.errorf("FRAME: %v", err)
 	}
 	for {
 		s, err := d.next()
 		if errors.Is(err, io.EOF) {
-			return b, d.fail("input ends inside a batch")
+			return b, d.errorf("input ends inside a batch")
 		}
 		if err != nil {
-			return b, d.fail("%v", err)
+			return b, d.errorf("%v", err)
 		}
 		if s == "EOF_BATCH" {
 			return b, nil
@@ -113,7 +113,7 @@
 }
 
 func (d *Decoder) event(s string) (Item, bool, error) {
-	f := parser{words: strings.Split(s, " ")}
+	f := parser{fields: strings.Split(s, " ")}
 	verb := f.text()
 	if verb == "TABLE" {
 		return Item{}, false, d.table(&f)
@@ -124,25 +124,25 @@
 	case "CONFIGURE":
 		c := Configure{Seed: f.uint(64)}
 		if f.err == nil {
-			c.Settings, f.err = settings(f.words)
-			f.words = nil
+			c.Settings, f.err = parseSettings(f.fields)
+			f.fields = nil
 		}
 		it.Event = c
 	case "CRASH_NOW":
 		it.Event = Kill{}
 	case "MEMBERSHIP":
-		kind, known := memberKinds[f.text()]
+		kind, known := listKinds[f.text()]
 		f.skip() // the list's version
 		m := policy.ServerList{Kind: kind}
 		page := f.text()
 		if f.err == nil && !known {
-			return it, false, d.fail("MEMBERSHIP: unknown kind")
+			return it, false, d.errorf("MEMBERSHIP: unknown kind")
 		}
 		if f.err == nil && kind != policy.WatchFailed {
 			n, err := strconv.Atoi(page)
 			list, have := d.tables[n]
 			if err != nil || !have {
-				return it, false, d.fail("MEMBERSHIP: no list %q", clip(page))
+				return it, false, d.errorf("MEMBERSHIP: no list %q", clip(page))
 			}
 			m.Servers = list
 		}
@@ -184,15 +184,15 @@
 		f.num()
 		f.ms()
 	default:
-		return it, false, d.fail("unknown event %q", clip(verb))
+		return it, false, d.errorf("unknown event %q", clip(verb))
 	}
 	if err := f.end(); err != nil {
-		return it, false, d.fail("%s: %v", verb, err)
+		return it, false, d.errorf("%s: %v", verb, err)
 	}
 	return it, true, nil
 }
 
-var memberKinds = map[string]policy.ServerListKind{"changes": policy.ChangedServers, "all": policy.CompleteList,
+var listKinds = map[string]policy.ServerListKind{"changes": policy.ChangedServers, "all": policy.CompleteList,
 	"remembered": policy.CachedList, "refused": policy.WatchFailed}
 
 var states = map[string]policy.State{"Running": policy.Running, "Stopping": policy.Draining,
@@ -206,20 +206,20 @@
 func (d *Decoder) table(f *parser) error {
 	page, n := f.int(), f.int()
 	if err := f.end(); err != nil {
-		return d.fail("TABLE: %v", err)
+		return d.errorf("TABLE: %v", err)
 	}
 	if n < 0 || n > 1<<20 {
-		return d.fail("TABLE: %d entries", n)
+		return d.errorf("TABLE: %d entries", n)
 	}
 	var list []policy.Server
 	for range n {
 		s, err := d.next()
 		if err != nil {
-			return d.fail("input ends inside a list")
+			return d.errorf("input ends inside a list")
 		}
-		e := parser{words: strings.Split(s, " ")}
+		e := parser{fields: strings.Split(s, " ")}
 		if e.text() != "M" {
-			return d.fail("a list entry starts with M, not %q", clip(s))
+			return d.errorf("a list entry starts with M, not %q", clip(s))
 		}
 		start := e.num()
 		sv := policy.Server{HasStartTime: start > 0, StartTime: duration(start), Weight: e.num(), Zone: e.text()}
@@ -228,10 +228,10 @@
 		e.skip() // the machine's kind
 		sv.State, sv.ID = state, e.server()
 		if err := e.end(); err != nil {
-			return d.fail("M: %v", err)
+			return d.errorf("M: %v", err)
 		}
 		if !known {
-			return d.fail("M: unknown state")
+			return d.errorf("M: unknown state")
 		}
 		list = append(list, sv)
 	}
@@ -241,31 +241,31 @@
 
 // parser takes the fields of a line one by one and keeps the first error.
 type parser struct {
-	words []string
-	err   error
+	fields []string
+	err    error
 }
 
 func (p *parser) text() string {
-	if len(p.words) == 0 {
-		p.note("too few fields")
+	if len(p.fields) == 0 {
+		p.setError("too few fields")
 		return ""
 	}
-	w := p.words[0]
-	p.words = p.words[1:]
+	w := p.fields[0]
+	p.fields = p.fields[1:]
 	return w
 }
 
 func (p *parser) skip() { p.text() }
 
-func (p *parser) note(format string, args ...any) {
+func (p *parser) setError(format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(format, args...)
 	}
 }
 
 func (p *parser) end() error {
-	if len(p.words) > 0 {
-		p.note("too many fields")
+	if len(p.fields) > 0 {
+		p.setError("too many fields")
 	}
 	return p.err
 }
@@ -277,7 +277,7 @@
 	}
 	v, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.note("%q is no number", clip(w))
+		p.setError("%q is no number", clip(w))
 		return 0
 	}
 	return v
@@ -295,7 +295,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 10, bits)
 	if err != nil {
-		p.note("%q is no whole number", clip(w))
+		p.setError("%q is no whole number", clip(w))
 	}
 	return v
 }
@@ -306,7 +306,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 16, 64)
 	if err != nil || len(w) != 16 {
-		p.note("%q is no request id", clip(w))
+		p.setError("%q is no request id", clip(w))
 	}
 	return policy.RequestID(v)
 }
@@ -317,7 +317,7 @@
 	w := p.text()
 	c, known := codes[w]
 	if !known {
-		p.note("unknown ending %q", clip(w))
+		p.setError("unknown ending %q", clip(w))
 	}
 	return c
 }
@@ -327,13 +327,13 @@
 	if w == "-" || w == "" {
 		return nil
 	}
-	row := parser{words: strings.Split(w, ",")}
+	row := parser{fields: strings.Split(w, ",")}
 	var out []float64
-	for len(row.words) > 0 {
+	for len(row.fields) > 0 {
 		out = append(out, row.num())
 	}
 	if row.err != nil {
-		p.note("%v", row.err)
+		p.setError("%v", row.err)
 	}
 	return out
 }
@@ -345,7 +345,7 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(w)
 	if err != nil {
-		p.note("bad base64")
+		p.setError("bad base64")
 	}
 	return b
 }
--- a/internal/dataplane/wire/json.go
+++ b/internal/dataplane/wire/json.go
@@ -12,29 +12,29 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Facts are the settings of an instance as path=value pairs.
-type Facts struct{ pairs []string }
+// SettingPairs are the settings of an instance as path=value pairs.
+type SettingPairs struct{ pairs []string }
 
-// FactsFromJSON turns settings given as nested JSON into the pairs that a
+// SettingPairsFromJSON turns settings given as nested JSON into the pairs that a
 // CONFIGURE line holds, so that both programs share one mapping.
-func FactsFromJSON(data []byte) (Facts, error) {
+func SettingPairsFromJSON(data []byte) (SettingPairs, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
 	var top map[string]any
 	if err := dec.Decode(&top); err != nil {
-		return Facts{}, fmt.Errorf("settings: %w", err)
+		return SettingPairs{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(top) == 0 {
-		return Facts{}, errors.New("settings: none")
+		return SettingPairs{}, errors.New("settings: none")
 	}
-	var f Facts
+	var f SettingPairs
 	f.add("", top)
 	return f, nil
 }
 
 // Settings maps the facts to what a gateway is told.
-func (f Facts) Settings() (policy.Settings, error) {
-	s, err := settings(f.pairs)
+func (f SettingPairs) Settings() (policy.Settings, error) {
+	s, err := parseSettings(f.pairs)
 	if err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
@@ -42,10 +42,10 @@
 }
 
 // Duration returns a fact given in milliseconds; 0 if there is none.
-func (f Facts) Duration(key string) (time.Duration, error) {
+func (f SettingPairs) Duration(key string) (time.Duration, error) {
 	for _, p := range f.pairs {
 		if v, ok := strings.CutPrefix(p, key+"="); ok {
-			one := facts{m: map[string]string{key: v}}
+			one := settingValues{values: map[string]string{key: v}}
 			d := one.ms(key)
 			return d, one.err
 		}
@@ -53,15 +53,15 @@
 	return 0, nil
 }
 
-// Word is a value as it stands in a pair: without spaces and commas.
-func Word(s string) string {
+// PairValue is a value as it stands in a pair: without spaces and commas.
+func PairValue(s string) string {
 	if !strings.ContainsAny(s, " ,") {
 		return s
 	}
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(s)
 }
 
-func (f *Facts) add(path string, v any) {
+func (f *SettingPairs) add(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, e := range v {
@@ -82,11 +82,11 @@
 		}
 		words := make([]string, len(v))
 		for i, e := range v {
-			words[i] = Word(fmt.Sprint(e))
+			words[i] = PairValue(fmt.Sprint(e))
 		}
 		f.pairs = append(f.pairs, path+"="+strings.Join(words, ","))
 	case nil:
 	default:
-		f.pairs = append(f.pairs, path+"="+Word(fmt.Sprint(v)))
+		f.pairs = append(f.pairs, path+"="+PairValue(fmt.Sprint(v)))
 	}
 }
--- a/internal/dataplane/wire/json_test.go
+++ b/internal/dataplane/wire/json_test.go
@@ -10,7 +10,7 @@
 // The edge node's nested settings must come out as the simulator's pairs do:
 // otherwise the two programs decide differently.
 func TestNestedSettingsAreThePairs(t *testing.T) {
-	pairs, err := settings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
+	pairs, err := parseSettings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
 		"caps.retry_after=true caps.max_retry_after_ms=2000.0 report.names=cpu,rps weight_kind=nominal discovery=push "+
 		"rules.cold_share=0.21 family_info.mail_per_s=60 classes.count=2 classes.0.name=a classes.0.aim_ms=400.0 "+
 		"classes.0.semantics=repeatable classes.1.name=b classes.1.semantics=by_key classes.1.group=cell "+
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := FactsFromJSON([]byte(`{"me":1,"balancers":3,"zone":"north hall","tick_ms":4.0,"empty":null,"none":[],
+	f, err := SettingPairsFromJSON([]byte(`{"me":1,"balancers":3,"zone":"north hall","tick_ms":4.0,"empty":null,"none":[],
 		"caps":{"cancel":true,"peers":true,"retry_after":true,"max_retry_after_ms":2000.0,"conn_idle_ms":15000.5},
 		"report":{"names":["cpu","rps"]},"weight_kind":"nominal","discovery":"push","rules":{"cold_share":0.21},
 		"family_info":{"mail_per_s":60},"classes":[{"name":"a","aim_ms":400.0,"semantics":"repeatable"},
@@ -40,7 +40,7 @@
 		t.Error("a word passed for a duration")
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `{"me":`} {
-		if _, err := FactsFromJSON([]byte(bad)); err == nil {
+		if _, err := SettingPairsFromJSON([]byte(bad)); err == nil {
 			t.Errorf("%q passed", bad)
 		}
 	}
--- a/internal/dataplane/wire/settings.go
+++ b/internal/dataplane/wire/settings.go
@@ -9,18 +9,18 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// facts holds the settings of a CONFIGURE line; unknown keys are ignored.
-type facts struct {
-	m   map[string]string
-	err error
+// settingValues holds the settings of a CONFIGURE line; unknown keys are ignored.
+type settingValues struct {
+	values map[string]string
+	err    error
 }
 
-func (f *facts) num(key string) float64 {
-	w, have := f.m[key]
+func (f *settingValues) num(key string) float64 {
+	w, have := f.values[key]
 	if !have {
 		return 0
 	}
-	p := parser{words: []string{w}}
+	p := parser{fields: []string{w}}
 	v := p.num()
 	if p.err != nil && f.err == nil {
 		f.err = fmt.Errorf("%s: %v", key, p.err)
@@ -28,18 +28,18 @@
 	return v
 }
 
-func (f *facts) ms(key string) time.Duration { return duration(f.num(key)) }
-func (f *facts) int(key string) int          { return int(f.num(key)) }
-func (f *facts) bool(key string) bool        { return f.m[key] == "true" || f.m[key] == "1" }
+func (f *settingValues) ms(key string) time.Duration { return duration(f.num(key)) }
+func (f *settingValues) int(key string) int          { return int(f.num(key)) }
+func (f *settingValues) bool(key string) bool        { return f.values[key] == "true" || f.values[key] == "1" }
 
 var effects = map[string]policy.Effect{"repeatable": policy.Safe, "by_key": policy.Keyed,
 	"once": policy.Unsafe}
 
-var groups = map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll,
+var dedupScopes = map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll,
 	"zone": policy.DedupZone, "cell": policy.DedupCell}
 
-func settings(pairs []string) (policy.Settings, error) {
-	f := facts{m: make(map[string]string, len(pairs))}
+func parseSettings(pairs []string) (policy.Settings, error) {
+	f := settingValues{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if p == "" {
 			continue
@@ -48,15 +48,15 @@
 		if !ok {
 			return policy.Settings{}, fmt.Errorf("setting %q has no value", clip(p))
 		}
-		f.m[k] = v
+		f.values[k] = v
 	}
 	s := policy.Settings{
-		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
+		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.values["zone"],
 		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
 		CanCancel: f.bool("caps.cancel"), CanMessagePeers: f.bool("caps.peers"),
 		MessagesPerSecond: f.num("family_info.mail_per_s"), MaxRequestUnits: f.num("family_info.largest"),
-		MustWatch:     f.m["discovery"] == "ask",
-		SizeKnown:     f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
+		MustWatch:     f.values["discovery"] == "ask",
+		SizeKnown:     f.values["weight_kind"] == "nominal" || f.values["weight_kind"] == "rough",
 		CrossZoneCost: f.num("charges.cross_zone"),
 		AnswerGrace:   f.ms("rules.answer_slack_ms"), MinColdShare: f.num("rules.cold_share"),
 		WarmupTime: f.ms("rules.warm_within_ms"), FailFactor: f.num("rules.fall_multiple"),
@@ -65,7 +65,7 @@
 	if f.bool("caps.retry_after") {
 		s.MaxRetryAfter = f.ms("caps.max_retry_after_ms")
 	}
-	if names := f.m["report.names"]; names != "" {
+	if names := f.values["report.names"]; names != "" {
 		s.LoadReportNames = strings.Split(names, ",")
 	}
 	count := func(key string) int {
@@ -78,18 +78,18 @@
 	}
 	for i := range count("classes.count") {
 		k := "classes." + strconv.Itoa(i) + "."
-		effect, known := effects[f.m[k+"semantics"]]
-		group, grouped := groups[f.m[k+"group"]]
+		effect, known := effects[f.values[k+"semantics"]]
+		group, grouped := dedupScopes[f.values[k+"group"]]
 		if (!known || !grouped) && f.err == nil {
 			f.err = fmt.Errorf("%ssemantics or %sgroup: unknown", k, k)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], LatencyTarget: f.ms(k + "aim_ms"),
+		s.Classes = append(s.Classes, policy.Class{Name: f.values[k+"name"], LatencyTarget: f.ms(k + "aim_ms"),
 			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, DedupScope: group,
 			DedupWindow: f.ms(k + "window_ms"), Streaming: f.bool(k + "stream")})
 	}
 	for i := range count("plans.count") {
 		k := "plans." + strconv.Itoa(i) + "."
-		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.num(k + "rate"),
+		s.Plans = append(s.Plans, policy.Plan{Name: f.values[k+"name"], Rate: f.num(k + "rate"),
 			Burst: f.num(k + "store_size"), MaxInFlight: f.int(k + "parallel"),
 			OverQuotaEarnings: f.num(k + "beyond_earns"), OverQuotaCharge: f.num(k + "beyond_costs"),
 			HardRate: f.num(k + "hard_rate"), HardBurst: f.num(k + "hard_burst")})
--- a/internal/dataplane/wire/wire_test.go
+++ b/internal/dataplane/wire/wire_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := settings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
+	s, err := parseSettings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
 		"caps.max_retry_after_ms=500 report.names=active,waiting weight_kind=nominal discovery=ask "+
 		"classes.count=1 classes.0.name=c classes.0.aim_ms=80.5 classes.0.semantics=by_key "+
 		"classes.0.group=cell plans.count=1 plans.0.name=p plans.0.rate=0.7 plans.0.parallel=2 new.key=1", " "))
--- a/internal/edgefleet/supervisor/books.go
+++ b/internal/edgefleet/supervisor/books.go
@@ -41,7 +41,7 @@
 		return "", nil
 	}
 	l.seen = l.look() // before it is read: what changes meanwhile is seen
-	facts, err := wire.FactsFromJSON(l.SettingsJSON)
+	facts, err := wire.SettingPairsFromJSON(l.SettingsJSON)
 	if err != nil {
 		return "", err
 	}
--- a/internal/testbed/emulator/process.go
+++ b/internal/testbed/emulator/process.go
@@ -148,7 +148,7 @@
 			delete(n.runs, role)
 			return errors.WithMessage(err, n.Name)
 		}
-		r.inForce, r.settle = g.InForce, g.SetSettings
+		r.inForce, r.settle = g.ConfigurationInForce, g.SetSettings
 		serve = func() error { return g.Run(ctx, r.leave) }
 	case Agent:
 		h := agent.New(agent.ConfigOf(set, p.Now()), w, logs.Logger())
