--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -14,69 +14,69 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Times of an agent.
+// Intervals and limits of an agent.
 const (
-	heartbeatInterval         = peerlink.Usual         // between two looks at who is to be pinged
-	maxProxiesAtUsualInterval = 16                     // more are many
-	proxyUpdateInterval       = 20 * time.Millisecond  // between two tellings of the list or the census to the proxy
-	dropReplicaAfter          = 60 * time.Second       // a replica that nobody lists and that was not reached for so long is left
-	finishTimeout             = 200 * time.Millisecond // to write what is queued at the end
+	heartbeatInterval         = peerlink.Usual         // between two checks of which replicas are due for a ping
+	maxProxiesAtUsualInterval = 16                     // with more proxies, heartbeats are sent less often
+	proxyUpdateInterval       = 20 * time.Millisecond  // between two updates of the server list or the census sent to the proxy
+	dropReplicaAfter          = 60 * time.Second       // how long a replica that is not listed may be disconnected before the agent drops it
+	finishTimeout             = 200 * time.Millisecond // to write queued messages before the agent exits
 )
 
-// Config is what an agent is told at its start.
+// Config holds the settings that an agent starts with.
 type Config struct {
-	Hello         peerlink.Hello // what it tells the replicas; its proxy adds the Front
-	ListenAddress string         // where it listens for its proxy
-	Seeds         []string       // replicas' furrows that are known from the start
-	LeaveGrace    time.Duration  // for how long it serves its proxy after Leave
-	MaxListAge    time.Duration  // so long after the platform lists a server as leaving, nothing reaches it any more
+	Hello         peerlink.Hello // sent to the replicas; Front is filled in once the proxy connects
+	ListenAddress string         // on which the agent accepts its proxy's connection
+	Seeds         []string       // addresses of the replicas' internal ports that are known at startup
+	LeaveGrace    time.Duration  // how long the agent still serves its proxy after Leave
+	MaxListAge    time.Duration  // a server receives no requests this long after the platform lists it as leaving, so an older list is too old
 }
 
-// Hand runs beside a proxy.
+// Agent runs beside a proxy and relays between it and the control replicas.
 type Agent struct {
 	cfg   Config
 	w     world.World
 	log   logr.Logger
-	start time.Time // of its steady clock
+	start time.Time // zero point of the agent's monotonic clock
 
 	mu               sync.Mutex
-	ctx              context.Context // of Run
+	ctx              context.Context // set by Run
 	sessions         sync.WaitGroup
 	state            *State
-	revision         uint64 // rises with each change of state
+	revision         uint64 // incremented with each change of state
 	upstream         Upstream
 	tickCount        int
-	pendingParts     Parts // news that the proxy is not told yet
-	updateScheduled  bool  // somebody waits to tell them
+	pendingParts     Parts // changed parts that have not been sent to the proxy
+	updateScheduled  bool  // a goroutine is waiting to send pendingParts
 	freshness        Freshness
 	staleReport      staleness
 	serverListAge    listAge
 	seeds            []string
 	replicas         map[string]*replica // by address
-	proxy            *proxy              // nil: none is connected
+	proxy            *proxy              // nil: not connected
 	front            string
-	proxyIncarnation int64  // of the last proxy
-	leaveReason      string // why it leaves; empty: it does not
+	proxyIncarnation int64  // of the proxy that connected last
+	leaveReason      string // empty: the agent is not leaving
 	wake             chan struct{}
 }
 
-// New makes an agent.
+// New returns an agent that does nothing until Run is called.
 func New(cfg Config, w world.World, log logr.Logger) *Agent {
 	return &Agent{cfg: cfg, w: w, log: log, start: w.Now(), state: NewState(), upstream: Upstream{Self: cfg.Hello}, seeds: cfg.Seeds, replicas: map[string]*replica{}, wake: make(chan struct{}, 1)}
 }
 
-// now is the agent's steady clock.
+// now returns the time on the agent's monotonic clock.
 func (h *Agent) now() time.Duration { return h.w.Now().Sub(h.start) }
 
-// Run serves the proxy and holds the replicas until ctx ends, or until an agent that
-// leaves has no proxy or no time any more.
+// Run serves the proxy and stays connected to the replicas until ctx ends. After Leave it
+// returns once the proxy has disconnected or LeaveGrace has passed.
 func (h *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	defer h.sessions.Wait()
 	defer func() {
-		h.mu.Lock() // nothing is dialled after it
+		h.mu.Lock() // no replica is dialled after cancel
 		defer h.mu.Unlock()
 		cancel()
 	}()
@@ -85,7 +85,7 @@
 		return errors.Wrap(err, "agent")
 	}
 	serving.Go(func() {
-		_ = peerlink.Serve(ctx, h.w, ln, h.currentHello, h.log, h.runProxySession) // ends with ctx only
+		_ = peerlink.Serve(ctx, h.w, ln, h.currentHello, h.log, h.runProxySession) // returns only when ctx ends
 	})
 	h.mu.Lock()
 	h.ctx = ctx
@@ -106,19 +106,19 @@
 			h.mu.Unlock()
 		}
 		h.mu.Lock()
-		leaving, alone, grace := h.leaveReason != "", h.proxy == nil, h.cfg.LeaveGrace
+		leaving, disconnected, grace := h.leaveReason != "", h.proxy == nil, h.cfg.LeaveGrace
 		h.mu.Unlock()
 		if leaving && until == 0 {
 			until = h.now() + grace
 		}
-		if leaving && (alone || h.now() >= until) {
+		if leaving && (disconnected || h.now() >= until) {
 			h.flushReplicas()
 			return nil
 		}
 	}
 }
 
-// tick runs once a heartbeat; the mutex is held.
+// tick runs once per heartbeat interval. The caller holds the mutex.
 func (h *Agent) tick() {
 	if h.state.ApplyCensus(h.now()) {
 		h.queueUpdate(PartCensus)
@@ -128,7 +128,7 @@
 	h.maintainReplicas()
 	h.reportStale()
 	h.reportOldList()
-	// Replicas of longer heartbeats are asked in turn, so that some word is always young.
+	// Pings at longer intervals are spread over the ticks, so that some replica's answer is always recent.
 	h.tickCount++
 	for i, addr := range slices.Sorted(maps.Keys(h.replicas)) {
 		if (h.tickCount+i)%int(h.upstream.PingInterval(addr)/heartbeatInterval) == 0 {
@@ -137,22 +137,22 @@
 	}
 }
 
-// flushReplicas lets what was said last be written.
+// flushReplicas waits, for at most finishTimeout, until all queued messages to replicas are written.
 func (h *Agent) flushReplicas() {
 	h.mu.Lock()
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for _, b := range h.replicas {
 		if b.conn != nil {
-			c := b.conn // it may be over, and nil, before it is finished
-			all.Go(func() { c.Finish(finishTimeout) })
+			c := b.conn // b.conn may be set to nil before Finish is called
+			writers.Go(func() { c.Finish(finishTimeout) })
 		}
 	}
 	h.mu.Unlock()
-	all.Wait()
+	writers.Wait()
 }
 
-// Leave begins the end: the replicas are told, and the proxy is served until it has
-// gone or the grace is over.
+// Leave starts the shutdown: the agent notifies the replicas and serves its proxy until the
+// proxy disconnects or LeaveGrace has passed.
 func (h *Agent) Leave(why string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,20 +173,20 @@
 	}
 }
 
-// SetSeeds takes over what a new settings file says.
+// SetSeeds applies the seed addresses of a reloaded settings file.
 func (h *Agent) SetSeeds(seeds []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if slices.Equal(seeds, h.seeds) {
 		return
 	}
-	h.log.Info("new seeds", "seeds", seeds)
+	h.log.Info("seed addresses changed", "seeds", seeds)
 	if h.seeds = seeds; h.ctx != nil {
 		h.maintainReplicas()
 	}
 }
 
-// currentHello is what the agent is, with its proxy's address once that is known.
+// currentHello returns the agent's Hello, with the proxy's address once it is known.
 func (h *Agent) currentHello() peerlink.Hello {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -199,8 +199,8 @@
 	return x
 }
 
-// queueUpdate sends parts that have changed to the proxy: the operator's word at once,
-// the rest in one with what comes soon after. The mutex is held.
+// queueUpdate sends changed parts to the proxy: configuration and zones at once, the others
+// together with changes that follow within proxyUpdateInterval. The caller holds the mutex.
 func (h *Agent) queueUpdate(p Parts) {
 	h.revision++
 	if h.proxy == nil {
@@ -216,7 +216,7 @@
 	}
 }
 
-// sendUpdateWhenDue tells the proxy what it is owed when that may be.
+// sendUpdateWhenDue waits until proxyUpdateInterval has passed since the last update, then sends the pending parts.
 func (h *Agent) sendUpdateWhenDue() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -236,7 +236,7 @@
 	h.updateScheduled = false
 }
 
-// sendUpdate tells the proxy what it is owed; the mutex is held.
+// sendUpdate sends the pending parts to the proxy. The caller holds the mutex.
 func (h *Agent) sendUpdate() {
 	if h.proxy != nil && h.pendingParts != 0 {
 		h.proxy.sendChange(h.state.Change(h.pendingParts), h.revision)
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -19,7 +19,7 @@
 
 const inner = "127.0.0.1:7601"
 
-// field is a proxy, its agent and some replicas, each in their own goroutines.
+// fixture runs a proxy, its agent and some replicas, each in goroutines of its own.
 type field struct {
 	t   *testing.T
 	ctx context.Context
@@ -37,10 +37,10 @@
 	})
 }
 
-// replica says the same to every agent, whenever it is asked.
+// replica sends the same change to every agent that connects.
 type replica struct {
 	addr   string
-	late   time.Duration // its answers
+	late   time.Duration // delay of its answers
 	mu     sync.Mutex
 	conn   *peerlink.Conn
 	no     uint64
@@ -116,7 +116,7 @@
 	_ = b.conn.Send(&peerlink.Frame{Change: &c})
 }
 
-// hand starts one; the function kills it.
+// startAgent starts an agent; the returned function kills it.
 func (f *field) agent(replicas ...string) (*agent.Agent, context.CancelFunc, <-chan error) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	h := agent.New(agent.Config{Hello: peerlink.Hello{Name: "m", Life: time.Now().UnixNano(), Zone: replicas[0], Region: "r"}, ListenAddress: inner, Seeds: replicas, LeaveGrace: 5 * time.Second}, f.net, logr.Discard())
@@ -125,7 +125,7 @@
 	return h, cancel, done
 }
 
-// proxy takes over all that it is told.
+// proxy records and acknowledges every change it receives.
 type proxy struct {
 	stop context.CancelFunc
 	mu   sync.Mutex
@@ -134,8 +134,8 @@
 
 type told struct {
 	changes []peerlink.Change
-	age     time.Duration // its last answer's
-	asked   time.Duration // from that question to its answer
+	age     time.Duration // of the last answer
+	asked   time.Duration // time between that ping and its answer
 	fresh   bool
 }
 
@@ -187,7 +187,7 @@
 	return g
 }
 
-// pass lets time go by, and what is due be done.
+// pass lets simulated time pass and waits for all goroutines to finish what is due.
 func pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -200,7 +200,7 @@
 func TestNewsComeOnceAndNeverGoBack(t *testing.T) {
 	play(t, func(f *field) {
 		a, b := f.replica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.replica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
-		// The second replica is only known by the census of the first.
+		// The agent learns of the second replica only through the census of the first.
 		a.change.Census = &peerlink.Census{Replicas: []peerlink.Hello{{Name: "a", Inner: a.addr}, {Name: "b", Inner: b.addr}}}
 		f.agent(a.addr)
 		g := f.proxy()
@@ -223,7 +223,7 @@
 		assert.Assert(t, p.Ready && p.Gen == 3, "%v", p)
 		assert.Assert(t, g.look().fresh && g.look().age < time.Second, "%v", g.look().age)
 		n, at := len(a.look().pings), time.Now()
-		g.stop() // its end is told at once
+		g.stop() // the replicas are notified of the disconnection at once
 		pass(20 * time.Millisecond)
 		assert.Assert(t, len(a.look().pings) > n && !a.look().pings[len(a.look().pings)-1].Ready, time.Since(at))
 	})
@@ -231,10 +231,10 @@
 
 func TestReplicaCutOff(t *testing.T) {
 	play(t, func(f *field) {
-		word := func(alive bool) peerlink.Change {
+		censusChange := func(alive bool) peerlink.Change {
 			return peerlink.Change{Census: &peerlink.Census{Proxies: []peerlink.Member{{Hello: peerlink.Hello{Name: "x"}, Alive: alive}}, Shares: 1}}
 		}
-		a, b := f.replica("10.0.0.1:7600", word(true)), f.replica("10.0.0.2:7600", word(false))
+		a, b := f.replica("10.0.0.1:7600", censusChange(true)), f.replica("10.0.0.2:7600", censusChange(false))
 		f.agent(a.addr, b.addr)
 		g := f.proxy()
 		alive := func() bool { c := g.look().changes[len(g.look().changes)-1]; return c.Census.Proxies[0].Alive }
@@ -244,7 +244,7 @@
 		pass(2100 * time.Millisecond)
 		assert.Assert(t, !alive())
 		assert.Assert(t, g.look().fresh && g.look().age < time.Second, "%v", g.look().age)
-		f.net.Silence(b.addr, true) // and from now on nothing gets fresher
+		f.net.Silence(b.addr, true) // from now on no replica confirms the state
 		pass(5 * time.Second)
 		assert.Assert(t, g.look().age > 4*time.Second, "%v", g.look().age)
 		f.net.Silence(a.addr, false)
@@ -286,7 +286,7 @@
 		pass(time.Second)
 		assert.Equal(t, a.look().left, "terminated")
 		assert.Equal(t, len(done), 0)
-		a.say(peerlink.Change{Configuration: configuration(5)}) // the proxy is served to its end
+		a.say(peerlink.Change{Configuration: configuration(5)}) // the agent serves the proxy until it disconnects
 		pass(100 * time.Millisecond)
 		assert.Equal(t, slices.Max(g.configurations()), uint64(5))
 		g.stop()
@@ -296,7 +296,7 @@
 	})
 }
 
-// Seeds that change take nothing away: news go on by way of the replicas of before, and come from the new ones.
+// A change of seeds loses no updates: they still come from the replicas connected before, and also from the new ones.
 func TestSeedsChange(t *testing.T) {
 	play(t, func(f *field) {
 		a, b := f.replica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.replica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
@@ -311,6 +311,6 @@
 		a.say(peerlink.Change{Configuration: configuration(3)})
 		pass(100 * time.Millisecond)
 		assert.Equal(t, slices.Max(g.configurations()), uint64(3))
-		assert.Equal(t, g.look().changes[len(g.look().changes)-1].No, uint64(len(g.look().changes))) // one connection throughout
+		assert.Equal(t, g.look().changes[len(g.look().changes)-1].No, uint64(len(g.look().changes))) // the proxy's connection was never replaced
 	})
 }
--- a/internal/dataplane/agent/config.go
+++ b/internal/dataplane/agent/config.go
@@ -8,10 +8,10 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// graceMargin is what is left of the grace when an agent that leaves ends by itself.
+// graceMargin is how long before the end of the grace period a leaving agent exits by itself.
 const graceMargin = 500 * time.Millisecond
 
-// ConfigFromSettings takes an agent's configuration from what its process is told.
+// ConfigFromSettings derives an agent's configuration from its process's settings.
 func ConfigFromSettings(s *settings.Settings, life time.Time) Config {
 	return Config{
 		Hello:         peerlink.Hello{Name: s.Self.Name, Life: life.UnixNano(), IP: s.Self.IP, Zone: s.Self.Zone, Region: s.Self.Region, Peer: s.Peer(s.Self.IP)},
@@ -22,7 +22,7 @@
 	}
 }
 
-// SetSettings takes over what may change in service: the seeds and the bounds.
+// SetSettings applies the settings that may change at runtime: seeds, grace period and drain time.
 func (h *Agent) SetSettings(s *settings.Settings) {
 	next := ConfigFromSettings(s, time.Time{})
 	h.mu.Lock()
@@ -31,7 +31,7 @@
 	h.SetSeeds(next.Seeds)
 }
 
-// SeedAddresses are the furrows of the replicas whose ctl addresses are named.
+// SeedAddresses returns the internal addresses of the replicas whose control addresses are listed as seeds.
 func SeedAddresses(s *settings.Settings) (all []string) {
 	for _, ctl := range s.Network.Seeds {
 		if host, _, err := net.SplitHostPort(ctl); err == nil {
--- a/internal/dataplane/agent/doc.go
+++ b/internal/dataplane/agent/doc.go
@@ -1,3 +1,3 @@
-// Package agent is the farm hand beside a proxy: it hears what every replica has to
-// say, carries the newest of it to its proxy, and tells the replicas how the proxy stands.
+// Package agent implements the process beside a proxy. It receives updates from every control
+// replica, passes the newest ones to its proxy, and reports the proxy's state to the replicas.
 package agent
--- a/internal/dataplane/agent/listage.go
+++ b/internal/dataplane/agent/listage.go
@@ -8,22 +8,22 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// errOldList is logged while the list that the proxy goes by is older than servers that leave allow.
+// errOldList is logged while the proxy's server list is so old that servers in it may have drained.
 var errOldList = errors.New("the list of servers is too old")
 
-// listAge is how old the list of servers is that the agent holds. Times are of its
-// steady clock.
+// listAge tracks the age of the agent's server list. Times are on the agent's monotonic
+// clock.
 type listAge struct {
 	known         bool
-	readStart     time.Duration // when the reading began that it holds
-	followedSince time.Duration // since when the present upstream replica is followed
-	reportedAt    time.Duration // when its age was logged last; 0: not in this episode
+	readStart     time.Duration // when the control plane began to read the list from the platform
+	followedSince time.Duration // when the current upstream replica was chosen
+	reportedAt    time.Duration // when the list's age was last logged; 0: not since it became too old
 }
 
-// restart notes that another upstream replica is followed from now on.
+// restart records that another upstream replica was chosen.
 func (a *listAge) restart(now time.Duration) { a.followedSince = now }
 
-// addPong takes in an upstream replica's Pong: all that it knew of the list was sent ahead of it.
+// addPong records an upstream replica's Pong. The replica sends every list that it has before the Pong.
 func (a *listAge) addPong(p *peerlink.Pong) {
 	if p.List == nil || p.Sent < a.followedSince {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// reading is what the proxy is told of the list; nil: there is none.
+// reading returns the list's age for a Pong to the proxy; nil: there is no list.
 func (a *listAge) reading(now time.Duration) *peerlink.Reading {
 	if !a.known {
 		return nil
@@ -41,8 +41,8 @@
 	return &peerlink.Reading{Age: now - a.readStart}
 }
 
-// reportOldList logs, with what is known of each replica, that the list is older
-// than it may be; the mutex is held.
+// reportOldList logs an error, with the state of each replica, while the list is older than
+// MaxListAge. The caller holds the mutex.
 func (h *Agent) reportOldList() {
 	now := h.now()
 	if h.proxy == nil || !h.serverListAge.known || now-h.serverListAge.readStart < h.cfg.MaxListAge {
--- a/internal/dataplane/agent/listage_test.go
+++ b/internal/dataplane/agent/listage_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// lists has replicas answer for a while, each with the age of its list at that moment.
+// lists makes replicas answer for the duration d, each with the age of its list at that time.
 func (r *ring) lists(d time.Duration, age func(now time.Duration) map[string]time.Duration) string {
 	for end := r.now + d; r.now < end; {
 		r.now += heartbeatInterval
@@ -32,7 +32,7 @@
 		return map[string]time.Duration{"own": now - began, "near": now - now.Truncate(time.Second)}
 	}
 	assert.Equal(t, r.lists(1500*time.Millisecond, age), "own")
-	assert.Equal(t, r.lists(time.Second, age), "near") // two readings have passed it by
+	assert.Equal(t, r.lists(time.Second, age), "near") // its list has missed two reads
 	began = 3 * time.Second
 	assert.Equal(t, r.lists(failbackDelay-time.Second, func(now time.Duration) map[string]time.Duration {
 		began = now.Truncate(time.Second)
@@ -41,16 +41,16 @@
 	assert.Equal(t, r.lists(2*time.Second, func(now time.Duration) map[string]time.Duration {
 		began = now.Truncate(time.Second)
 		return age(now)
-	}), "own") // good for long enough
+	}), "own") // good for failbackDelay
 
-	// All are as old: that says nothing about one of them, nor is one left that holds no list where none does.
+	// If all lists are equally old, the upstream replica is kept, and likewise if no replica has a list.
 	old := func(now time.Duration) map[string]time.Duration {
 		return map[string]time.Duration{"own": now, "near": now}
 	}
 	assert.Equal(t, r.lists(10*time.Second, old), "own")
 }
 
-// However late replicas hear of a reading and answer, none is left for the age of its list as long as it misses no two.
+// A replica that misses no two reads in a row is never replaced for the age of its list, however late it receives lists and answers.
 func TestUpstreamIsKeptWhereReadingsAreHeardALittleLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRing("m")
@@ -86,11 +86,11 @@
 	}
 	assert.Assert(t, a.reading(0) == nil)
 	a.restart(time.Second)
-	a.addPong(pong(900*time.Millisecond, 0)) // asked before it was followed
+	a.addPong(pong(900*time.Millisecond, 0)) // pinged before the replica was chosen
 	assert.Assert(t, a.reading(0) == nil)
 	a.addPong(pong(2*time.Second, time.Second))
 	a.addPong(&peerlink.Pong{Sent: 3 * time.Second})
 	assert.Equal(t, a.reading(4*time.Second).Age, 3*time.Second)
-	a.addPong(pong(3*time.Second, 3*time.Second)) // an older list than was held
+	a.addPong(pong(3*time.Second, 3*time.Second)) // older than the list held
 	assert.Equal(t, a.reading(4*time.Second).Age, 3*time.Second)
 }
--- a/internal/dataplane/agent/proxy.go
+++ b/internal/dataplane/agent/proxy.go
@@ -11,43 +11,43 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// proxy is the one beside the agent while it is connected; all under the agent's
-// mutex.
+// proxy is the connected proxy beside the agent. The agent's mutex guards all
+// fields.
 type proxy struct {
 	conn             *peerlink.Conn
 	ready            bool
-	resting          bool // it would be, but for the order to rest
+	resting          bool // it would be ready, but control has ordered it to rest
 	trafficStats     *peerlink.Figures
 	requestCounts    *peerlink.Asked
 	hostTraffic      []homing.HostTraffic
-	activeGeneration uint64           // in force there; 0: none
-	quotaDivisor     int              // by which it divides quotas; 0: not told
+	activeGeneration uint64           // of the configuration in force at the proxy; 0: none
+	quotaDivisor     int              // number by which the proxy divides quotas; 0: unknown
 	lastSequence     uint64           // of the last change sent
-	lastSentAt       time.Duration    // when it was
-	unacknowledged   []changeRevision // changes that it has not acknowledged
-	activeRevision   uint64           // revision that is in force there; 0: none
-	leaveReason      *string          // what it said last of its leaving; nil: nothing
+	lastSentAt       time.Duration    // when the last change was sent
+	unacknowledged   []changeRevision // changes that the proxy has not acknowledged
+	activeRevision   uint64           // revision of the agent's state that is in force at the proxy; 0: none
+	leaveReason      *string          // from the proxy's last Leaving message; nil: none
 }
 
-// sendChange sends a change under the next number.
+// sendChange sends a change with the next sequence number.
 func (g *proxy) sendChange(c *peerlink.Change, rev uint64) {
 	g.lastSequence++
 	c.No = g.lastSequence
 	g.unacknowledged = appendRevision(g.unacknowledged, changeRevision{g.lastSequence, rev})
-	_ = g.conn.Send(&peerlink.Frame{Change: c}) // a connection that fails ends, and its reader sees that
+	_ = g.conn.Send(&peerlink.Frame{Change: c}) // when a send fails, the connection ends and its receive loop returns the error
 }
 
-// runProxySession runs a session with the proxy. The newest connection is the proxy's.
+// runProxySession serves a connection from the proxy. A newer connection replaces an older one.
 func (h *Agent) runProxySession(_ context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
 	if o.Role != peerlink.Proxy {
-		return errors.Errorf("agent: %s at %s is no proxy but %q", o.Name, c.Remote(), o.Role)
+		return errors.Errorf("agent: %s at %s has role %q instead of proxy", o.Name, c.Remote(), o.Role)
 	}
 	g := &proxy{conn: c}
 	h.mu.Lock()
 	old := h.proxy
 	h.proxy = g
 	h.handleProxyHello(o)
-	if h.proxyIncarnation != o.Life && h.proxyIncarnation != 0 && old == nil && h.leaveReason == "" { // one that had left is back
+	if h.proxyIncarnation != o.Life && h.proxyIncarnation != 0 && old == nil && h.leaveReason == "" { // a proxy that had left has restarted
 		x := h.buildHello()
 		for _, b := range h.replicas {
 			b.send(&peerlink.Frame{Hello: &x})
@@ -89,8 +89,8 @@
 	}
 }
 
-// handleProxyHello takes the proxy's Hello in and tells the replicas what is new in it; the
-// mutex is held.
+// handleProxyHello stores the proxy's address and sends it to the replicas if it has changed. The
+// caller holds the mutex.
 func (h *Agent) handleProxyHello(o *peerlink.Hello) {
 	if o.Front == "" || o.Front == h.front {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// handleProxyFrame takes in what the proxy says; the mutex is held.
+// handleProxyFrame processes a message from the proxy. The caller holds the mutex.
 func (h *Agent) handleProxyFrame(g *proxy, f *peerlink.Frame) {
 	if f.Hello != nil {
 		h.handleProxyHello(f.Hello)
@@ -135,7 +135,7 @@
 		b.send(&peerlink.Frame{Report: f.Report})
 	}
 	if f.Leaving != nil {
-		h.log.Info("proxy leaves", "why", *f.Leaving)
+		h.log.Info("proxy is leaving", "why", *f.Leaving)
 		ready, rests, g.leaveReason = false, false, f.Leaving
 		for _, b := range h.replicas {
 			b.send(&peerlink.Frame{Leaving: f.Leaving})
--- a/internal/dataplane/agent/replica.go
+++ b/internal/dataplane/agent/replica.go
@@ -11,17 +11,17 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// maxUnacknowledged bounds what waits for the proxy. The oldest go first: a later
-// acknowledgement holds for them too.
+// maxUnacknowledged limits the changes that await the proxy's acknowledgement. The oldest are
+// dropped first: a later acknowledgement covers them too.
 const maxUnacknowledged = 1024
 
-// hostTrafficInterval is the time between two tellings of requests by host to one replica.
+// hostTrafficInterval is the time between two reports of requests by host to one replica.
 const hostTrafficInterval = 4 * time.Second
 
-// changeRevision says that what came or went with a number is in the state since a revision.
+// changeRevision records the state revision that contains the change with this sequence number.
 type changeRevision struct{ sequence, revision uint64 }
 
-// appendRevision appends a mark, over the last one where only the number has risen.
+// appendRevision appends m, or replaces the last entry if that has the same revision.
 func appendRevision(all []changeRevision, m changeRevision) []changeRevision {
 	if n := len(all); n > 0 && all[n-1].revision == m.revision {
 		all[n-1] = m
@@ -33,23 +33,23 @@
 	return append(all, m)
 }
 
-// replica is one that the agent holds on to; all under the agent's mutex.
+// replica is a control replica that the agent stays connected to. The agent's mutex guards all fields.
 type replica struct {
 	addr               string
 	cancel             context.CancelFunc
 	conn               *peerlink.Conn   // nil: not connected
-	sentHello          peerlink.Hello   // by us
+	sentHello          peerlink.Hello   // the last Hello sent to it
 	lastConnected      time.Duration    // when it was last connected, or first known
-	unacknowledged     []changeRevision // its changes that are not acknowledged
-	hasSentChange      bool             // it has sent a change on this connection
-	pingInterval       time.Duration    // as told last
-	wantsStats         bool             // figures, as it said last
-	wantsRequestCounts bool             // and what was asked for
-	sentRequestCounts  *peerlink.Asked  // as told last
-	wantedEvidence     uint64           // evidence on servers, as it said last; 0: none
-	hostTrafficSentAt  time.Duration    // when it was last told of requests by host; 0: not on this connection
+	unacknowledged     []changeRevision // its changes that the agent has not acknowledged
+	hasSentChange      bool             // on this connection
+	pingInterval       time.Duration    // as last sent to it
+	wantsStats         bool             // as requested in its last Pong
+	wantsRequestCounts bool             // as requested in its last Pong
+	sentRequestCounts  *peerlink.Asked  // as last sent to it
+	wantedEvidence     uint64           // number of the evidence on servers requested in its last Pong; 0: none
+	hostTrafficSentAt  time.Duration    // when requests by host were last sent to it; 0: not on this connection
 
-	servers *peerlink.Servers // as told on this connection
+	servers *peerlink.Servers // received on this connection; the base of the next delta
 	census  *peerlink.Census
 
 	verdicts *serverhealth.Verdicts
@@ -57,12 +57,12 @@
 
 func (b *replica) send(f *peerlink.Frame) {
 	if b.conn != nil {
-		_ = b.conn.Send(f) // a connection that fails ends, and its reader sees that
+		_ = b.conn.Send(f) // when a send fails, the connection ends and its receive loop returns the error
 	}
 }
 
-// maintainReplicas dials every replica that is known and leaves those that are gone for good;
-// the mutex is held.
+// maintainReplicas dials every known replica and drops those that have disappeared.
+// The caller holds the mutex.
 func (h *Agent) maintainReplicas() {
 	if h.ctx.Err() != nil {
 		return
@@ -89,17 +89,17 @@
 	}
 	for addr, b := range h.replicas {
 		if b.conn == nil && now-b.lastConnected >= dropReplicaAfter && !slices.Contains(h.seeds, addr) && !h.state.IsListed(addr) {
-			h.log.Info("replica given up", "address", addr)
+			h.log.Info("dropping unreachable replica", "address", addr)
 			b.cancel()
 			delete(h.replicas, addr)
 		}
 	}
 }
 
-// runReplicaSession runs a session with a replica.
+// runReplicaSession runs a connection to a replica until it fails.
 func (h *Agent) runReplicaSession(ctx context.Context, b *replica, c *peerlink.Conn, o *peerlink.Hello) error {
 	if o.Role != peerlink.Replica {
-		return errors.Errorf("agent: %s at %s is no replica but %q", o.Name, b.addr, o.Role)
+		return errors.Errorf("agent: %s at %s has role %q instead of replica", o.Name, b.addr, o.Role)
 	}
 	h.mu.Lock()
 	b.conn, b.unacknowledged, b.hasSentChange, b.pingInterval, b.wantsStats, b.wantedEvidence, b.servers, b.census, b.verdicts = c, nil, false, 0, false, 0, nil, nil, nil
@@ -140,12 +140,12 @@
 	}
 }
 
-// handleReplicaFrame takes in what a replica says; the mutex is held.
+// handleReplicaFrame processes a message from a replica. The caller holds the mutex.
 func (h *Agent) handleReplicaFrame(b *replica, f *peerlink.Frame) error {
 	now := h.now()
 	h.upstream.HandleFrame(b.addr, f, now)
 	if f.Leaving != nil {
-		h.log.Info("replica leaves", "address", b.addr, "why", *f.Leaving)
+		h.log.Info("replica is leaving", "address", b.addr, "why", *f.Leaving)
 	}
 	if c := f.Change; c != nil {
 		b.hasSentChange = true
@@ -163,13 +163,13 @@
 	}
 	if f.Pong != nil {
 		if b.wantsStats, b.wantsRequestCounts, b.wantedEvidence = f.Pong.Want, f.Pong.Asks, f.Pong.Wanted; !b.wantsRequestCounts {
-			b.sentRequestCounts = nil // one who asks anew hears all
+			b.sentRequestCounts = nil // a replica that asks again gets the complete counts
 		}
 	}
 	if f.Pong != nil && b.addr == h.upstream.Chosen() {
 		h.serverListAge.addPong(f.Pong)
 	}
-	if f.Pong != nil && b.hasSentChange { // it vouches for what was sent before it
+	if f.Pong != nil && b.hasSentChange { // the Pong confirms the changes sent before it
 		h.freshness.AddPong(f.Pong, now)
 	}
 	if f.Pong != nil || f.Leaving != nil {
@@ -178,47 +178,47 @@
 	return nil
 }
 
-// expandDeltas makes wholes of the parts in a change. A part of nothing ends the
-// connection: the next one begins with a whole.
+// expandDeltas replaces the deltas in a change by complete values. A delta without a base ends
+// the connection, since a new connection begins with complete values.
 func (b *replica) expandDeltas(c *peerlink.Change) error {
 	if c.Servers != nil {
 		if c.Servers = c.Servers.Onto(b.servers); c.Servers == nil {
-			return errors.New("agent: a part of a list that was never told")
+			return errors.New("agent: received a server list delta without its base")
 		}
 		b.servers = c.Servers
 	}
 	if c.Census != nil {
 		if c.Census = c.Census.Onto(b.census); c.Census == nil {
-			return errors.New("agent: a part of a census that was never told")
+			return errors.New("agent: received a census delta without its base")
 		}
 		b.census = c.Census
 	}
 	if c.Verdicts != nil {
 		if c.Verdicts = c.Verdicts.ApplyTo(b.verdicts); c.Verdicts == nil {
-			return errors.New("agent: a part of verdicts that were never told")
+			return errors.New("agent: received a verdicts delta without its base")
 		}
 		b.verdicts = c.Verdicts
 	}
 	return nil
 }
 
-// chooseUpstream names the lead anew, tells whether that changed, and in that case has
-// told all replicas; the mutex is held.
+// chooseUpstream selects the upstream replica again, reports whether it changed, and if so
+// pings all replicas. The caller holds the mutex.
 func (h *Agent) chooseUpstream() bool {
-	was := h.upstream.Chosen()
-	is := h.upstream.Choose(h.now())
-	if is == was {
+	previous := h.upstream.Chosen()
+	chosen := h.upstream.Choose(h.now())
+	if chosen == previous {
 		return false
 	}
-	h.log.V(1).Info("upstream", "address", is, "before", was)
-	h.state.SetUpstream(is)
+	h.log.V(1).Info("upstream", "address", chosen, "before", previous)
+	h.state.SetUpstream(chosen)
 	h.serverListAge.restart(h.now())
 	h.pingAll()
 	return true
 }
 
-// acknowledge tells a replica how far the proxy has taken its changes over; the
-// mutex is held.
+// acknowledge tells a replica which of its changes are in force at the proxy. The
+// caller holds the mutex.
 func (h *Agent) acknowledge(b *replica) {
 	if h.proxy == nil {
 		return
@@ -234,7 +234,7 @@
 	b.unacknowledged = slices.Delete(b.unacknowledged, 0, n)
 }
 
-// sendChangedHello tells a replica what has changed about us since the first Hello.
+// sendChangedHello sends a replica the agent's Hello if it differs from the last one sent.
 func (h *Agent) sendChangedHello(b *replica) {
 	if x := h.buildHello(); b.conn != nil && b.sentHello != x {
 		b.sentHello = x
@@ -242,7 +242,7 @@
 	}
 }
 
-// pingAll asks all replicas, and tells them how the proxy stands; the mutex is held.
+// pingAll pings all replicas; a ping also reports the proxy's state. The caller holds the mutex.
 func (h *Agent) pingAll() {
 	for _, b := range h.replicas {
 		h.pingOne(b)
--- a/internal/dataplane/agent/stale.go
+++ b/internal/dataplane/agent/stale.go
@@ -10,22 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// Times of reporting that nobody confirms what the proxy has in force.
+// Intervals of the log entries for a configuration that no replica confirms.
 const (
 	staleAfter     = 2 * time.Second
-	reportInterval = 5 * time.Second // between two reports of one episode
+	reportInterval = 5 * time.Second // between two log entries while the condition lasts
 )
 
-// errStale is logged while no replica confirms what the proxy has in force.
+// errStale is logged while no replica confirms the proxy's configuration as the newest.
 var errStale = errors.New("no replica confirms what the proxy has in force")
 
-// staleness is the present episode without a confirmation.
+// staleness tracks the current period without a confirmation.
 type staleness struct {
-	reportedAt time.Duration // when it was logged last; 0: not in this episode
+	reportedAt time.Duration // when it was last logged; 0: not in this period
 }
 
-// reportStale logs, with what is known of each replica, that what the proxy has
-// in force has not been confirmed for long; the mutex is held.
+// reportStale logs an error, with the state of each replica, when the proxy's configuration
+// has not been confirmed for staleAfter. The caller holds the mutex.
 func (h *Agent) reportStale() {
 	now := h.now()
 	if h.proxy == nil || !h.freshness.known || now-h.freshness.confirmed < staleAfter {
@@ -41,7 +41,7 @@
 		"upstream", h.upstream.Chosen(), "replicas", h.upstream.describe(now))
 }
 
-// describe tells in words what is known of each replica that is connected.
+// describe returns a log text with the state of each connected replica.
 func (l *Upstream) describe(now time.Duration) string {
 	var all []string
 	for _, addr := range slices.Sorted(maps.Keys(l.replicas)) {
--- a/internal/dataplane/agent/state.go
+++ b/internal/dataplane/agent/state.go
@@ -11,13 +11,13 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// previousSharesHold is for how long after a change of lead the shares of the one before hold too.
+// previousSharesHold is how long the quota shares of the previous upstream replica stay in force after a switch.
 const previousSharesHold = 5 * time.Second
 
-// Parts are parts of a Change.
+// Parts is a set of parts of a Change.
 type Parts uint8
 
-// The parts.
+// Parts of a Change, as bits.
 const (
 	PartConfiguration Parts = 1 << iota
 	PartZones
@@ -27,48 +27,48 @@
 	PartsAll = PartConfiguration | PartZones | PartServers | PartCensus | PartVerdicts
 )
 
-// State is what all replicas together have told of the operator's word, and their
-// lead of the rest; it never goes back to older news. Replicas go by address.
-// Times are of one steady clock.
+// State merges what the replicas have sent: configuration, zones and servers from all of them,
+// census and verdicts from the upstream replica only. Older versions never replace newer ones.
+// Replicas are identified by address; times are on one monotonic clock.
 type State struct {
 	configuration       *peerlink.Configuration
 	zones               map[string]peerlink.Zone
 	servers             *peerlink.Servers
-	census              *peerlink.Census // in force
+	census              *peerlink.Census // sent to the proxy
 	upstream            string
-	upstreamCensus      *peerlink.Census // of the lead; nil: it has not spoken since it is
-	previousShares      int              // that held before it spoke
-	previousSharesUntil time.Duration    // and hold beside its own
+	upstreamCensus      *peerlink.Census // latest census of the upstream replica; nil: none since it draining chosen
+	previousShares      int              // in force before upstreamCensus arrived
+	previousSharesUntil time.Duration    // until then the larger of the two share counts applies
 
-	verdicts *serverhealth.Verdicts // of the lead, or of the one before until it has spoken
+	verdicts *serverhealth.Verdicts // of the upstream replica, or of the previous one until the new one has sent some
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns an empty state.
 func NewState() *State { return &State{zones: map[string]peerlink.Zone{}} }
 
-// Lead says whose word on who is there counts from now on. Until it has spoken
-// the last word stands.
+// SetUpstream sets the replica whose census counts. Until it has sent one, the
+// previous census stays in force.
 func (s *State) SetUpstream(replica string) {
 	if replica != s.upstream {
 		s.upstream, s.upstreamCensus = replica, nil
 	}
 }
 
-// Merge folds a replica's change in, with wholes of servers and census, and returns
-// which parts are new by it.
-func (s *State) Merge(replica string, c *peerlink.Change, now time.Duration) (is Parts) {
+// Merge applies a replica's change and returns the parts that changed. Servers and census
+// in it must be complete, not deltas.
+func (s *State) Merge(replica string, c *peerlink.Change, now time.Duration) (changed Parts) {
 	if c.Configuration != nil && (s.configuration == nil || isNewerConfiguration(c.Configuration, s.configuration)) {
 		s.configuration = c.Configuration
-		is |= PartConfiguration
+		changed |= PartConfiguration
 	}
 	for _, z := range c.Zones {
 		if old, ok := s.zones[z.Zone]; !ok || z.Supersedes(old) {
 			s.zones[z.Zone] = z
-			is |= PartZones
+			changed |= PartZones
 		}
 	}
 	if v := c.Servers; v != nil && s.mergeServers(v) {
-		is |= PartServers
+		changed |= PartServers
 	}
 	if c.Census != nil && replica == s.upstream {
 		if s.upstreamCensus == nil && s.census != nil {
@@ -76,51 +76,51 @@
 		}
 		s.upstreamCensus = c.Census
 		if s.ApplyCensus(now) {
-			is |= PartCensus
+			changed |= PartCensus
 		}
 	}
 	if c.Verdicts != nil && replica == s.upstream {
 		s.verdicts = c.Verdicts
-		is |= PartVerdicts
+		changed |= PartVerdicts
 	}
-	return is
+	return changed
 }
 
-// mergeServers takes a list in and tells whether that changed anything.
+// mergeServers merges a server list and reports whether that changed anything.
 func (s *State) mergeServers(v *peerlink.Servers) bool {
 	if old := s.servers; old == nil || cmp.Or(cmp.Compare(v.Stamp, old.Stamp), cmp.Compare(v.By, old.By)) > 0 {
 		s.servers = keepDraining(v, old)
 		return true
 	}
-	x := keepDraining(s.servers, v) // an older one may have seen more of that
+	x := keepDraining(s.servers, v) // an older list may know of servers that drain
 	if x == s.servers {
 		return false
 	}
-	x.Stamp++ // for the proxy
+	x.Stamp++ // so that the proxy accepts it as newer
 	s.servers = x
 	return true
 }
 
-// keepDraining keeps servers that were told to be draining as such: another lead
-// may not have seen that.
+// keepDraining returns s with every server marked as draining that old marks so: another
+// upstream replica may not know of that.
 func keepDraining(s, old *peerlink.Servers) *peerlink.Servers {
 	if old == nil {
 		return s
 	}
-	was := map[string]bool{}
+	draining := map[string]bool{}
 	for i := range old.List {
 		if old.List[i].Draining {
-			was[old.List[i].ID] = true
+			draining[old.List[i].ID] = true
 		}
 	}
-	forgets := func(x peerlink.Server) bool { return was[x.ID] && !x.Draining }
-	if len(was) == 0 || !slices.ContainsFunc(s.List, forgets) {
+	lacksMark := func(x peerlink.Server) bool { return draining[x.ID] && !x.Draining }
+	if len(draining) == 0 || !slices.ContainsFunc(s.List, lacksMark) {
 		return s
 	}
 	x := *s
 	x.List = slices.Clone(s.List)
 	for i := range x.List {
-		x.List[i].Draining = x.List[i].Draining || was[x.List[i].ID]
+		x.List[i].Draining = x.List[i].Draining || draining[x.List[i].ID]
 	}
 	return &x
 }
@@ -129,8 +129,8 @@
 	return cmp.Or(cmp.Compare(a.Gen, b.Gen), bytes.Compare(a.Digest[:], b.Digest[:])) > 0
 }
 
-// ApplyCensus puts the lead's word on who is there in force, as shares that held
-// before run out, and tells whether that changed anything.
+// ApplyCensus puts the upstream replica's census in force, with the previous share count if that
+// is larger and has not expired, and reports whether anything changed.
 func (s *State) ApplyCensus(now time.Duration) bool {
 	if s.upstreamCensus == nil {
 		return false
@@ -146,7 +146,7 @@
 	return true
 }
 
-// ProxyCount is how many there are.
+// ProxyCount returns the number of proxies in the census.
 func (s *State) ProxyCount() int {
 	if s.census == nil {
 		return 0
@@ -154,7 +154,7 @@
 	return len(s.census.Proxies)
 }
 
-// Change returns the parts as they stand, without a number.
+// Change returns the current content of the given parts, without a sequence number.
 func (s *State) Change(p Parts) *peerlink.Change {
 	c := &peerlink.Change{}
 	if p&PartConfiguration != 0 {
@@ -175,7 +175,7 @@
 	return c
 }
 
-// ReplicaAddresses are the furrows' addresses of all replicas in the census.
+// ReplicaAddresses returns the internal addresses of all replicas in the census.
 func (s *State) ReplicaAddresses() (all []string) {
 	if s.census == nil {
 		return nil
@@ -188,20 +188,20 @@
 	return all
 }
 
-// IsListed tells whether the lead knows of a replica at an address.
+// IsListed reports whether the upstream replica's census contains another replica at this address.
 func (s *State) IsListed(address string) bool {
 	return s.upstreamCensus != nil && s.upstream != address && slices.ContainsFunc(s.upstreamCensus.Replicas, func(b peerlink.Hello) bool { return b.Inner == address })
 }
 
-// Freshness is the moment, on the asker's own steady clock, up to which what it
-// holds is known to be the newest.
+// Freshness tracks the latest time, on the caller's monotonic clock, at which the state
+// held draining confirmed to be the newest.
 type Freshness struct {
 	confirmed time.Duration
 	known     bool
 }
 
-// AddPong takes an answer in. It counts from when the question was sent, so a
-// late one makes nothing fresher than it was.
+// AddPong records an answer. Its age counts from the time at which the ping draining sent, so that
+// a delayed answer does not make the state appear fresher than it is.
 func (f *Freshness) AddPong(p *peerlink.Pong, now time.Duration) {
 	if !p.Fresh || p.Age < 0 || p.Sent > now {
 		return
@@ -211,7 +211,7 @@
 	}
 }
 
-// Pong answers a question of the proxy.
+// Pong returns the answer to a ping from the proxy.
 func (f *Freshness) Pong(sent, now time.Duration) *peerlink.Pong {
 	p := &peerlink.Pong{Sent: sent, Fresh: f.known}
 	if f.known {
@@ -220,7 +220,7 @@
 	return p
 }
 
-// HeldConfiguration is the version of the configuration held, and its text's sum; 0: none is.
+// HeldConfiguration returns the generation and the checksum of the configuration held; 0: none.
 func (s *State) HeldConfiguration() (gen uint64, sum uint32) {
 	if s.configuration == nil {
 		return 0, 0
--- a/internal/dataplane/agent/state_test.go
+++ b/internal/dataplane/agent/state_test.go
@@ -42,13 +42,13 @@
 	again := y
 	again.Life = 2
 	proxy := peerlink.Hello{Name: "g", Life: 1, Front: "g:80"}
-	word := func(shares int, ready bool, replicas ...peerlink.Hello) *peerlink.Change {
+	censusChange := func(shares int, ready bool, replicas ...peerlink.Hello) *peerlink.Change {
 		return &peerlink.Change{Census: &peerlink.Census{Replicas: replicas, Proxies: []peerlink.Member{{Hello: proxy, Ready: ready, Alive: ready, Slot: 3}}, Shares: shares}}
 	}
-	assert.Equal(t, s.Merge("x:1", word(2, true, x, y), 0), Parts(0)) // nobody's word counts yet
+	assert.Equal(t, s.Merge("x:1", censusChange(2, true, x, y), 0), Parts(0)) // no upstream replica has been chosen
 	s.SetUpstream("x:1")
-	assert.Equal(t, s.Merge("x:1", word(2, true, x, y), 0), PartCensus)
-	assert.Equal(t, s.Merge("y:1", word(1, false, again), 0), Parts(0))
+	assert.Equal(t, s.Merge("x:1", censusChange(2, true, x, y), 0), PartCensus)
+	assert.Equal(t, s.Merge("y:1", censusChange(1, false, again), 0), Parts(0))
 	c := s.Change(PartCensus).Census
 	assert.DeepEqual(t, c.Replicas, []peerlink.Hello{x, y})
 	assert.DeepEqual(t, c.Proxies, []peerlink.Member{{Hello: proxy, Ready: true, Alive: true, Slot: 3}})
@@ -56,21 +56,21 @@
 	assert.DeepEqual(t, s.ReplicaAddresses(), []string{"x:1", "y:1"})
 	assert.Assert(t, s.IsListed("y:1") && !s.IsListed("x:1"))
 
-	s.SetUpstream("y:1") // until it has spoken, the last word stands
+	s.SetUpstream("y:1") // the previous census stays in force until the new upstream replica sends one
 	assert.Assert(t, !s.ApplyCensus(time.Second))
-	assert.Equal(t, s.Merge("x:1", word(9, true, x), time.Second), Parts(0))
+	assert.Equal(t, s.Merge("x:1", censusChange(9, true, x), time.Second), Parts(0))
 	assert.Assert(t, s.Change(PartCensus).Census.Proxies[0].Ready && !s.IsListed("y:1"))
-	assert.Equal(t, s.Merge("y:1", word(1, false, again), time.Second), PartCensus)
+	assert.Equal(t, s.Merge("y:1", censusChange(1, false, again), time.Second), PartCensus)
 	c = s.Change(PartCensus).Census
 	assert.Assert(t, !c.Proxies[0].Alive && !c.Proxies[0].Ready && c.Shares == 2 && len(c.Replicas) == 1)
 	assert.Assert(t, !s.ApplyCensus(time.Second+previousSharesHold-1))
 	assert.Assert(t, s.ApplyCensus(time.Second+previousSharesHold))
 	assert.Equal(t, s.Change(PartCensus).Census.Shares, 1)
-	assert.Equal(t, s.Merge("y:1", word(3, false, again), time.Minute), PartCensus)
+	assert.Equal(t, s.Merge("y:1", censusChange(3, false, again), time.Minute), PartCensus)
 	assert.Equal(t, s.Change(PartCensus).Census.Shares, 3)
 }
 
-// A lead that has not seen a server draining doesn't make it ready again.
+// A new upstream replica that has not seen a server draining does not make it ready again.
 func TestDrainingStaysOverAChangeOfUpstream(t *testing.T) {
 	s := NewState()
 	list := func(stamp int64, drains bool) *peerlink.Change {
@@ -90,7 +90,7 @@
 	assert.Equal(t, s.Merge("z", &peerlink.Change{Servers: &peerlink.Servers{Stamp: 3, List: []peerlink.Server{{ID: "a", Draining: true}}}}, 0), PartServers)
 	got := s.Change(PartServers).Servers
 	assert.Assert(t, got.Stamp > 7 && got.List[0].Draining && len(got.List) == 2)
-	assert.Assert(t, !later.Servers.List[1].Draining) // what a connection told is left as it is
+	assert.Assert(t, !later.Servers.List[1].Draining) // the received list is not modified
 }
 
 func TestFresh(t *testing.T) {
@@ -103,7 +103,7 @@
 		age  time.Duration
 	}{
 		{peerlink.Pong{Sent: 10 * s, Age: s, Fresh: true}, 10 * s, s},
-		{peerlink.Pong{Sent: 10 * s, Fresh: true}, 15 * s, 5 * s}, // a late answer counts from its question
+		{peerlink.Pong{Sent: 10 * s, Fresh: true}, 15 * s, 5 * s}, // the age of a delayed answer counts from its ping
 		{peerlink.Pong{Sent: 14 * s, Age: 9 * s, Fresh: true}, 16 * s, 6 * s},
 		{peerlink.Pong{Sent: 16 * s}, 16 * s, 6 * s},
 		{peerlink.Pong{Sent: 99 * s, Fresh: true}, 16 * s, 6 * s},
--- a/internal/dataplane/agent/updates_test.go
+++ b/internal/dataplane/agent/updates_test.go
@@ -13,7 +13,7 @@
 	return &peerlink.Servers{Stamp: stamp, List: all}
 }
 
-// servers is what the proxy was told last.
+// lastServers returns the server list that the proxy received last.
 func (g *proxy) servers() *peerlink.Servers {
 	all := g.look().changes
 	for i := len(all) - 1; i >= 0; i-- {
@@ -30,14 +30,14 @@
 		f.agent(a.addr)
 		g := f.proxy()
 		pass(time.Second)
-		assert.Assert(t, a.look().pings[0].Upstream) // with the first one
+		assert.Assert(t, a.look().pings[0].Upstream) // the first ping already names the upstream replica
 		a.say(peerlink.Change{Servers: &peerlink.Servers{Stamp: 2, Part: true, List: []peerlink.Server{{ID: "b", Draining: true}, {ID: "c"}}, Gone: []string{"a"}}})
 		pass(100 * time.Millisecond)
 		want := []peerlink.Server{{ID: "b", Draining: true}, {ID: "c"}}
 		assert.Assert(t, !g.servers().Part)
 		assert.DeepEqual(t, g.servers().List, want)
 
-		// What is said while the connection is broken comes with the whole of the next one.
+		// A change made while the connection is down arrives with the complete list of the next connection.
 		a.mu.Lock()
 		a.change.Servers = list(3, peerlink.Server{ID: "c", Draining: true})
 		_ = a.conn.Close()
@@ -45,7 +45,7 @@
 		pass(500 * time.Millisecond)
 		assert.DeepEqual(t, g.servers().List, []peerlink.Server{{ID: "c", Draining: true}})
 
-		// A part without a whole ends the connection.
+		// A delta without a base ends the connection.
 		a.mu.Lock()
 		a.change.Servers = &peerlink.Servers{Stamp: 4, Part: true}
 		_ = a.conn.Close()
@@ -79,14 +79,14 @@
 		assert.Equal(t, a.look().acks[len(a.look().acks)-1].No, uint64(51))
 
 		a.say(peerlink.Change{Servers: list(60, peerlink.Server{ID: "b"})})
-		a.say(peerlink.Change{Configuration: configuration(2)}) // waits for nothing
+		a.say(peerlink.Change{Configuration: configuration(2)}) // sent at once
 		pass(15 * time.Millisecond)
 		all := g.configurations()
 		assert.Equal(t, all[len(all)-1], uint64(2))
 	})
 }
 
-// Whoever leads, a server told to be draining stays so; in a small fleet every replica is told of readiness as often.
+// After a switch of the upstream replica a draining server stays draining; with few proxies all replicas are pinged equally often.
 func TestUpstreamGoesOver(t *testing.T) {
 	play(t, func(f *field) {
 		x, y := peerlink.Server{ID: "x", Draining: true}, peerlink.Server{ID: "y"}
@@ -109,7 +109,7 @@
 		pass(100 * time.Millisecond)
 		assert.Assert(t, g.servers().Stamp == 9 && g.servers().List[0].Draining && !g.servers().List[1].Draining)
 		f.net.Silence(a.addr, false)
-		pass(8 * time.Second) // back to the own zone
+		pass(8 * time.Second) // switched back to the agent's own zone
 		assert.Assert(t, a.look().pings[len(a.look().pings)-1].Upstream && !b.look().pings[len(b.look().pings)-1].Upstream)
 	})
 }
--- a/internal/dataplane/agent/upstream.go
+++ b/internal/dataplane/agent/upstream.go
@@ -10,62 +10,62 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of the choice.
+// Time limits for choosing the upstream replica.
 const (
-	silenceTimeout        = 800 * time.Millisecond // a replica is heard without a word, and at least two heartbeats
+	silenceTimeout        = 800 * time.Millisecond // a replica without a message for this long, and for at least two heartbeats, is silent
 	maxMajorityContactAge = 1500 * time.Millisecond
-	failbackDelay         = 5 * time.Second // a better one has to have been good
+	failbackDelay         = 5 * time.Second // how long a preferred replica must have been good before the agent switches to it
 )
 
-// standing is how well a replica serves as upstream; of two the higher one does it better.
+// standing ranks how well a replica can serve as upstream; higher is better.
 type standing int
 
-// The standings.
+// Standings, from worst to best.
 const (
 	silent              standing = iota
-	responsive                   // lately
-	inTouchWithMajority          // and with a majority
-	current                      // and with a list of servers as new as that of the others
+	responsive                   // sent a message within the time limit
+	inTouchWithMajority          // also in contact with a majority of the replicas
+	current                      // also has a server list that is as new as the other replicas' lists
 )
 
 var standingNames = [...]string{"silent", "heard", "in touch", "current"}
 
 func (s standing) String() string { return standingNames[s] }
 
-// Upstream chooses the one replica that tells servers and census: of those of the highest
-// standing one in the own zone, else in the own region, else any.
-// That the proxy lacks something says nothing about a replica. Replicas go by address,
-// times are of one steady clock.
+// Upstream chooses the replica whose server list and census the agent follows: among the
+// replicas of the highest standing it prefers its own zone, then its own region. A
+// configuration missing at the proxy does not lower a replica's standing.
+// Replicas are identified by address; times are on one monotonic clock.
 type Upstream struct {
 	Self           peerlink.Hello
-	LongHeartbeats bool // proxies: heartbeats are longer
+	LongHeartbeats bool // set when there are many proxies
 	replicas       map[string]*candidate
 	chosen         string
 }
 
-// candidate is a replica that is connected.
+// candidate is a connected replica.
 type candidate struct {
-	distance      int    // 0: own zone, 1: own region
-	weight        uint64 // among equal places the highest
+	distance      int    // 0: own zone, 1: own region, 2: elsewhere
+	weight        uint64 // breaks ties between equal distances: the highest wins
 	connectedAt   time.Duration
-	lastHeard     time.Duration // or chosen, which quickens its heartbeats
+	lastHeard     time.Duration // last message, or when it was chosen, because its heartbeats become more frequent then
 	hasPonged     bool
-	inTouch       bool // by its last Pong it is in touch with a majority
+	inTouch       bool // its last Pong reported recent contact with a majority
 	leaving       bool
 	standing      standing
-	standingSince time.Duration // when it came to that
+	standingSince time.Duration // when it reached its standing
 
-	hasList        bool          // it holds a list of servers
-	listReadStart  time.Duration // whose reading began then, as it said last
-	listReadPeriod time.Duration // between two readings, as it said last
-	listIsBehind   bool          // when it said so, others held a list that was newer by too much
+	hasList        bool          // its last Pong reported a server list
+	listReadStart  time.Duration // when the read of that list began
+	listReadPeriod time.Duration // between two reads of the list
+	listIsBehind   bool          // at its last Pong, another replica's list was newer by more than listing.Behind allows
 }
 
-// PingInterval is the time between two pings to a replica.
+// PingInterval returns the time between two pings to a replica.
 func (l *Upstream) PingInterval(addr string) time.Duration {
 	d := peerlink.Usual
 	if !l.LongHeartbeats {
-		return d // every replica's answers to clients rest on it
+		return d // a replica's answers to clients depend on recent reports from the proxies
 	}
 	d *= 2
 	if addr != l.chosen {
@@ -74,7 +74,7 @@
 	return d
 }
 
-// AddReplica notes that a replica is connected.
+// AddReplica records that a replica is connected.
 func (l *Upstream) AddReplica(addr string, h *peerlink.Hello, now time.Duration) {
 	c := &candidate{distance: 2, connectedAt: now, lastHeard: now, weight: xxhash.Sum64String(l.Self.Name + "\x00" + h.Name)}
 	switch {
@@ -89,10 +89,10 @@
 	l.replicas[addr] = c
 }
 
-// RemoveReplica notes that it is not any more.
+// RemoveReplica records that a replica is disconnected.
 func (l *Upstream) RemoveReplica(addr string) { delete(l.replicas, addr) }
 
-// HandleFrame takes in what a replica says.
+// HandleFrame records a message from a replica.
 func (l *Upstream) HandleFrame(addr string, f *peerlink.Frame, now time.Duration) {
 	c := l.replicas[addr]
 	if c == nil {
@@ -109,25 +109,25 @@
 	c.leaving = c.leaving || f.Leaving != nil
 }
 
-// Chosen is the upstream replica as chosen last; empty: none is connected.
+// Chosen returns the last choice; empty: no replica is connected.
 func (l *Upstream) Chosen() string { return l.chosen }
 
-// Choose returns the upstream replica as of now.
+// Choose chooses the upstream replica again and returns it.
 func (l *Upstream) Choose(now time.Duration) string {
-	was := l.chosen
-	if l.updateChoice(now); l.chosen != was && l.chosen != "" {
+	previous := l.chosen
+	if l.updateChoice(now); l.chosen != previous && l.chosen != "" {
 		l.replicas[l.chosen].lastHeard = now
 	}
 	return l.chosen
 }
 
-// isResponsive tells whether a replica was heard lately.
+// isResponsive reports whether a replica has sent a message within the time limit and is not leaving.
 func (l *Upstream) isResponsive(addr string, now time.Duration) bool {
 	c := l.replicas[addr]
 	return !c.leaving && now-c.lastHeard < max(silenceTimeout, 2*l.PingInterval(addr))
 }
 
-// isBehind tells whether a replica that has just told of its list holds an older one than it should.
+// isBehind reports whether the list of a replica that has just sent a Pong is older than it should be.
 func (l *Upstream) isBehind(c *candidate, now time.Duration) bool {
 	var newest *candidate
 	for addr, o := range l.replicas {
@@ -138,7 +138,7 @@
 	return newest != nil && (!c.hasList || newest.listReadStart-c.listReadStart > listing.Behind(newest.listReadPeriod))
 }
 
-// currentStanding is a replica's as of now.
+// currentStanding returns a replica's standing at this time.
 func (l *Upstream) currentStanding(addr string, now time.Duration) standing {
 	c := l.replicas[addr]
 	switch {
@@ -167,19 +167,19 @@
 		}
 	}
 	own := l.replicas[l.chosen]
-	// Until its first Pong an upstream replica is held to be good.
+	// Until its first Pong, the upstream replica is assumed to be good.
 	waits := own != nil && !own.hasPonged && !own.leaving && now-own.connectedAt < silenceTimeout
 	switch {
 	case own == nil:
 		l.chosen = best
-	case top <= responsive && own.standing == top: // and none is any better
+	case top <= responsive && own.standing == top: // keep it: no replica ranks higher
 	case (waits || own.standing == top) && (!l.isPreferred(best, l.chosen) || now-l.replicas[best].standingSince < failbackDelay):
 	case top > silent:
 		l.chosen = best
 	}
 }
 
-// isPreferred tells whether a replica comes before another; any comes before none.
+// isPreferred reports whether replica a ranks before b. Every replica ranks before an unknown b.
 func (l *Upstream) isPreferred(a, b string) bool {
 	x, y := l.replicas[a], l.replicas[b]
 	if y == nil {
--- a/internal/dataplane/agent/upstream_test.go
+++ b/internal/dataplane/agent/upstream_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// ring is a chooser and the time.
+// selection is an Upstream with a clock.
 type ring struct {
 	Upstream
 	now time.Duration
@@ -25,8 +25,8 @@
 	return r.Choose(r.now)
 }
 
-// pass lets time go by in which replicas answer; one whose name begins with ! is out of touch. What the proxy has in force
-// is confirmed by none of them: it may just be on its way.
+// pass lets time pass while replicas answer; "!" before a name marks a replica without contact to a majority. No replica
+// confirms the proxy's configuration, which may still be on its way to the proxy.
 func (r *ring) pass(d time.Duration, replicas ...string) string {
 	for end := r.now + d; r.now < end; {
 		r.now += heartbeatInterval
@@ -45,21 +45,21 @@
 func TestUpstreamByPlace(t *testing.T) {
 	r := newRing("m")
 	assert.Equal(t, r.Choose(0), "")
-	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first one, at once
+	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first replica is chosen at once
 	assert.Equal(t, r.up("near", "z2", "r1"), "far")
 	assert.Equal(t, r.up("own", "z1", "r1"), "far")
 	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "far")
-	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own") // good for long enough
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own") // good for failbackDelay
 	assert.Equal(t, r.pass(600*time.Millisecond, "far", "near"), "own")
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "near"), "near") // silent for too long
 	assert.Equal(t, r.pass(4*time.Second, "far", "near", "own"), "near")
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "!own"), "near")
-	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good anew only since
+	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good again for less than failbackDelay
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own")
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "!near", "!own"), "far")
-	assert.Equal(t, r.pass(heartbeatInterval, "!far", "!near", "!own"), "far") // none is fresh
+	assert.Equal(t, r.pass(heartbeatInterval, "!far", "!near", "!own"), "far") // no replica is in contact with a majority
 	assert.Equal(t, r.pass(2*time.Second, "!near", "!own"), "own")
-	assert.Equal(t, r.pass(10*time.Second), "own") // nor heard
+	assert.Equal(t, r.pass(10*time.Second), "own") // no replica is heard either
 	r.RemoveReplica("own")
 	assert.Equal(t, r.Choose(r.now), "near")
 	why := "goes"
@@ -72,7 +72,7 @@
 	assert.Equal(t, r.up("far", "z9", "r9"), "far")
 }
 
-// A lead that was just connected isn't given up before it can have answered.
+// A replica chosen right after it connected is not replaced before it can have answered.
 func TestUpstreamMayAnswerLate(t *testing.T) {
 	r := newRing("m")
 	r.up("near", "z2", "r1")
@@ -81,7 +81,7 @@
 	assert.Equal(t, r.pass(heartbeatInterval, "own"), "own")
 }
 
-// One chosen among many proxies has had long heartbeats before: its silence counts from then.
+// With many proxies, a replica that becomes upstream was pinged rarely before: its silence counts from the choice.
 func TestUpstreamOfLongHeartbeats(t *testing.T) {
 	r := newRing("m")
 	r.LongHeartbeats = true
