--- a/internal/dataplane/proxy/fit_test.go
+++ b/internal/dataplane/proxy/fit_test.go
@@ -12,7 +12,7 @@
 )
 
 // Verdicts weigh less the longer nobody wants evidence, and a named proxy tries a server once a round.
-func TestTrustsAgeAndTrials(t *testing.T) {
+func TestTrustAgeAndTrials(t *testing.T) {
 	f := &healthExchange{trialCandidates: []string{"g1", "g2", "g3"}}
 	tell := func(now time.Duration, round uint32) {
 		f.receive(&peerlink.Frame{Pong: &peerlink.Pong{Wanted: 7}, Change: &peerlink.Change{Verdicts: &serverhealth.Verdicts{By: "b", Stamp: int64(now),
