--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -1,2 +1,3 @@
-// Package proxy is a proxy of the system: a node on the system's wire that its agent feeds over loopback.
+// Package proxy runs a proxy process: it serves clients' requests with a managed node and exchanges configuration, lists and
+// health reports with its agent over a loopback connection.
 package proxy
--- a/internal/dataplane/proxy/figures.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -6,9 +6,9 @@
 	"pepperfall.example/pepperfall/internal/platform/metrics"
 )
 
-// collectMetrics are what this proxy tells of itself to whoever watches it.
+// collectMetrics returns the metrics that this proxy exports.
 func (g *Proxy) collectMetrics() []metrics.Figure {
-	f, ready := g.managed.TrafficStats(), 0
+	stats, ready := g.managed.TrafficStats(), 0
 	if g.managed.Ready() {
 		ready = 1
 	}
@@ -20,11 +20,11 @@
 		metrics.Count("proxy_configuration", "Number of the configuration in force.", int(g.generation.Load())),
 		metrics.Seconds("proxy_confirmed_age_seconds", "Since what is in force was last confirmed to be the newest.", g.managed.ConfirmedAge()),
 		metrics.Seconds("proxy_list_age_seconds", "Since the reading of the servers' list in force began.", g.listAge()),
-		metrics.Count("proxy_requests_open", "Requests that are not answered yet.", f.Open),
-		metrics.Count("proxy_client_connections", "Connections of clients.", f.Clients),
+		metrics.Count("proxy_requests_open", "Requests that are not answered yet.", stats.Open),
+		metrics.Count("proxy_client_connections", "Connections of clients.", stats.Clients),
 		counter("proxy_client_left_total", "Requests whose client left before its answer.", g.managed.DisconnectedClients()),
 	}
 }
 
-// listAge is how old the list of servers in force is; since the start where none is known.
+// listAge returns the time since control began to read the server list in use, or since the start if there is no list.
 func (g *Proxy) listAge() time.Duration { return g.now() - time.Duration(g.listReadAt.Load()) }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -24,11 +24,11 @@
 
 const (
 	heartbeatInterval  = 250 * time.Millisecond // between two pings to the agent
-	heartbeatsPerCount = 20                     // such pings between two that tell what was asked for
-	finalSendTimeout   = 200 * time.Millisecond // for what is to be told at the end
+	heartbeatsPerCount = 20                     // one ping in this many carries the request counts
+	finalSendTimeout   = 200 * time.Millisecond // to deliver the last messages to the agent at shutdown
 )
 
-// Proxy is a proxy.
+// Proxy is a proxy process: a managed node and the connection to its agent.
 type Proxy struct {
 	settings    *settings.Settings
 	world       world.World
@@ -38,18 +38,18 @@
 	incarnation int64
 
 	mu          sync.Mutex
-	earlyCensus *peerlink.Census // taken over before it was known who had heard of this proxy; nil: a later one was
+	earlyCensus *peerlink.Census // applied during handover.InitialPhase, to be applied again after it; nil: none
 
-	configuration *peerlink.Configuration  // in force
-	zoneOrders    map[string]peerlink.Zone // orders in force: an agent that starts anew may first hear of older ones
+	configuration *peerlink.Configuration  // the one in force
+	zoneOrders    map[string]peerlink.Zone // newest order by zone or proxy: an agent that restarts may send older ones first
 	generation    atomic.Uint64
-	quotaDivisor  atomic.Int64 // by which quotas are divided
-	listReadAt    atomic.Int64 // nanoseconds of its steady clock at which the reading of the list in force began; 0: none is known
+	quotaDivisor  atomic.Int64 // number of shares that quotas are divided into
+	listReadAt    atomic.Int64 // when control began to read the server list in use, in ns since start; 0: no list
 	conn          atomic.Pointer[peerlink.Conn]
 	health        healthExchange
 }
 
-// New opens a proxy's sockets.
+// New returns a proxy whose sockets are open. Run starts to serve.
 func New(s *settings.Settings, w world.World, log logr.Logger) (*Proxy, error) {
 	now := w.Now()
 	g := &Proxy{settings: s, world: w, log: log, start: now, incarnation: now.UnixNano(), zoneOrders: map[string]peerlink.Zone{}}
@@ -58,15 +58,16 @@
 	cfg.OnRequestFailed = func(id string, why verdict.Verdict) {
 		log.V(1).Info("request failed", "attempt", id, "why", why.Error())
 	}
-	e, err := node.NewManagedNode(cfg)
+	managed, err := node.NewManagedNode(cfg)
 	if err != nil {
 		return nil, err
 	}
-	g.managed = e
+	g.managed = managed
 	return g, nil
 }
 
-// managedConfig is what an edge node is told by the settings.
+// managedConfig returns the settings of the proxy's managed node. The seed is mixed with the proxy's name, so that proxies
+// started at the same instant differ.
 func managedConfig(s *settings.Settings, w world.World, seed uint64) node.ManagedConfig {
 	h := fnv.New64a()
 	h.Write([]byte(s.Self.Name))
@@ -78,10 +79,10 @@
 		WarmupSlack: b.WarmupSlack, ListLag: s.Provider.Cloud.MaxLag}
 }
 
-// SetSettings takes over what of the settings may change in service, once Run serves.
+// SetSettings applies the settings that may change while Run serves.
 func (g *Proxy) SetSettings(s *settings.Settings) { g.managed.Retune(managedConfig(s, g.world, 0)) }
 
-// Run serves until leave is closed, and then until what is open is answered.
+// Run serves until ctx ends or leave is closed, and then until open requests are answered.
 func (g *Proxy) Run(ctx context.Context, leave <-chan struct{}) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -107,7 +108,7 @@
 		done()
 	}()
 	err := g.managed.Run(end)
-	if c := g.conn.Load(); c != nil { // nothing more passes here: its parts are others'
+	if c := g.conn.Load(); c != nil { // no more requests pass here: other proxies may use its quota shares
 		why := peerlink.Gone
 		_ = c.Send(&peerlink.Frame{Leaving: &why})
 		c.Finish(finalSendTimeout)
@@ -115,21 +116,23 @@
 	return err
 }
 
-// ConfigurationInForce is the number of the configuration that requests are served by; 0: none.
+// ConfigurationInForce returns the number of the configuration that requests are served by; 0 if there is none.
 func (g *Proxy) ConfigurationInForce() uint64 { return g.generation.Load() }
 
+// now returns the time since the proxy started, on its monotonic clock.
 func (g *Proxy) now() time.Duration { return g.world.Now().Sub(g.start) }
 
-// reportUnitsTransferred tells that nothing is taken in here any more, and that what was held of quotas is others'.
+// reportUnitsTransferred tells the agent that this proxy admits no more requests and that the quota units it held
+// belong to other proxies now.
 func (g *Proxy) reportUnitsTransferred(units, of int) {
-	g.log.Info("parts given up", "units taken over", units, "of", of)
+	g.log.Info("quota units transferred", "units taken over", units, "of", of)
 	if c := g.conn.Load(); c != nil {
 		why := peerlink.Given
 		_ = c.Send(&peerlink.Frame{Leaving: &why})
 	}
 }
 
-// receiveFromAgent takes in what the agent says while the connection lasts.
+// receiveFromAgent applies and acknowledges the agent's messages until the connection fails, and starts to send pings.
 func (g *Proxy) receiveFromAgent(ctx context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
 	g.conn.Store(c)
 	defer g.conn.CompareAndSwap(c, nil)
@@ -160,25 +163,28 @@
 	return c.Send(&peerlink.Frame{Ping: g.newPing()})
 }
 
+// newPing returns a ping that carries the proxy's state and traffic statistics.
 func (g *Proxy) newPing() *peerlink.Ping {
 	f := g.managed.TrafficStats()
 	return &peerlink.Ping{Sent: g.now(), Ready: g.managed.Ready(), Rests: g.managed.ReadyButResting(), Gen: g.generation.Load(),
 		Parts: int(g.quotaDivisor.Load()), Figures: (*peerlink.Figures)(&f), Heads: g.managed.RequestsByHost()}
 }
 
-// requestCounts tells the agent what was asked for lately, by route.
+// requestCounts returns the recent number of requests by route, in the form sent to the agent; nil if there is nothing to
+// report.
 func (g *Proxy) requestCounts() *peerlink.Asked {
-	a := g.managed.RequestCounts()
-	if a == nil {
+	counts := g.managed.RequestCounts()
+	if counts == nil {
 		return nil
 	}
-	out := &peerlink.Asked{Gen: a.Gen, Span: a.Span, Rest: a.OtherRequests}
-	for _, r := range a.Routes {
+	out := &peerlink.Asked{Gen: counts.Gen, Span: counts.Span, Rest: counts.OtherRequests}
+	for _, r := range counts.Routes {
 		out.Routes = append(out.Routes, peerlink.RouteAsked(r))
 	}
 	return out
 }
 
+// ping sends a ping once per heartbeat, with the work due at each, until ctx ends or the connection fails.
 func (g *Proxy) ping(ctx context.Context, c *peerlink.Conn) {
 	for n := 0; ; n++ {
 		p := g.newPing()
@@ -195,11 +201,12 @@
 	}
 }
 
-// applyChange puts a change in force. What can't be read changes nothing: control has checked it, so the fault is here.
+// applyChange applies a change that the agent sent. A configuration that can't be parsed is logged and ignored: control has
+// already validated it, so the fault is in this process.
 func (g *Proxy) applyChange(c *peerlink.Change) {
 	if p := c.Configuration; p != nil && (g.configuration == nil || routeconfig.Above(p.Gen, p.Digest, g.configuration.Gen, g.configuration.Digest)) {
 		if parsed, err := routeconfig.Parse(p.Body); err != nil {
-			g.log.Error(err, "a configuration that can't be read", "gen", p.Gen)
+			g.log.Error(err, "configuration can't be parsed", "gen", p.Gen)
 		} else {
 			g.managed.SetConfiguration(parsed)
 			g.configuration = p
@@ -208,20 +215,20 @@
 		}
 	}
 	if c.Zones != nil {
-		drained, rest := map[string]bool{}, false
+		drained, resting := map[string]bool{}, false
 		for _, z := range c.Zones {
 			if z.Supersedes(g.zoneOrders[z.Zone]) {
 				g.zoneOrders[z.Zone] = z
 			}
 		}
 		for name, z := range g.zoneOrders {
-			if node, is := z.Node(); !is {
+			if proxyName, isProxy := z.Node(); !isProxy {
 				drained[name] = z.Drain
-			} else if node == g.settings.Self.Name {
-				rest = z.Drain
+			} else if proxyName == g.settings.Self.Name {
+				resting = z.Drain
 			}
 		}
-		g.managed.SetResting(rest)
+		g.managed.SetResting(resting)
 		g.managed.SetDrainedZones(drained)
 	}
 	if s := c.Servers; s != nil && s.List != nil {
@@ -237,7 +244,8 @@
 	}
 }
 
-// reapplyEarlyCensus takes the census over again once it is known who has heard of this proxy.
+// reapplyEarlyCensus applies the early census again once InitialPhase has ended: from then on it is known which proxies know
+// of this one.
 func (g *Proxy) reapplyEarlyCensus() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -246,18 +254,19 @@
 	}
 }
 
-// applyCensus takes over who the other proxies are.
+// applyCensus applies a new list of the proxies and the shares of quotas.
 func (g *Proxy) applyCensus(s *peerlink.Census) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.applyCensusLocked(s)
 }
 
+// applyCensusLocked does the work of applyCensus; the caller holds g.mu.
 func (g *Proxy) applyCensusLocked(s *peerlink.Census) {
 	g.health.setTrialCandidates(s.Proxies)
-	me := slices.IndexFunc(s.Proxies, func(m peerlink.Member) bool { return m.Hello.Name == g.settings.Self.Name })
-	if me < 0 {
-		return // control doesn't know of this one yet
+	self := slices.IndexFunc(s.Proxies, func(m peerlink.Member) bool { return m.Hello.Name == g.settings.Self.Name })
+	if self < 0 {
+		return // control doesn't know this proxy yet
 	}
 	joined := 0
 	for _, m := range s.Proxies {
@@ -265,25 +274,25 @@
 			joined++
 		}
 	}
-	less := handover.UnusedShare(s.Shares, joined, s.Proxies[me].Silent)
-	if g.earlyCensus = nil; less > 0 && g.now() < handover.InitialPhase {
-		less, g.earlyCensus = min(less, 1-handover.InitialShare(s.Shares, joined)), s
+	unused := handover.UnusedShare(s.Shares, joined, s.Proxies[self].Silent)
+	if g.earlyCensus = nil; unused > 0 && g.now() < handover.InitialPhase {
+		unused, g.earlyCensus = min(unused, 1-handover.InitialShare(s.Shares, joined)), s
 	}
-	at, regions := make([]netip.AddrPort, 0, len(s.Proxies)), make([]string, 0, len(s.Proxies))
+	addresses, regions := make([]netip.AddrPort, 0, len(s.Proxies)), make([]string, 0, len(s.Proxies))
 	for _, m := range s.Proxies {
 		if m.Slot < 0 || m.Slot > maxSlot {
 			continue
 		}
-		for len(at) <= m.Slot {
-			at, regions = append(at, netip.AddrPort{}), append(regions, "")
+		for len(addresses) <= m.Slot {
+			addresses, regions = append(addresses, netip.AddrPort{}), append(regions, "")
 		}
 		regions[m.Slot] = m.Hello.Region
-		if a, err := netip.ParseAddrPort(m.Hello.Peer); err == nil && m.Alive {
-			at[m.Slot] = a
+		if address, err := netip.ParseAddrPort(m.Hello.Peer); err == nil && m.Alive {
+			addresses[m.Slot] = address
 		}
 	}
-	g.managed.SetPeers(s.Proxies[me].Slot, s.Shares, less, at, regions)
-	g.quotaDivisor.Store(int64(s.Shares)) // it holds no more than its part of so many from here on
+	g.managed.SetPeers(s.Proxies[self].Slot, s.Shares, unused, addresses, regions)
+	g.quotaDivisor.Store(int64(s.Shares)) // from here on this proxy uses addresses most one share of this many
 }
 
-const maxSlot = 1 << 12 // proxies ever known
+const maxSlot = 1 << 12 // limit on the proxies ever known: members with a higher slot are ignored
--- a/internal/dataplane/proxy/ready.go
+++ b/internal/dataplane/proxy/ready.go
@@ -9,9 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-const readyTimeout = 2 * time.Second // for a call to be read and answered
+const readyTimeout = 2 * time.Second // to read or to answer a request
 
-// serveReady answers the platform's looks until ctx ends.
+// serveReady answers readiness probes until ctx ends: 200 if the proxy is ready, else 503. It does nothing if no address is
+// configured.
 func (g *Proxy) serveReady(ctx context.Context) error {
 	addr := g.settings.Network.Listen.Readyz
 	if addr == "" {
@@ -30,7 +31,7 @@
 	srv := &http.Server{Handler: mux, ReadTimeout: readyTimeout, WriteTimeout: readyTimeout, IdleTimeout: time.Minute, ErrorLog: nil}
 	go func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			g.log.Error(err, "readyz no longer answers")
+			g.log.Error(err, "readiness server stopped")
 		}
 	}()
 	context.AfterFunc(ctx, func() { srv.Close() })
--- a/internal/dataplane/wire/decode.go
+++ b/internal/dataplane/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the line protocol of the bench. It holds no
-// decisions: it turns lines into the events of package policy, and actions
+// Package wire reads and writes the line protocol of the simulator. It makes
+// no decisions: it turns lines into the events of package policy, and actions
 // into lines.
 package wire
 
@@ -17,7 +17,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Configure starts an instance, with nothing remembered.
+// Configure starts an instance with these settings and no earlier state.
 type Configure struct {
 	Seed     uint64
 	Settings policy.Settings
@@ -26,21 +26,22 @@
 // Kill ends an instance.
 type Kill struct{}
 
-// Item is one event of a batch for one instance. Event is a policy.Event, a
-// Configure or a Kill; it is nil for an event no decision needs.
+// Item is one event of a batch, for the instance Node. Event is a policy.Event,
+// a Configure or a Kill; it is nil for an event that the policy doesn't use.
 type Item struct {
 	Node  string
 	Line  int
 	Event any
 }
 
-// Batch is what happens at one instant.
+// Batch holds the events of one instant, Now.
 type Batch struct {
 	Now   time.Duration
 	Items []Item
 }
 
-// Decoder reads batches.
+// Decoder reads batches from lines of the simulator. It keeps the server lists
+// that earlier TABLE lines defined.
 type Decoder struct {
 	r      *bufio.Reader
 	line   int
@@ -52,7 +53,7 @@
 	return &Decoder{r: bufio.NewReaderSize(r, 1<<16), tables: map[int][]policy.Server{}}
 }
 
-// Line is the number of the line read last.
+// Line returns the number of the line read last; the first line is 1.
 func (d *Decoder) Line() int { return d.line }
 
 func (d *Decoder) next() (string, error) {
@@ -112,14 +113,16 @@
 	}
 }
 
+// event parses one line of a batch. It returns false for a TABLE line, which
+// defines a server list and is no event.
 func (d *Decoder) event(s string) (Item, bool, error) {
 	f := parser{fields: strings.Split(s, " ")}
 	verb := f.text()
 	if verb == "TABLE" {
 		return Item{}, false, d.table(&f)
 	}
-	it := Item{Line: d.line}
-	it.Node = f.text()
+	item := Item{Line: d.line}
+	item.Node = f.text()
 	switch verb {
 	case "CONFIGURE":
 		c := Configure{Seed: f.uint(64)}
@@ -127,52 +130,52 @@
 			c.Settings, f.err = parseSettings(f.fields)
 			f.fields = nil
 		}
-		it.Event = c
+		item.Event = c
 	case "CRASH_NOW":
-		it.Event = Kill{}
+		item.Event = Kill{}
 	case "MEMBERSHIP":
 		kind, known := listKinds[f.text()]
-		f.skip() // the list's version
+		f.skip() // version of the list
 		m := policy.ServerList{Kind: kind}
 		page := f.text()
 		if f.err == nil && !known {
-			return it, false, d.errorf("MEMBERSHIP: unknown kind")
+			return item, false, d.errorf("MEMBERSHIP: unknown kind")
 		}
 		if f.err == nil && kind != policy.WatchFailed {
 			n, err := strconv.Atoi(page)
 			list, have := d.tables[n]
 			if err != nil || !have {
-				return it, false, d.errorf("MEMBERSHIP: no list %q", clip(page))
+				return item, false, d.errorf("MEMBERSHIP: no list %q", clip(page))
 			}
 			m.Servers = list
 		}
-		it.Event = m
+		item.Event = m
 	case "INGRESS":
 		r := policy.Request{ID: f.id(), GatewayCount: f.int(), Class: f.text(), FirstGateway: f.int(), Remaining: f.ms()}
 		r.Units = f.num()
 		r.Retry = f.int()&2 != 0
 		r.Customer = f.text()
 		r.Plan = f.text()
-		it.Event = r
+		item.Event = r
 	case "ACCEPTED":
-		it.Event = policy.Started{ID: f.id(), Attempt: f.int(), Server: f.server()}
+		item.Event = policy.Started{ID: f.id(), Attempt: f.int(), Server: f.server()}
 		f.skip() // latency
 	case "VERDICT":
 		o := policy.Outcome{ID: f.id(), Attempt: f.int()}
-		f.skip() // the meter's figure: peers' totals are what counts here
+		f.skip() // the metered figure: the totals that peers exchange are used instead
 		o.Latency = f.ms()
 		o.Server = f.server()
 		o.ClientAnswered = f.bool()
 		o.ActualUnits = f.num()
 		o.Code = f.code()
 		o.Load = f.row()
-		it.Event = o
+		item.Event = o
 	case "LAPSED":
-		it.Event = policy.ClientGone{ID: f.id()}
+		item.Event = policy.ClientGone{ID: f.id()}
 	case "ELAPSED":
-		it.Event = policy.Timer{Token: f.text()}
+		item.Event = policy.Timer{Token: f.text()}
 	case "WHISPER":
-		it.Event = policy.PeerMessage{From: f.int(), Data: f.bytes()}
+		item.Event = policy.PeerMessage{From: f.int(), Data: f.bytes()}
 	case "PROBE_RESULT":
 		f.server()
 		f.code()
@@ -184,12 +187,12 @@
 		f.num()
 		f.ms()
 	default:
-		return it, false, d.errorf("unknown event %q", clip(verb))
+		return item, false, d.errorf("unknown event %q", clip(verb))
 	}
 	if err := f.end(); err != nil {
-		return it, false, d.errorf("%s: %v", verb, err)
+		return item, false, d.errorf("%s: %v", verb, err)
 	}
-	return it, true, nil
+	return item, true, nil
 }
 
 var listKinds = map[string]policy.ServerListKind{"changes": policy.ChangedServers, "all": policy.CompleteList,
@@ -203,43 +206,45 @@
 	"UNAVAILABLE": policy.ConnectFailed, "ABORTED": policy.Reset, "CANCELLED": policy.Cancelled,
 	"TOO_LATE": policy.NoRetry}
 
+// table reads the entries that follow a TABLE line and stores the list under
+// its page number.
 func (d *Decoder) table(f *parser) error {
-	page, n := f.int(), f.int()
+	page, count := f.int(), f.int()
 	if err := f.end(); err != nil {
 		return d.errorf("TABLE: %v", err)
 	}
-	if n < 0 || n > 1<<20 {
-		return d.errorf("TABLE: %d entries", n)
+	if count < 0 || count > 1<<20 {
+		return d.errorf("TABLE: %d entries", count)
 	}
 	var list []policy.Server
-	for range n {
+	for range count {
 		s, err := d.next()
 		if err != nil {
 			return d.errorf("input ends inside a list")
 		}
-		e := parser{fields: strings.Split(s, " ")}
-		if e.text() != "M" {
+		entry := parser{fields: strings.Split(s, " ")}
+		if entry.text() != "M" {
 			return d.errorf("a list entry starts with M, not %q", clip(s))
 		}
-		start := e.num()
-		sv := policy.Server{HasStartTime: start > 0, StartTime: duration(start), Weight: e.num(), Zone: e.text()}
-		sv.Cell = e.int()
-		state, known := states[e.text()]
-		e.skip() // the machine's kind
-		sv.State, sv.ID = state, e.server()
-		if err := e.end(); err != nil {
+		start := entry.num()
+		server := policy.Server{HasStartTime: start > 0, StartTime: duration(start), Weight: entry.num(), Zone: entry.text()}
+		server.Cell = entry.int()
+		state, known := states[entry.text()]
+		entry.skip() // kind of machine
+		server.State, server.ID = state, entry.server()
+		if err := entry.end(); err != nil {
 			return d.errorf("M: %v", err)
 		}
 		if !known {
 			return d.errorf("M: unknown state")
 		}
-		list = append(list, sv)
+		list = append(list, server)
 	}
 	d.tables[page] = list
 	return nil
 }
 
-// parser takes the fields of a line one by one and keeps the first error.
+// parser reads the fields of a line one by one and keeps the first error.
 type parser struct {
 	fields []string
 	err    error
@@ -263,6 +268,7 @@
 	}
 }
 
+// end returns the first error, which includes fields that are left over.
 func (p *parser) end() error {
 	if len(p.fields) > 0 {
 		p.setError("too many fields")
@@ -270,6 +276,7 @@
 	return p.err
 }
 
+// num reads a finite number; "-" stands for 0.
 func (p *parser) num() float64 {
 	w := p.text()
 	if w == "-" || p.err != nil {
@@ -283,6 +290,7 @@
 	return v
 }
 
+// duration converts milliseconds, rounded to a nanosecond.
 func duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
@@ -322,6 +330,7 @@
 	return c
 }
 
+// row reads numbers separated by commas; "-" stands for none.
 func (p *parser) row() []float64 {
 	w := p.text()
 	if w == "-" || w == "" {
@@ -350,6 +359,7 @@
 	return b
 }
 
+// clip shortens text that an error quotes.
 func clip(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
--- a/internal/dataplane/wire/encode.go
+++ b/internal/dataplane/wire/encode.go
@@ -10,7 +10,8 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Append writes one action of an instance as a line.
+// Append appends the line for one action of the instance node to b. It panics
+// on an action that has no line.
 func Append(b []byte, node string, a policy.Action) []byte {
 	start := func(verb string) {
 		b = append(b, verb...)
@@ -63,12 +64,13 @@
 	return append(b, '\n')
 }
 
-// AppendCrash writes that an instance's decisions broke, and why.
+// AppendCrash appends the line which reports that the policy of an instance
+// failed, with the reason.
 func AppendCrash(b []byte, node, reason string) []byte {
 	return append(b, "CRASH "+node+" "+oneLine(reason)+"\n"...)
 }
 
-// AppendEnd ends a reply.
+// AppendEnd appends the line that ends a reply.
 func AppendEnd(b []byte) []byte { return append(b, "FINISHED\n"...) }
 
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/dataplane/wire/json.go
+++ b/internal/dataplane/wire/json.go
@@ -16,7 +16,7 @@
 type SettingPairs struct{ pairs []string }
 
 // SettingPairsFromJSON turns settings given as nested JSON into the pairs that a
-// CONFIGURE line holds, so that both programs share one mapping.
+// CONFIGURE line holds, so that the proxy and the simulator's adapter share one mapping.
 func SettingPairsFromJSON(data []byte) (SettingPairs, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -32,7 +32,7 @@
 	return f, nil
 }
 
-// Settings maps the facts to what a gateway is told.
+// Settings returns the pairs as settings of the policy package.
 func (f SettingPairs) Settings() (policy.Settings, error) {
 	s, err := parseSettings(f.pairs)
 	if err != nil {
@@ -41,19 +41,19 @@
 	return s, nil
 }
 
-// Duration returns a fact given in milliseconds; 0 if there is none.
+// Duration returns the value of key, which is given in milliseconds; 0 if the key is absent.
 func (f SettingPairs) Duration(key string) (time.Duration, error) {
 	for _, p := range f.pairs {
 		if v, ok := strings.CutPrefix(p, key+"="); ok {
-			one := settingValues{values: map[string]string{key: v}}
-			d := one.ms(key)
-			return d, one.err
+			single := settingValues{values: map[string]string{key: v}}
+			d := single.ms(key)
+			return d, single.err
 		}
 	}
 	return 0, nil
 }
 
-// PairValue is a value as it stands in a pair: without spaces and commas.
+// PairValue returns s in the form used in a pair: spaces and commas become underscores.
 func PairValue(s string) string {
 	if !strings.ContainsAny(s, " ,") {
 		return s
--- a/internal/dataplane/wire/json_test.go
+++ b/internal/dataplane/wire/json_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The edge node's nested settings must come out as the simulator's pairs do:
-// otherwise the two programs decide differently.
+// The proxy's nested settings must give the same result as the simulator's
+// pairs: otherwise the two programs decide differently.
 func TestNestedSettingsAreThePairs(t *testing.T) {
 	pairs, err := parseSettings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
 		"caps.retry_after=true caps.max_retry_after_ms=2000.0 report.names=cpu,rps weight_kind=nominal discovery=push "+
--- a/internal/dataplane/wire/settings.go
+++ b/internal/dataplane/wire/settings.go
@@ -9,7 +9,8 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// settingValues holds the settings of a CONFIGURE line; unknown keys are ignored.
+// settingValues holds the settings of a CONFIGURE line by key, and the first
+// error in a value. An absent key reads as 0, and unknown keys are ignored.
 type settingValues struct {
 	values map[string]string
 	err    error
@@ -38,6 +39,7 @@
 var dedupScopes = map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll,
 	"zone": policy.DedupZone, "cell": policy.DedupCell}
 
+// parseSettings returns the settings that key=value pairs hold.
 func parseSettings(pairs []string) (policy.Settings, error) {
 	f := settingValues{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
