--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -21,7 +21,7 @@
 }
 
 func run(ctx context.Context, e *process.Env) error {
-	h := agent.New(agent.ConfigOf(e.Settings, e.World.Now()), e.World, e.Log)
+	h := agent.New(agent.ConfigFromSettings(e.Settings, e.World.Now()), e.World, e.Log)
 	go func() {
 		leave := e.Leave
 		for {
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -119,7 +119,7 @@
 // hand starts one; the function kills it.
 func (f *field) agent(replicas ...string) (*agent.Agent, context.CancelFunc, <-chan error) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	h := agent.New(agent.Config{Hello: peerlink.Hello{Name: "m", Life: time.Now().UnixNano(), Zone: replicas[0], Region: "r"}, Inner: inner, Seeds: replicas, Grace: 5 * time.Second}, f.net, logr.Discard())
+	h := agent.New(agent.Config{Hello: peerlink.Hello{Name: "m", Life: time.Now().UnixNano(), Zone: replicas[0], Region: "r"}, ListenAddress: inner, Seeds: replicas, LeaveGrace: 5 * time.Second}, f.net, logr.Discard())
 	done := make(chan error, 1)
 	go func() { done <- h.Run(ctx) }()
 	return h, cancel, done
--- a/internal/dataplane/agent/config.go
+++ b/internal/dataplane/agent/config.go
@@ -8,31 +8,31 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// spare is what is left of the grace when an agent that leaves ends by itself.
-const spare = 500 * time.Millisecond
+// graceMargin is what is left of the grace when an agent that leaves ends by itself.
+const graceMargin = 500 * time.Millisecond
 
-// ConfigOf takes an agent's configuration from what its process is told.
-func ConfigOf(s *settings.Settings, life time.Time) Config {
+// ConfigFromSettings takes an agent's configuration from what its process is told.
+func ConfigFromSettings(s *settings.Settings, life time.Time) Config {
 	return Config{
-		Hello: peerlink.Hello{Name: s.Self.Name, Life: life.UnixNano(), IP: s.Self.IP, Zone: s.Self.Zone, Region: s.Self.Region, Peer: s.Peer(s.Self.IP)},
-		Inner: s.AgentInner(),
-		Seeds: Seeds(s),
-		Grace: max(s.Terms.Bounds.Grace-spare, 0),
-		Drain: s.Terms.Bounds.Drain,
+		Hello:         peerlink.Hello{Name: s.Self.Name, Life: life.UnixNano(), IP: s.Self.IP, Zone: s.Self.Zone, Region: s.Self.Region, Peer: s.Peer(s.Self.IP)},
+		ListenAddress: s.AgentInner(),
+		Seeds:         SeedAddresses(s),
+		LeaveGrace:    max(s.Terms.Bounds.Grace-graceMargin, 0),
+		MaxListAge:    s.Terms.Bounds.Drain,
 	}
 }
 
 // SetSettings takes over what may change in service: the seeds and the bounds.
 func (h *Agent) SetSettings(s *settings.Settings) {
-	next := ConfigOf(s, time.Time{})
+	next := ConfigFromSettings(s, time.Time{})
 	h.mu.Lock()
-	h.cfg.Grace, h.cfg.Drain = next.Grace, next.Drain
+	h.cfg.LeaveGrace, h.cfg.MaxListAge = next.LeaveGrace, next.MaxListAge
 	h.mu.Unlock()
 	h.SetSeeds(next.Seeds)
 }
 
-// Seeds are the furrows of the replicas whose ctl addresses are named.
-func Seeds(s *settings.Settings) (all []string) {
+// SeedAddresses are the furrows of the replicas whose ctl addresses are named.
+func SeedAddresses(s *settings.Settings) (all []string) {
 	for _, ctl := range s.Network.Seeds {
 		if host, _, err := net.SplitHostPort(ctl); err == nil {
 			all = append(all, s.Inner(host))
--- a/internal/dataplane/agent/fold.go
+++ b/internal/dataplane/agent/fold.go
@@ -11,8 +11,8 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// sharesFor is for how long after a change of lead the shares of the one before hold too.
-const sharesFor = 5 * time.Second
+// previousSharesHold is for how long after a change of lead the shares of the one before hold too.
+const previousSharesHold = 5 * time.Second
 
 // Parts are parts of a Change.
 type Parts uint8
@@ -31,14 +31,14 @@
 // lead of the rest; it never goes back to older news. Replicas go by address.
 // Times are of one steady clock.
 type State struct {
-	configuration *peerlink.Configuration
-	zones         map[string]peerlink.Zone
-	servers       *peerlink.Servers
-	census        *peerlink.Census // in force
-	upstream      string
-	word          *peerlink.Census // of the lead; nil: it has not spoken since it is
-	shares        int              // that held before it spoke
-	until         time.Duration    // and hold beside its own
+	configuration       *peerlink.Configuration
+	zones               map[string]peerlink.Zone
+	servers             *peerlink.Servers
+	census              *peerlink.Census // in force
+	upstream            string
+	upstreamCensus      *peerlink.Census // of the lead; nil: it has not spoken since it is
+	previousShares      int              // that held before it spoke
+	previousSharesUntil time.Duration    // and hold beside its own
 
 	verdicts *serverhealth.Verdicts // of the lead, or of the one before until it has spoken
 }
@@ -48,16 +48,16 @@
 
 // Lead says whose word on who is there counts from now on. Until it has spoken
 // the last word stands.
-func (s *State) Upstream(replica string) {
+func (s *State) SetUpstream(replica string) {
 	if replica != s.upstream {
-		s.upstream, s.word = replica, nil
+		s.upstream, s.upstreamCensus = replica, nil
 	}
 }
 
-// Take folds a replica's change in, with wholes of servers and census, and returns
+// Merge folds a replica's change in, with wholes of servers and census, and returns
 // which parts are new by it.
-func (s *State) Take(replica string, c *peerlink.Change, now time.Duration) (is Parts) {
-	if c.Configuration != nil && (s.configuration == nil || newerConfiguration(c.Configuration, s.configuration)) {
+func (s *State) Merge(replica string, c *peerlink.Change, now time.Duration) (is Parts) {
+	if c.Configuration != nil && (s.configuration == nil || isNewerConfiguration(c.Configuration, s.configuration)) {
 		s.configuration = c.Configuration
 		is |= PartConfiguration
 	}
@@ -67,15 +67,15 @@
 			is |= PartZones
 		}
 	}
-	if v := c.Servers; v != nil && s.list(v) {
+	if v := c.Servers; v != nil && s.mergeServers(v) {
 		is |= PartServers
 	}
 	if c.Census != nil && replica == s.upstream {
-		if s.word == nil && s.census != nil {
-			s.shares, s.until = s.census.Shares, now+sharesFor
+		if s.upstreamCensus == nil && s.census != nil {
+			s.previousShares, s.previousSharesUntil = s.census.Shares, now+previousSharesHold
 		}
-		s.word = c.Census
-		if s.Settle(now) {
+		s.upstreamCensus = c.Census
+		if s.ApplyCensus(now) {
 			is |= PartCensus
 		}
 	}
@@ -86,13 +86,13 @@
 	return is
 }
 
-// list takes a list in and tells whether that changed anything.
-func (s *State) list(v *peerlink.Servers) bool {
+// mergeServers takes a list in and tells whether that changed anything.
+func (s *State) mergeServers(v *peerlink.Servers) bool {
 	if old := s.servers; old == nil || cmp.Or(cmp.Compare(v.Stamp, old.Stamp), cmp.Compare(v.By, old.By)) > 0 {
-		s.servers = drained(v, old)
+		s.servers = keepDraining(v, old)
 		return true
 	}
-	x := drained(s.servers, v) // an older one may have seen more of that
+	x := keepDraining(s.servers, v) // an older one may have seen more of that
 	if x == s.servers {
 		return false
 	}
@@ -101,9 +101,9 @@
 	return true
 }
 
-// drained keeps servers that were told to be draining as such: another lead
+// keepDraining keeps servers that were told to be draining as such: another lead
 // may not have seen that.
-func drained(s, old *peerlink.Servers) *peerlink.Servers {
+func keepDraining(s, old *peerlink.Servers) *peerlink.Servers {
 	if old == nil {
 		return s
 	}
@@ -125,29 +125,29 @@
 	return &x
 }
 
-func newerConfiguration(a, b *peerlink.Configuration) bool {
+func isNewerConfiguration(a, b *peerlink.Configuration) bool {
 	return cmp.Or(cmp.Compare(a.Gen, b.Gen), bytes.Compare(a.Digest[:], b.Digest[:])) > 0
 }
 
-// Settle puts the lead's word on who is there in force, as shares that held
+// ApplyCensus puts the lead's word on who is there in force, as shares that held
 // before run out, and tells whether that changed anything.
-func (s *State) Settle(now time.Duration) bool {
-	if s.word == nil {
+func (s *State) ApplyCensus(now time.Duration) bool {
+	if s.upstreamCensus == nil {
 		return false
 	}
-	shares := s.word.Shares
-	if now < s.until {
-		shares = max(shares, s.shares)
+	shares := s.upstreamCensus.Shares
+	if now < s.previousSharesUntil {
+		shares = max(shares, s.previousShares)
 	}
-	if c := s.census; c != nil && c.Shares == shares && slices.Equal(c.Replicas, s.word.Replicas) && slices.Equal(c.Proxies, s.word.Proxies) {
+	if c := s.census; c != nil && c.Shares == shares && slices.Equal(c.Replicas, s.upstreamCensus.Replicas) && slices.Equal(c.Proxies, s.upstreamCensus.Proxies) {
 		return false
 	}
-	s.census = &peerlink.Census{Replicas: s.word.Replicas, Proxies: s.word.Proxies, Shares: shares}
+	s.census = &peerlink.Census{Replicas: s.upstreamCensus.Replicas, Proxies: s.upstreamCensus.Proxies, Shares: shares}
 	return true
 }
 
-// Proxies is how many there are.
-func (s *State) Proxies() int {
+// ProxyCount is how many there are.
+func (s *State) ProxyCount() int {
 	if s.census == nil {
 		return 0
 	}
@@ -175,8 +175,8 @@
 	return c
 }
 
-// Replicas are the furrows' addresses of all replicas in the census.
-func (s *State) Replicas() (all []string) {
+// ReplicaAddresses are the furrows' addresses of all replicas in the census.
+func (s *State) ReplicaAddresses() (all []string) {
 	if s.census == nil {
 		return nil
 	}
@@ -188,40 +188,40 @@
 	return all
 }
 
-// Listed tells whether the lead knows of a replica at an address.
-func (s *State) Listed(address string) bool {
-	return s.word != nil && s.upstream != address && slices.ContainsFunc(s.word.Replicas, func(b peerlink.Hello) bool { return b.Inner == address })
+// IsListed tells whether the lead knows of a replica at an address.
+func (s *State) IsListed(address string) bool {
+	return s.upstreamCensus != nil && s.upstream != address && slices.ContainsFunc(s.upstreamCensus.Replicas, func(b peerlink.Hello) bool { return b.Inner == address })
 }
 
-// Fresh is the moment, on the asker's own steady clock, up to which what it
+// Freshness is the moment, on the asker's own steady clock, up to which what it
 // holds is known to be the newest.
-type Fresh struct {
+type Freshness struct {
 	confirmed time.Duration
-	ever      bool
+	known     bool
 }
 
-// Take takes an answer in. It counts from when the question was sent, so a
+// AddPong takes an answer in. It counts from when the question was sent, so a
 // late one makes nothing fresher than it was.
-func (f *Fresh) Take(p *peerlink.Pong, now time.Duration) {
+func (f *Freshness) AddPong(p *peerlink.Pong, now time.Duration) {
 	if !p.Fresh || p.Age < 0 || p.Sent > now {
 		return
 	}
-	if at := p.Sent - p.Age; !f.ever || at > f.confirmed {
-		f.confirmed, f.ever = at, true
+	if at := p.Sent - p.Age; !f.known || at > f.confirmed {
+		f.confirmed, f.known = at, true
 	}
 }
 
 // Pong answers a question of the proxy.
-func (f *Fresh) Pong(sent, now time.Duration) *peerlink.Pong {
-	p := &peerlink.Pong{Sent: sent, Fresh: f.ever}
-	if f.ever {
+func (f *Freshness) Pong(sent, now time.Duration) *peerlink.Pong {
+	p := &peerlink.Pong{Sent: sent, Fresh: f.known}
+	if f.known {
 		p.Age = now - f.confirmed
 	}
 	return p
 }
 
-// Held is the version of the configuration held, and its text's sum; 0: none is.
-func (s *State) Held() (gen uint64, sum uint32) {
+// HeldConfiguration is the version of the configuration held, and its text's sum; 0: none is.
+func (s *State) HeldConfiguration() (gen uint64, sum uint32) {
 	if s.configuration == nil {
 		return 0, 0
 	}
--- a/internal/dataplane/agent/fold_test.go
+++ b/internal/dataplane/agent/fold_test.go
@@ -27,7 +27,7 @@
 		{&peerlink.Change{Zones: []peerlink.Zone{{Zone: "y"}}}, PartZones},
 		{servers(5), PartServers}, {servers(4), 0}, {servers(5), 0}, {servers(6), PartServers},
 	} {
-		assert.Equal(t, s.Take([]string{"a", "b"}[i%2], step.change, 0), step.want, "step %d", i)
+		assert.Equal(t, s.Merge([]string{"a", "b"}[i%2], step.change, 0), step.want, "step %d", i)
 	}
 	c := s.Change(PartsAll)
 	assert.Equal(t, c.Configuration.Gen, uint64(3))
@@ -45,28 +45,28 @@
 	word := func(shares int, ready bool, replicas ...peerlink.Hello) *peerlink.Change {
 		return &peerlink.Change{Census: &peerlink.Census{Replicas: replicas, Proxies: []peerlink.Member{{Hello: proxy, Ready: ready, Alive: ready, Slot: 3}}, Shares: shares}}
 	}
-	assert.Equal(t, s.Take("x:1", word(2, true, x, y), 0), Parts(0)) // nobody's word counts yet
-	s.Upstream("x:1")
-	assert.Equal(t, s.Take("x:1", word(2, true, x, y), 0), PartCensus)
-	assert.Equal(t, s.Take("y:1", word(1, false, again), 0), Parts(0))
+	assert.Equal(t, s.Merge("x:1", word(2, true, x, y), 0), Parts(0)) // nobody's word counts yet
+	s.SetUpstream("x:1")
+	assert.Equal(t, s.Merge("x:1", word(2, true, x, y), 0), PartCensus)
+	assert.Equal(t, s.Merge("y:1", word(1, false, again), 0), Parts(0))
 	c := s.Change(PartCensus).Census
 	assert.DeepEqual(t, c.Replicas, []peerlink.Hello{x, y})
 	assert.DeepEqual(t, c.Proxies, []peerlink.Member{{Hello: proxy, Ready: true, Alive: true, Slot: 3}})
 	assert.Equal(t, c.Shares, 2)
-	assert.DeepEqual(t, s.Replicas(), []string{"x:1", "y:1"})
-	assert.Assert(t, s.Listed("y:1") && !s.Listed("x:1"))
+	assert.DeepEqual(t, s.ReplicaAddresses(), []string{"x:1", "y:1"})
+	assert.Assert(t, s.IsListed("y:1") && !s.IsListed("x:1"))
 
-	s.Upstream("y:1") // until it has spoken, the last word stands
-	assert.Assert(t, !s.Settle(time.Second))
-	assert.Equal(t, s.Take("x:1", word(9, true, x), time.Second), Parts(0))
-	assert.Assert(t, s.Change(PartCensus).Census.Proxies[0].Ready && !s.Listed("y:1"))
-	assert.Equal(t, s.Take("y:1", word(1, false, again), time.Second), PartCensus)
+	s.SetUpstream("y:1") // until it has spoken, the last word stands
+	assert.Assert(t, !s.ApplyCensus(time.Second))
+	assert.Equal(t, s.Merge("x:1", word(9, true, x), time.Second), Parts(0))
+	assert.Assert(t, s.Change(PartCensus).Census.Proxies[0].Ready && !s.IsListed("y:1"))
+	assert.Equal(t, s.Merge("y:1", word(1, false, again), time.Second), PartCensus)
 	c = s.Change(PartCensus).Census
 	assert.Assert(t, !c.Proxies[0].Alive && !c.Proxies[0].Ready && c.Shares == 2 && len(c.Replicas) == 1)
-	assert.Assert(t, !s.Settle(time.Second+sharesFor-1))
-	assert.Assert(t, s.Settle(time.Second+sharesFor))
+	assert.Assert(t, !s.ApplyCensus(time.Second+previousSharesHold-1))
+	assert.Assert(t, s.ApplyCensus(time.Second+previousSharesHold))
 	assert.Equal(t, s.Change(PartCensus).Census.Shares, 1)
-	assert.Equal(t, s.Take("y:1", word(3, false, again), time.Minute), PartCensus)
+	assert.Equal(t, s.Merge("y:1", word(3, false, again), time.Minute), PartCensus)
 	assert.Equal(t, s.Change(PartCensus).Census.Shares, 3)
 }
 
@@ -76,25 +76,25 @@
 	list := func(stamp int64, drains bool) *peerlink.Change {
 		return &peerlink.Change{Servers: &peerlink.Servers{Stamp: stamp, List: []peerlink.Server{{ID: "a"}, {ID: "b", Draining: drains}}}}
 	}
-	s.Upstream("x")
-	s.Take("x", list(5, true), 0)
-	s.Upstream("y")
-	assert.Equal(t, s.Take("y", list(4, false), 0), Parts(0))
+	s.SetUpstream("x")
+	s.Merge("x", list(5, true), 0)
+	s.SetUpstream("y")
+	assert.Equal(t, s.Merge("y", list(4, false), 0), Parts(0))
 	later := list(6, false)
 	for _, step := range []*peerlink.Change{later, list(7, false)} {
-		assert.Equal(t, s.Take("y", step, 0), PartServers)
+		assert.Equal(t, s.Merge("y", step, 0), PartServers)
 		got := s.Change(PartServers).Servers.List
 		assert.Assert(t, got[1].Draining && !got[0].Draining)
 	}
-	s.Upstream("z")
-	assert.Equal(t, s.Take("z", &peerlink.Change{Servers: &peerlink.Servers{Stamp: 3, List: []peerlink.Server{{ID: "a", Draining: true}}}}, 0), PartServers)
+	s.SetUpstream("z")
+	assert.Equal(t, s.Merge("z", &peerlink.Change{Servers: &peerlink.Servers{Stamp: 3, List: []peerlink.Server{{ID: "a", Draining: true}}}}, 0), PartServers)
 	got := s.Change(PartServers).Servers
 	assert.Assert(t, got.Stamp > 7 && got.List[0].Draining && len(got.List) == 2)
 	assert.Assert(t, !later.Servers.List[1].Draining) // what a connection told is left as it is
 }
 
 func TestFresh(t *testing.T) {
-	var f Fresh
+	var f Freshness
 	assert.DeepEqual(t, f.Pong(3, 4), &peerlink.Pong{Sent: 3})
 	const s = time.Second
 	for i, step := range []struct {
@@ -109,7 +109,7 @@
 		{peerlink.Pong{Sent: 99 * s, Fresh: true}, 16 * s, 6 * s},
 		{peerlink.Pong{Sent: 16 * s, Age: -s, Fresh: true}, 16 * s, 6 * s},
 	} {
-		f.Take(&step.pong, step.now)
+		f.AddPong(&step.pong, step.now)
 		assert.Equal(t, f.Pong(0, step.now).Age, step.age, "step %d", i)
 	}
 }
--- a/internal/dataplane/agent/oldlist_test.go
+++ b/internal/dataplane/agent/oldlist_test.go
@@ -13,10 +13,10 @@
 // lists has replicas answer for a while, each with the age of its list at that moment.
 func (r *ring) lists(d time.Duration, age func(now time.Duration) map[string]time.Duration) string {
 	for end := r.now + d; r.now < end; {
-		r.now += heartbeat
+		r.now += heartbeatInterval
 		for addr, a := range age(r.now) {
 			list := &peerlink.Reading{Age: a, Period: time.Second}
-			r.Heard(addr, &peerlink.Frame{Pong: &peerlink.Pong{Sent: r.now, InTouch: true, List: list}}, r.now)
+			r.HandleFrame(addr, &peerlink.Frame{Pong: &peerlink.Pong{Sent: r.now, InTouch: true, List: list}}, r.now)
 		}
 		r.Choose(r.now)
 	}
@@ -34,7 +34,7 @@
 	assert.Equal(t, r.lists(1500*time.Millisecond, age), "own")
 	assert.Equal(t, r.lists(time.Second, age), "near") // two readings have passed it by
 	began = 3 * time.Second
-	assert.Equal(t, r.lists(backAfter-time.Second, func(now time.Duration) map[string]time.Duration {
+	assert.Equal(t, r.lists(failbackDelay-time.Second, func(now time.Duration) map[string]time.Duration {
 		began = now.Truncate(time.Second)
 		return age(now)
 	}), "near")
@@ -54,7 +54,7 @@
 func TestUpstreamIsKeptWhereReadingsAreHeardALittleLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRing("m")
-		r.Many = true
+		r.LongHeartbeats = true
 		r.up("own", "z1", "r1")
 		r.up("near", "z2", "r1")
 		duration := func(most int, what string) time.Duration {
@@ -66,12 +66,12 @@
 			hears[addr], answers[addr] = duration(300, "hears after "+addr), duration(300, "answers after "+addr)
 		}
 		for range 120 {
-			r.now += heartbeat
+			r.now += heartbeatInterval
 			for addr, late := range hears {
-				if r.now%r.Every(addr) == 0 {
+				if r.now%r.PingInterval(addr) == 0 {
 					asked := r.now - answers[addr]
 					list := &peerlink.Reading{Age: late + (asked+2*period-late)%period, Period: period}
-					r.Heard(addr, &peerlink.Frame{Pong: &peerlink.Pong{Sent: asked, InTouch: true, List: list}}, r.now)
+					r.HandleFrame(addr, &peerlink.Frame{Pong: &peerlink.Pong{Sent: asked, InTouch: true, List: list}}, r.now)
 				}
 			}
 			assert.Equal(t, r.Choose(r.now), "own")
@@ -84,13 +84,13 @@
 	pong := func(sent, age time.Duration) *peerlink.Pong {
 		return &peerlink.Pong{Sent: sent, List: &peerlink.Reading{Age: age}}
 	}
-	assert.Assert(t, a.tell(0) == nil)
-	a.follow(time.Second)
-	a.take(pong(900*time.Millisecond, 0)) // asked before it was followed
-	assert.Assert(t, a.tell(0) == nil)
-	a.take(pong(2*time.Second, time.Second))
-	a.take(&peerlink.Pong{Sent: 3 * time.Second})
-	assert.Equal(t, a.tell(4*time.Second).Age, 3*time.Second)
-	a.take(pong(3*time.Second, 3*time.Second)) // an older list than was held
-	assert.Equal(t, a.tell(4*time.Second).Age, 3*time.Second)
+	assert.Assert(t, a.reading(0) == nil)
+	a.restart(time.Second)
+	a.addPong(pong(900*time.Millisecond, 0)) // asked before it was followed
+	assert.Assert(t, a.reading(0) == nil)
+	a.addPong(pong(2*time.Second, time.Second))
+	a.addPong(&peerlink.Pong{Sent: 3 * time.Second})
+	assert.Equal(t, a.reading(4*time.Second).Age, 3*time.Second)
+	a.addPong(pong(3*time.Second, 3*time.Second)) // an older list than was held
+	assert.Equal(t, a.reading(4*time.Second).Age, 3*time.Second)
 }
--- a/internal/dataplane/agent/upstream_test.go
+++ b/internal/dataplane/agent/upstream_test.go
@@ -21,7 +21,7 @@
 }
 
 func (r *ring) up(addr, zone, region string) string {
-	r.Up(addr, &peerlink.Hello{Name: addr, Zone: zone, Region: region}, r.now)
+	r.AddReplica(addr, &peerlink.Hello{Name: addr, Zone: zone, Region: region}, r.now)
 	return r.Choose(r.now)
 }
 
@@ -29,13 +29,13 @@
 // is confirmed by none of them: it may just be on its way.
 func (r *ring) pass(d time.Duration, replicas ...string) string {
 	for end := r.now + d; r.now < end; {
-		r.now += heartbeat
+		r.now += heartbeatInterval
 		for _, b := range replicas {
 			p := &peerlink.Pong{InTouch: true, TouchAge: time.Second}
 			if b[0] == '!' {
 				b, p.TouchAge = b[1:], 2*time.Second
 			}
-			r.Heard(b, &peerlink.Frame{Pong: p}, r.now)
+			r.HandleFrame(b, &peerlink.Frame{Pong: p}, r.now)
 		}
 		r.Choose(r.now)
 	}
@@ -49,25 +49,25 @@
 	assert.Equal(t, r.up("near", "z2", "r1"), "far")
 	assert.Equal(t, r.up("own", "z1", "r1"), "far")
 	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "far")
-	assert.Equal(t, r.pass(heartbeat, "far", "near", "own"), "own") // good for long enough
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own") // good for long enough
 	assert.Equal(t, r.pass(600*time.Millisecond, "far", "near"), "own")
-	assert.Equal(t, r.pass(heartbeat, "far", "near"), "near") // silent for too long
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near"), "near") // silent for too long
 	assert.Equal(t, r.pass(4*time.Second, "far", "near", "own"), "near")
-	assert.Equal(t, r.pass(heartbeat, "far", "near", "!own"), "near")
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "!own"), "near")
 	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good anew only since
-	assert.Equal(t, r.pass(heartbeat, "far", "near", "own"), "own")
-	assert.Equal(t, r.pass(heartbeat, "far", "!near", "!own"), "far")
-	assert.Equal(t, r.pass(heartbeat, "!far", "!near", "!own"), "far") // none is fresh
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own")
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "!near", "!own"), "far")
+	assert.Equal(t, r.pass(heartbeatInterval, "!far", "!near", "!own"), "far") // none is fresh
 	assert.Equal(t, r.pass(2*time.Second, "!near", "!own"), "own")
 	assert.Equal(t, r.pass(10*time.Second), "own") // nor heard
-	r.Down("own")
+	r.RemoveReplica("own")
 	assert.Equal(t, r.Choose(r.now), "near")
 	why := "goes"
-	r.Heard("near", &peerlink.Frame{Leaving: &why}, r.now)
-	r.Heard("far", &peerlink.Frame{}, r.now)
+	r.HandleFrame("near", &peerlink.Frame{Leaving: &why}, r.now)
+	r.HandleFrame("far", &peerlink.Frame{}, r.now)
 	assert.Equal(t, r.Choose(r.now), "far")
-	r.Down("far")
-	r.Down("near")
+	r.RemoveReplica("far")
+	r.RemoveReplica("near")
 	assert.Equal(t, r.Choose(r.now), "")
 	assert.Equal(t, r.up("far", "z9", "r9"), "far")
 }
@@ -78,19 +78,19 @@
 	r.up("near", "z2", "r1")
 	r.up("own", "z1", "r1")
 	assert.Equal(t, r.pass(600*time.Millisecond, "own"), "near")
-	assert.Equal(t, r.pass(heartbeat, "own"), "own")
+	assert.Equal(t, r.pass(heartbeatInterval, "own"), "own")
 }
 
 // One chosen among many proxies has had long heartbeats before: its silence counts from then.
 func TestUpstreamOfLongHeartbeats(t *testing.T) {
 	r := newRing("m")
-	r.Many = true
+	r.LongHeartbeats = true
 	r.up("own", "z1", "r1")
 	r.up("near", "z2", "r1")
-	assert.Assert(t, r.Every("own") == 2*heartbeat && r.Every("near") == 4*heartbeat)
+	assert.Assert(t, r.PingInterval("own") == 2*heartbeatInterval && r.PingInterval("near") == 4*heartbeatInterval)
 	r.pass(2*time.Second, "own", "near")
 	assert.Equal(t, r.pass(time.Second), "near")
-	assert.Equal(t, r.pass(3*heartbeat), "near")
+	assert.Equal(t, r.pass(3*heartbeatInterval), "near")
 }
 
 func TestLeadsSpread(t *testing.T) {
--- a/internal/testbed/emulator/process.go
+++ b/internal/testbed/emulator/process.go
@@ -151,7 +151,7 @@
 		r.inForce, r.settle = g.ConfigurationInForce, g.SetSettings
 		serve = func() error { return g.Run(ctx, r.leave) }
 	case Agent:
-		h := agent.New(agent.ConfigOf(set, p.Now()), w, logs.Logger())
+		h := agent.New(agent.ConfigFromSettings(set, p.Now()), w, logs.Logger())
 		r.settle = h.SetSettings
 		serve = func() error {
 			defer context.AfterFunc(told(ctx, r.leave), func() { h.Leave("told to end") })()
