--- a/internal/dataplane/proxy/health_test.go
+++ b/internal/dataplane/proxy/health_test.go
@@ -13,7 +13,7 @@
 
 // A verdict loses weight with the time since evidence was last wanted, and a chosen proxy tries an unfit server once per
 // round.
-func TestTrustsAgeAndTrials(t *testing.T) {
+func TestTrustAgeAndTrials(t *testing.T) {
 	health := &healthExchange{trialCandidates: []string{"g1", "g2", "g3"}}
 	receiveVerdict := func(now time.Duration, round uint32) {
 		health.receive(&peerlink.Frame{Pong: &peerlink.Pong{Wanted: 7}, Change: &peerlink.Change{Verdicts: &serverhealth.Verdicts{By: "b", Stamp: int64(now),
