--- a/internal/dataplane/agent/state.go
+++ b/internal/dataplane/agent/state.go
@@ -36,7 +36,7 @@
 	servers             *peerlink.Servers
 	census              *peerlink.Census // sent to the proxy
 	upstream            string
-	upstreamCensus      *peerlink.Census // latest census of the upstream replica; nil: none since it draining chosen
+	upstreamCensus      *peerlink.Census // latest census of the upstream replica; nil: none since it was chosen
 	previousShares      int              // in force before upstreamCensus arrived
 	previousSharesUntil time.Duration    // until then the larger of the two share counts applies
 
@@ -194,13 +194,13 @@
 }
 
 // Freshness tracks the latest time, on the caller's monotonic clock, at which the state
-// held draining confirmed to be the newest.
+// held was confirmed to be the newest.
 type Freshness struct {
 	confirmed time.Duration
 	known     bool
 }
 
-// AddPong records an answer. Its age counts from the time at which the ping draining sent, so that
+// AddPong records an answer. Its age counts from the time at which the ping was sent, so that
 // a delayed answer does not make the state appear fresher than it is.
 func (f *Freshness) AddPong(p *peerlink.Pong, now time.Duration) {
 	if !p.Fresh || p.Age < 0 || p.Sent > now {
