--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -29,7 +29,7 @@
 	ListenAddress string         // on which the agent accepts its proxy's connection
 	Seeds         []string       // addresses of the replicas' internal ports that are known at startup
 	LeaveGrace    time.Duration  // how long the agent still serves its proxy after Leave
-	MaxListAge    time.Duration  // a server receives no requests this long after the platform lists it as leaving, so an older list is too old
+	MaxListAge    time.Duration  // servers may have drained within this time, so an older list is too old
 }
 
 // Agent runs beside a proxy and relays between it and the control replicas.
@@ -66,180 +66,180 @@
 }
 
 // now returns the time on the agent's monotonic clock.
-func (h *Agent) now() time.Duration { return h.w.Now().Sub(h.start) }
+func (a *Agent) now() time.Duration { return a.w.Now().Sub(a.start) }
 
 // Run serves the proxy and stays connected to the replicas until ctx ends. After Leave it
 // returns once the proxy has disconnected or LeaveGrace has passed.
-func (h *Agent) Run(ctx context.Context) error {
+func (a *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var serving sync.WaitGroup
 	defer serving.Wait()
-	defer h.sessions.Wait()
+	defer a.sessions.Wait()
 	defer func() {
-		h.mu.Lock() // no replica is dialled after cancel
-		defer h.mu.Unlock()
+		a.mu.Lock() // no replica is dialled after cancel
+		defer a.mu.Unlock()
 		cancel()
 	}()
-	ln, err := h.w.Listen(ctx, "tcp", h.cfg.ListenAddress)
+	ln, err := a.w.Listen(ctx, "tcp", a.cfg.ListenAddress)
 	if err != nil {
 		return errors.Wrap(err, "agent")
 	}
 	serving.Go(func() {
-		_ = peerlink.Serve(ctx, h.w, ln, h.currentHello, h.log, h.runProxySession) // returns only when ctx ends
+		_ = peerlink.Serve(ctx, a.w, ln, a.currentHello, a.log, a.runProxySession) // returns only when ctx ends
 	})
-	h.mu.Lock()
-	h.ctx = ctx
-	h.maintainReplicas()
-	h.mu.Unlock()
-	t := h.w.NewTimer(heartbeatInterval)
+	a.mu.Lock()
+	a.ctx = ctx
+	a.maintainReplicas()
+	a.mu.Unlock()
+	t := a.w.NewTimer(heartbeatInterval)
 	defer t.Stop()
 	var until time.Duration
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-h.wake:
+		case <-a.wake:
 		case <-t.C():
 			t.Reset(heartbeatInterval)
-			h.mu.Lock()
-			h.tick()
-			h.mu.Unlock()
+			a.mu.Lock()
+			a.tick()
+			a.mu.Unlock()
 		}
-		h.mu.Lock()
-		leaving, disconnected, grace := h.leaveReason != "", h.proxy == nil, h.cfg.LeaveGrace
-		h.mu.Unlock()
+		a.mu.Lock()
+		leaving, disconnected, grace := a.leaveReason != "", a.proxy == nil, a.cfg.LeaveGrace
+		a.mu.Unlock()
 		if leaving && until == 0 {
-			until = h.now() + grace
+			until = a.now() + grace
 		}
-		if leaving && (disconnected || h.now() >= until) {
-			h.flushReplicas()
+		if leaving && (disconnected || a.now() >= until) {
+			a.flushReplicas()
 			return nil
 		}
 	}
 }
 
 // tick runs once per heartbeat interval. The caller holds the mutex.
-func (h *Agent) tick() {
-	if h.state.ApplyCensus(h.now()) {
-		h.queueUpdate(PartCensus)
+func (a *Agent) tick() {
+	if a.state.ApplyCensus(a.now()) {
+		a.queueUpdate(PartCensus)
 	}
-	h.upstream.LongHeartbeats = h.state.ProxyCount() > maxProxiesAtUsualInterval
-	h.chooseUpstream()
-	h.maintainReplicas()
-	h.reportStale()
-	h.reportOldList()
+	a.upstream.LongHeartbeats = a.state.ProxyCount() > maxProxiesAtUsualInterval
+	a.chooseUpstream()
+	a.maintainReplicas()
+	a.reportStale()
+	a.reportOldList()
 	// Pings at longer intervals are spread over the ticks, so that some replica's answer is always recent.
-	h.tickCount++
-	for i, addr := range slices.Sorted(maps.Keys(h.replicas)) {
-		if (h.tickCount+i)%int(h.upstream.PingInterval(addr)/heartbeatInterval) == 0 {
-			h.pingOne(h.replicas[addr])
+	a.tickCount++
+	for i, addr := range slices.Sorted(maps.Keys(a.replicas)) {
+		if (a.tickCount+i)%int(a.upstream.PingInterval(addr)/heartbeatInterval) == 0 {
+			a.pingOne(a.replicas[addr])
 		}
 	}
 }
 
 // flushReplicas waits, for at most finishTimeout, until all queued messages to replicas are written.
-func (h *Agent) flushReplicas() {
-	h.mu.Lock()
+func (a *Agent) flushReplicas() {
+	a.mu.Lock()
 	var writers sync.WaitGroup
-	for _, b := range h.replicas {
+	for _, b := range a.replicas {
 		if b.conn != nil {
 			c := b.conn // b.conn may be set to nil before Finish is called
 			writers.Go(func() { c.Finish(finishTimeout) })
 		}
 	}
-	h.mu.Unlock()
+	a.mu.Unlock()
 	writers.Wait()
 }
 
 // Leave starts the shutdown: the agent notifies the replicas and serves its proxy until the
 // proxy disconnects or LeaveGrace has passed.
-func (h *Agent) Leave(why string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.leaveReason != "" {
+func (a *Agent) Leave(why string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.leaveReason != "" {
 		return
 	}
-	h.leaveReason = why
-	for _, b := range h.replicas {
-		b.send(&peerlink.Frame{Leaving: &h.leaveReason})
+	a.leaveReason = why
+	for _, b := range a.replicas {
+		b.send(&peerlink.Frame{Leaving: &a.leaveReason})
 	}
-	h.wakeUp()
+	a.wakeUp()
 }
 
-func (h *Agent) wakeUp() {
+func (a *Agent) wakeUp() {
 	select {
-	case h.wake <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
 // SetSeeds applies the seed addresses of a reloaded settings file.
-func (h *Agent) SetSeeds(seeds []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if slices.Equal(seeds, h.seeds) {
+func (a *Agent) SetSeeds(seeds []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if slices.Equal(seeds, a.seeds) {
 		return
 	}
-	h.log.Info("seed addresses changed", "seeds", seeds)
-	if h.seeds = seeds; h.ctx != nil {
-		h.maintainReplicas()
+	a.log.Info("seed addresses changed", "seeds", seeds)
+	if a.seeds = seeds; a.ctx != nil {
+		a.maintainReplicas()
 	}
 }
 
 // currentHello returns the agent's Hello, with the proxy's address once it is known.
-func (h *Agent) currentHello() peerlink.Hello {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.buildHello()
+func (a *Agent) currentHello() peerlink.Hello {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.buildHello()
 }
 
-func (h *Agent) buildHello() peerlink.Hello {
-	x := h.cfg.Hello
-	x.Version, x.Role, x.Front = peerlink.Version, peerlink.Agent, h.front
+func (a *Agent) buildHello() peerlink.Hello {
+	x := a.cfg.Hello
+	x.Version, x.Role, x.Front = peerlink.Version, peerlink.Agent, a.front
 	return x
 }
 
 // queueUpdate sends changed parts to the proxy: configuration and zones at once, the others
 // together with changes that follow within proxyUpdateInterval. The caller holds the mutex.
-func (h *Agent) queueUpdate(p Parts) {
-	h.revision++
-	if h.proxy == nil {
+func (a *Agent) queueUpdate(p Parts) {
+	a.revision++
+	if a.proxy == nil {
 		return
 	}
-	h.pendingParts |= p
+	a.pendingParts |= p
 	switch {
-	case p&(PartConfiguration|PartZones) != 0 || h.proxy.lastSentAt+proxyUpdateInterval <= h.now():
-		h.sendUpdate()
-	case !h.updateScheduled && h.ctx.Err() == nil:
-		h.updateScheduled = true
-		h.sessions.Go(h.sendUpdateWhenDue)
+	case p&(PartConfiguration|PartZones) != 0 || a.proxy.lastSentAt+proxyUpdateInterval <= a.now():
+		a.sendUpdate()
+	case !a.updateScheduled && a.ctx.Err() == nil:
+		a.updateScheduled = true
+		a.sessions.Go(a.sendUpdateWhenDue)
 	}
 }
 
 // sendUpdateWhenDue waits until proxyUpdateInterval has passed since the last update, then sends the pending parts.
-func (h *Agent) sendUpdateWhenDue() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for h.proxy != nil && h.pendingParts != 0 {
-		wait := h.proxy.lastSentAt + proxyUpdateInterval - h.now()
+func (a *Agent) sendUpdateWhenDue() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for a.proxy != nil && a.pendingParts != 0 {
+		wait := a.proxy.lastSentAt + proxyUpdateInterval - a.now()
 		if wait <= 0 {
-			h.sendUpdate()
+			a.sendUpdate()
 			break
 		}
-		h.mu.Unlock()
-		awake := world.Sleep(h.ctx, h.w, wait)
-		h.mu.Lock()
+		a.mu.Unlock()
+		awake := world.Sleep(a.ctx, a.w, wait)
+		a.mu.Lock()
 		if !awake {
 			break
 		}
 	}
-	h.updateScheduled = false
+	a.updateScheduled = false
 }
 
 // sendUpdate sends the pending parts to the proxy. The caller holds the mutex.
-func (h *Agent) sendUpdate() {
-	if h.proxy != nil && h.pendingParts != 0 {
-		h.proxy.sendChange(h.state.Change(h.pendingParts), h.revision)
-		h.proxy.lastSentAt, h.pendingParts = h.now(), 0
+func (a *Agent) sendUpdate() {
+	if a.proxy != nil && a.pendingParts != 0 {
+		a.proxy.sendChange(a.state.Change(a.pendingParts), a.revision)
+		a.proxy.lastSentAt, a.pendingParts = a.now(), 0
 	}
 }
--- a/internal/dataplane/agent/config.go
+++ b/internal/dataplane/agent/config.go
@@ -23,12 +23,12 @@
 }
 
 // SetSettings applies the settings that may change at runtime: seeds, grace period and drain time.
-func (h *Agent) SetSettings(s *settings.Settings) {
+func (a *Agent) SetSettings(s *settings.Settings) {
 	next := ConfigFromSettings(s, time.Time{})
-	h.mu.Lock()
-	h.cfg.LeaveGrace, h.cfg.MaxListAge = next.LeaveGrace, next.MaxListAge
-	h.mu.Unlock()
-	h.SetSeeds(next.Seeds)
+	a.mu.Lock()
+	a.cfg.LeaveGrace, a.cfg.MaxListAge = next.LeaveGrace, next.MaxListAge
+	a.mu.Unlock()
+	a.SetSeeds(next.Seeds)
 }
 
 // SeedAddresses returns the internal addresses of the replicas whose control addresses are listed as seeds.
--- a/internal/dataplane/agent/listage.go
+++ b/internal/dataplane/agent/listage.go
@@ -43,15 +43,15 @@
 
 // reportOldList logs an error, with the state of each replica, while the list is older than
 // MaxListAge. The caller holds the mutex.
-func (h *Agent) reportOldList() {
-	now := h.now()
-	if h.proxy == nil || !h.serverListAge.known || now-h.serverListAge.readStart < h.cfg.MaxListAge {
-		h.serverListAge.reportedAt = 0
+func (a *Agent) reportOldList() {
+	now := a.now()
+	if a.proxy == nil || !a.serverListAge.known || now-a.serverListAge.readStart < a.cfg.MaxListAge {
+		a.serverListAge.reportedAt = 0
 		return
 	}
-	if h.serverListAge.reportedAt > 0 && now-h.serverListAge.reportedAt < reportInterval {
+	if a.serverListAge.reportedAt > 0 && now-a.serverListAge.reportedAt < reportInterval {
 		return
 	}
-	h.serverListAge.reportedAt = now
-	h.log.Error(errOldList, "old list", "age", now-h.serverListAge.readStart, "upstream", h.upstream.Chosen(), "replicas", h.upstream.describe(now))
+	a.serverListAge.reportedAt = now
+	a.log.Error(errOldList, "old list", "age", now-a.serverListAge.readStart, "upstream", a.upstream.Chosen(), "replicas", a.upstream.describe(now))
 }
--- a/internal/dataplane/agent/listage_test.go
+++ b/internal/dataplane/agent/listage_test.go
@@ -57,21 +57,21 @@
 		r.LongHeartbeats = true
 		r.up("own", "z1", "r1")
 		r.up("near", "z2", "r1")
-		duration := func(most int, what string) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, what)) * time.Millisecond
+		duration := func(maxMillis int, label string) time.Duration {
+			return time.Duration(rapid.IntRange(0, maxMillis).Draw(t, label)) * time.Millisecond
 		}
 		period := 500*time.Millisecond + duration(1000, "period")
-		hears, answers := map[string]time.Duration{}, map[string]time.Duration{}
+		receiveDelay, answerDelay := map[string]time.Duration{}, map[string]time.Duration{}
 		for _, addr := range []string{"own", "near"} {
-			hears[addr], answers[addr] = duration(300, "hears after "+addr), duration(300, "answers after "+addr)
+			receiveDelay[addr], answerDelay[addr] = duration(300, "hears after "+addr), duration(300, "answers after "+addr)
 		}
 		for range 120 {
 			r.now += heartbeatInterval
-			for addr, late := range hears {
+			for addr, delay := range receiveDelay {
 				if r.now%r.PingInterval(addr) == 0 {
-					asked := r.now - answers[addr]
-					list := &peerlink.Reading{Age: late + (asked+2*period-late)%period, Period: period}
-					r.HandleFrame(addr, &peerlink.Frame{Pong: &peerlink.Pong{Sent: asked, InTouch: true, List: list}}, r.now)
+					pingSent := r.now - answerDelay[addr]
+					list := &peerlink.Reading{Age: delay + (pingSent+2*period-delay)%period, Period: period}
+					r.HandleFrame(addr, &peerlink.Frame{Pong: &peerlink.Pong{Sent: pingSent, InTouch: true, List: list}}, r.now)
 				}
 			}
 			assert.Equal(t, r.Choose(r.now), "own")
--- a/internal/dataplane/agent/proxy.go
+++ b/internal/dataplane/agent/proxy.go
@@ -38,84 +38,84 @@
 }
 
 // runProxySession serves a connection from the proxy. A newer connection replaces an older one.
-func (h *Agent) runProxySession(_ context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
+func (a *Agent) runProxySession(_ context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
 	if o.Role != peerlink.Proxy {
 		return errors.Errorf("agent: %s at %s has role %q instead of proxy", o.Name, c.Remote(), o.Role)
 	}
 	g := &proxy{conn: c}
-	h.mu.Lock()
-	old := h.proxy
-	h.proxy = g
-	h.handleProxyHello(o)
-	if h.proxyIncarnation != o.Life && h.proxyIncarnation != 0 && old == nil && h.leaveReason == "" { // a proxy that had left has restarted
-		x := h.buildHello()
-		for _, b := range h.replicas {
+	a.mu.Lock()
+	old := a.proxy
+	a.proxy = g
+	a.handleProxyHello(o)
+	if a.proxyIncarnation != o.Life && a.proxyIncarnation != 0 && old == nil && a.leaveReason == "" { // a proxy that had left has restarted
+		x := a.buildHello()
+		for _, b := range a.replicas {
 			b.send(&peerlink.Frame{Hello: &x})
 		}
 	}
-	h.proxyIncarnation = o.Life
-	h.revision = max(h.revision, 1)
-	h.pendingParts = PartsAll
-	h.sendUpdate()
+	a.proxyIncarnation = o.Life
+	a.revision = max(a.revision, 1)
+	a.pendingParts = PartsAll
+	a.sendUpdate()
 	if old != nil {
 		_ = old.conn.Close()
 		if old.ready {
-			h.pingAll()
+			a.pingAll()
 		}
 	}
-	h.mu.Unlock()
-	h.log.Info("proxy connected", "front", o.Front)
+	a.mu.Unlock()
+	a.log.Info("proxy connected", "front", o.Front)
 	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if h.proxy != g {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		if a.proxy != g {
 			return
 		}
-		if h.proxy = nil; g.ready {
-			h.pingAll()
+		if a.proxy = nil; g.ready {
+			a.pingAll()
 		}
-		h.wakeUp()
+		a.wakeUp()
 	}()
 	for {
 		f, err := c.Receive()
 		if err != nil {
 			return err
 		}
-		h.mu.Lock()
-		if h.proxy == g {
-			h.handleProxyFrame(g, f)
+		a.mu.Lock()
+		if a.proxy == g {
+			a.handleProxyFrame(g, f)
 		}
-		h.mu.Unlock()
+		a.mu.Unlock()
 	}
 }
 
 // handleProxyHello stores the proxy's address and sends it to the replicas if it has changed. The
 // caller holds the mutex.
-func (h *Agent) handleProxyHello(o *peerlink.Hello) {
-	if o.Front == "" || o.Front == h.front {
+func (a *Agent) handleProxyHello(o *peerlink.Hello) {
+	if o.Front == "" || o.Front == a.front {
 		return
 	}
-	h.front = o.Front
-	for _, b := range h.replicas {
-		h.sendChangedHello(b)
+	a.front = o.Front
+	for _, b := range a.replicas {
+		a.sendChangedHello(b)
 	}
 }
 
 // handleProxyFrame processes a message from the proxy. The caller holds the mutex.
-func (h *Agent) handleProxyFrame(g *proxy, f *peerlink.Frame) {
+func (a *Agent) handleProxyFrame(g *proxy, f *peerlink.Frame) {
 	if f.Hello != nil {
-		h.handleProxyHello(f.Hello)
+		a.handleProxyHello(f.Hello)
 	}
-	if a := f.Ack; a != nil {
-		g.activeGeneration = max(g.activeGeneration, a.Gen)
+	if ack := f.Ack; ack != nil {
+		g.activeGeneration = max(g.activeGeneration, ack.Gen)
 		n := 0
-		for n < len(g.unacknowledged) && g.unacknowledged[n].sequence <= a.No {
+		for n < len(g.unacknowledged) && g.unacknowledged[n].sequence <= ack.No {
 			g.activeRevision = g.unacknowledged[n].revision
 			n++
 		}
 		g.unacknowledged = g.unacknowledged[n:]
-		for _, b := range h.replicas {
-			h.acknowledge(b)
+		for _, b := range a.replicas {
+			a.acknowledge(b)
 		}
 	}
 	ready, rests := g.ready, g.resting
@@ -124,25 +124,25 @@
 		if p.Asked != nil {
 			g.requestCounts = p.Asked
 		}
-		pong := h.freshness.Pong(p.Sent, h.now())
-		pong.List = h.serverListAge.reading(h.now())
-		if b := h.replicas[h.upstream.Chosen()]; b != nil {
+		pong := a.freshness.Pong(p.Sent, a.now())
+		pong.List = a.serverListAge.reading(a.now())
+		if b := a.replicas[a.upstream.Chosen()]; b != nil {
 			pong.Wanted = b.wantedEvidence
 		}
 		_ = g.conn.Send(&peerlink.Frame{Pong: pong})
 	}
-	if b := h.replicas[h.upstream.Chosen()]; f.Report != nil && b != nil && b.wantedEvidence != 0 && len(f.Report) <= serverhealth.MaxReportBytes {
+	if b := a.replicas[a.upstream.Chosen()]; f.Report != nil && b != nil && b.wantedEvidence != 0 && len(f.Report) <= serverhealth.MaxReportBytes {
 		b.send(&peerlink.Frame{Report: f.Report})
 	}
 	if f.Leaving != nil {
-		h.log.Info("proxy is leaving", "why", *f.Leaving)
+		a.log.Info("proxy is leaving", "why", *f.Leaving)
 		ready, rests, g.leaveReason = false, false, f.Leaving
-		for _, b := range h.replicas {
+		for _, b := range a.replicas {
 			b.send(&peerlink.Frame{Leaving: f.Leaving})
 		}
 	}
 	if ready != g.ready || rests != g.resting {
 		g.ready, g.resting = ready, rests
-		h.pingAll()
+		a.pingAll()
 	}
 }
--- a/internal/dataplane/agent/replica.go
+++ b/internal/dataplane/agent/replica.go
@@ -63,77 +63,77 @@
 
 // maintainReplicas dials every known replica and drops those that have disappeared.
 // The caller holds the mutex.
-func (h *Agent) maintainReplicas() {
-	if h.ctx.Err() != nil {
+func (a *Agent) maintainReplicas() {
+	if a.ctx.Err() != nil {
 		return
 	}
-	now := h.now()
-	for _, addr := range slices.Concat(h.seeds, h.state.ReplicaAddresses()) {
-		if h.replicas[addr] != nil {
+	now := a.now()
+	for _, addr := range slices.Concat(a.seeds, a.state.ReplicaAddresses()) {
+		if a.replicas[addr] != nil {
 			continue
 		}
-		ctx, cancel := context.WithCancel(h.ctx)
+		ctx, cancel := context.WithCancel(a.ctx)
 		b := &replica{addr: addr, cancel: cancel, lastConnected: now}
-		h.replicas[addr] = b
-		d := &peerlink.Dialer{Net: h.w, Log: h.log, Mine: func() peerlink.Hello {
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			b.sentHello = h.buildHello()
+		a.replicas[addr] = b
+		d := &peerlink.Dialer{Net: a.w, Log: a.log, Mine: func() peerlink.Hello {
+			a.mu.Lock()
+			defer a.mu.Unlock()
+			b.sentHello = a.buildHello()
 			return b.sentHello
 		}}
-		h.sessions.Go(func() {
+		a.sessions.Go(func() {
 			d.Keep(ctx, addr, func(ctx context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
-				return h.runReplicaSession(ctx, b, c, o)
+				return a.runReplicaSession(ctx, b, c, o)
 			})
 		})
 	}
-	for addr, b := range h.replicas {
-		if b.conn == nil && now-b.lastConnected >= dropReplicaAfter && !slices.Contains(h.seeds, addr) && !h.state.IsListed(addr) {
-			h.log.Info("dropping unreachable replica", "address", addr)
+	for addr, b := range a.replicas {
+		if b.conn == nil && now-b.lastConnected >= dropReplicaAfter && !slices.Contains(a.seeds, addr) && !a.state.IsListed(addr) {
+			a.log.Info("dropping unreachable replica", "address", addr)
 			b.cancel()
-			delete(h.replicas, addr)
+			delete(a.replicas, addr)
 		}
 	}
 }
 
 // runReplicaSession runs a connection to a replica until it fails.
-func (h *Agent) runReplicaSession(ctx context.Context, b *replica, c *peerlink.Conn, o *peerlink.Hello) error {
+func (a *Agent) runReplicaSession(ctx context.Context, b *replica, c *peerlink.Conn, o *peerlink.Hello) error {
 	if o.Role != peerlink.Replica {
 		return errors.Errorf("agent: %s at %s has role %q instead of replica", o.Name, b.addr, o.Role)
 	}
-	h.mu.Lock()
+	a.mu.Lock()
 	b.conn, b.unacknowledged, b.hasSentChange, b.pingInterval, b.wantsStats, b.wantedEvidence, b.servers, b.census, b.verdicts = c, nil, false, 0, false, 0, nil, nil, nil
 	b.wantsRequestCounts, b.sentRequestCounts, b.hostTrafficSentAt = false, nil, 0
-	if h.leaveReason != "" {
-		b.send(&peerlink.Frame{Leaving: &h.leaveReason})
+	if a.leaveReason != "" {
+		b.send(&peerlink.Frame{Leaving: &a.leaveReason})
 	}
-	if h.proxy != nil && h.proxy.leaveReason != nil {
-		b.send(&peerlink.Frame{Leaving: h.proxy.leaveReason})
+	if a.proxy != nil && a.proxy.leaveReason != nil {
+		b.send(&peerlink.Frame{Leaving: a.proxy.leaveReason})
 	}
-	h.sendChangedHello(b)
-	h.upstream.AddReplica(b.addr, o, h.now())
-	if !h.chooseUpstream() {
-		h.pingOne(b)
+	a.sendChangedHello(b)
+	a.upstream.AddReplica(b.addr, o, a.now())
+	if !a.chooseUpstream() {
+		a.pingOne(b)
 	}
-	h.mu.Unlock()
-	h.log.Info("replica connected", "address", b.addr, "name", o.Name)
+	a.mu.Unlock()
+	a.log.Info("replica connected", "address", b.addr, "name", o.Name)
 	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		b.conn, b.wantedEvidence, b.lastConnected = nil, 0, h.now()
-		h.upstream.RemoveReplica(b.addr)
-		h.chooseUpstream()
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		b.conn, b.wantedEvidence, b.lastConnected = nil, 0, a.now()
+		a.upstream.RemoveReplica(b.addr)
+		a.chooseUpstream()
 	}()
 	for {
 		f, err := c.Receive()
 		if err != nil {
 			return err
 		}
-		h.mu.Lock()
+		a.mu.Lock()
 		if ctx.Err() == nil {
-			err = h.handleReplicaFrame(b, f)
+			err = a.handleReplicaFrame(b, f)
 		}
-		h.mu.Unlock()
+		a.mu.Unlock()
 		if err != nil {
 			return err
 		}
@@ -141,39 +141,39 @@
 }
 
 // handleReplicaFrame processes a message from a replica. The caller holds the mutex.
-func (h *Agent) handleReplicaFrame(b *replica, f *peerlink.Frame) error {
-	now := h.now()
-	h.upstream.HandleFrame(b.addr, f, now)
+func (a *Agent) handleReplicaFrame(b *replica, f *peerlink.Frame) error {
+	now := a.now()
+	a.upstream.HandleFrame(b.addr, f, now)
 	if f.Leaving != nil {
-		h.log.Info("replica is leaving", "address", b.addr, "why", *f.Leaving)
+		a.log.Info("replica is leaving", "address", b.addr, "why", *f.Leaving)
 	}
 	if c := f.Change; c != nil {
 		b.hasSentChange = true
 		if err := b.expandDeltas(c); err != nil {
 			return err
 		}
-		if p := h.state.Merge(b.addr, c, now); p != 0 {
-			h.queueUpdate(p)
+		if p := a.state.Merge(b.addr, c, now); p != 0 {
+			a.queueUpdate(p)
 			if p&PartCensus != 0 {
-				h.maintainReplicas()
+				a.maintainReplicas()
 			}
 		}
-		b.unacknowledged = appendRevision(b.unacknowledged, changeRevision{c.No, h.revision})
-		h.acknowledge(b)
+		b.unacknowledged = appendRevision(b.unacknowledged, changeRevision{c.No, a.revision})
+		a.acknowledge(b)
 	}
 	if f.Pong != nil {
 		if b.wantsStats, b.wantsRequestCounts, b.wantedEvidence = f.Pong.Want, f.Pong.Asks, f.Pong.Wanted; !b.wantsRequestCounts {
 			b.sentRequestCounts = nil // a replica that asks again gets the complete counts
 		}
 	}
-	if f.Pong != nil && b.addr == h.upstream.Chosen() {
-		h.serverListAge.addPong(f.Pong)
+	if f.Pong != nil && b.addr == a.upstream.Chosen() {
+		a.serverListAge.addPong(f.Pong)
 	}
 	if f.Pong != nil && b.hasSentChange { // the Pong confirms the changes sent before it
-		h.freshness.AddPong(f.Pong, now)
+		a.freshness.AddPong(f.Pong, now)
 	}
 	if f.Pong != nil || f.Leaving != nil {
-		h.chooseUpstream()
+		a.chooseUpstream()
 	}
 	return nil
 }
@@ -204,65 +204,65 @@
 
 // chooseUpstream selects the upstream replica again, reports whether it changed, and if so
 // pings all replicas. The caller holds the mutex.
-func (h *Agent) chooseUpstream() bool {
-	previous := h.upstream.Chosen()
-	chosen := h.upstream.Choose(h.now())
+func (a *Agent) chooseUpstream() bool {
+	previous := a.upstream.Chosen()
+	chosen := a.upstream.Choose(a.now())
 	if chosen == previous {
 		return false
 	}
-	h.log.V(1).Info("upstream", "address", chosen, "before", previous)
-	h.state.SetUpstream(chosen)
-	h.serverListAge.restart(h.now())
-	h.pingAll()
+	a.log.V(1).Info("upstream", "address", chosen, "before", previous)
+	a.state.SetUpstream(chosen)
+	a.serverListAge.restart(a.now())
+	a.pingAll()
 	return true
 }
 
 // acknowledge tells a replica which of its changes are in force at the proxy. The
 // caller holds the mutex.
-func (h *Agent) acknowledge(b *replica) {
-	if h.proxy == nil {
+func (a *Agent) acknowledge(b *replica) {
+	if a.proxy == nil {
 		return
 	}
 	n := 0
-	for n < len(b.unacknowledged) && b.unacknowledged[n].revision <= h.proxy.activeRevision {
+	for n < len(b.unacknowledged) && b.unacknowledged[n].revision <= a.proxy.activeRevision {
 		n++
 	}
 	if n == 0 {
 		return
 	}
-	b.send(&peerlink.Frame{Ack: &peerlink.Ack{No: b.unacknowledged[n-1].sequence, Gen: h.proxy.activeGeneration}})
+	b.send(&peerlink.Frame{Ack: &peerlink.Ack{No: b.unacknowledged[n-1].sequence, Gen: a.proxy.activeGeneration}})
 	b.unacknowledged = slices.Delete(b.unacknowledged, 0, n)
 }
 
 // sendChangedHello sends a replica the agent's Hello if it differs from the last one sent.
-func (h *Agent) sendChangedHello(b *replica) {
-	if x := h.buildHello(); b.conn != nil && b.sentHello != x {
+func (a *Agent) sendChangedHello(b *replica) {
+	if x := a.buildHello(); b.conn != nil && b.sentHello != x {
 		b.sentHello = x
 		b.send(&peerlink.Frame{Hello: &x})
 	}
 }
 
 // pingAll pings all replicas; a ping also reports the proxy's state. The caller holds the mutex.
-func (h *Agent) pingAll() {
-	for _, b := range h.replicas {
-		h.pingOne(b)
+func (a *Agent) pingAll() {
+	for _, b := range a.replicas {
+		a.pingOne(b)
 	}
 }
 
-func (h *Agent) pingOne(b *replica) {
-	p := &peerlink.Ping{Sent: h.now(), Upstream: b.addr == h.upstream.Chosen(), Every: h.upstream.PingInterval(b.addr), Packs: true}
-	p.Held, p.Sum = h.state.HeldConfiguration()
-	if h.proxy != nil {
-		p.Ready, p.Gen, p.Rests, p.Parts = h.proxy.ready, h.proxy.activeGeneration, h.proxy.resting, h.proxy.quotaDivisor
+func (a *Agent) pingOne(b *replica) {
+	p := &peerlink.Ping{Sent: a.now(), Upstream: b.addr == a.upstream.Chosen(), Every: a.upstream.PingInterval(b.addr), Packs: true}
+	p.Held, p.Sum = a.state.HeldConfiguration()
+	if a.proxy != nil {
+		p.Ready, p.Gen, p.Rests, p.Parts = a.proxy.ready, a.proxy.activeGeneration, a.proxy.resting, a.proxy.quotaDivisor
 		if b.wantsStats {
-			p.Figures = h.proxy.trafficStats
+			p.Figures = a.proxy.trafficStats
 		}
-		if b.wantsRequestCounts && b.sentRequestCounts != h.proxy.requestCounts {
-			b.sentRequestCounts = h.proxy.requestCounts
+		if b.wantsRequestCounts && b.sentRequestCounts != a.proxy.requestCounts {
+			b.sentRequestCounts = a.proxy.requestCounts
 			p.Asked = b.sentRequestCounts
 		}
-		if len(h.proxy.hostTraffic) > 0 && (b.hostTrafficSentAt == 0 || p.Sent-b.hostTrafficSentAt >= hostTrafficInterval) {
-			p.Heads, b.hostTrafficSentAt = h.proxy.hostTraffic, max(p.Sent, 1)
+		if len(a.proxy.hostTraffic) > 0 && (b.hostTrafficSentAt == 0 || p.Sent-b.hostTrafficSentAt >= hostTrafficInterval) {
+			p.Heads, b.hostTrafficSentAt = a.proxy.hostTraffic, max(p.Sent, 1)
 		}
 	}
 	if b.conn != nil && b.pingInterval != p.Every {
--- a/internal/dataplane/agent/stale.go
+++ b/internal/dataplane/agent/stale.go
@@ -26,19 +26,19 @@
 
 // reportStale logs an error, with the state of each replica, when the proxy's configuration
 // has not been confirmed for staleAfter. The caller holds the mutex.
-func (h *Agent) reportStale() {
-	now := h.now()
-	if h.proxy == nil || !h.freshness.known || now-h.freshness.confirmed < staleAfter {
-		h.staleReport.reportedAt = 0
+func (a *Agent) reportStale() {
+	now := a.now()
+	if a.proxy == nil || !a.freshness.known || now-a.freshness.confirmed < staleAfter {
+		a.staleReport.reportedAt = 0
 		return
 	}
-	if h.staleReport.reportedAt > 0 && now-h.staleReport.reportedAt < reportInterval {
+	if a.staleReport.reportedAt > 0 && now-a.staleReport.reportedAt < reportInterval {
 		return
 	}
-	h.staleReport.reportedAt = now
-	held, _ := h.state.HeldConfiguration()
-	h.log.Error(errStale, "stale configuration", "for", now-h.freshness.confirmed, "held", held, "in_force", h.proxy.activeGeneration,
-		"upstream", h.upstream.Chosen(), "replicas", h.upstream.describe(now))
+	a.staleReport.reportedAt = now
+	held, _ := a.state.HeldConfiguration()
+	a.log.Error(errStale, "stale configuration", "for", now-a.freshness.confirmed, "held", held, "in_force", a.proxy.activeGeneration,
+		"upstream", a.upstream.Chosen(), "replicas", a.upstream.describe(now))
 }
 
 // describe returns a log text with the state of each connected replica.
--- a/internal/dataplane/agent/updates_test.go
+++ b/internal/dataplane/agent/updates_test.go
@@ -73,8 +73,8 @@
 			pass(time.Millisecond)
 		}
 		pass(50 * time.Millisecond)
-		told := len(g.snapshot().changes) - n
-		assert.Assert(t, told >= 2 && told <= 5, "%d", told)
+		updates := len(g.snapshot().changes) - n
+		assert.Assert(t, updates >= 2 && updates <= 5, "%d", updates)
 		assert.Equal(t, g.lastServers().List[0].Capacity, 49)
 		assert.Equal(t, a.snapshot().acks[len(a.snapshot().acks)-1].No, uint64(51))
 
@@ -96,10 +96,10 @@
 		f.startAgent(a.addr, b.addr)
 		g := f.startProxy()
 		pass(7 * time.Second)
-		led, other := len(a.snapshot().pings), len(b.snapshot().pings)
+		upstreamPings, otherPings := len(a.snapshot().pings), len(b.snapshot().pings)
 		pass(4 * time.Second)
-		led, other = len(a.snapshot().pings)-led, len(b.snapshot().pings)-other
-		assert.Assert(t, led >= 15 && led <= 17 && other >= 15 && other <= 17, "%d, %d", led, other)
+		upstreamPings, otherPings = len(a.snapshot().pings)-upstreamPings, len(b.snapshot().pings)-otherPings
+		assert.Assert(t, upstreamPings >= 15 && upstreamPings <= 17 && otherPings >= 15 && otherPings <= 17, "%d, %d", upstreamPings, otherPings)
 		assert.Assert(t, g.lastServers().List[0].Draining)
 		f.net.Silence(a.addr, true)
 		pass(1500 * time.Millisecond)
--- a/internal/dataplane/agent/upstream.go
+++ b/internal/dataplane/agent/upstream.go
@@ -10,9 +10,10 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Time limits for choosing the upstream replica.
+// Time limits for choosing the upstream replica. A replica is silent if it has sent no message
+// for silenceTimeout and for two heartbeat intervals.
 const (
-	silenceTimeout        = 800 * time.Millisecond // a replica without a message for this long, and for at least two heartbeats, is silent
+	silenceTimeout        = 800 * time.Millisecond
 	maxMajorityContactAge = 1500 * time.Millisecond
 	failbackDelay         = 5 * time.Second // how long a preferred replica must have been good before the agent switches to it
 )
