--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -17,21 +17,21 @@
 	"pepperfall.example/pepperfall/internal/testbed/sim"
 )
 
-const inner = "127.0.0.1:7601"
+const agentAddress = "127.0.0.1:7601"
 
-// field is a proxy, its agent and some replicas, each in their own goroutines.
-type field struct {
+// fixture is a proxy, its agent and some replicas, each in their own goroutines.
+type fixture struct {
 	t   *testing.T
 	ctx context.Context
 	net *sim.Net
 }
 
-func play(t *testing.T, test func(f *field)) {
+func runFixture(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		f := &field{t, ctx, sim.New(1)}
+		f := &fixture{t, ctx, sim.New(1)}
 		f.net.Set(sim.Faults{Least: time.Millisecond, Most: 5 * time.Millisecond})
 		test(f)
 	})
@@ -39,29 +39,29 @@
 
 // replica says the same to every agent, whenever it is asked.
 type replica struct {
-	addr   string
-	late   time.Duration // its answers
-	mu     sync.Mutex
-	conn   *peerlink.Conn
-	no     uint64
-	change peerlink.Change
-	heard
+	addr        string
+	answerDelay time.Duration // its answers
+	mu          sync.Mutex
+	conn        *peerlink.Conn
+	sequence    uint64
+	change      peerlink.Change
+	receivedFrames
 }
 
-type heard struct {
-	pings  []peerlink.Ping
-	acks   []peerlink.Ack
-	hellos []peerlink.Hello
-	left   string
+type receivedFrames struct {
+	pings       []peerlink.Ping
+	acks        []peerlink.Ack
+	hellos      []peerlink.Hello
+	leaveReason string
 }
 
-func (b *replica) look() heard {
+func (b *replica) snapshot() receivedFrames {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.heard
+	return b.receivedFrames
 }
 
-func (f *field) replica(addr string, c peerlink.Change) *replica {
+func (f *fixture) startReplica(addr string, c peerlink.Change) *replica {
 	b := &replica{addr: addr, change: c}
 	ln, err := f.net.Listen(f.ctx, "tcp", addr)
 	assert.NilError(f.t, err)
@@ -70,22 +70,22 @@
 	}
 	go peerlink.Serve(f.ctx, f.net, ln, mine, logr.Discard(), func(_ context.Context, c *peerlink.Conn, h *peerlink.Hello) error {
 		b.mu.Lock()
-		b.conn, b.no = c, 0
+		b.conn, b.sequence = c, 0
 		b.hellos = append(b.hellos, *h)
 		b.mu.Unlock()
-		b.say(b.change)
+		b.sendChange(b.change)
 		for {
 			x, err := c.Receive()
 			if err != nil {
 				return err
 			}
-			b.hear(x)
+			b.handleFrame(x)
 		}
 	})
 	return b
 }
 
-func (b *replica) hear(x *peerlink.Frame) {
+func (b *replica) handleFrame(x *peerlink.Frame) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if x.Hello != nil {
@@ -95,31 +95,31 @@
 		b.acks = append(b.acks, *x.Ack)
 	}
 	if x.Leaving != nil {
-		b.left = *x.Leaving
+		b.leaveReason = *x.Leaving
 	}
 	if x.Ping != nil {
 		if n := len(b.pings); x.Ping.Upstream && n > 0 && !b.pings[n-1].Upstream {
-			b.no++
-			_ = b.conn.Send(&peerlink.Frame{Change: &peerlink.Change{No: b.no, Servers: b.change.Servers, Census: b.change.Census}})
+			b.sequence++
+			_ = b.conn.Send(&peerlink.Frame{Change: &peerlink.Change{No: b.sequence, Servers: b.change.Servers, Census: b.change.Census}})
 		}
 		b.pings = append(b.pings, *x.Ping)
 		c := b.conn
-		time.AfterFunc(b.late, func() { c.Send(&peerlink.Frame{Pong: &peerlink.Pong{Sent: x.Ping.Sent, Fresh: true, InTouch: true}}) })
+		time.AfterFunc(b.answerDelay, func() { c.Send(&peerlink.Frame{Pong: &peerlink.Pong{Sent: x.Ping.Sent, Fresh: true, InTouch: true}}) })
 	}
 }
 
-func (b *replica) say(c peerlink.Change) {
+func (b *replica) sendChange(c peerlink.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.no++
-	c.No = b.no
+	b.sequence++
+	c.No = b.sequence
 	_ = b.conn.Send(&peerlink.Frame{Change: &c})
 }
 
 // hand starts one; the function kills it.
-func (f *field) agent(replicas ...string) (*agent.Agent, context.CancelFunc, <-chan error) {
+func (f *fixture) startAgent(replicas ...string) (*agent.Agent, context.CancelFunc, <-chan error) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	h := agent.New(agent.Config{Hello: peerlink.Hello{Name: "m", Life: time.Now().UnixNano(), Zone: replicas[0], Region: "r"}, ListenAddress: inner, Seeds: replicas, LeaveGrace: 5 * time.Second}, f.net, logr.Discard())
+	h := agent.New(agent.Config{Hello: peerlink.Hello{Name: "m", Life: time.Now().UnixNano(), Zone: replicas[0], Region: "r"}, ListenAddress: agentAddress, Seeds: replicas, LeaveGrace: 5 * time.Second}, f.net, logr.Discard())
 	done := make(chan error, 1)
 	go func() { done <- h.Run(ctx) }()
 	return h, cancel, done
@@ -129,24 +129,24 @@
 type proxy struct {
 	stop context.CancelFunc
 	mu   sync.Mutex
-	told
+	receivedState
 }
 
-type told struct {
-	changes []peerlink.Change
-	age     time.Duration // its last answer's
-	asked   time.Duration // from that question to its answer
-	fresh   bool
+type receivedState struct {
+	changes   []peerlink.Change
+	lastAge   time.Duration // its last answer's
+	roundTrip time.Duration // from that question to its answer
+	fresh     bool
 }
 
-func (g *proxy) look() told {
+func (g *proxy) snapshot() receivedState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.told
+	return g.receivedState
 }
 
-func (g *proxy) configurations() (all []uint64) {
-	for _, c := range g.look().changes {
+func (g *proxy) generations() (all []uint64) {
+	for _, c := range g.snapshot().changes {
 		if c.Configuration != nil {
 			all = append(all, c.Configuration.Gen)
 		}
@@ -154,11 +154,11 @@
 	return all
 }
 
-func (f *field) proxy() *proxy {
+func (f *fixture) startProxy() *proxy {
 	ctx, cancel := context.WithCancel(f.ctx)
 	g, start := &proxy{stop: cancel}, time.Now()
 	d := &peerlink.Dialer{Net: f.net, Hello: peerlink.Hello{Role: peerlink.Proxy, Front: "10.0.0.9:80"}, Log: logr.Discard()}
-	go d.Keep(ctx, inner, func(ctx context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
+	go d.Keep(ctx, agentAddress, func(ctx context.Context, c *peerlink.Conn, _ *peerlink.Hello) error {
 		gen := uint64(0)
 		go func() {
 			for world.Sleep(ctx, f.net, 200*time.Millisecond) {
@@ -172,7 +172,7 @@
 			}
 			g.mu.Lock()
 			if x.Pong != nil {
-				g.age, g.fresh, g.asked = x.Pong.Age, x.Pong.Fresh, time.Since(start)-x.Pong.Sent
+				g.lastAge, g.fresh, g.roundTrip = x.Pong.Age, x.Pong.Fresh, time.Since(start)-x.Pong.Sent
 			}
 			if x.Change != nil {
 				g.changes = append(g.changes, *x.Change)
@@ -197,98 +197,98 @@
 	return &peerlink.Configuration{Gen: gen, Body: []byte("{}")}
 }
 
-func TestNewsComeOnceAndNeverGoBack(t *testing.T) {
-	play(t, func(f *field) {
-		a, b := f.replica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.replica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
+func TestUpdatesArriveOnceAndInOrder(t *testing.T) {
+	runFixture(t, func(f *fixture) {
+		a, b := f.startReplica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.startReplica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
 		// The second replica is only known by the census of the first.
 		a.change.Census = &peerlink.Census{Replicas: []peerlink.Hello{{Name: "a", Inner: a.addr}, {Name: "b", Inner: b.addr}}}
-		f.agent(a.addr)
-		g := f.proxy()
+		f.startAgent(a.addr)
+		g := f.startProxy()
 		pass(time.Second)
-		a.say(peerlink.Change{Configuration: configuration(3)})
+		a.sendChange(peerlink.Change{Configuration: configuration(3)})
 		pass(100 * time.Millisecond)
-		b.say(peerlink.Change{Configuration: configuration(2)})
-		b.say(peerlink.Change{Configuration: configuration(3)})
+		b.sendChange(peerlink.Change{Configuration: configuration(2)})
+		b.sendChange(peerlink.Change{Configuration: configuration(3)})
 		pass(time.Second)
-		all := g.configurations()
-		assert.Assert(t, slices.IsSorted(all) && all[len(all)-1] == 3 && len(slices.Compact(all)) == len(g.configurations()), "%v", g.configurations())
-		for i, c := range g.look().changes {
+		all := g.generations()
+		assert.Assert(t, slices.IsSorted(all) && all[len(all)-1] == 3 && len(slices.Compact(all)) == len(g.generations()), "%v", g.generations())
+		for i, c := range g.snapshot().changes {
 			assert.Equal(t, c.No, uint64(i+1))
 		}
-		assert.DeepEqual(t, b.look().acks[len(b.look().acks)-1], peerlink.Ack{No: 3, Gen: 3})
-		assert.DeepEqual(t, a.look().acks[len(a.look().acks)-1], peerlink.Ack{No: 2, Gen: 3})
-		last := a.look().hellos[len(a.look().hellos)-1]
+		assert.DeepEqual(t, b.snapshot().acks[len(b.snapshot().acks)-1], peerlink.Ack{No: 3, Gen: 3})
+		assert.DeepEqual(t, a.snapshot().acks[len(a.snapshot().acks)-1], peerlink.Ack{No: 2, Gen: 3})
+		last := a.snapshot().hellos[len(a.snapshot().hellos)-1]
 		assert.Assert(t, last.Front == "10.0.0.9:80" && last.Role == peerlink.Agent, "%v", last)
-		p := b.look().pings[len(b.look().pings)-1]
+		p := b.snapshot().pings[len(b.snapshot().pings)-1]
 		assert.Assert(t, p.Ready && p.Gen == 3, "%v", p)
-		assert.Assert(t, g.look().fresh && g.look().age < time.Second, "%v", g.look().age)
-		n, at := len(a.look().pings), time.Now()
+		assert.Assert(t, g.snapshot().fresh && g.snapshot().lastAge < time.Second, "%v", g.snapshot().lastAge)
+		n, at := len(a.snapshot().pings), time.Now()
 		g.stop() // its end is told at once
 		pass(20 * time.Millisecond)
-		assert.Assert(t, len(a.look().pings) > n && !a.look().pings[len(a.look().pings)-1].Ready, time.Since(at))
+		assert.Assert(t, len(a.snapshot().pings) > n && !a.snapshot().pings[len(a.snapshot().pings)-1].Ready, time.Since(at))
 	})
 }
 
-func TestReplicaCutOff(t *testing.T) {
-	play(t, func(f *field) {
+func TestSilentReplicaIsReplaced(t *testing.T) {
+	runFixture(t, func(f *fixture) {
 		word := func(alive bool) peerlink.Change {
 			return peerlink.Change{Census: &peerlink.Census{Proxies: []peerlink.Member{{Hello: peerlink.Hello{Name: "x"}, Alive: alive}}, Shares: 1}}
 		}
-		a, b := f.replica("10.0.0.1:7600", word(true)), f.replica("10.0.0.2:7600", word(false))
-		f.agent(a.addr, b.addr)
-		g := f.proxy()
-		alive := func() bool { c := g.look().changes[len(g.look().changes)-1]; return c.Census.Proxies[0].Alive }
+		a, b := f.startReplica("10.0.0.1:7600", word(true)), f.startReplica("10.0.0.2:7600", word(false))
+		f.startAgent(a.addr, b.addr)
+		g := f.startProxy()
+		alive := func() bool { c := g.snapshot().changes[len(g.snapshot().changes)-1]; return c.Census.Proxies[0].Alive }
 		pass(7 * time.Second)
 		assert.Assert(t, alive())
 		f.net.Silence(a.addr, true)
 		pass(2100 * time.Millisecond)
 		assert.Assert(t, !alive())
-		assert.Assert(t, g.look().fresh && g.look().age < time.Second, "%v", g.look().age)
+		assert.Assert(t, g.snapshot().fresh && g.snapshot().lastAge < time.Second, "%v", g.snapshot().lastAge)
 		f.net.Silence(b.addr, true) // and from now on nothing gets fresher
 		pass(5 * time.Second)
-		assert.Assert(t, g.look().age > 4*time.Second, "%v", g.look().age)
+		assert.Assert(t, g.snapshot().lastAge > 4*time.Second, "%v", g.snapshot().lastAge)
 		f.net.Silence(a.addr, false)
 		pass(2500 * time.Millisecond)
-		assert.Assert(t, alive() && g.look().age < time.Second, "%v", g.look().age)
+		assert.Assert(t, alive() && g.snapshot().lastAge < time.Second, "%v", g.snapshot().lastAge)
 	})
 }
 
-func TestLateAnswersFreshenNothing(t *testing.T) {
-	play(t, func(f *field) {
-		a := f.replica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)})
-		a.late = 900 * time.Millisecond
-		f.agent(a.addr)
-		g := f.proxy()
+func TestDelayedAnswersDoNotLowerAge(t *testing.T) {
+	runFixture(t, func(f *fixture) {
+		a := f.startReplica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)})
+		a.answerDelay = 900 * time.Millisecond
+		f.startAgent(a.addr)
+		g := f.startProxy()
 		for range 50 {
 			pass(100 * time.Millisecond)
-			assert.Assert(t, !g.look().fresh || g.look().age+g.look().asked >= a.late, "%v", g.look().age)
+			assert.Assert(t, !g.snapshot().fresh || g.snapshot().lastAge+g.snapshot().roundTrip >= a.answerDelay, "%v", g.snapshot().lastAge)
 		}
-		assert.Assert(t, g.look().fresh)
+		assert.Assert(t, g.snapshot().fresh)
 	})
 }
 
 func TestAgentRestartsAndLeaves(t *testing.T) {
-	play(t, func(f *field) {
-		a := f.replica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(4)})
-		_, kill, done := f.agent(a.addr)
-		g := f.proxy()
+	runFixture(t, func(f *fixture) {
+		a := f.startReplica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(4)})
+		_, kill, done := f.startAgent(a.addr)
+		g := f.startProxy()
 		pass(2 * time.Second)
 		kill()
 		assert.NilError(t, <-done)
-		n := len(g.look().changes)
-		h, _, done := f.agent(a.addr)
+		n := len(g.snapshot().changes)
+		h, _, done := f.startAgent(a.addr)
 		pass(2 * time.Second)
-		assert.Equal(t, g.look().changes[n].No, uint64(1))
-		assert.Assert(t, slices.Max(g.configurations()) == 4 && g.configurations()[len(g.configurations())-1] == 4)
-		assert.DeepEqual(t, a.look().acks[len(a.look().acks)-1], peerlink.Ack{No: 1, Gen: 4})
-		assert.Assert(t, a.look().hellos[len(a.look().hellos)-1].Life > a.look().hellos[0].Life)
+		assert.Equal(t, g.snapshot().changes[n].No, uint64(1))
+		assert.Assert(t, slices.Max(g.generations()) == 4 && g.generations()[len(g.generations())-1] == 4)
+		assert.DeepEqual(t, a.snapshot().acks[len(a.snapshot().acks)-1], peerlink.Ack{No: 1, Gen: 4})
+		assert.Assert(t, a.snapshot().hellos[len(a.snapshot().hellos)-1].Life > a.snapshot().hellos[0].Life)
 		h.Leave("terminated")
 		pass(time.Second)
-		assert.Equal(t, a.look().left, "terminated")
+		assert.Equal(t, a.snapshot().leaveReason, "terminated")
 		assert.Equal(t, len(done), 0)
-		a.say(peerlink.Change{Configuration: configuration(5)}) // the proxy is served to its end
+		a.sendChange(peerlink.Change{Configuration: configuration(5)}) // the proxy is served to its end
 		pass(100 * time.Millisecond)
-		assert.Equal(t, slices.Max(g.configurations()), uint64(5))
+		assert.Equal(t, slices.Max(g.generations()), uint64(5))
 		g.stop()
 		began := time.Now()
 		assert.NilError(t, <-done)
@@ -298,19 +298,19 @@
 
 // Seeds that change take nothing away: news go on by way of the replicas of before, and come from the new ones.
 func TestSeedsChange(t *testing.T) {
-	play(t, func(f *field) {
-		a, b := f.replica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.replica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
-		h, _, _ := f.agent(a.addr)
-		g := f.proxy()
+	runFixture(t, func(f *fixture) {
+		a, b := f.startReplica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.startReplica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
+		h, _, _ := f.startAgent(a.addr)
+		g := f.startProxy()
 		pass(time.Second)
 		h.SetSeeds([]string{b.addr})
 		pass(time.Second)
-		b.say(peerlink.Change{Configuration: configuration(2)})
+		b.sendChange(peerlink.Change{Configuration: configuration(2)})
 		pass(100 * time.Millisecond)
-		assert.Equal(t, slices.Max(g.configurations()), uint64(2))
-		a.say(peerlink.Change{Configuration: configuration(3)})
+		assert.Equal(t, slices.Max(g.generations()), uint64(2))
+		a.sendChange(peerlink.Change{Configuration: configuration(3)})
 		pass(100 * time.Millisecond)
-		assert.Equal(t, slices.Max(g.configurations()), uint64(3))
-		assert.Equal(t, g.look().changes[len(g.look().changes)-1].No, uint64(len(g.look().changes))) // one connection throughout
+		assert.Equal(t, slices.Max(g.generations()), uint64(3))
+		assert.Equal(t, g.snapshot().changes[len(g.snapshot().changes)-1].No, uint64(len(g.snapshot().changes))) // one connection throughout
 	})
 }
--- a/internal/dataplane/agent/listage_test.go
+++ b/internal/dataplane/agent/listage_test.go
@@ -11,7 +11,7 @@
 )
 
 // lists has replicas answer for a while, each with the age of its list at that moment.
-func (r *ring) lists(d time.Duration, age func(now time.Duration) map[string]time.Duration) string {
+func (r *selection) lists(d time.Duration, age func(now time.Duration) map[string]time.Duration) string {
 	for end := r.now + d; r.now < end; {
 		r.now += heartbeatInterval
 		for addr, a := range age(r.now) {
@@ -23,8 +23,8 @@
 	return r.Chosen()
 }
 
-func TestUpstreamInTouchWithAnOldListIsLeft(t *testing.T) {
-	r := newRing("m")
+func TestUpstreamWithOldListIsReplaced(t *testing.T) {
+	r := newSelection("m")
 	r.up("own", "z1", "r1")
 	r.up("near", "z2", "r1")
 	began := time.Duration(0)
@@ -51,9 +51,9 @@
 }
 
 // However late replicas hear of a reading and answer, none is left for the age of its list as long as it misses no two.
-func TestUpstreamIsKeptWhereReadingsAreHeardALittleLate(t *testing.T) {
+func TestUpstreamIsKeptWhenListsArriveSlightlyLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRing("m")
+		r := newSelection("m")
 		r.LongHeartbeats = true
 		r.up("own", "z1", "r1")
 		r.up("near", "z2", "r1")
--- a/internal/dataplane/agent/state_test.go
+++ b/internal/dataplane/agent/state_test.go
@@ -9,7 +9,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-func TestFoldOnlyUpwards(t *testing.T) {
+func TestMergeKeepsNewestVersions(t *testing.T) {
 	s := NewState()
 	configuration := func(gen uint64, digest byte) *peerlink.Change {
 		return &peerlink.Change{Configuration: &peerlink.Configuration{Gen: gen, Digest: [32]byte{digest}}}
@@ -36,7 +36,7 @@
 	assert.Assert(t, c.Census == nil && s.Change(PartConfiguration).Zones == nil)
 }
 
-func TestFoldCensus(t *testing.T) {
+func TestMergeCensus(t *testing.T) {
 	s := NewState()
 	x, y := peerlink.Hello{Name: "x", Life: 1, Inner: "x:1"}, peerlink.Hello{Name: "y", Life: 1, Inner: "y:1"}
 	again := y
@@ -93,7 +93,7 @@
 	assert.Assert(t, !later.Servers.List[1].Draining) // what a connection told is left as it is
 }
 
-func TestFresh(t *testing.T) {
+func TestFreshness(t *testing.T) {
 	var f Freshness
 	assert.DeepEqual(t, f.Pong(3, 4), &peerlink.Pong{Sent: 3})
 	const s = time.Second
--- a/internal/dataplane/agent/upstream_test.go
+++ b/internal/dataplane/agent/upstream_test.go
@@ -10,24 +10,24 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// ring is a chooser and the time.
-type ring struct {
+// selection is a chooser and the time.
+type selection struct {
 	Upstream
 	now time.Duration
 }
 
-func newRing(name string) *ring {
-	return &ring{Upstream: Upstream{Self: peerlink.Hello{Name: name, Zone: "z1", Region: "r1"}}}
+func newSelection(name string) *selection {
+	return &selection{Upstream: Upstream{Self: peerlink.Hello{Name: name, Zone: "z1", Region: "r1"}}}
 }
 
-func (r *ring) up(addr, zone, region string) string {
+func (r *selection) up(addr, zone, region string) string {
 	r.AddReplica(addr, &peerlink.Hello{Name: addr, Zone: zone, Region: region}, r.now)
 	return r.Choose(r.now)
 }
 
 // pass lets time go by in which replicas answer; one whose name begins with ! is out of touch. What the proxy has in force
 // is confirmed by none of them: it may just be on its way.
-func (r *ring) pass(d time.Duration, replicas ...string) string {
+func (r *selection) pass(d time.Duration, replicas ...string) string {
 	for end := r.now + d; r.now < end; {
 		r.now += heartbeatInterval
 		for _, b := range replicas {
@@ -43,7 +43,7 @@
 }
 
 func TestUpstreamByPlace(t *testing.T) {
-	r := newRing("m")
+	r := newSelection("m")
 	assert.Equal(t, r.Choose(0), "")
 	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first one, at once
 	assert.Equal(t, r.up("near", "z2", "r1"), "far")
@@ -74,7 +74,7 @@
 
 // A lead that was just connected isn't given up before it can have answered.
 func TestUpstreamMayAnswerLate(t *testing.T) {
-	r := newRing("m")
+	r := newSelection("m")
 	r.up("near", "z2", "r1")
 	r.up("own", "z1", "r1")
 	assert.Equal(t, r.pass(600*time.Millisecond, "own"), "near")
@@ -83,7 +83,7 @@
 
 // One chosen among many proxies has had long heartbeats before: its silence counts from then.
 func TestUpstreamOfLongHeartbeats(t *testing.T) {
-	r := newRing("m")
+	r := newSelection("m")
 	r.LongHeartbeats = true
 	r.up("own", "z1", "r1")
 	r.up("near", "z2", "r1")
@@ -93,10 +93,10 @@
 	assert.Equal(t, r.pass(3*heartbeatInterval), "near")
 }
 
-func TestLeadsSpread(t *testing.T) {
+func TestUpstreamsAreSpreadOverReplicas(t *testing.T) {
 	n := map[string]int{}
 	for i := range 90 {
-		r := newRing(fmt.Sprint("proxy-", i))
+		r := newSelection(fmt.Sprint("proxy-", i))
 		for _, b := range []string{"a", "b", "c"} {
 			r.up(b, "z2", "r1")
 		}
