--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// replica says the same to every agent, whenever it is asked.
+// replica sends the same change to every agent that connects.
 type replica struct {
 	addr        string
 	answerDelay time.Duration // its answers
@@ -125,7 +125,7 @@
 	return h, cancel, done
 }
 
-// proxy takes over all that it is told.
+// proxy records and acknowledges every change it receives.
 type proxy struct {
 	stop context.CancelFunc
 	mu   sync.Mutex
@@ -187,7 +187,7 @@
 	return g
 }
 
-// pass lets time go by, and what is due be done.
+// pass lets simulated time pass and waits for all goroutines to finish what is due.
 func pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -296,7 +296,7 @@
 	})
 }
 
-// Seeds that change take nothing away: news go on by way of the replicas of before, and come from the new ones.
+// A change of seeds loses no updates: they still come from the replicas connected before, and also from the new ones.
 func TestSeedsChange(t *testing.T) {
 	runFixture(t, func(f *fixture) {
 		a, b := f.startReplica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.startReplica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
--- a/internal/dataplane/agent/listage_test.go
+++ b/internal/dataplane/agent/listage_test.go
@@ -32,7 +32,7 @@
 		return map[string]time.Duration{"own": now - began, "near": now - now.Truncate(time.Second)}
 	}
 	assert.Equal(t, r.lists(1500*time.Millisecond, age), "own")
-	assert.Equal(t, r.lists(time.Second, age), "near") // two readings have passed it by
+	assert.Equal(t, r.lists(time.Second, age), "near") // its list has missed two reads
 	began = 3 * time.Second
 	assert.Equal(t, r.lists(failbackDelay-time.Second, func(now time.Duration) map[string]time.Duration {
 		began = now.Truncate(time.Second)
@@ -41,9 +41,9 @@
 	assert.Equal(t, r.lists(2*time.Second, func(now time.Duration) map[string]time.Duration {
 		began = now.Truncate(time.Second)
 		return age(now)
-	}), "own") // good for long enough
+	}), "own") // good for failbackDelay
 
-	// All are as old: that says nothing about one of them, nor is one left that holds no list where none does.
+	// If all lists are equally old, the upstream replica is kept, and likewise if no replica has a list.
 	old := func(now time.Duration) map[string]time.Duration {
 		return map[string]time.Duration{"own": now, "near": now}
 	}
@@ -86,11 +86,11 @@
 	}
 	assert.Assert(t, a.reading(0) == nil)
 	a.restart(time.Second)
-	a.addPong(pong(900*time.Millisecond, 0)) // asked before it was followed
+	a.addPong(pong(900*time.Millisecond, 0)) // pinged before the replica was chosen
 	assert.Assert(t, a.reading(0) == nil)
 	a.addPong(pong(2*time.Second, time.Second))
 	a.addPong(&peerlink.Pong{Sent: 3 * time.Second})
 	assert.Equal(t, a.reading(4*time.Second).Age, 3*time.Second)
-	a.addPong(pong(3*time.Second, 3*time.Second)) // an older list than was held
+	a.addPong(pong(3*time.Second, 3*time.Second)) // older than the list held
 	assert.Equal(t, a.reading(4*time.Second).Age, 3*time.Second)
 }
--- a/internal/dataplane/agent/updates_test.go
+++ b/internal/dataplane/agent/updates_test.go
@@ -37,7 +37,7 @@
 		assert.Assert(t, !g.lastServers().Part)
 		assert.DeepEqual(t, g.lastServers().List, want)
 
-		// What is said while the connection is broken comes with the whole of the next one.
+		// A change made while the connection is down arrives with the complete list of the next connection.
 		a.mu.Lock()
 		a.change.Servers = serverList(3, peerlink.Server{ID: "c", Draining: true})
 		_ = a.conn.Close()
@@ -45,7 +45,7 @@
 		pass(500 * time.Millisecond)
 		assert.DeepEqual(t, g.lastServers().List, []peerlink.Server{{ID: "c", Draining: true}})
 
-		// A part without a whole ends the connection.
+		// A delta without a base ends the connection.
 		a.mu.Lock()
 		a.change.Servers = &peerlink.Servers{Stamp: 4, Part: true}
 		_ = a.conn.Close()
--- a/internal/dataplane/agent/upstream_test.go
+++ b/internal/dataplane/agent/upstream_test.go
@@ -45,21 +45,21 @@
 func TestUpstreamByPlace(t *testing.T) {
 	r := newSelection("m")
 	assert.Equal(t, r.Choose(0), "")
-	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first one, at once
+	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first replica is chosen at once
 	assert.Equal(t, r.up("near", "z2", "r1"), "far")
 	assert.Equal(t, r.up("own", "z1", "r1"), "far")
 	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "far")
-	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own") // good for long enough
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own") // good for failbackDelay
 	assert.Equal(t, r.pass(600*time.Millisecond, "far", "near"), "own")
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "near"), "near") // silent for too long
 	assert.Equal(t, r.pass(4*time.Second, "far", "near", "own"), "near")
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "!own"), "near")
-	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good anew only since
+	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good again for less than failbackDelay
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own")
 	assert.Equal(t, r.pass(heartbeatInterval, "far", "!near", "!own"), "far")
-	assert.Equal(t, r.pass(heartbeatInterval, "!far", "!near", "!own"), "far") // none is fresh
+	assert.Equal(t, r.pass(heartbeatInterval, "!far", "!near", "!own"), "far") // no replica is in contact with a majority
 	assert.Equal(t, r.pass(2*time.Second, "!near", "!own"), "own")
-	assert.Equal(t, r.pass(10*time.Second), "own") // nor heard
+	assert.Equal(t, r.pass(10*time.Second), "own") // no replica is heard either
 	r.RemoveReplica("own")
 	assert.Equal(t, r.Choose(r.now), "near")
 	why := "goes"
@@ -72,7 +72,7 @@
 	assert.Equal(t, r.up("far", "z9", "r9"), "far")
 }
 
-// A lead that was just connected isn't given up before it can have answered.
+// A replica chosen right after it connected is not replaced before it can have answered.
 func TestUpstreamMayAnswerLate(t *testing.T) {
 	r := newSelection("m")
 	r.up("near", "z2", "r1")
@@ -81,7 +81,7 @@
 	assert.Equal(t, r.pass(heartbeatInterval, "own"), "own")
 }
 
-// One chosen among many proxies has had long heartbeats before: its silence counts from then.
+// With many proxies, a replica that becomes upstream was pinged rarely before: its silence counts from the choice.
 func TestUpstreamOfLongHeartbeats(t *testing.T) {
 	r := newSelection("m")
 	r.LongHeartbeats = true
