--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -19,7 +19,7 @@
 
 const agentAddress = "127.0.0.1:7601"
 
-// fixture is a proxy, its agent and some replicas, each in their own goroutines.
+// fixture runs a proxy, its agent and some replicas, each in goroutines of its own.
 type fixture struct {
 	t   *testing.T
 	ctx context.Context
@@ -40,7 +40,7 @@
 // replica sends the same change to every agent that connects.
 type replica struct {
 	addr        string
-	answerDelay time.Duration // its answers
+	answerDelay time.Duration // delay of its answers
 	mu          sync.Mutex
 	conn        *peerlink.Conn
 	sequence    uint64
@@ -116,7 +116,7 @@
 	_ = b.conn.Send(&peerlink.Frame{Change: &c})
 }
 
-// hand starts one; the function kills it.
+// startAgent starts an agent; the returned function kills it.
 func (f *fixture) startAgent(replicas ...string) (*agent.Agent, context.CancelFunc, <-chan error) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	h := agent.New(agent.Config{Hello: peerlink.Hello{Name: "m", Life: time.Now().UnixNano(), Zone: replicas[0], Region: "r"}, ListenAddress: agentAddress, Seeds: replicas, LeaveGrace: 5 * time.Second}, f.net, logr.Discard())
@@ -134,8 +134,8 @@
 
 type receivedState struct {
 	changes   []peerlink.Change
-	lastAge   time.Duration // its last answer's
-	roundTrip time.Duration // from that question to its answer
+	lastAge   time.Duration // of the last answer
+	roundTrip time.Duration // time between that ping and its answer
 	fresh     bool
 }
 
@@ -200,7 +200,7 @@
 func TestUpdatesArriveOnceAndInOrder(t *testing.T) {
 	runFixture(t, func(f *fixture) {
 		a, b := f.startReplica("10.0.0.1:7600", peerlink.Change{Configuration: configuration(1)}), f.startReplica("10.0.0.2:7600", peerlink.Change{Configuration: configuration(1)})
-		// The second replica is only known by the census of the first.
+		// The agent learns of the second replica only through the census of the first.
 		a.change.Census = &peerlink.Census{Replicas: []peerlink.Hello{{Name: "a", Inner: a.addr}, {Name: "b", Inner: b.addr}}}
 		f.startAgent(a.addr)
 		g := f.startProxy()
@@ -223,7 +223,7 @@
 		assert.Assert(t, p.Ready && p.Gen == 3, "%v", p)
 		assert.Assert(t, g.snapshot().fresh && g.snapshot().lastAge < time.Second, "%v", g.snapshot().lastAge)
 		n, at := len(a.snapshot().pings), time.Now()
-		g.stop() // its end is told at once
+		g.stop() // the replicas are notified of the disconnection at once
 		pass(20 * time.Millisecond)
 		assert.Assert(t, len(a.snapshot().pings) > n && !a.snapshot().pings[len(a.snapshot().pings)-1].Ready, time.Since(at))
 	})
@@ -231,10 +231,10 @@
 
 func TestSilentReplicaIsReplaced(t *testing.T) {
 	runFixture(t, func(f *fixture) {
-		word := func(alive bool) peerlink.Change {
+		censusChange := func(alive bool) peerlink.Change {
 			return peerlink.Change{Census: &peerlink.Census{Proxies: []peerlink.Member{{Hello: peerlink.Hello{Name: "x"}, Alive: alive}}, Shares: 1}}
 		}
-		a, b := f.startReplica("10.0.0.1:7600", word(true)), f.startReplica("10.0.0.2:7600", word(false))
+		a, b := f.startReplica("10.0.0.1:7600", censusChange(true)), f.startReplica("10.0.0.2:7600", censusChange(false))
 		f.startAgent(a.addr, b.addr)
 		g := f.startProxy()
 		alive := func() bool { c := g.snapshot().changes[len(g.snapshot().changes)-1]; return c.Census.Proxies[0].Alive }
@@ -244,7 +244,7 @@
 		pass(2100 * time.Millisecond)
 		assert.Assert(t, !alive())
 		assert.Assert(t, g.snapshot().fresh && g.snapshot().lastAge < time.Second, "%v", g.snapshot().lastAge)
-		f.net.Silence(b.addr, true) // and from now on nothing gets fresher
+		f.net.Silence(b.addr, true) // from now on no replica confirms the state
 		pass(5 * time.Second)
 		assert.Assert(t, g.snapshot().lastAge > 4*time.Second, "%v", g.snapshot().lastAge)
 		f.net.Silence(a.addr, false)
@@ -286,7 +286,7 @@
 		pass(time.Second)
 		assert.Equal(t, a.snapshot().leaveReason, "terminated")
 		assert.Equal(t, len(done), 0)
-		a.sendChange(peerlink.Change{Configuration: configuration(5)}) // the proxy is served to its end
+		a.sendChange(peerlink.Change{Configuration: configuration(5)}) // the agent serves the proxy until it disconnects
 		pass(100 * time.Millisecond)
 		assert.Equal(t, slices.Max(g.generations()), uint64(5))
 		g.stop()
@@ -311,6 +311,6 @@
 		a.sendChange(peerlink.Change{Configuration: configuration(3)})
 		pass(100 * time.Millisecond)
 		assert.Equal(t, slices.Max(g.generations()), uint64(3))
-		assert.Equal(t, g.snapshot().changes[len(g.snapshot().changes)-1].No, uint64(len(g.snapshot().changes))) // one connection throughout
+		assert.Equal(t, g.snapshot().changes[len(g.snapshot().changes)-1].No, uint64(len(g.snapshot().changes))) // the proxy's connection was never replaced
 	})
 }
--- a/internal/dataplane/agent/listage_test.go
+++ b/internal/dataplane/agent/listage_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// lists has replicas answer for a while, each with the age of its list at that moment.
+// lists makes replicas answer for the duration d, each with the age of its list at that time.
 func (r *selection) lists(d time.Duration, age func(now time.Duration) map[string]time.Duration) string {
 	for end := r.now + d; r.now < end; {
 		r.now += heartbeatInterval
@@ -50,7 +50,7 @@
 	assert.Equal(t, r.lists(10*time.Second, old), "own")
 }
 
-// However late replicas hear of a reading and answer, none is left for the age of its list as long as it misses no two.
+// A replica that misses no two reads in a row is never replaced for the age of its list, however late it receives lists and answers.
 func TestUpstreamIsKeptWhenListsArriveSlightlyLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newSelection("m")
--- a/internal/dataplane/agent/updates_test.go
+++ b/internal/dataplane/agent/updates_test.go
@@ -13,7 +13,7 @@
 	return &peerlink.Servers{Stamp: stamp, List: all}
 }
 
-// lastServers is what the proxy was told last.
+// lastServers returns the server list that the proxy received last.
 func (g *proxy) lastServers() *peerlink.Servers {
 	all := g.snapshot().changes
 	for i := len(all) - 1; i >= 0; i-- {
@@ -30,7 +30,7 @@
 		f.startAgent(a.addr)
 		g := f.startProxy()
 		pass(time.Second)
-		assert.Assert(t, a.snapshot().pings[0].Upstream) // with the first one
+		assert.Assert(t, a.snapshot().pings[0].Upstream) // the first ping already names the upstream replica
 		a.sendChange(peerlink.Change{Servers: &peerlink.Servers{Stamp: 2, Part: true, List: []peerlink.Server{{ID: "b", Draining: true}, {ID: "c"}}, Gone: []string{"a"}}})
 		pass(100 * time.Millisecond)
 		want := []peerlink.Server{{ID: "b", Draining: true}, {ID: "c"}}
@@ -79,14 +79,14 @@
 		assert.Equal(t, a.snapshot().acks[len(a.snapshot().acks)-1].No, uint64(51))
 
 		a.sendChange(peerlink.Change{Servers: serverList(60, peerlink.Server{ID: "b"})})
-		a.sendChange(peerlink.Change{Configuration: configuration(2)}) // waits for nothing
+		a.sendChange(peerlink.Change{Configuration: configuration(2)}) // sent at once
 		pass(15 * time.Millisecond)
 		all := g.generations()
 		assert.Equal(t, all[len(all)-1], uint64(2))
 	})
 }
 
-// Whoever leads, a server told to be draining stays so; in a small fleet every replica is told of readiness as often.
+// After a switch of the upstream replica a draining server stays draining; with few proxies all replicas are pinged equally often.
 func TestUpstreamSwitch(t *testing.T) {
 	runFixture(t, func(f *fixture) {
 		x, y := peerlink.Server{ID: "x", Draining: true}, peerlink.Server{ID: "y"}
@@ -109,7 +109,7 @@
 		pass(100 * time.Millisecond)
 		assert.Assert(t, g.lastServers().Stamp == 9 && g.lastServers().List[0].Draining && !g.lastServers().List[1].Draining)
 		f.net.Silence(a.addr, false)
-		pass(8 * time.Second) // back to the own zone
+		pass(8 * time.Second) // switched back to the agent's own zone
 		assert.Assert(t, a.snapshot().pings[len(a.snapshot().pings)-1].Upstream && !b.snapshot().pings[len(b.snapshot().pings)-1].Upstream)
 	})
 }
--- a/internal/dataplane/agent/upstream_test.go
+++ b/internal/dataplane/agent/upstream_test.go
@@ -10,7 +10,7 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// selection is a chooser and the time.
+// selection is an Upstream with a clock.
 type selection struct {
 	Upstream
 	now time.Duration
@@ -25,8 +25,8 @@
 	return r.Choose(r.now)
 }
 
-// pass lets time go by in which replicas answer; one whose name begins with ! is out of touch. What the proxy has in force
-// is confirmed by none of them: it may just be on its way.
+// pass lets time pass while replicas answer; "!" before a name marks a replica without contact to a majority. No replica
+// confirms the proxy's configuration, which may still be on its way to the proxy.
 func (r *selection) pass(d time.Duration, replicas ...string) string {
 	for end := r.now + d; r.now < end; {
 		r.now += heartbeatInterval
