--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -14,232 +14,232 @@
 	"pepperfall.example/pepperfall/internal/platform/world"
 )
 
-// Times of an agent.
+// Intervals and limits of an agent.
 const (
-	heartbeat   = peerlink.Usual         // between two looks at who is to be pinged
-	manyProxies = 16                     // more are many
-	toProxy     = 20 * time.Millisecond  // between two tellings of the list or the census to the proxy
-	dropped     = 60 * time.Second       // a replica that nobody lists and that was not reached for so long is left
-	last        = 200 * time.Millisecond // to write what is queued at the end
+	heartbeatInterval         = peerlink.Usual         // between two checks of which replicas are due for a ping
+	maxProxiesAtUsualInterval = 16                     // with more proxies, heartbeats are sent less often
+	proxyUpdateInterval       = 20 * time.Millisecond  // between two updates of the server list or the census sent to the proxy
+	dropReplicaAfter          = 60 * time.Second       // how long a replica that is not listed may be disconnected before the agent drops it
+	finishTimeout             = 200 * time.Millisecond // to write queued messages before the agent exits
 )
 
-// Config is what an agent is told at its start.
+// Config holds the settings that an agent starts with.
 type Config struct {
-	Hello peerlink.Hello // what it tells the replicas; its proxy adds the Front
-	Inner string         // where it listens for its proxy
-	Seeds []string       // replicas' furrows that are known from the start
-	Grace time.Duration  // for how long it serves its proxy after Leave
-	Drain time.Duration  // so long after the platform lists a server as leaving, nothing reaches it any more
+	Hello         peerlink.Hello // sent to the replicas; Front is filled in once the proxy connects
+	ListenAddress string         // on which the agent accepts its proxy's connection
+	Seeds         []string       // addresses of the replicas' internal ports that are known at startup
+	LeaveGrace    time.Duration  // how long the agent still serves its proxy after Leave
+	MaxListAge    time.Duration  // servers may have drained within this time, so an older list is too old
 }
 
-// Hand runs beside a proxy.
+// Agent runs beside a proxy and relays between it and the control replicas.
 type Agent struct {
 	cfg   Config
 	w     world.World
 	log   logr.Logger
-	start time.Time // of its steady clock
-
-	mu       sync.Mutex
-	ctx      context.Context // of Run
-	talks    sync.WaitGroup
-	state    *State
-	rev      uint64 // rises with each change of state
-	upstream Upstream
-	ticks    int
-	owed     Parts // news that the proxy is not told yet
-	waits    bool  // somebody waits to tell them
-	fresh    Fresh
-	stale    staleness
-	list     listAge
-	seeds    []string
-	replicas map[string]*replica // by address
-	proxy    *proxy              // nil: none is connected
-	front    string
-	life     int64  // of the last proxy
-	leaving  string // why it leaves; empty: it does not
-	stir     chan struct{}
+	start time.Time // zero point of the agent's monotonic clock
+
+	mu               sync.Mutex
+	ctx              context.Context // set by Run
+	sessions         sync.WaitGroup
+	state            *State
+	revision         uint64 // incremented with each change of state
+	upstream         Upstream
+	tickCount        int
+	pendingParts     Parts // changed parts that have not been sent to the proxy
+	updateScheduled  bool  // a goroutine is waiting to send pendingParts
+	freshness        Freshness
+	staleReport      staleness
+	serverListAge    listAge
+	seeds            []string
+	replicas         map[string]*replica // by address
+	proxy            *proxy              // nil: not connected
+	front            string
+	proxyIncarnation int64  // of the proxy that connected last
+	leaveReason      string // empty: the agent is not leaving
+	wake             chan struct{}
 }
 
-// New makes an agent.
+// New returns an agent that does nothing until Run is called.
 func New(cfg Config, w world.World, log logr.Logger) *Agent {
-	return &Agent{cfg: cfg, w: w, log: log, start: w.Now(), state: NewState(), upstream: Upstream{Self: cfg.Hello}, seeds: cfg.Seeds, replicas: map[string]*replica{}, stir: make(chan struct{}, 1)}
+	return &Agent{cfg: cfg, w: w, log: log, start: w.Now(), state: NewState(), upstream: Upstream{Self: cfg.Hello}, seeds: cfg.Seeds, replicas: map[string]*replica{}, wake: make(chan struct{}, 1)}
 }
 
-// now is the agent's steady clock.
-func (h *Agent) now() time.Duration { return h.w.Now().Sub(h.start) }
+// now returns the time on the agent's monotonic clock.
+func (a *Agent) now() time.Duration { return a.w.Now().Sub(a.start) }
 
-// Run serves the proxy and holds the replicas until ctx ends, or until an agent that
-// leaves has no proxy or no time any more.
-func (h *Agent) Run(ctx context.Context) error {
+// Run serves the proxy and stays connected to the replicas until ctx ends. After Leave it
+// returns once the proxy has disconnected or LeaveGrace has passed.
+func (a *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var serving sync.WaitGroup
 	defer serving.Wait()
-	defer h.talks.Wait()
+	defer a.sessions.Wait()
 	defer func() {
-		h.mu.Lock() // nothing is dialled after it
-		defer h.mu.Unlock()
+		a.mu.Lock() // no replica is dialled after cancel
+		defer a.mu.Unlock()
 		cancel()
 	}()
-	ln, err := h.w.Listen(ctx, "tcp", h.cfg.Inner)
+	ln, err := a.w.Listen(ctx, "tcp", a.cfg.ListenAddress)
 	if err != nil {
 		return errors.Wrap(err, "agent")
 	}
 	serving.Go(func() {
-		_ = peerlink.Serve(ctx, h.w, ln, h.hello, h.log, h.serve) // ends with ctx only
+		_ = peerlink.Serve(ctx, a.w, ln, a.currentHello, a.log, a.runProxySession) // returns only when ctx ends
 	})
-	h.mu.Lock()
-	h.ctx = ctx
-	h.hold()
-	h.mu.Unlock()
-	t := h.w.NewTimer(heartbeat)
+	a.mu.Lock()
+	a.ctx = ctx
+	a.maintainReplicas()
+	a.mu.Unlock()
+	t := a.w.NewTimer(heartbeatInterval)
 	defer t.Stop()
 	var until time.Duration
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-h.stir:
+		case <-a.wake:
 		case <-t.C():
-			t.Reset(heartbeat)
-			h.mu.Lock()
-			h.tick()
-			h.mu.Unlock()
+			t.Reset(heartbeatInterval)
+			a.mu.Lock()
+			a.tick()
+			a.mu.Unlock()
 		}
-		h.mu.Lock()
-		leaving, alone, grace := h.leaving != "", h.proxy == nil, h.cfg.Grace
-		h.mu.Unlock()
+		a.mu.Lock()
+		leaving, disconnected, grace := a.leaveReason != "", a.proxy == nil, a.cfg.LeaveGrace
+		a.mu.Unlock()
 		if leaving && until == 0 {
-			until = h.now() + grace
+			until = a.now() + grace
 		}
-		if leaving && (alone || h.now() >= until) {
-			h.finish()
+		if leaving && (disconnected || a.now() >= until) {
+			a.flushReplicas()
 			return nil
 		}
 	}
 }
 
-// tick runs once a heartbeat; the mutex is held.
-func (h *Agent) tick() {
-	if h.state.Settle(h.now()) {
-		h.tell(PartCensus)
+// tick runs once per heartbeat interval. The caller holds the mutex.
+func (a *Agent) tick() {
+	if a.state.ApplyCensus(a.now()) {
+		a.queueUpdate(PartCensus)
 	}
-	h.upstream.Many = h.state.Proxies() > manyProxies
-	h.choose()
-	h.hold()
-	h.reportStale()
-	h.reportOldList()
-	// Replicas of longer heartbeats are asked in turn, so that some word is always young.
-	h.ticks++
-	for i, addr := range slices.Sorted(maps.Keys(h.replicas)) {
-		if (h.ticks+i)%int(h.upstream.Every(addr)/heartbeat) == 0 {
-			h.pingOne(h.replicas[addr])
+	a.upstream.LongHeartbeats = a.state.ProxyCount() > maxProxiesAtUsualInterval
+	a.chooseUpstream()
+	a.maintainReplicas()
+	a.reportStale()
+	a.reportOldList()
+	// Pings at longer intervals are spread over the ticks, so that some replica's answer is always recent.
+	a.tickCount++
+	for i, addr := range slices.Sorted(maps.Keys(a.replicas)) {
+		if (a.tickCount+i)%int(a.upstream.PingInterval(addr)/heartbeatInterval) == 0 {
+			a.pingOne(a.replicas[addr])
 		}
 	}
 }
 
-// finish lets what was said last be written.
-func (h *Agent) finish() {
-	h.mu.Lock()
-	var all sync.WaitGroup
-	for _, b := range h.replicas {
+// flushReplicas waits, for at most finishTimeout, until all queued messages to replicas are written.
+func (a *Agent) flushReplicas() {
+	a.mu.Lock()
+	var writers sync.WaitGroup
+	for _, b := range a.replicas {
 		if b.conn != nil {
-			c := b.conn // it may be over, and nil, before it is finished
-			all.Go(func() { c.Finish(last) })
+			c := b.conn // b.conn may be set to nil before Finish is called
+			writers.Go(func() { c.Finish(finishTimeout) })
 		}
 	}
-	h.mu.Unlock()
-	all.Wait()
+	a.mu.Unlock()
+	writers.Wait()
 }
 
-// Leave begins the end: the replicas are told, and the proxy is served until it has
-// gone or the grace is over.
-func (h *Agent) Leave(why string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.leaving != "" {
+// Leave starts the shutdown: the agent notifies the replicas and serves its proxy until the
+// proxy disconnects or LeaveGrace has passed.
+func (a *Agent) Leave(why string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.leaveReason != "" {
 		return
 	}
-	h.leaving = why
-	for _, b := range h.replicas {
-		b.send(&peerlink.Frame{Leaving: &h.leaving})
+	a.leaveReason = why
+	for _, b := range a.replicas {
+		b.send(&peerlink.Frame{Leaving: &a.leaveReason})
 	}
-	h.rouse()
+	a.wakeUp()
 }
 
-func (h *Agent) rouse() {
+func (a *Agent) wakeUp() {
 	select {
-	case h.stir <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetSeeds takes over what a new settings file says.
-func (h *Agent) SetSeeds(seeds []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if slices.Equal(seeds, h.seeds) {
+// SetSeeds applies the seed addresses of a reloaded settings file.
+func (a *Agent) SetSeeds(seeds []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if slices.Equal(seeds, a.seeds) {
 		return
 	}
-	h.log.Info("new seeds", "seeds", seeds)
-	if h.seeds = seeds; h.ctx != nil {
-		h.hold()
+	a.log.Info("seed addresses changed", "seeds", seeds)
+	if a.seeds = seeds; a.ctx != nil {
+		a.maintainReplicas()
 	}
 }
 
-// hello is what the agent is, with its proxy's address once that is known.
-func (h *Agent) hello() peerlink.Hello {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.self()
+// currentHello returns the agent's Hello, with the proxy's address once it is known.
+func (a *Agent) currentHello() peerlink.Hello {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.buildHello()
 }
 
-func (h *Agent) self() peerlink.Hello {
-	x := h.cfg.Hello
-	x.Version, x.Role, x.Front = peerlink.Version, peerlink.Agent, h.front
+func (a *Agent) buildHello() peerlink.Hello {
+	x := a.cfg.Hello
+	x.Version, x.Role, x.Front = peerlink.Version, peerlink.Agent, a.front
 	return x
 }
 
-// tell sends parts that have changed to the proxy: the operator's word at once,
-// the rest in one with what comes soon after. The mutex is held.
-func (h *Agent) tell(p Parts) {
-	h.rev++
-	if h.proxy == nil {
+// queueUpdate sends changed parts to the proxy: configuration and zones at once, the others
+// together with changes that follow within proxyUpdateInterval. The caller holds the mutex.
+func (a *Agent) queueUpdate(p Parts) {
+	a.revision++
+	if a.proxy == nil {
 		return
 	}
-	h.owed |= p
+	a.pendingParts |= p
 	switch {
-	case p&(PartConfiguration|PartZones) != 0 || h.proxy.at+toProxy <= h.now():
-		h.settle()
-	case !h.waits && h.ctx.Err() == nil:
-		h.waits = true
-		h.talks.Go(h.settleSoon)
+	case p&(PartConfiguration|PartZones) != 0 || a.proxy.lastSentAt+proxyUpdateInterval <= a.now():
+		a.sendUpdate()
+	case !a.updateScheduled && a.ctx.Err() == nil:
+		a.updateScheduled = true
+		a.sessions.Go(a.sendUpdateWhenDue)
 	}
 }
 
-// settleSoon tells the proxy what it is owed when that may be.
-func (h *Agent) settleSoon() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for h.proxy != nil && h.owed != 0 {
-		wait := h.proxy.at + toProxy - h.now()
+// sendUpdateWhenDue waits until proxyUpdateInterval has passed since the last update, then sends the pending parts.
+func (a *Agent) sendUpdateWhenDue() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for a.proxy != nil && a.pendingParts != 0 {
+		wait := a.proxy.lastSentAt + proxyUpdateInterval - a.now()
 		if wait <= 0 {
-			h.settle()
+			a.sendUpdate()
 			break
 		}
-		h.mu.Unlock()
-		awake := world.Sleep(h.ctx, h.w, wait)
-		h.mu.Lock()
+		a.mu.Unlock()
+		awake := world.Sleep(a.ctx, a.w, wait)
+		a.mu.Lock()
 		if !awake {
 			break
 		}
 	}
-	h.waits = false
+	a.updateScheduled = false
 }
 
-// settle tells the proxy what it is owed; the mutex is held.
-func (h *Agent) settle() {
-	if h.proxy != nil && h.owed != 0 {
-		h.proxy.tell(h.state.Change(h.owed), h.rev)
-		h.proxy.at, h.owed = h.now(), 0
+// sendUpdate sends the pending parts to the proxy. The caller holds the mutex.
+func (a *Agent) sendUpdate() {
+	if a.proxy != nil && a.pendingParts != 0 {
+		a.proxy.sendChange(a.state.Change(a.pendingParts), a.revision)
+		a.proxy.lastSentAt, a.pendingParts = a.now(), 0
 	}
 }
--- a/internal/dataplane/agent/listage.go
+++ b/internal/dataplane/agent/listage.go
@@ -8,50 +8,50 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// errOldList is logged while the list that the proxy goes by is older than servers that leave allow.
+// errOldList is logged while the proxy's server list is so old that servers in it may have drained.
 var errOldList = errors.New("the list of servers is too old")
 
-// listAge is how old the list of servers is that the agent holds. Times are of its
-// steady clock.
+// listAge tracks the age of the agent's server list. Times are on the agent's monotonic
+// clock.
 type listAge struct {
-	known    bool
-	began    time.Duration // when the reading began that it holds
-	followed time.Duration // since when the present upstream replica is followed
-	reported time.Duration // when its age was logged last; 0: not in this episode
+	known         bool
+	readStart     time.Duration // when the control plane began to read the list from the platform
+	followedSince time.Duration // when the current upstream replica was chosen
+	reportedAt    time.Duration // when the list's age was last logged; 0: not since it became too old
 }
 
-// follow notes that another upstream replica is followed from now on.
-func (a *listAge) follow(now time.Duration) { a.followed = now }
+// restart records that another upstream replica was chosen.
+func (a *listAge) restart(now time.Duration) { a.followedSince = now }
 
-// take takes in an upstream replica's Pong: all that it knew of the list was sent ahead of it.
-func (a *listAge) take(p *peerlink.Pong) {
-	if p.List == nil || p.Sent < a.followed {
+// addPong records an upstream replica's Pong. The replica sends every list that it has before the Pong.
+func (a *listAge) addPong(p *peerlink.Pong) {
+	if p.List == nil || p.Sent < a.followedSince {
 		return
 	}
-	if at := p.Sent - p.List.Age; !a.known || at > a.began {
-		a.known, a.began = true, at
+	if at := p.Sent - p.List.Age; !a.known || at > a.readStart {
+		a.known, a.readStart = true, at
 	}
 }
 
-// tell is what the proxy is told of the list; nil: there is none.
-func (a *listAge) tell(now time.Duration) *peerlink.Reading {
+// reading returns the list's age for a Pong to the proxy; nil: there is no list.
+func (a *listAge) reading(now time.Duration) *peerlink.Reading {
 	if !a.known {
 		return nil
 	}
-	return &peerlink.Reading{Age: now - a.began}
+	return &peerlink.Reading{Age: now - a.readStart}
 }
 
-// reportOldList logs, with what is known of each replica, that the list is older
-// than it may be; the mutex is held.
-func (h *Agent) reportOldList() {
-	now := h.now()
-	if h.proxy == nil || !h.list.known || now-h.list.began < h.cfg.Drain {
-		h.list.reported = 0
+// reportOldList logs an error, with the state of each replica, while the list is older than
+// MaxListAge. The caller holds the mutex.
+func (a *Agent) reportOldList() {
+	now := a.now()
+	if a.proxy == nil || !a.serverListAge.known || now-a.serverListAge.readStart < a.cfg.MaxListAge {
+		a.serverListAge.reportedAt = 0
 		return
 	}
-	if h.list.reported > 0 && now-h.list.reported < staleAgain {
+	if a.serverListAge.reportedAt > 0 && now-a.serverListAge.reportedAt < reportInterval {
 		return
 	}
-	h.list.reported = now
-	h.log.Error(errOldList, "old list", "age", now-h.list.began, "upstream", h.upstream.Chosen(), "replicas", h.upstream.describe(now))
+	a.serverListAge.reportedAt = now
+	a.log.Error(errOldList, "old list", "age", now-a.serverListAge.readStart, "upstream", a.upstream.Chosen(), "replicas", a.upstream.describe(now))
 }
--- a/internal/dataplane/agent/proxy.go
+++ b/internal/dataplane/agent/proxy.go
@@ -11,138 +11,138 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// proxy is the one beside the agent while it is connected; all under the agent's
-// mutex.
+// proxy is the connected proxy beside the agent. The agent's mutex guards all
+// fields.
 type proxy struct {
-	conn    *peerlink.Conn
-	ready   bool
-	rests   bool // it would be, but for the order to rest
-	figures *peerlink.Figures
-	asked   *peerlink.Asked
-	heads   []homing.HostTraffic
-	gen     uint64        // in force there; 0: none
-	parts   int           // by which it divides quotas; 0: not told
-	no      uint64        // of the last change sent
-	at      time.Duration // when it was
-	sent    []mark        // changes that it has not acknowledged
-	rev     uint64        // revision that is in force there; 0: none
-	left    *string       // what it said last of its leaving; nil: nothing
+	conn             *peerlink.Conn
+	ready            bool
+	resting          bool // it would be ready, but control has ordered it to rest
+	trafficStats     *peerlink.Figures
+	requestCounts    *peerlink.Asked
+	hostTraffic      []homing.HostTraffic
+	activeGeneration uint64           // of the configuration in force at the proxy; 0: none
+	quotaDivisor     int              // number by which the proxy divides quotas; 0: unknown
+	lastSequence     uint64           // of the last change sent
+	lastSentAt       time.Duration    // when the last change was sent
+	unacknowledged   []changeRevision // changes that the proxy has not acknowledged
+	activeRevision   uint64           // revision of the agent's state that is in force at the proxy; 0: none
+	leaveReason      *string          // from the proxy's last Leaving message; nil: none
 }
 
-// tell sends a change under the next number.
-func (g *proxy) tell(c *peerlink.Change, rev uint64) {
-	g.no++
-	c.No = g.no
-	g.sent = put(g.sent, mark{g.no, rev})
-	_ = g.conn.Send(&peerlink.Frame{Change: c}) // a connection that fails ends, and its reader sees that
+// sendChange sends a change with the next sequence number.
+func (g *proxy) sendChange(c *peerlink.Change, rev uint64) {
+	g.lastSequence++
+	c.No = g.lastSequence
+	g.unacknowledged = appendRevision(g.unacknowledged, changeRevision{g.lastSequence, rev})
+	_ = g.conn.Send(&peerlink.Frame{Change: c}) // when a send fails, the connection ends and its receive loop returns the error
 }
 
-// serve runs a session with the proxy. The newest connection is the proxy's.
-func (h *Agent) serve(_ context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
+// runProxySession serves a connection from the proxy. A newer connection replaces an older one.
+func (a *Agent) runProxySession(_ context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
 	if o.Role != peerlink.Proxy {
-		return errors.Errorf("agent: %s at %s is no proxy but %q", o.Name, c.Remote(), o.Role)
+		return errors.Errorf("agent: %s at %s has role %q instead of proxy", o.Name, c.Remote(), o.Role)
 	}
 	g := &proxy{conn: c}
-	h.mu.Lock()
-	old := h.proxy
-	h.proxy = g
-	h.meet(o)
-	if h.life != o.Life && h.life != 0 && old == nil && h.leaving == "" { // one that had left is back
-		x := h.self()
-		for _, b := range h.replicas {
+	a.mu.Lock()
+	old := a.proxy
+	a.proxy = g
+	a.handleProxyHello(o)
+	if a.proxyIncarnation != o.Life && a.proxyIncarnation != 0 && old == nil && a.leaveReason == "" { // a proxy that had left has restarted
+		x := a.buildHello()
+		for _, b := range a.replicas {
 			b.send(&peerlink.Frame{Hello: &x})
 		}
 	}
-	h.life = o.Life
-	h.rev = max(h.rev, 1)
-	h.owed = PartsAll
-	h.settle()
+	a.proxyIncarnation = o.Life
+	a.revision = max(a.revision, 1)
+	a.pendingParts = PartsAll
+	a.sendUpdate()
 	if old != nil {
 		_ = old.conn.Close()
 		if old.ready {
-			h.ping()
+			a.pingAll()
 		}
 	}
-	h.mu.Unlock()
-	h.log.Info("proxy connected", "front", o.Front)
+	a.mu.Unlock()
+	a.log.Info("proxy connected", "front", o.Front)
 	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if h.proxy != g {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		if a.proxy != g {
 			return
 		}
-		if h.proxy = nil; g.ready {
-			h.ping()
+		if a.proxy = nil; g.ready {
+			a.pingAll()
 		}
-		h.rouse()
+		a.wakeUp()
 	}()
 	for {
 		f, err := c.Receive()
 		if err != nil {
 			return err
 		}
-		h.mu.Lock()
-		if h.proxy == g {
-			h.hear(g, f)
+		a.mu.Lock()
+		if a.proxy == g {
+			a.handleProxyFrame(g, f)
 		}
-		h.mu.Unlock()
+		a.mu.Unlock()
 	}
 }
 
-// meet takes the proxy's Hello in and tells the replicas what is new in it; the
-// mutex is held.
-func (h *Agent) meet(o *peerlink.Hello) {
-	if o.Front == "" || o.Front == h.front {
+// handleProxyHello stores the proxy's address and sends it to the replicas if it has changed. The
+// caller holds the mutex.
+func (a *Agent) handleProxyHello(o *peerlink.Hello) {
+	if o.Front == "" || o.Front == a.front {
 		return
 	}
-	h.front = o.Front
-	for _, b := range h.replicas {
-		h.greet(b)
+	a.front = o.Front
+	for _, b := range a.replicas {
+		a.sendChangedHello(b)
 	}
 }
 
-// hear takes in what the proxy says; the mutex is held.
-func (h *Agent) hear(g *proxy, f *peerlink.Frame) {
+// handleProxyFrame processes a message from the proxy. The caller holds the mutex.
+func (a *Agent) handleProxyFrame(g *proxy, f *peerlink.Frame) {
 	if f.Hello != nil {
-		h.meet(f.Hello)
+		a.handleProxyHello(f.Hello)
 	}
-	if a := f.Ack; a != nil {
-		g.gen = max(g.gen, a.Gen)
+	if ack := f.Ack; ack != nil {
+		g.activeGeneration = max(g.activeGeneration, ack.Gen)
 		n := 0
-		for n < len(g.sent) && g.sent[n].no <= a.No {
-			g.rev = g.sent[n].rev
+		for n < len(g.unacknowledged) && g.unacknowledged[n].sequence <= ack.No {
+			g.activeRevision = g.unacknowledged[n].revision
 			n++
 		}
-		g.sent = g.sent[n:]
-		for _, b := range h.replicas {
-			h.acknowledge(b)
+		g.unacknowledged = g.unacknowledged[n:]
+		for _, b := range a.replicas {
+			a.acknowledge(b)
 		}
 	}
-	ready, rests := g.ready, g.rests
+	ready, rests := g.ready, g.resting
 	if p := f.Ping; p != nil {
-		ready, rests, g.gen, g.figures, g.heads, g.parts = p.Ready, p.Rests, max(g.gen, p.Gen), p.Figures, p.Heads, p.Parts
+		ready, rests, g.activeGeneration, g.trafficStats, g.hostTraffic, g.quotaDivisor = p.Ready, p.Rests, max(g.activeGeneration, p.Gen), p.Figures, p.Heads, p.Parts
 		if p.Asked != nil {
-			g.asked = p.Asked
+			g.requestCounts = p.Asked
 		}
-		pong := h.fresh.Pong(p.Sent, h.now())
-		pong.List = h.list.tell(h.now())
-		if b := h.replicas[h.upstream.Chosen()]; b != nil {
-			pong.Wanted = b.wanted
+		pong := a.freshness.Pong(p.Sent, a.now())
+		pong.List = a.serverListAge.reading(a.now())
+		if b := a.replicas[a.upstream.Chosen()]; b != nil {
+			pong.Wanted = b.wantedEvidence
 		}
 		_ = g.conn.Send(&peerlink.Frame{Pong: pong})
 	}
-	if b := h.replicas[h.upstream.Chosen()]; f.Report != nil && b != nil && b.wanted != 0 && len(f.Report) <= serverhealth.MaxReportBytes {
+	if b := a.replicas[a.upstream.Chosen()]; f.Report != nil && b != nil && b.wantedEvidence != 0 && len(f.Report) <= serverhealth.MaxReportBytes {
 		b.send(&peerlink.Frame{Report: f.Report})
 	}
 	if f.Leaving != nil {
-		h.log.Info("proxy leaves", "why", *f.Leaving)
-		ready, rests, g.left = false, false, f.Leaving
-		for _, b := range h.replicas {
+		a.log.Info("proxy is leaving", "why", *f.Leaving)
+		ready, rests, g.leaveReason = false, false, f.Leaving
+		for _, b := range a.replicas {
 			b.send(&peerlink.Frame{Leaving: f.Leaving})
 		}
 	}
-	if ready != g.ready || rests != g.rests {
-		g.ready, g.rests = ready, rests
-		h.ping()
+	if ready != g.ready || rests != g.resting {
+		g.ready, g.resting = ready, rests
+		a.pingAll()
 	}
 }
--- a/internal/dataplane/agent/replica.go
+++ b/internal/dataplane/agent/replica.go
@@ -11,45 +11,45 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// mostMarks bounds what waits for the proxy. The oldest go first: a later
-// acknowledgement holds for them too.
-const mostMarks = 1024
+// maxUnacknowledged limits the changes that await the proxy's acknowledgement. The oldest are
+// dropped first: a later acknowledgement covers them too.
+const maxUnacknowledged = 1024
 
-// headsEvery is the time between two tellings of requests by host to one replica.
-const headsEvery = 4 * time.Second
+// hostTrafficInterval is the time between two reports of requests by host to one replica.
+const hostTrafficInterval = 4 * time.Second
 
-// mark says that what came or went with a number is in the state since a revision.
-type mark struct{ no, rev uint64 }
+// changeRevision records the state revision that contains the change with this sequence number.
+type changeRevision struct{ sequence, revision uint64 }
 
-// put appends a mark, over the last one where only the number has risen.
-func put(all []mark, m mark) []mark {
-	if n := len(all); n > 0 && all[n-1].rev == m.rev {
+// appendRevision appends m, or replaces the last entry if that has the same revision.
+func appendRevision(all []changeRevision, m changeRevision) []changeRevision {
+	if n := len(all); n > 0 && all[n-1].revision == m.revision {
 		all[n-1] = m
 		return all
 	}
-	if len(all) >= mostMarks {
+	if len(all) >= maxUnacknowledged {
 		all = slices.Delete(all, 0, 1)
 	}
 	return append(all, m)
 }
 
-// replica is one that the agent holds on to; all under the agent's mutex.
+// replica is a control replica that the agent stays connected to. The agent's mutex guards all fields.
 type replica struct {
-	addr   string
-	cancel context.CancelFunc
-	conn   *peerlink.Conn  // nil: not connected
-	told   peerlink.Hello  // by us
-	seen   time.Duration   // when it was last connected, or first known
-	marks  []mark          // its changes that are not acknowledged
-	spoke  bool            // it has sent a change on this connection
-	every  time.Duration   // as told last
-	wants  bool            // figures, as it said last
-	asks   bool            // and what was asked for
-	asked  *peerlink.Asked // as told last
-	wanted uint64          // evidence on servers, as it said last; 0: none
-	heads  time.Duration   // when it was last told of requests by host; 0: not on this connection
+	addr               string
+	cancel             context.CancelFunc
+	conn               *peerlink.Conn   // nil: not connected
+	sentHello          peerlink.Hello   // the last Hello sent to it
+	lastConnected      time.Duration    // when it was last connected, or first known
+	unacknowledged     []changeRevision // its changes that the agent has not acknowledged
+	hasSentChange      bool             // on this connection
+	pingInterval       time.Duration    // as last sent to it
+	wantsStats         bool             // as requested in its last Pong
+	wantsRequestCounts bool             // as requested in its last Pong
+	sentRequestCounts  *peerlink.Asked  // as last sent to it
+	wantedEvidence     uint64           // number of the evidence on servers requested in its last Pong; 0: none
+	hostTrafficSentAt  time.Duration    // when requests by host were last sent to it; 0: not on this connection
 
-	servers *peerlink.Servers // as told on this connection
+	servers *peerlink.Servers // received on this connection; the base of the next delta
 	census  *peerlink.Census
 
 	verdicts *serverhealth.Verdicts
@@ -57,214 +57,216 @@
 
 func (b *replica) send(f *peerlink.Frame) {
 	if b.conn != nil {
-		_ = b.conn.Send(f) // a connection that fails ends, and its reader sees that
+		_ = b.conn.Send(f) // when a send fails, the connection ends and its receive loop returns the error
 	}
 }
 
-// hold dials every replica that is known and leaves those that are gone for good;
-// the mutex is held.
-func (h *Agent) hold() {
-	if h.ctx.Err() != nil {
+// maintainReplicas dials every known replica and drops those that have disappeared.
+// The caller holds the mutex.
+func (a *Agent) maintainReplicas() {
+	if a.ctx.Err() != nil {
 		return
 	}
-	now := h.now()
-	for _, addr := range slices.Concat(h.seeds, h.state.Replicas()) {
-		if h.replicas[addr] != nil {
+	now := a.now()
+	for _, addr := range slices.Concat(a.seeds, a.state.ReplicaAddresses()) {
+		if a.replicas[addr] != nil {
 			continue
 		}
-		ctx, cancel := context.WithCancel(h.ctx)
-		b := &replica{addr: addr, cancel: cancel, seen: now}
-		h.replicas[addr] = b
-		d := &peerlink.Dialer{Net: h.w, Log: h.log, Mine: func() peerlink.Hello {
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			b.told = h.self()
-			return b.told
+		ctx, cancel := context.WithCancel(a.ctx)
+		b := &replica{addr: addr, cancel: cancel, lastConnected: now}
+		a.replicas[addr] = b
+		d := &peerlink.Dialer{Net: a.w, Log: a.log, Mine: func() peerlink.Hello {
+			a.mu.Lock()
+			defer a.mu.Unlock()
+			b.sentHello = a.buildHello()
+			return b.sentHello
 		}}
-		h.talks.Go(func() {
-			d.Keep(ctx, addr, func(ctx context.Context, c *peerlink.Conn, o *peerlink.Hello) error { return h.talk(ctx, b, c, o) })
+		a.sessions.Go(func() {
+			d.Keep(ctx, addr, func(ctx context.Context, c *peerlink.Conn, o *peerlink.Hello) error {
+				return a.runReplicaSession(ctx, b, c, o)
+			})
 		})
 	}
-	for addr, b := range h.replicas {
-		if b.conn == nil && now-b.seen >= dropped && !slices.Contains(h.seeds, addr) && !h.state.Listed(addr) {
-			h.log.Info("replica given up", "address", addr)
+	for addr, b := range a.replicas {
+		if b.conn == nil && now-b.lastConnected >= dropReplicaAfter && !slices.Contains(a.seeds, addr) && !a.state.IsListed(addr) {
+			a.log.Info("dropping unreachable replica", "address", addr)
 			b.cancel()
-			delete(h.replicas, addr)
+			delete(a.replicas, addr)
 		}
 	}
 }
 
-// talk runs a session with a replica.
-func (h *Agent) talk(ctx context.Context, b *replica, c *peerlink.Conn, o *peerlink.Hello) error {
+// runReplicaSession runs a connection to a replica until it fails.
+func (a *Agent) runReplicaSession(ctx context.Context, b *replica, c *peerlink.Conn, o *peerlink.Hello) error {
 	if o.Role != peerlink.Replica {
-		return errors.Errorf("agent: %s at %s is no replica but %q", o.Name, b.addr, o.Role)
+		return errors.Errorf("agent: %s at %s has role %q instead of replica", o.Name, b.addr, o.Role)
 	}
-	h.mu.Lock()
-	b.conn, b.marks, b.spoke, b.every, b.wants, b.wanted, b.servers, b.census, b.verdicts = c, nil, false, 0, false, 0, nil, nil, nil
-	b.asks, b.asked, b.heads = false, nil, 0
-	if h.leaving != "" {
-		b.send(&peerlink.Frame{Leaving: &h.leaving})
+	a.mu.Lock()
+	b.conn, b.unacknowledged, b.hasSentChange, b.pingInterval, b.wantsStats, b.wantedEvidence, b.servers, b.census, b.verdicts = c, nil, false, 0, false, 0, nil, nil, nil
+	b.wantsRequestCounts, b.sentRequestCounts, b.hostTrafficSentAt = false, nil, 0
+	if a.leaveReason != "" {
+		b.send(&peerlink.Frame{Leaving: &a.leaveReason})
 	}
-	if h.proxy != nil && h.proxy.left != nil {
-		b.send(&peerlink.Frame{Leaving: h.proxy.left})
+	if a.proxy != nil && a.proxy.leaveReason != nil {
+		b.send(&peerlink.Frame{Leaving: a.proxy.leaveReason})
 	}
-	h.greet(b)
-	h.upstream.Up(b.addr, o, h.now())
-	if !h.choose() {
-		h.pingOne(b)
+	a.sendChangedHello(b)
+	a.upstream.AddReplica(b.addr, o, a.now())
+	if !a.chooseUpstream() {
+		a.pingOne(b)
 	}
-	h.mu.Unlock()
-	h.log.Info("replica connected", "address", b.addr, "name", o.Name)
+	a.mu.Unlock()
+	a.log.Info("replica connected", "address", b.addr, "name", o.Name)
 	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		b.conn, b.wanted, b.seen = nil, 0, h.now()
-		h.upstream.Down(b.addr)
-		h.choose()
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		b.conn, b.wantedEvidence, b.lastConnected = nil, 0, a.now()
+		a.upstream.RemoveReplica(b.addr)
+		a.chooseUpstream()
 	}()
 	for {
 		f, err := c.Receive()
 		if err != nil {
 			return err
 		}
-		h.mu.Lock()
+		a.mu.Lock()
 		if ctx.Err() == nil {
-			err = h.take(b, f)
+			err = a.handleReplicaFrame(b, f)
 		}
-		h.mu.Unlock()
+		a.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// take takes in what a replica says; the mutex is held.
-func (h *Agent) take(b *replica, f *peerlink.Frame) error {
-	now := h.now()
-	h.upstream.Heard(b.addr, f, now)
+// handleReplicaFrame processes a message from a replica. The caller holds the mutex.
+func (a *Agent) handleReplicaFrame(b *replica, f *peerlink.Frame) error {
+	now := a.now()
+	a.upstream.HandleFrame(b.addr, f, now)
 	if f.Leaving != nil {
-		h.log.Info("replica leaves", "address", b.addr, "why", *f.Leaving)
+		a.log.Info("replica is leaving", "address", b.addr, "why", *f.Leaving)
 	}
 	if c := f.Change; c != nil {
-		b.spoke = true
-		if err := b.whole(c); err != nil {
+		b.hasSentChange = true
+		if err := b.expandDeltas(c); err != nil {
 			return err
 		}
-		if p := h.state.Take(b.addr, c, now); p != 0 {
-			h.tell(p)
+		if p := a.state.Merge(b.addr, c, now); p != 0 {
+			a.queueUpdate(p)
 			if p&PartCensus != 0 {
-				h.hold()
+				a.maintainReplicas()
 			}
 		}
-		b.marks = put(b.marks, mark{c.No, h.rev})
-		h.acknowledge(b)
+		b.unacknowledged = appendRevision(b.unacknowledged, changeRevision{c.No, a.revision})
+		a.acknowledge(b)
 	}
 	if f.Pong != nil {
-		if b.wants, b.asks, b.wanted = f.Pong.Want, f.Pong.Asks, f.Pong.Wanted; !b.asks {
-			b.asked = nil // one who asks anew hears all
+		if b.wantsStats, b.wantsRequestCounts, b.wantedEvidence = f.Pong.Want, f.Pong.Asks, f.Pong.Wanted; !b.wantsRequestCounts {
+			b.sentRequestCounts = nil // a replica that asks again gets the complete counts
 		}
 	}
-	if f.Pong != nil && b.addr == h.upstream.Chosen() {
-		h.list.take(f.Pong)
+	if f.Pong != nil && b.addr == a.upstream.Chosen() {
+		a.serverListAge.addPong(f.Pong)
 	}
-	if f.Pong != nil && b.spoke { // it vouches for what was sent before it
-		h.fresh.Take(f.Pong, now)
+	if f.Pong != nil && b.hasSentChange { // the Pong confirms the changes sent before it
+		a.freshness.AddPong(f.Pong, now)
 	}
 	if f.Pong != nil || f.Leaving != nil {
-		h.choose()
+		a.chooseUpstream()
 	}
 	return nil
 }
 
-// whole makes wholes of the parts in a change. A part of nothing ends the
-// connection: the next one begins with a whole.
-func (b *replica) whole(c *peerlink.Change) error {
+// expandDeltas replaces the deltas in a change by complete values. A delta without a base ends
+// the connection, since a new connection begins with complete values.
+func (b *replica) expandDeltas(c *peerlink.Change) error {
 	if c.Servers != nil {
 		if c.Servers = c.Servers.Onto(b.servers); c.Servers == nil {
-			return errors.New("agent: a part of a list that was never told")
+			return errors.New("agent: received a server list delta without its base")
 		}
 		b.servers = c.Servers
 	}
 	if c.Census != nil {
 		if c.Census = c.Census.Onto(b.census); c.Census == nil {
-			return errors.New("agent: a part of a census that was never told")
+			return errors.New("agent: received a census delta without its base")
 		}
 		b.census = c.Census
 	}
 	if c.Verdicts != nil {
 		if c.Verdicts = c.Verdicts.ApplyTo(b.verdicts); c.Verdicts == nil {
-			return errors.New("agent: a part of verdicts that were never told")
+			return errors.New("agent: received a verdicts delta without its base")
 		}
 		b.verdicts = c.Verdicts
 	}
 	return nil
 }
 
-// choose names the lead anew, tells whether that changed, and in that case has
-// told all replicas; the mutex is held.
-func (h *Agent) choose() bool {
-	was := h.upstream.Chosen()
-	is := h.upstream.Choose(h.now())
-	if is == was {
+// chooseUpstream selects the upstream replica again, reports whether it changed, and if so
+// pings all replicas. The caller holds the mutex.
+func (a *Agent) chooseUpstream() bool {
+	previous := a.upstream.Chosen()
+	chosen := a.upstream.Choose(a.now())
+	if chosen == previous {
 		return false
 	}
-	h.log.V(1).Info("upstream", "address", is, "before", was)
-	h.state.Upstream(is)
-	h.list.follow(h.now())
-	h.ping()
+	a.log.V(1).Info("upstream", "address", chosen, "before", previous)
+	a.state.SetUpstream(chosen)
+	a.serverListAge.restart(a.now())
+	a.pingAll()
 	return true
 }
 
-// acknowledge tells a replica how far the proxy has taken its changes over; the
-// mutex is held.
-func (h *Agent) acknowledge(b *replica) {
-	if h.proxy == nil {
+// acknowledge tells a replica which of its changes are in force at the proxy. The
+// caller holds the mutex.
+func (a *Agent) acknowledge(b *replica) {
+	if a.proxy == nil {
 		return
 	}
 	n := 0
-	for n < len(b.marks) && b.marks[n].rev <= h.proxy.rev {
+	for n < len(b.unacknowledged) && b.unacknowledged[n].revision <= a.proxy.activeRevision {
 		n++
 	}
 	if n == 0 {
 		return
 	}
-	b.send(&peerlink.Frame{Ack: &peerlink.Ack{No: b.marks[n-1].no, Gen: h.proxy.gen}})
-	b.marks = slices.Delete(b.marks, 0, n)
+	b.send(&peerlink.Frame{Ack: &peerlink.Ack{No: b.unacknowledged[n-1].sequence, Gen: a.proxy.activeGeneration}})
+	b.unacknowledged = slices.Delete(b.unacknowledged, 0, n)
 }
 
-// greet tells a replica what has changed about us since the first Hello.
-func (h *Agent) greet(b *replica) {
-	if x := h.self(); b.conn != nil && b.told != x {
-		b.told = x
+// sendChangedHello sends a replica the agent's Hello if it differs from the last one sent.
+func (a *Agent) sendChangedHello(b *replica) {
+	if x := a.buildHello(); b.conn != nil && b.sentHello != x {
+		b.sentHello = x
 		b.send(&peerlink.Frame{Hello: &x})
 	}
 }
 
-// ping asks all replicas, and tells them how the proxy stands; the mutex is held.
-func (h *Agent) ping() {
-	for _, b := range h.replicas {
-		h.pingOne(b)
+// pingAll pings all replicas; a ping also reports the proxy's state. The caller holds the mutex.
+func (a *Agent) pingAll() {
+	for _, b := range a.replicas {
+		a.pingOne(b)
 	}
 }
 
-func (h *Agent) pingOne(b *replica) {
-	p := &peerlink.Ping{Sent: h.now(), Upstream: b.addr == h.upstream.Chosen(), Every: h.upstream.Every(b.addr), Packs: true}
-	p.Held, p.Sum = h.state.Held()
-	if h.proxy != nil {
-		p.Ready, p.Gen, p.Rests, p.Parts = h.proxy.ready, h.proxy.gen, h.proxy.rests, h.proxy.parts
-		if b.wants {
-			p.Figures = h.proxy.figures
+func (a *Agent) pingOne(b *replica) {
+	p := &peerlink.Ping{Sent: a.now(), Upstream: b.addr == a.upstream.Chosen(), Every: a.upstream.PingInterval(b.addr), Packs: true}
+	p.Held, p.Sum = a.state.HeldConfiguration()
+	if a.proxy != nil {
+		p.Ready, p.Gen, p.Rests, p.Parts = a.proxy.ready, a.proxy.activeGeneration, a.proxy.resting, a.proxy.quotaDivisor
+		if b.wantsStats {
+			p.Figures = a.proxy.trafficStats
 		}
-		if b.asks && b.asked != h.proxy.asked {
-			b.asked = h.proxy.asked
-			p.Asked = b.asked
+		if b.wantsRequestCounts && b.sentRequestCounts != a.proxy.requestCounts {
+			b.sentRequestCounts = a.proxy.requestCounts
+			p.Asked = b.sentRequestCounts
 		}
-		if len(h.proxy.heads) > 0 && (b.heads == 0 || p.Sent-b.heads >= headsEvery) {
-			p.Heads, b.heads = h.proxy.heads, max(p.Sent, 1)
+		if len(a.proxy.hostTraffic) > 0 && (b.hostTrafficSentAt == 0 || p.Sent-b.hostTrafficSentAt >= hostTrafficInterval) {
+			p.Heads, b.hostTrafficSentAt = a.proxy.hostTraffic, max(p.Sent, 1)
 		}
 	}
-	if b.conn != nil && b.every != p.Every {
-		b.every = p.Every
+	if b.conn != nil && b.pingInterval != p.Every {
+		b.pingInterval = p.Every
 		b.conn.SetSilence(peerlink.Suits(p.Every))
 	}
 	b.send(&peerlink.Frame{Ping: p})
--- a/internal/dataplane/agent/stale.go
+++ b/internal/dataplane/agent/stale.go
@@ -10,45 +10,45 @@
 	"github.com/pkg/errors"
 )
 
-// Times of reporting that nobody confirms what the proxy has in force.
+// Intervals of the log entries for a configuration that no replica confirms.
 const (
-	staleAfter = 2 * time.Second
-	staleAgain = 5 * time.Second // between two reports of one episode
+	staleAfter     = 2 * time.Second
+	reportInterval = 5 * time.Second // between two log entries while the condition lasts
 )
 
-// errStale is logged while no replica confirms what the proxy has in force.
+// errStale is logged while no replica confirms the proxy's configuration as the newest.
 var errStale = errors.New("no replica confirms what the proxy has in force")
 
-// staleness is the present episode without a confirmation.
+// staleness tracks the current period without a confirmation.
 type staleness struct {
-	reported time.Duration // when it was logged last; 0: not in this episode
+	reportedAt time.Duration // when it was last logged; 0: not in this period
 }
 
-// reportStale logs, with what is known of each replica, that what the proxy has
-// in force has not been confirmed for long; the mutex is held.
-func (h *Agent) reportStale() {
-	now := h.now()
-	if h.proxy == nil || !h.fresh.ever || now-h.fresh.confirmed < staleAfter {
-		h.stale.reported = 0
+// reportStale logs an error, with the state of each replica, when the proxy's configuration
+// has not been confirmed for staleAfter. The caller holds the mutex.
+func (a *Agent) reportStale() {
+	now := a.now()
+	if a.proxy == nil || !a.freshness.known || now-a.freshness.confirmed < staleAfter {
+		a.staleReport.reportedAt = 0
 		return
 	}
-	if h.stale.reported > 0 && now-h.stale.reported < staleAgain {
+	if a.staleReport.reportedAt > 0 && now-a.staleReport.reportedAt < reportInterval {
 		return
 	}
-	h.stale.reported = now
-	held, _ := h.state.Held()
-	h.log.Error(errStale, "stale configuration", "for", now-h.fresh.confirmed, "held", held, "in_force", h.proxy.gen,
-		"upstream", h.upstream.Chosen(), "replicas", h.upstream.describe(now))
+	a.staleReport.reportedAt = now
+	held, _ := a.state.HeldConfiguration()
+	a.log.Error(errStale, "stale configuration", "for", now-a.freshness.confirmed, "held", held, "in_force", a.proxy.activeGeneration,
+		"upstream", a.upstream.Chosen(), "replicas", a.upstream.describe(now))
 }
 
-// describe tells in words what is known of each replica that is connected.
+// describe returns a log text with the state of each connected replica.
 func (l *Upstream) describe(now time.Duration) string {
 	var all []string
 	for _, addr := range slices.Sorted(maps.Keys(l.replicas)) {
 		c := l.replicas[addr]
-		text := fmt.Sprintf("%s heard=%v ago standing=%v", addr, (now - c.heard).Round(time.Millisecond), c.standing)
-		if c.listed {
-			text += fmt.Sprintf(" list=%v old", (now - c.listBegan).Round(time.Millisecond))
+		text := fmt.Sprintf("%s heard=%v ago standing=%v", addr, (now - c.lastHeard).Round(time.Millisecond), c.standing)
+		if c.hasList {
+			text += fmt.Sprintf(" list=%v old", (now - c.listReadStart).Round(time.Millisecond))
 		}
 		all = append(all, text)
 	}
--- a/internal/dataplane/agent/upstream.go
+++ b/internal/dataplane/agent/upstream.go
@@ -10,62 +10,63 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// Times of the choice.
+// Time limits for choosing the upstream replica. A replica is silent if it has sent no message
+// for silenceTimeout and for two heartbeat intervals.
 const (
-	hearsFor  = 800 * time.Millisecond // a replica is heard without a word, and at least two heartbeats
-	touchFor  = 1500 * time.Millisecond
-	backAfter = 5 * time.Second // a better one has to have been good
+	silenceTimeout        = 800 * time.Millisecond
+	maxMajorityContactAge = 1500 * time.Millisecond
+	failbackDelay         = 5 * time.Second // how long a preferred replica must have been good before the agent switches to it
 )
 
-// standing is how well a replica serves as upstream; of two the higher one does it better.
+// standing ranks how well a replica can serve as upstream; higher is better.
 type standing int
 
-// The standings.
+// Standings, from worst to best.
 const (
-	silent  standing = iota
-	heard            // lately
-	inTouch          // and with a majority
-	current          // and with a list of servers as new as that of the others
+	silent              standing = iota
+	responsive                   // sent a message within the time limit
+	inTouchWithMajority          // also in contact with a majority of the replicas
+	current                      // also has a server list that is as new as the other replicas' lists
 )
 
 var standingNames = [...]string{"silent", "heard", "in touch", "current"}
 
 func (s standing) String() string { return standingNames[s] }
 
-// Upstream chooses the one replica that tells servers and census: of those of the highest
-// standing one in the own zone, else in the own region, else any.
-// That the proxy lacks something says nothing about a replica. Replicas go by address,
-// times are of one steady clock.
+// Upstream chooses the replica whose server list and census the agent follows: among the
+// replicas of the highest standing it prefers its own zone, then its own region. A
+// configuration missing at the proxy does not lower a replica's standing.
+// Replicas are identified by address; times are on one monotonic clock.
 type Upstream struct {
-	Self     peerlink.Hello
-	Many     bool // proxies: heartbeats are longer
-	replicas map[string]*candidate
-	chosen   string
+	Self           peerlink.Hello
+	LongHeartbeats bool // set when there are many proxies
+	replicas       map[string]*candidate
+	chosen         string
 }
 
-// candidate is a replica that is connected.
+// candidate is a connected replica.
 type candidate struct {
-	place    int    // 0: own zone, 1: own region
-	weight   uint64 // among equal places the highest
-	up       time.Duration
-	heard    time.Duration // or chosen, which quickens its heartbeats
-	ponged   bool
-	inTouch  bool // by its last Pong it is in touch with a majority
-	leaving  bool
-	standing standing
-	since    time.Duration // when it came to that
-
-	listed    bool          // it holds a list of servers
-	listBegan time.Duration // whose reading began then, as it said last
-	period    time.Duration // between two readings, as it said last
-	behind    bool          // when it said so, others held a list that was newer by too much
+	distance      int    // 0: own zone, 1: own region, 2: elsewhere
+	weight        uint64 // breaks ties between equal distances: the highest wins
+	connectedAt   time.Duration
+	lastHeard     time.Duration // last message, or when it was chosen, because its heartbeats become more frequent then
+	hasPonged     bool
+	inTouch       bool // its last Pong reported recent contact with a majority
+	leaving       bool
+	standing      standing
+	standingSince time.Duration // when it reached its standing
+
+	hasList        bool          // its last Pong reported a server list
+	listReadStart  time.Duration // when the read of that list began
+	listReadPeriod time.Duration // between two reads of the list
+	listIsBehind   bool          // at its last Pong, another replica's list was newer by more than listing.Behind allows
 }
 
-// Every is the time between two pings to a replica.
-func (l *Upstream) Every(addr string) time.Duration {
+// PingInterval returns the time between two pings to a replica.
+func (l *Upstream) PingInterval(addr string) time.Duration {
 	d := peerlink.Usual
-	if !l.Many {
-		return d // every replica's answers to clients rest on it
+	if !l.LongHeartbeats {
+		return d // a replica's answers to clients depend on recent reports from the proxies
 	}
 	d *= 2
 	if addr != l.chosen {
@@ -74,14 +75,14 @@
 	return d
 }
 
-// Up notes that a replica is connected.
-func (l *Upstream) Up(addr string, h *peerlink.Hello, now time.Duration) {
-	c := &candidate{place: 2, up: now, heard: now, weight: xxhash.Sum64String(l.Self.Name + "\x00" + h.Name)}
+// AddReplica records that a replica is connected.
+func (l *Upstream) AddReplica(addr string, h *peerlink.Hello, now time.Duration) {
+	c := &candidate{distance: 2, connectedAt: now, lastHeard: now, weight: xxhash.Sum64String(l.Self.Name + "\x00" + h.Name)}
 	switch {
 	case h.Zone == l.Self.Zone:
-		c.place = 0
+		c.distance = 0
 	case h.Region == l.Self.Region:
-		c.place = 1
+		c.distance = 1
 	}
 	if l.replicas == nil {
 		l.replicas = map[string]*candidate{}
@@ -89,101 +90,101 @@
 	l.replicas[addr] = c
 }
 
-// Down notes that it is not any more.
-func (l *Upstream) Down(addr string) { delete(l.replicas, addr) }
+// RemoveReplica records that a replica is disconnected.
+func (l *Upstream) RemoveReplica(addr string) { delete(l.replicas, addr) }
 
-// Heard takes in what a replica says.
-func (l *Upstream) Heard(addr string, f *peerlink.Frame, now time.Duration) {
+// HandleFrame records a message from a replica.
+func (l *Upstream) HandleFrame(addr string, f *peerlink.Frame, now time.Duration) {
 	c := l.replicas[addr]
 	if c == nil {
 		return
 	}
-	c.heard = now
+	c.lastHeard = now
 	if p := f.Pong; p != nil {
-		c.ponged, c.inTouch = true, p.InTouch && p.TouchAge < touchFor
-		if c.listed = p.List != nil; c.listed {
-			c.listBegan, c.period = p.Sent-p.List.Age, p.List.Period
+		c.hasPonged, c.inTouch = true, p.InTouch && p.TouchAge < maxMajorityContactAge
+		if c.hasList = p.List != nil; c.hasList {
+			c.listReadStart, c.listReadPeriod = p.Sent-p.List.Age, p.List.Period
 		}
-		c.behind = l.isBehind(c, now)
+		c.listIsBehind = l.isBehind(c, now)
 	}
 	c.leaving = c.leaving || f.Leaving != nil
 }
 
-// Chosen is the upstream replica as chosen last; empty: none is connected.
+// Chosen returns the last choice; empty: no replica is connected.
 func (l *Upstream) Chosen() string { return l.chosen }
 
-// Choose returns the upstream replica as of now.
+// Choose chooses the upstream replica again and returns it.
 func (l *Upstream) Choose(now time.Duration) string {
-	was := l.chosen
-	if l.choose(now); l.chosen != was && l.chosen != "" {
-		l.replicas[l.chosen].heard = now
+	previous := l.chosen
+	if l.updateChoice(now); l.chosen != previous && l.chosen != "" {
+		l.replicas[l.chosen].lastHeard = now
 	}
 	return l.chosen
 }
 
-// hears tells whether a replica was heard lately.
-func (l *Upstream) hears(addr string, now time.Duration) bool {
+// isResponsive reports whether a replica has sent a message within the time limit and is not leaving.
+func (l *Upstream) isResponsive(addr string, now time.Duration) bool {
 	c := l.replicas[addr]
-	return !c.leaving && now-c.heard < max(hearsFor, 2*l.Every(addr))
+	return !c.leaving && now-c.lastHeard < max(silenceTimeout, 2*l.PingInterval(addr))
 }
 
-// isBehind tells whether a replica that has just told of its list holds an older one than it should.
+// isBehind reports whether the list of a replica that has just sent a Pong is older than it should be.
 func (l *Upstream) isBehind(c *candidate, now time.Duration) bool {
 	var newest *candidate
 	for addr, o := range l.replicas {
-		if o.listed && o.inTouch && l.hears(addr, now) && (newest == nil || o.listBegan > newest.listBegan) {
+		if o.hasList && o.inTouch && l.isResponsive(addr, now) && (newest == nil || o.listReadStart > newest.listReadStart) {
 			newest = o
 		}
 	}
-	return newest != nil && (!c.listed || newest.listBegan-c.listBegan > listing.Behind(newest.period))
+	return newest != nil && (!c.hasList || newest.listReadStart-c.listReadStart > listing.Behind(newest.listReadPeriod))
 }
 
-// standing is a replica's as of now.
-func (l *Upstream) standing(addr string, now time.Duration) standing {
+// currentStanding returns a replica's standing at this time.
+func (l *Upstream) currentStanding(addr string, now time.Duration) standing {
 	c := l.replicas[addr]
 	switch {
-	case !l.hears(addr, now):
+	case !l.isResponsive(addr, now):
 		return silent
 	case !c.inTouch:
-		return heard
-	case c.behind:
-		return inTouch
+		return responsive
+	case c.listIsBehind:
+		return inTouchWithMajority
 	}
 	return current
 }
 
-func (l *Upstream) choose(now time.Duration) {
+func (l *Upstream) updateChoice(now time.Duration) {
 	top := silent
 	for addr, c := range l.replicas {
-		if s := l.standing(addr, now); s != c.standing {
-			c.standing, c.since = s, now
+		if s := l.currentStanding(addr, now); s != c.standing {
+			c.standing, c.standingSince = s, now
 		}
 		top = max(top, c.standing)
 	}
 	best := ""
 	for addr, c := range l.replicas {
-		if c.standing == top && l.better(addr, best) {
+		if c.standing == top && l.isPreferred(addr, best) {
 			best = addr
 		}
 	}
 	own := l.replicas[l.chosen]
-	// Until its first Pong an upstream replica is held to be good.
-	waits := own != nil && !own.ponged && !own.leaving && now-own.up < hearsFor
+	// Until its first Pong, the upstream replica is assumed to be good.
+	waits := own != nil && !own.hasPonged && !own.leaving && now-own.connectedAt < silenceTimeout
 	switch {
 	case own == nil:
 		l.chosen = best
-	case top <= heard && own.standing == top: // and none is any better
-	case (waits || own.standing == top) && (!l.better(best, l.chosen) || now-l.replicas[best].since < backAfter):
+	case top <= responsive && own.standing == top: // keep it: no replica ranks higher
+	case (waits || own.standing == top) && (!l.isPreferred(best, l.chosen) || now-l.replicas[best].standingSince < failbackDelay):
 	case top > silent:
 		l.chosen = best
 	}
 }
 
-// better tells whether a replica comes before another; any comes before none.
-func (l *Upstream) better(a, b string) bool {
+// isPreferred reports whether replica a ranks before b. Every replica ranks before an unknown b.
+func (l *Upstream) isPreferred(a, b string) bool {
 	x, y := l.replicas[a], l.replicas[b]
 	if y == nil {
 		return true
 	}
-	return cmp.Or(cmp.Compare(x.place, y.place), cmp.Compare(y.weight, x.weight), cmp.Compare(a, b)) < 0
+	return cmp.Or(cmp.Compare(x.distance, y.distance), cmp.Compare(y.weight, x.weight), cmp.Compare(a, b)) < 0
 }
--- a/internal/dataplane/agent/upstream_test.go
+++ b/internal/dataplane/agent/upstream_test.go
@@ -10,32 +10,32 @@
 	"pepperfall.example/pepperfall/internal/platform/peerlink"
 )
 
-// ring is a chooser and the time.
-type ring struct {
+// selection is an Upstream with a clock.
+type selection struct {
 	Upstream
 	now time.Duration
 }
 
-func newRing(name string) *ring {
-	return &ring{Upstream: Upstream{Self: peerlink.Hello{Name: name, Zone: "z1", Region: "r1"}}}
+func newSelection(name string) *selection {
+	return &selection{Upstream: Upstream{Self: peerlink.Hello{Name: name, Zone: "z1", Region: "r1"}}}
 }
 
-func (r *ring) up(addr, zone, region string) string {
-	r.Up(addr, &peerlink.Hello{Name: addr, Zone: zone, Region: region}, r.now)
+func (r *selection) up(addr, zone, region string) string {
+	r.AddReplica(addr, &peerlink.Hello{Name: addr, Zone: zone, Region: region}, r.now)
 	return r.Choose(r.now)
 }
 
-// pass lets time go by in which replicas answer; one whose name begins with ! is out of touch. What the proxy has in force
-// is confirmed by none of them: it may just be on its way.
-func (r *ring) pass(d time.Duration, replicas ...string) string {
+// pass lets time pass while replicas answer; "!" before a name marks a replica without contact to a majority. No replica
+// confirms the proxy's configuration, which may still be on its way to the proxy.
+func (r *selection) pass(d time.Duration, replicas ...string) string {
 	for end := r.now + d; r.now < end; {
-		r.now += heartbeat
+		r.now += heartbeatInterval
 		for _, b := range replicas {
 			p := &peerlink.Pong{InTouch: true, TouchAge: time.Second}
 			if b[0] == '!' {
 				b, p.TouchAge = b[1:], 2*time.Second
 			}
-			r.Heard(b, &peerlink.Frame{Pong: p}, r.now)
+			r.HandleFrame(b, &peerlink.Frame{Pong: p}, r.now)
 		}
 		r.Choose(r.now)
 	}
@@ -43,60 +43,60 @@
 }
 
 func TestUpstreamByPlace(t *testing.T) {
-	r := newRing("m")
+	r := newSelection("m")
 	assert.Equal(t, r.Choose(0), "")
-	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first one, at once
+	assert.Equal(t, r.up("far", "z9", "r9"), "far") // the first replica is chosen at once
 	assert.Equal(t, r.up("near", "z2", "r1"), "far")
 	assert.Equal(t, r.up("own", "z1", "r1"), "far")
 	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "far")
-	assert.Equal(t, r.pass(heartbeat, "far", "near", "own"), "own") // good for long enough
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own") // good for failbackDelay
 	assert.Equal(t, r.pass(600*time.Millisecond, "far", "near"), "own")
-	assert.Equal(t, r.pass(heartbeat, "far", "near"), "near") // silent for too long
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near"), "near") // silent for too long
 	assert.Equal(t, r.pass(4*time.Second, "far", "near", "own"), "near")
-	assert.Equal(t, r.pass(heartbeat, "far", "near", "!own"), "near")
-	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good anew only since
-	assert.Equal(t, r.pass(heartbeat, "far", "near", "own"), "own")
-	assert.Equal(t, r.pass(heartbeat, "far", "!near", "!own"), "far")
-	assert.Equal(t, r.pass(heartbeat, "!far", "!near", "!own"), "far") // none is fresh
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "!own"), "near")
+	assert.Equal(t, r.pass(5*time.Second, "far", "near", "own"), "near") // good again for less than failbackDelay
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "near", "own"), "own")
+	assert.Equal(t, r.pass(heartbeatInterval, "far", "!near", "!own"), "far")
+	assert.Equal(t, r.pass(heartbeatInterval, "!far", "!near", "!own"), "far") // no replica is in contact with a majority
 	assert.Equal(t, r.pass(2*time.Second, "!near", "!own"), "own")
-	assert.Equal(t, r.pass(10*time.Second), "own") // nor heard
-	r.Down("own")
+	assert.Equal(t, r.pass(10*time.Second), "own") // no replica is heard either
+	r.RemoveReplica("own")
 	assert.Equal(t, r.Choose(r.now), "near")
 	why := "goes"
-	r.Heard("near", &peerlink.Frame{Leaving: &why}, r.now)
-	r.Heard("far", &peerlink.Frame{}, r.now)
+	r.HandleFrame("near", &peerlink.Frame{Leaving: &why}, r.now)
+	r.HandleFrame("far", &peerlink.Frame{}, r.now)
 	assert.Equal(t, r.Choose(r.now), "far")
-	r.Down("far")
-	r.Down("near")
+	r.RemoveReplica("far")
+	r.RemoveReplica("near")
 	assert.Equal(t, r.Choose(r.now), "")
 	assert.Equal(t, r.up("far", "z9", "r9"), "far")
 }
 
-// A lead that was just connected isn't given up before it can have answered.
+// A replica chosen right after it connected is not replaced before it can have answered.
 func TestUpstreamMayAnswerLate(t *testing.T) {
-	r := newRing("m")
+	r := newSelection("m")
 	r.up("near", "z2", "r1")
 	r.up("own", "z1", "r1")
 	assert.Equal(t, r.pass(600*time.Millisecond, "own"), "near")
-	assert.Equal(t, r.pass(heartbeat, "own"), "own")
+	assert.Equal(t, r.pass(heartbeatInterval, "own"), "own")
 }
 
-// One chosen among many proxies has had long heartbeats before: its silence counts from then.
+// With many proxies, a replica that becomes upstream was pinged rarely before: its silence counts from the choice.
 func TestUpstreamOfLongHeartbeats(t *testing.T) {
-	r := newRing("m")
-	r.Many = true
+	r := newSelection("m")
+	r.LongHeartbeats = true
 	r.up("own", "z1", "r1")
 	r.up("near", "z2", "r1")
-	assert.Assert(t, r.Every("own") == 2*heartbeat && r.Every("near") == 4*heartbeat)
+	assert.Assert(t, r.PingInterval("own") == 2*heartbeatInterval && r.PingInterval("near") == 4*heartbeatInterval)
 	r.pass(2*time.Second, "own", "near")
 	assert.Equal(t, r.pass(time.Second), "near")
-	assert.Equal(t, r.pass(3*heartbeat), "near")
+	assert.Equal(t, r.pass(3*heartbeatInterval), "near")
 }
 
-func TestLeadsSpread(t *testing.T) {
+func TestUpstreamsAreSpreadOverReplicas(t *testing.T) {
 	n := map[string]int{}
 	for i := range 90 {
-		r := newRing(fmt.Sprint("proxy-", i))
+		r := newSelection(fmt.Sprint("proxy-", i))
 		for _, b := range []string{"a", "b", "c"} {
 			r.up(b, "z2", "r1")
 		}
--- a/internal/dataplane/wire/decode.go
+++ b/internal/dataplane/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the line protocol of the bench. It holds no
-// decisions: it turns lines into the events of package policy, and actions
+// Package wire reads and writes the line protocol of the simulator. It makes
+// no decisions: it turns lines into the events of package policy, and actions
 // into lines.
 package wire
 
@@ -17,7 +17,7 @@
 	"pepperfall.example/pepperfall/policy"
 )
 
-// Configure starts an instance, with nothing remembered.
+// Configure starts an instance with these settings and no earlier state.
 type Configure struct {
 	Seed     uint64
 	Settings policy.Settings
@@ -26,21 +26,22 @@
 // Kill ends an instance.
 type Kill struct{}
 
-// Item is one event of a batch for one instance. Event is a policy.Event, a
-// Configure or a Kill; it is nil for an event no decision needs.
+// Item is one event of a batch, for the instance Node. Event is a policy.Event,
+// a Configure or a Kill; it is nil for an event that the policy doesn't use.
 type Item struct {
 	Node  string
 	Line  int
 	Event any
 }
 
-// Batch is what happens at one instant.
+// Batch holds the events of one instant, Now.
 type Batch struct {
 	Now   time.Duration
 	Items []Item
 }
 
-// Decoder reads batches.
+// Decoder reads batches from lines of the simulator. It keeps the server lists
+// that earlier TABLE lines defined.
 type Decoder struct {
 	r      *bufio.Reader
 	line   int
@@ -52,7 +53,7 @@
 	return &Decoder{r: bufio.NewReaderSize(r, 1<<16), tables: map[int][]policy.Server{}}
 }
 
-// Line is the number of the line read last.
+// Line returns the number of the line read last; the first line is 1.
 func (d *Decoder) Line() int { return d.line }
 
 func (d *Decoder) next() (string, error) {
@@ -64,7 +65,7 @@
 	return strings.TrimRight(s, "\r\n"), nil
 }
 
-func (d *Decoder) fail(format string, args ...any) error {
+func (d *Decoder) errorf(format string, args ...any) error {
 	return fmt.Errorf("line %d: %s", d.line, fmt.Sprintf(format, args...))
 }
 
@@ -79,25 +80,25 @@
 			return b, io.EOF
 		}
 		if err != nil {
-			return b, d.fail("%v", err)
+			return b, d.errorf("%v", err)
 		}
 		head = s
 	}
-	f := parser{words: strings.Split(head, " ")}
+	f := parser{fields: strings.Split(head, " ")}
 	if f.text() != "FRAME" {
-		return b, d.fail("a batch starts with FRAME, not %q", clip(head))
+		return b, d.errorf("a batch starts with FRAME, not %q", clip(head))
 	}
 	b.Now = f.ms()
 	if err := f.end(); err != nil {
-		return b, d.fail("FRAME: %v", err)
+		return b, d.errorf("FRAME: %v", err)
 	}
 	for {
 		s, err := d.next()
 		if errors.Is(err, io.EOF) {
-			return b, d.fail("input ends inside a batch")
+			return b, d.errorf("input ends inside a batch")
 		}
 		if err != nil {
-			return b, d.fail("%v", err)
+			return b, d.errorf("%v", err)
 		}
 		if s == "EOF_BATCH" {
 			return b, nil
@@ -112,67 +113,69 @@
 	}
 }
 
+// event parses one line of a batch. It returns false for a TABLE line, which
+// defines a server list and is no event.
 func (d *Decoder) event(s string) (Item, bool, error) {
-	f := parser{words: strings.Split(s, " ")}
+	f := parser{fields: strings.Split(s, " ")}
 	verb := f.text()
 	if verb == "TABLE" {
 		return Item{}, false, d.table(&f)
 	}
-	it := Item{Line: d.line}
-	it.Node = f.text()
+	item := Item{Line: d.line}
+	item.Node = f.text()
 	switch verb {
 	case "CONFIGURE":
 		c := Configure{Seed: f.uint(64)}
 		if f.err == nil {
-			c.Settings, f.err = settings(f.words)
-			f.words = nil
+			c.Settings, f.err = parseSettings(f.fields)
+			f.fields = nil
 		}
-		it.Event = c
+		item.Event = c
 	case "CRASH_NOW":
-		it.Event = Kill{}
+		item.Event = Kill{}
 	case "MEMBERSHIP":
-		kind, known := memberKinds[f.text()]
-		f.skip() // the list's version
+		kind, known := listKinds[f.text()]
+		f.skip() // version of the list
 		m := policy.ServerList{Kind: kind}
 		page := f.text()
 		if f.err == nil && !known {
-			return it, false, d.fail("MEMBERSHIP: unknown kind")
+			return item, false, d.errorf("MEMBERSHIP: unknown kind")
 		}
 		if f.err == nil && kind != policy.WatchFailed {
 			n, err := strconv.Atoi(page)
 			list, have := d.tables[n]
 			if err != nil || !have {
-				return it, false, d.fail("MEMBERSHIP: no list %q", clip(page))
+				return item, false, d.errorf("MEMBERSHIP: no list %q", clip(page))
 			}
 			m.Servers = list
 		}
-		it.Event = m
+		item.Event = m
 	case "INGRESS":
 		r := policy.Request{ID: f.id(), GatewayCount: f.int(), Class: f.text(), FirstGateway: f.int(), Remaining: f.ms()}
 		r.Units = f.num()
 		r.Retry = f.int()&2 != 0
 		r.Customer = f.text()
 		r.Plan = f.text()
-		it.Event = r
+		item.Event = r
 	case "ACCEPTED":
-		it.Event = policy.Started{ID: f.id(), Attempt: f.int(), Server: f.server()}
+		item.Event = policy.Started{ID: f.id(), Attempt: f.int(), Server: f.server()}
 		f.skip() // latency
 	case "VERDICT":
 		o := policy.Outcome{ID: f.id(), Attempt: f.int()}
-		f.skip() // the meter's figure: peers' totals are what counts here
+		f.skip() // the metered figure: the totals that peers exchange are used instead
 		o.Latency = f.ms()
 		o.Server = f.server()
 		o.ClientAnswered = f.bool()
 		o.ActualUnits = f.num()
 		o.Code = f.code()
 		o.Load = f.row()
-		it.Event = o
+		item.Event = o
 	case "LAPSED":
-		it.Event = policy.ClientGone{ID: f.id()}
+		item.Event = policy.ClientGone{ID: f.id()}
 	case "ELAPSED":
-		it.Event = policy.Timer{Token: f.text()}
+		item.Event = policy.Timer{Token: f.text()}
 	case "WHISPER":
-		it.Event = policy.PeerMessage{From: f.int(), Data: f.bytes()}
+		item.Event = policy.PeerMessage{From: f.int(), Data: f.bytes()}
 	case "PROBE_RESULT":
 		f.server()
 		f.code()
@@ -184,15 +187,15 @@
 		f.num()
 		f.ms()
 	default:
-		return it, false, d.fail("unknown event %q", clip(verb))
+		return item, false, d.errorf("unknown event %q", clip(verb))
 	}
 	if err := f.end(); err != nil {
-		return it, false, d.fail("%s: %v", verb, err)
+		return item, false, d.errorf("%s: %v", verb, err)
 	}
-	return it, true, nil
+	return item, true, nil
 }
 
-var memberKinds = map[string]policy.ServerListKind{"changes": policy.ChangedServers, "all": policy.CompleteList,
+var listKinds = map[string]policy.ServerListKind{"changes": policy.ChangedServers, "all": policy.CompleteList,
 	"remembered": policy.CachedList, "refused": policy.WatchFailed}
 
 var states = map[string]policy.State{"Running": policy.Running, "Stopping": policy.Draining,
@@ -203,73 +206,77 @@
 	"UNAVAILABLE": policy.ConnectFailed, "ABORTED": policy.Reset, "CANCELLED": policy.Cancelled,
 	"TOO_LATE": policy.NoRetry}
 
+// table reads the entries that follow a TABLE line and stores the list under
+// its page number.
 func (d *Decoder) table(f *parser) error {
-	page, n := f.int(), f.int()
+	page, count := f.int(), f.int()
 	if err := f.end(); err != nil {
-		return d.fail("TABLE: %v", err)
+		return d.errorf("TABLE: %v", err)
 	}
-	if n < 0 || n > 1<<20 {
-		return d.fail("TABLE: %d entries", n)
+	if count < 0 || count > 1<<20 {
+		return d.errorf("TABLE: %d entries", count)
 	}
 	var list []policy.Server
-	for range n {
+	for range count {
 		s, err := d.next()
 		if err != nil {
-			return d.fail("input ends inside a list")
+			return d.errorf("input ends inside a list")
 		}
-		e := parser{words: strings.Split(s, " ")}
-		if e.text() != "M" {
-			return d.fail("a list entry starts with M, not %q", clip(s))
+		entry := parser{fields: strings.Split(s, " ")}
+		if entry.text() != "M" {
+			return d.errorf("a list entry starts with M, not %q", clip(s))
 		}
-		start := e.num()
-		sv := policy.Server{HasStartTime: start > 0, StartTime: duration(start), Weight: e.num(), Zone: e.text()}
-		sv.Cell = e.int()
-		state, known := states[e.text()]
-		e.skip() // the machine's kind
-		sv.State, sv.ID = state, e.server()
-		if err := e.end(); err != nil {
-			return d.fail("M: %v", err)
+		start := entry.num()
+		server := policy.Server{HasStartTime: start > 0, StartTime: duration(start), Weight: entry.num(), Zone: entry.text()}
+		server.Cell = entry.int()
+		state, known := states[entry.text()]
+		entry.skip() // kind of machine
+		server.State, server.ID = state, entry.server()
+		if err := entry.end(); err != nil {
+			return d.errorf("M: %v", err)
 		}
 		if !known {
-			return d.fail("M: unknown state")
+			return d.errorf("M: unknown state")
 		}
-		list = append(list, sv)
+		list = append(list, server)
 	}
 	d.tables[page] = list
 	return nil
 }
 
-// parser takes the fields of a line one by one and keeps the first error.
+// parser reads the fields of a line one by one and keeps the first error.
 type parser struct {
-	words []string
-	err   error
+	fields []string
+	err    error
 }
 
 func (p *parser) text() string {
-	if len(p.words) == 0 {
-		p.note("too few fields")
+	if len(p.fields) == 0 {
+		p.setError("too few fields")
 		return ""
 	}
-	w := p.words[0]
-	p.words = p.words[1:]
+	w := p.fields[0]
+	p.fields = p.fields[1:]
 	return w
 }
 
 func (p *parser) skip() { p.text() }
 
-func (p *parser) note(format string, args ...any) {
+func (p *parser) setError(format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(format, args...)
 	}
 }
 
+// end returns the first error, which includes fields that are left over.
 func (p *parser) end() error {
-	if len(p.words) > 0 {
-		p.note("too many fields")
+	if len(p.fields) > 0 {
+		p.setError("too many fields")
 	}
 	return p.err
 }
 
+// num reads a finite number; "-" stands for 0.
 func (p *parser) num() float64 {
 	w := p.text()
 	if w == "-" || p.err != nil {
@@ -277,12 +284,13 @@
 	}
 	v, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.note("%q is no number", clip(w))
+		p.setError("%q is no number", clip(w))
 		return 0
 	}
 	return v
 }
 
+// duration converts milliseconds, rounded to a nanosecond.
 func duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
@@ -295,7 +303,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 10, bits)
 	if err != nil {
-		p.note("%q is no whole number", clip(w))
+		p.setError("%q is no whole number", clip(w))
 	}
 	return v
 }
@@ -306,7 +314,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 16, 64)
 	if err != nil || len(w) != 16 {
-		p.note("%q is no request id", clip(w))
+		p.setError("%q is no request id", clip(w))
 	}
 	return policy.RequestID(v)
 }
@@ -317,23 +325,24 @@
 	w := p.text()
 	c, known := codes[w]
 	if !known {
-		p.note("unknown ending %q", clip(w))
+		p.setError("unknown ending %q", clip(w))
 	}
 	return c
 }
 
+// row reads numbers separated by commas; "-" stands for none.
 func (p *parser) row() []float64 {
 	w := p.text()
 	if w == "-" || w == "" {
 		return nil
 	}
-	row := parser{words: strings.Split(w, ",")}
+	row := parser{fields: strings.Split(w, ",")}
 	var out []float64
-	for len(row.words) > 0 {
+	for len(row.fields) > 0 {
 		out = append(out, row.num())
 	}
 	if row.err != nil {
-		p.note("%v", row.err)
+		p.setError("%v", row.err)
 	}
 	return out
 }
@@ -345,11 +354,12 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(w)
 	if err != nil {
-		p.note("bad base64")
+		p.setError("bad base64")
 	}
 	return b
 }
 
+// clip shortens text that an error quotes.
 func clip(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
